--- /dev/null
+++ b/tests/world-digest.c
@@ -0,0 +1,202 @@
+/* Prints a digest of seeded days of the simulated world, one line a seed: to show that a change of
+ * the sources changes nothing of what they do.
+ *
+ *   world-digest [FIRST_SEED [SEEDS]]     seed 1 and 20 seeds unless said otherwise
+ *
+ * A digest covers every request to the state service and the cloud, every direct command and its
+ * answer, every frame between nodes, every start and end of a task, what each user was told, and
+ * the keys of the state service at the end. Every other seed shares machine groups out. */
+#include <stdio.h>
+#include <stdlib.h>
+
+#include "base/wire.h"
+#include "peers.pb-c.h"
+#include "world/world.h"
+
+#define DEFAULT_SEEDS 20
+#define DAY_S 60
+#define GROUPS 16
+
+static GChecksum *digest;
+static gboolean day_is_over; /* what comes as the world is freed is no part of the day */
+
+static void
+add_bytes(const guint8 *bytes, gsize length) {
+  if (!day_is_over)
+    g_checksum_update(digest, bytes, (gssize)length);
+}
+
+static void
+add_text(const char *text) {
+  /* With its end, so that "ab", "c" differs from "a", "bc". */
+  add_bytes((const guint8 *)text, strlen(text) + 1);
+}
+
+static void
+add_json(const json_t *value) {
+  char *text = value != NULL ? json_dumps(value, JSON_SORT_KEYS | JSON_COMPACT) : NULL;
+
+  add_text(text != NULL ? text : "");
+  free(text);
+}
+
+static void
+add_number(gint64 number) {
+  g_autofree char *text = g_strdup_printf("%" G_GINT64_FORMAT, number);
+
+  add_text(text);
+}
+
+/* Linked with --wrap for each of these. */
+size_t real_pack(const Mm__Frame *frame, uint8_t *out) __asm__("__real_mm__frame__pack");
+size_t digest_pack(const Mm__Frame *frame, uint8_t *out) __asm__("__wrap_mm__frame__pack");
+int real_store(World *world, const char *method, const char *path, const json_t *body,
+               json_t **answer) __asm__("__real_world_store_handle");
+int digest_store(World *world, const char *method, const char *path, const json_t *body,
+                 json_t **answer) __asm__("__wrap_world_store_handle");
+int real_cloud(World *world, const char *method, const char *path, const json_t *body,
+               json_t **answer) __asm__("__real_world_cloud_handle");
+int digest_cloud(World *world, const char *method, const char *path, const json_t *body,
+                 json_t **answer) __asm__("__wrap_world_cloud_handle");
+int real_direct(WorldMachine *machine, const json_t *body,
+                json_t **answer) __asm__("__real_world_machine_direct");
+int digest_direct(WorldMachine *machine, const json_t *body,
+                  json_t **answer) __asm__("__wrap_world_machine_direct");
+
+size_t
+digest_pack(const Mm__Frame *frame, uint8_t *out) {
+  size_t length = real_pack(frame, out);
+
+  add_bytes(out, length);
+  return length;
+}
+
+static void
+add_request(const World *world, const char *method, const char *path, const json_t *body) {
+  add_number(world->now_us);
+  add_text(method);
+  add_text(path);
+  add_json(body);
+}
+
+int
+digest_store(World *world, const char *method, const char *path, const json_t *body,
+             json_t **answer) {
+  add_request(world, method, path, body);
+  return real_store(world, method, path, body, answer);
+}
+
+int
+digest_cloud(World *world, const char *method, const char *path, const json_t *body,
+             json_t **answer) {
+  add_request(world, method, path, body);
+  return real_cloud(world, method, path, body, answer);
+}
+
+int
+digest_direct(WorldMachine *machine, const json_t *body, json_t **answer) {
+  int status;
+
+  add_request(machine->world, "direct", machine->id, body);
+  status = real_direct(machine, body, answer);
+  add_number(status);
+  add_json(*answer);
+  return status;
+}
+
+static void
+add_task_event(gpointer data, const WorldMachine *machine, const WorldTask *task,
+               WorldTaskEvent event) {
+  add_number(machine->world->now_us);
+  add_text(machine->id);
+  add_text(task->job != NULL ? task->job->id : "");
+  add_number(task->number);
+  add_number((gint64)task->attempt);
+  add_number(event);
+  add_number(task->cause);
+}
+
+static gboolean
+add_key(gpointer path, gpointer value, gpointer unused) {
+  const WorldKey *key = value;
+
+  add_text(path);
+  add_number((gint64)key->version);
+  add_json(key->value);
+  return FALSE;
+}
+
+static World *
+new_world(guint32 seed) {
+  World *world = world_new(seed);
+
+  if (seed % 2 == 0) {
+    world->groups = GROUPS;
+    world->group_hold_s = 2;
+  }
+  world->copies = 0.02;
+  world->stalls = seed % 3 == 0 ? 0.01 : 0;
+  world->cancelled_at_end = 0.1;
+  world->silent_ends = seed % 4 == 0;
+  world->late_writes = seed % 5 == 0 ? 0.1 : 0;
+  world->record = add_task_event;
+  world_add_nine_machines(world);
+  return world;
+}
+
+static void
+play_day(World *world) {
+  world_start(world);
+  world_run(world, 3);
+  for (guint second = 0; second < DAY_S; second++) {
+    if (second % 3 == 0)
+      world_submit(world, world_random_job(world), world_uniform(world, 1, 12));
+    if (second % 13 == 7)
+      world_cancel(world_any_job(world));
+    if (second > 10 && world_uniform(world, 0, 1) < 0.15)
+      world_random_trouble(world);
+    if (world->groups > 0)
+      world_random_move(world);
+    world_run(world, 1);
+  }
+}
+
+static void
+add_end(World *world) {
+  g_tree_foreach(world->keys, add_key, NULL);
+  for (guint i = 0; i < world->jobs->len; i++) {
+    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    add_text(job->id);
+    add_number(job->told);
+    add_number(job->n_done);
+  }
+}
+
+static void
+print_digest(guint32 seed) {
+  World *world;
+
+  digest = g_checksum_new(G_CHECKSUM_SHA256);
+  day_is_over = FALSE;
+  world = new_world(seed);
+  play_day(world);
+  world_assert_rules(world);
+  add_end(world);
+  day_is_over = TRUE;
+  printf("seed %u: %s starts=%u writes=%" G_GUINT64_FORMAT " frames=%" G_GUINT64_FORMAT
+         " events=%" G_GUINT64_FORMAT "\n",
+         seed, g_checksum_get_string(digest), world->starts, world->writes, world->frames,
+         world->n_events);
+  world_free(world);
+  g_checksum_free(digest);
+}
+
+int
+main(int argc, char **argv) {
+  guint32 first = argc > 1 ? (guint32)strtoul(argv[1], NULL, 10) : 1;
+  guint32 seeds = argc > 2 ? (guint32)strtoul(argv[2], NULL, 10) : DEFAULT_SEEDS;
+
+  for (guint32 seed = first; seed < first + seeds; seed++)
+    print_digest(seed);
+  return 0;
+}
