--- a/src/checkin/checkin.c
+++ b/src/checkin/checkin.c
@@ -23,73 +23,73 @@
 
 MmCheckin *
 mm_checkin_new(MmNode *node) {
-  MmCheckin *checkin = g_new0(MmCheckin, 1);
+  MmCheckin *server = g_new0(MmCheckin, 1);
 
-  checkin->node = node;
-  checkin->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
-  checkin->deferred = g_queue_new();
-  checkin->confirming = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  return checkin;
+  server->node = node;
+  server->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
+  server->deferred = g_queue_new();
+  server->confirming = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  return server;
 }
 
 void
-mm_checkin_free(MmCheckin *checkin) {
+mm_checkin_free(MmCheckin *server) {
   Deferred *deferred;
 
-  mm_pending_answers_refuse(checkin);
-  while ((deferred = g_queue_pop_head(checkin->deferred)) != NULL) {
+  mm_pending_answers_refuse(server);
+  while ((deferred = g_queue_pop_head(server->deferred)) != NULL) {
     mm_exchange_answer(deferred->exchange, 503, NULL, 0);
     json_decref(deferred->body);
     g_free(deferred);
   }
-  g_queue_free(checkin->deferred);
-  g_hash_table_unref(checkin->asks);
-  g_hash_table_unref(checkin->confirming);
-  g_free(checkin);
+  g_queue_free(server->deferred);
+  g_hash_table_unref(server->asks);
+  g_hash_table_unref(server->confirming);
+  g_free(server);
 }
 
 /* ---- reports ---- */
 
 static void
-redirect(MmCheckin *checkin, MmExchange *exchange, gint peer) {
+redirect(MmCheckin *server, MmExchange *exchange, gint peer) {
   if (peer >= 0)
-    mm_exchange_answer(
-        exchange, 421,
-        json_pack("{s:s}", WIRE_REPORT_TO, checkin->node->links->peers[peer].label.s), 0);
+    mm_exchange_answer(exchange, 421,
+                       json_pack("{s:s}", WIRE_REPORT_TO, server->node->links->peers[peer].label.s),
+                       0);
   else
     mm_exchange_answer(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
 
 /* Machines are spread over the nodes by moving one now and then. */
 static gint
-lighter_peer(MmCheckin *checkin) {
-  MmTime now = mm_node_now(checkin->node);
-  gint other;
+lighter_peer(MmCheckin *server) {
+  MmTime now = mm_node_now(server->node);
+  gint peer;
 
-  if (mm_time_ms_since(now, checkin->redirected) < REDIRECT_EVERY_MS)
+  if (mm_time_ms_since(now, server->redirected) < REDIRECT_EVERY_MS)
     return -1;
-  other = mm_links_other(checkin->node->links);
-  if (other < 0 || checkin->hosted < checkin->node->links->peers[other].machines + 4)
+  peer = mm_links_other(server->node->links);
+  if (peer < 0 || server->hosted < server->node->links->peers[peer].machines + 4)
     return -1;
-  checkin->redirected = now;
-  checkin->hosted--;
-  checkin->node->links->peers[other].machines++;
-  return other;
+  server->redirected = now;
+  server->hosted--;
+  server->node->links->peers[peer].machines++;
+  return peer;
 }
 
 /* Each machine has one report under way, so the machine table bounds them; FALSE when it waits
  * already as long as it may. */
 static gboolean
-defer(MmCheckin *checkin, const json_t *body, MmExchange *exchange, MmTime since) {
-  guint most = MAX(DEFERRED_LEAST, checkin->node->machine_table->order->len);
+defer(MmCheckin *server, const json_t *body, MmExchange *exchange, MmTime received_at) {
+  guint limit = MAX(DEFERRED_LEAST, server->node->machine_table->order->len);
   Deferred *deferred;
 
-  if (mm_time_ms_since(mm_node_now(checkin->node), since) >= DEFER_MS
-      || g_queue_get_length(checkin->deferred) >= most)
+  if (mm_time_ms_since(mm_node_now(server->node), received_at) >= DEFER_MS
+      || g_queue_get_length(server->deferred) >= limit)
     return FALSE;
   deferred = g_new(Deferred, 1);
-  *deferred = (Deferred){ json_incref((json_t *)body), exchange, since };
-  g_queue_push_tail(checkin->deferred, deferred);
+  *deferred = (Deferred){ json_incref((json_t *)body), exchange, received_at };
+  g_queue_push_tail(server->deferred, deferred);
   return TRUE;
 }
 
@@ -98,17 +98,17 @@
  * parts then waited two report periods for their acknowledgements. So reports wait a moment for the
  * last of the terms. Not for ever, should nobody take a part. */
 gboolean
-mm_checkin_is_settling(const MmCheckin *checkin) {
-  return checkin->unsettled_since.us != 0
-         && mm_time_ms_since(mm_node_now(checkin->node), checkin->unsettled_since) < DEFER_MS;
+mm_checkin_is_settling(const MmCheckin *server) {
+  return server->unsettled_since.us != 0
+         && mm_time_ms_since(mm_node_now(server->node), server->unsettled_since) < DEFER_MS;
 }
 
 static void
-watch_parts(MmCheckin *checkin) {
-  if (!mm_claims_unsettled(checkin->node->claims))
-    checkin->unsettled_since.us = 0;
-  else if (checkin->unsettled_since.us == 0)
-    checkin->unsettled_since = mm_node_now(checkin->node);
+watch_parts(MmCheckin *server) {
+  if (!mm_claims_unsettled(server->node->claims))
+    server->unsettled_since.us = 0;
+  else if (server->unsettled_since.us == 0)
+    server->unsettled_since = mm_node_now(server->node);
 }
 
 static void
@@ -119,9 +119,9 @@
 /* It gets the term to show, and stops, which are always good; not for ever, should it show nothing.
  */
 static void
-answer_unproved(MmCheckin *checkin, const MmReport *report, MmExchange *exchange) {
-  MmNode *node = checkin->node;
-  MmMachine *machine = mm_machine_table_note_unproved(node->machine_table, report);
+answer_unproved(MmCheckin *server, const MmReport *heartbeat, MmExchange *exchange) {
+  MmNode *node = server->node;
+  MmMachine *machine = mm_machine_table_note_unproved(node->machine_table, heartbeat);
   json_t *commands;
 
   if (mm_health_is_deaf(node->machine_table, machine)) {
@@ -132,42 +132,42 @@
   mm_health_count_own_answer(node->machine_table, machine);
   mm_links_tell_unproved(node->links, &machine->id);
   commands = json_array();
-  mm_checkin_clear_away(checkin, report->tasks, commands);
+  mm_checkin_clear_away(server, heartbeat->tasks, commands);
   mm_checkin_send_commands(node, exchange, commands);
 }
 
 /* Reports that this node may not answer, or not yet; TRUE when the exchange is dealt with. */
 static gboolean
-turn_away(MmCheckin *checkin, const MmReport *report, const json_t *body, MmExchange *exchange,
-          MmTime since) {
-  MmNode *node = checkin->node;
+turn_away(MmCheckin *server, const MmReport *heartbeat, const json_t *body, MmExchange *exchange,
+          MmTime received_at) {
+  MmNode *node = server->node;
   gint peer;
 
   if (!mm_claims_may_answer(node->claims) || !mm_versions_groups_told(node->versions)) {
-    redirect(checkin, exchange, mm_links_other(node->links));
+    redirect(server, exchange, mm_links_other(node->links));
     return TRUE;
   }
-  if (report->token.v > node->replica->term.v) {
+  if (heartbeat->token.v > node->replica->term.v) {
     /* A 200 with our term would be dropped and would hold the worker here: the watch must show the
      * newer term, with the part map, first. */
-    if (!defer(checkin, body, exchange, since))
+    if (!defer(server, body, exchange, received_at))
       refuse_report(exchange, "the term is not known here yet");
     return TRUE;
   }
-  if (mm_checkin_is_settling(checkin) && defer(checkin, body, exchange, since))
+  if (mm_checkin_is_settling(server) && defer(server, body, exchange, received_at))
     return TRUE;
-  peer = node->sharing->active ? mm_sharing_redirect(node->sharing, report->machine.s)
-                               : lighter_peer(checkin);
+  peer = node->sharing->active ? mm_sharing_redirect(node->sharing, heartbeat->machine.s)
+                               : lighter_peer(server);
   if (peer >= 0) {
-    redirect(checkin, exchange, peer);
+    redirect(server, exchange, peer);
     return TRUE;
   }
-  if (mm_machine_table_is_late(node->machine_table, report)) {
+  if (mm_machine_table_is_late(node->machine_table, heartbeat)) {
     refuse_report(exchange, "a newer report has come");
     return TRUE;
   }
-  if (mm_machine_table_is_unproved(node->machine_table, report)) {
-    answer_unproved(checkin, report, exchange);
+  if (mm_machine_table_is_unproved(node->machine_table, heartbeat)) {
+    answer_unproved(server, heartbeat, exchange);
     return TRUE;
   }
   return FALSE;
@@ -175,19 +175,19 @@
 
 /* Takes the report into the machine table and tells the peers, before it is answered. */
 static MmMachine *
-take_and_tell(MmCheckin *checkin, const MmReport *report) {
-  MmNode *node = checkin->node;
+take_and_tell(MmCheckin *server, const MmReport *heartbeat) {
+  MmNode *node = server->node;
   MmMachine *machine
-      = mm_machine_table_take(node->machine_table, report, mm_node_now(node), MM_HOST_SELF);
+      = mm_machine_table_take(node->machine_table, heartbeat, mm_node_now(node), MM_HOST_SELF);
 
   if (machine != NULL) {
-    mm_links_tell_report(node->links, machine, !report->unanswered);
+    mm_links_tell_report(node->links, machine, !heartbeat->unanswered);
     return machine;
   }
   /* Overtaken by a direct answer: it renews the lease if the worker still waits, so the peers must
    * know of it, whatever stamp they know. */
-  machine = mm_machine_table_find(node->machine_table, report->machine.s);
-  if (!report->unanswered)
+  machine = mm_machine_table_find(node->machine_table, heartbeat->machine.s);
+  if (!heartbeat->unanswered)
     mm_links_tell_unproved(node->links, &machine->id);
   return machine;
 }
@@ -196,89 +196,89 @@
  * ever prove its lease over, and parts that were taken meanwhile would wait for its acknowledgement
  * without end. */
 static void
-answer_report(MmCheckin *checkin, MmReport *report, MmExchange *exchange) {
-  MmMachineTable *machine_table = checkin->node->machine_table;
-  MmMachine *machine = mm_machine_table_find(machine_table, report->machine.s);
-
-  report->unanswered = machine != NULL && mm_health_is_deaf(machine_table, machine)
-                       && report->token.v <= machine->token.v;
-  if (!report->unanswered || !machine->lost)
-    machine = take_and_tell(checkin, report);
-  if (report->unanswered) {
+answer_report(MmCheckin *server, MmReport *heartbeat, MmExchange *exchange) {
+  MmMachineTable *machine_table = server->node->machine_table;
+  MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine.s);
+
+  heartbeat->unanswered = machine != NULL && mm_health_is_deaf(machine_table, machine)
+                          && heartbeat->token.v <= machine->token.v;
+  if (!heartbeat->unanswered || !machine->lost)
+    machine = take_and_tell(server, heartbeat);
+  if (heartbeat->unanswered) {
     refuse_report(exchange, "earlier answers were not taken");
     return;
   }
   mm_health_count_own_answer(machine_table, machine);
-  mm_pending_answer_start(checkin, report, machine, exchange);
+  mm_pending_answer_start(server, heartbeat, machine, exchange);
 }
 
 static void
-take_in(MmCheckin *checkin, const json_t *body, MmExchange *exchange, MmTime since) {
+take_in(MmCheckin *server, const json_t *body, MmExchange *exchange, MmTime received_at) {
   const char *reason = NULL;
-  MmReport report;
+  MmReport heartbeat;
 
-  if (!mm_report_parse(&report, body, &reason))
+  if (!mm_report_parse(&heartbeat, body, &reason))
     mm_exchange_answer(exchange, 400, mm_json_error(reason), 0);
-  else if (!turn_away(checkin, &report, body, exchange, since))
-    answer_report(checkin, &report, exchange);
-  mm_report_clear(&report);
+  else if (!turn_away(server, &heartbeat, body, exchange, received_at))
+    answer_report(server, &heartbeat, exchange);
+  mm_report_clear(&heartbeat);
 }
 
 void
-mm_checkin_report(MmCheckin *checkin, const json_t *body, MmExchange *exchange) {
-  take_in(checkin, body, exchange, mm_node_now(checkin->node));
+mm_checkin_report(MmCheckin *server, const json_t *body, MmExchange *exchange) {
+  take_in(server, body, exchange, mm_node_now(server->node));
 }
 
 static void
-again(MmCheckin *checkin, Deferred *deferred) {
-  take_in(checkin, deferred->body, deferred->exchange, deferred->since);
+again(MmCheckin *server, Deferred *deferred) {
+  take_in(server, deferred->body, deferred->exchange, deferred->since);
   json_decref(deferred->body);
   g_free(deferred);
 }
 
 void
-mm_checkin_replica_changed(MmCheckin *checkin) {
-  guint n = g_queue_get_length(checkin->deferred);
+mm_checkin_replica_changed(MmCheckin *server) {
+  guint n_deferred = g_queue_get_length(server->deferred);
 
-  watch_parts(checkin);
-  while (n-- > 0)
-    again(checkin, g_queue_pop_head(checkin->deferred));
+  watch_parts(server);
+  while (n_deferred-- > 0)
+    again(server, g_queue_pop_head(server->deferred));
 }
 
 guint
-mm_checkin_hosted(const MmCheckin *checkin) {
-  return checkin->hosted;
+mm_checkin_hosted(const MmCheckin *server) {
+  return server->hosted;
 }
 
 static void
-count_hosted(MmCheckin *checkin) {
-  MmNode *node = checkin->node;
+count_hosted(MmCheckin *server) {
+  MmNode *node = server->node;
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->report_s * 3000);
 
-  if (mm_time_ms_since(now, checkin->counted) < 500)
+  if (mm_time_ms_since(now, server->counted) < 500)
     return;
-  checkin->counted = now;
-  checkin->hosted = 0;
+  server->counted = now;
+  server->hosted = 0;
   for (guint i = 0; i < node->machine_table->order->len; i++) {
     const MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
-    checkin->hosted += machine->host == MM_HOST_SELF && machine->heard
-                       && mm_time_ms_since(now, machine->reported) < recent_ms;
+    server->hosted += machine->host == MM_HOST_SELF && machine->heard
+                      && mm_time_ms_since(now, machine->reported) < recent_ms;
   }
 }
 
 void
-mm_checkin_tick(MmCheckin *checkin) {
-  MmTime now = mm_node_now(checkin->node);
-
-  count_hosted(checkin);
-  if (checkin->unsettled_since.us != 0 && !mm_claims_unsettled(checkin->node->claims))
-    mm_checkin_replica_changed(checkin);
-  while (!g_queue_is_empty(checkin->deferred)) {
-    Deferred *deferred = g_queue_peek_head(checkin->deferred);
+mm_checkin_tick(MmCheckin *server) {
+  MmTime now = mm_node_now(server->node);
+
+  count_hosted(server);
+  if (server->unsettled_since.us != 0 && !mm_claims_unsettled(server->node->claims))
+    mm_checkin_replica_changed(server);
+  while (!g_queue_is_empty(server->deferred)) {
+    Deferred *deferred = g_queue_peek_head(server->deferred);
     if (mm_time_ms_since(now, deferred->since) < DEFER_MS)
       break;
-    again(checkin, g_queue_pop_head(checkin->deferred));
+    again(server, g_queue_pop_head(server->deferred));
   }
-  mm_pending_answers_expire(checkin);
+  mm_pending_answers_expire(server);
 }
--- a/src/checkin/checkin.h
+++ b/src/checkin/checkin.h
@@ -18,13 +18,13 @@
 };
 
 MmCheckin *mm_checkin_new(MmNode *node);
-void mm_checkin_free(MmCheckin *checkin);
-void mm_checkin_tick(MmCheckin *checkin);
-void mm_checkin_report(MmCheckin *checkin, const json_t *body, MmExchange *exchange);
-void mm_checkin_replica_changed(MmCheckin *checkin);
+void mm_checkin_free(MmCheckin *server);
+void mm_checkin_tick(MmCheckin *server);
+void mm_checkin_report(MmCheckin *server, const json_t *body, MmExchange *exchange);
+void mm_checkin_replica_changed(MmCheckin *server);
 /* A peer's answer to a request for approval. */
-void mm_checkin_answered(MmCheckin *checkin, guint peer, const Mm__Answer *answer);
+void mm_checkin_answered(MmCheckin *server, guint peer, const Mm__Answer *reply);
 /* Parts are changing hands at the moment: what is told of terms now would soon be old. */
-gboolean mm_checkin_is_settling(const MmCheckin *checkin);
+gboolean mm_checkin_is_settling(const MmCheckin *server);
 /* Machines that report to this node. */
-guint mm_checkin_hosted(const MmCheckin *checkin);
+guint mm_checkin_hosted(const MmCheckin *server);
--- a/src/checkin/health.c
+++ b/src/checkin/health.c
@@ -18,30 +18,31 @@
 #define DEAF_PERIODS 3
 
 static void
-quarantine(const MmMachineTable *machine_table, MmMachine *machine, gint64 ms, const char *reason) {
+quarantine(const MmMachineTable *machine_table, MmMachine *machine, gint64 duration_ms,
+           const char *reason) {
   mm_info("machine %s is quarantined: %s", machine->id.s, reason);
-  machine->quarantined_until = mm_time_add_ms(mm_node_now(machine_table->node), ms);
+  machine->quarantined_until = mm_time_add_ms(mm_node_now(machine_table->node), duration_ms);
 }
 
 /* Longer each time. */
 static gint64
-repeated_ms(guint times) {
-  return MIN((gint64)QUARANTINE_MS << MIN(times, QUARANTINE_DOUBLINGS), QUARANTINE_MOST_MS);
+repeated_ms(guint repetitions) {
+  return MIN((gint64)QUARANTINE_MS << MIN(repetitions, QUARANTINE_DOUBLINGS), QUARANTINE_MOST_MS);
 }
 
 /* ---- errors ---- */
 
 static gboolean
 was_ended(const MmMachine *machine, const MmSeenTask *task) {
-  const MmSeenTask *old = mm_machine_seen(machine, &task->job, task->number, task->attempt);
+  const MmSeenTask *previous = mm_machine_seen(machine, &task->job, task->number, task->attempt);
 
-  return old != NULL && old->state == MM_SEEN_ENDED;
+  return previous != NULL && previous->state == MM_SEEN_ENDED;
 }
 
 /* One that failed wherever it was tried and succeeded nowhere: it says nothing about machines. */
 static gboolean
-job_is_faulty(const MmMachineTable *machine_table, const MmName *id) {
-  const MmJob *job = mm_job_table_find(machine_table->node->job_table, id->s);
+job_is_faulty(const MmMachineTable *machine_table, const MmName *job_id) {
+  const MmJob *job = mm_job_table_find(machine_table->node->job_table, job_id->s);
 
   return job != NULL && mm_job_fails_everywhere(job);
 }
@@ -49,22 +50,23 @@
 /* Jobs with a mistake fail on every machine. They once had healthy machines quarantined by the
  * hundred: two such jobs were enough for each machine that had tried both. */
 static void
-count_error(MmMachineTable *machine_table, MmMachine *machine, const MmName *job) {
+count_error(MmMachineTable *machine_table, MmMachine *machine, const MmName *job_id) {
   if (machine->failed_jobs > 0 && job_is_faulty(machine_table, &machine->last_failed_job))
     machine->failed_jobs--;
-  if (job_is_faulty(machine_table, job)
-      || (machine->failed_jobs > 0 && mm_name_equal(&machine->last_failed_job, job)))
+  if (job_is_faulty(machine_table, job_id)
+      || (machine->failed_jobs > 0 && mm_name_equal(&machine->last_failed_job, job_id)))
     return;
-  machine->last_failed_job = *job;
+  machine->last_failed_job = *job_id;
   if (++machine->failed_jobs < ERRORS_TO_QUARANTINE)
     return;
   quarantine(machine_table, machine, ERRORS_QUARANTINE_MS, "tasks of several jobs fail there");
 }
 
 void
-mm_health_count_errors(MmMachineTable *machine_table, MmMachine *machine, const MmReport *report) {
-  for (guint i = 0; i < report->tasks->len; i++) {
-    const MmSeenTask *task = &g_array_index(report->tasks, MmSeenTask, i);
+mm_health_count_errors(MmMachineTable *machine_table, MmMachine *machine,
+                       const MmReport *heartbeat) {
+  for (guint i = 0; i < heartbeat->tasks->len; i++) {
+    const MmSeenTask *task = &g_array_index(heartbeat->tasks, MmSeenTask, i);
     MmJob *job = mm_job_table_find(machine_table->node->job_table, task->job.s);
 
     if (task->state != MM_SEEN_ENDED || was_ended(machine, task))
@@ -98,10 +100,11 @@
 }
 
 void
-mm_health_note_answer(const MmMachineTable *machine_table, MmMachine *machine, MmTime at) {
-  if (mm_time_ms_since(at, machine->answered) > lease_ms(machine_table) / 2)
-    machine->answered_steadily_since = at;
-  machine->answered = mm_time_max(machine->answered, at);
+mm_health_note_answer(const MmMachineTable *machine_table, MmMachine *machine,
+                      MmTime responded_at) {
+  if (mm_time_ms_since(responded_at, machine->answered) > lease_ms(machine_table) / 2)
+    machine->answered_steadily_since = responded_at;
+  machine->answered = mm_time_max(machine->answered, responded_at);
 }
 
 /* A worker that is answered keeps its session. One whose nodes have ended finds another late, and
--- a/src/checkin/health.h
+++ b/src/checkin/health.h
@@ -7,11 +7,12 @@
 /* Counts the errors that the report shows for the first time; a machine on which tasks of several
  * jobs fail in a row is quarantined. Call it before the report's tasks replace the machine's. */
 void mm_health_count_errors(MmMachineTable *machine_table, MmMachine *machine,
-                            const MmReport *report);
+                            const MmReport *heartbeat);
 /* A start given to the machine was not carried out; after several in a row it is quarantined. */
 void mm_health_note_refused_start(const MmMachineTable *machine_table, MmMachine *machine);
 /* Some node answered the machine, at `at` or later. */
-void mm_health_note_answer(const MmMachineTable *machine_table, MmMachine *machine, MmTime at);
+void mm_health_note_answer(const MmMachineTable *machine_table, MmMachine *machine,
+                           MmTime responded_at);
 /* The machine shows a new session; one that loses its leases although it is answered steadily is
  * quarantined. */
 void mm_health_note_session(const MmMachineTable *machine_table, MmMachine *machine);
--- a/src/checkin/machine-table.c
+++ b/src/checkin/machine-table.c
@@ -56,40 +56,40 @@
 }
 
 MmMachine *
-mm_machine_table_find(const MmMachineTable *machine_table, const char *id) {
-  return g_hash_table_lookup(machine_table->machines, id);
+mm_machine_table_find(const MmMachineTable *machine_table, const char *machine_id) {
+  return g_hash_table_lookup(machine_table->machines, machine_id);
 }
 
 static void
-renumber(MmMachineTable *machine_table, guint from) {
-  for (guint i = from; i < machine_table->order->len; i++)
+renumber(MmMachineTable *machine_table, guint first_position) {
+  for (guint i = first_position; i < machine_table->order->len; i++)
     ((MmMachine *)g_ptr_array_index(machine_table->order, i))->index = i;
 }
 
 /* The order is by id, which is the order of renting: new ones mostly come last. */
 static void
 insert(MmMachineTable *machine_table, MmMachine *machine) {
-  guint at = machine_table->order->len;
+  guint position = machine_table->order->len;
 
-  while (
-      at > 0
-      && strcmp(((MmMachine *)g_ptr_array_index(machine_table->order, at - 1))->id.s, machine->id.s)
-             > 0)
-    at--;
-  g_ptr_array_insert(machine_table->order, (gint)at, machine);
-  renumber(machine_table, at);
+  while (position > 0
+         && strcmp(((MmMachine *)g_ptr_array_index(machine_table->order, position - 1))->id.s,
+                   machine->id.s)
+                > 0)
+    position--;
+  g_ptr_array_insert(machine_table->order, (gint)position, machine);
+  renumber(machine_table, position);
 }
 
 /* ---- how many tasks of a job are seen running ---- */
 
 static void
-count_running(MmMachineTable *machine_table, const MmMachine *machine, gint by) {
+count_running(MmMachineTable *machine_table, const MmMachine *machine, gint delta) {
   for (guint i = 0; i < machine->tasks->len; i++) {
     const MmSeenTask *task = &g_array_index(machine->tasks, MmSeenTask, i);
     gint n;
     if (task->state != MM_SEEN_RUNNING)
       continue;
-    n = GPOINTER_TO_INT(g_hash_table_lookup(machine_table->running, task->job.s)) + by;
+    n = GPOINTER_TO_INT(g_hash_table_lookup(machine_table->running, task->job.s)) + delta;
     if (n > 0)
       g_hash_table_insert(machine_table->running, g_strdup(task->job.s), GINT_TO_POINTER(n));
     else
@@ -108,20 +108,20 @@
 }
 
 static MmMachine *
-find_or_add(MmMachineTable *machine_table, const char *id) {
-  MmMachine *machine = mm_machine_table_find(machine_table, id);
+find_or_add(MmMachineTable *machine_table, const char *machine_id) {
+  MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
   if (machine != NULL)
     return machine;
   machine = g_new0(MmMachine, 1);
-  machine->id = mm_name(id);
+  machine->id = mm_name(machine_id);
   machine->tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask));
   machine->images = g_array_new(FALSE, TRUE, sizeof(MmCachedImage));
   machine->kept = g_array_new(FALSE, TRUE, sizeof(MmTaskRef));
   machine->queued = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   machine->placed = g_ptr_array_new_with_free_func(g_free);
   machine->host = MM_HOST_NONE;
-  machine->group = mm_group_of_machine(id, machine_table->node->sharing->groups);
+  machine->group = mm_group_of_machine(machine_id, machine_table->node->sharing->groups);
   /* Nothing is known of its past: it may have been answered a moment ago. */
   machine->answered = mm_node_now(machine_table->node);
   machine->idle_since = machine->seen = machine->answered;
@@ -135,10 +135,10 @@
 
 /* What a report says goes to whoever decides on the machine's tasks and resources. */
 static void
-note_report(const MmMachineTable *machine_table, MmMachine *machine, const MmReport *report,
+note_report(const MmMachineTable *machine_table, MmMachine *machine, const MmReport *heartbeat,
             gboolean changed) {
-  mm_owner_report(machine_table->node->owner, machine, report, changed);
-  mm_sharing_reported(machine_table->node->sharing, machine, report->stamp, report->direct);
+  mm_owner_report(machine_table->node->owner, machine, heartbeat, changed);
+  mm_sharing_reported(machine_table->node->sharing, machine, heartbeat->stamp, heartbeat->direct);
 }
 
 static void
@@ -149,14 +149,14 @@
 
 void
 mm_machine_table_remove(MmMachineTable *machine_table, MmMachine *machine) {
-  guint at = machine->index;
+  guint position = machine->index;
 
   if (machine->lost)
     remember(machine_table, machine);
   note_gone(machine_table, machine);
   set_tasks(machine_table, machine, NULL);
-  g_ptr_array_remove_index(machine_table->order, at);
-  renumber(machine_table, at);
+  g_ptr_array_remove_index(machine_table->order, position);
+  renumber(machine_table, position);
   g_hash_table_remove(machine_table->machines, machine->id.s);
 }
 
@@ -164,27 +164,29 @@
 
 /* Whether the report shows what is known already. */
 static gboolean
-shows_the_same(const MmMachine *machine, const MmReport *report, gint host) {
-  if (!machine->heard || machine->lost || (!report->direct && machine->host != host)
-      || report->stamp.session != machine->stamp.session || report->token.v != machine->token.v
-      || report->warned != machine->warned || report->tasks->len != machine->tasks->len
-      || (report->addr[0] != '\0' && strcmp(report->addr, machine->addr) != 0))
+shows_the_same(const MmMachine *machine, const MmReport *heartbeat, gint serving_node) {
+  if (!machine->heard || machine->lost || (!heartbeat->direct && machine->host != serving_node)
+      || heartbeat->stamp.session != machine->stamp.session
+      || heartbeat->token.v != machine->token.v || heartbeat->warned != machine->warned
+      || heartbeat->tasks->len != machine->tasks->len
+      || (heartbeat->addr[0] != '\0' && strcmp(heartbeat->addr, machine->addr) != 0))
     return FALSE;
-  for (guint i = 0; i < report->tasks->len; i++) {
-    const MmSeenTask *a = &g_array_index(report->tasks, MmSeenTask, i);
-    const MmSeenTask *b = &g_array_index(machine->tasks, MmSeenTask, i);
-    if (a->number != b->number || a->attempt.v != b->attempt.v || a->state != b->state
-        || a->cause != b->cause || a->saved != b->saved || !mm_name_equal(&a->job, &b->job))
+  for (guint i = 0; i < heartbeat->tasks->len; i++) {
+    const MmSeenTask *reported = &g_array_index(heartbeat->tasks, MmSeenTask, i);
+    const MmSeenTask *known = &g_array_index(machine->tasks, MmSeenTask, i);
+    if (reported->number != known->number || reported->attempt.v != known->attempt.v
+        || reported->state != known->state || reported->cause != known->cause
+        || reported->saved != known->saved || !mm_name_equal(&reported->job, &known->job))
       return FALSE;
   }
   return TRUE;
 }
 
 static gboolean
-is_past(const MmMachineTable *machine_table, const char *id, guint64 session) {
-  const guint64 *past = g_hash_table_lookup(machine_table->past, id);
+is_past(const MmMachineTable *machine_table, const char *machine_id, guint64 incarnation) {
+  const guint64 *newest_ended = g_hash_table_lookup(machine_table->past, machine_id);
 
-  return past != NULL && session <= *past;
+  return newest_ended != NULL && incarnation <= *newest_ended;
 }
 
 /* Of those heard of or registered. */
@@ -196,12 +198,12 @@
 /* So that a late copy does not bring it back once its entry here is gone. */
 static void
 remember(MmMachineTable *machine_table, const MmMachine *machine) {
-  guint64 *session = g_new(guint64, 1);
+  guint64 *incarnation = g_new(guint64, 1);
 
-  *session = machine->gone ? G_MAXUINT64 : newest_session(machine);
+  *incarnation = machine->gone ? G_MAXUINT64 : newest_session(machine);
   if (!g_hash_table_contains(machine_table->past, machine->id.s))
     g_queue_push_tail(machine_table->past_order, g_strdup(machine->id.s));
-  g_hash_table_insert(machine_table->past, g_strdup(machine->id.s), session);
+  g_hash_table_insert(machine_table->past, g_strdup(machine->id.s), incarnation);
   while (g_queue_get_length(machine_table->past_order)
          > MAX(PAST_LEAST, PAST_A_MACHINE * machine_table->order->len)) {
     g_autofree char *oldest = g_queue_pop_head(machine_table->past_order);
@@ -210,34 +212,34 @@
 }
 
 gboolean
-mm_machine_table_is_late(const MmMachineTable *machine_table, const MmReport *report) {
-  const MmMachine *machine = mm_machine_table_find(machine_table, report->machine.s);
+mm_machine_table_is_late(const MmMachineTable *machine_table, const MmReport *heartbeat) {
+  const MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine.s);
 
-  if (is_past(machine_table, report->machine.s, report->stamp.session))
+  if (is_past(machine_table, heartbeat->machine.s, heartbeat->stamp.session))
     return TRUE;
   if (machine == NULL)
     return FALSE;
-  return machine->gone || !mm_stamp_newer(report->stamp, machine->report_stamp)
-         || (machine->registered && report->stamp.session < machine->registered_session)
-         || (machine->heard && report->stamp.session < machine->stamp.session)
-         || (machine->heard && machine->lost && report->stamp.session == machine->stamp.session);
+  return machine->gone || !mm_stamp_newer(heartbeat->stamp, machine->report_stamp)
+         || (machine->registered && heartbeat->stamp.session < machine->registered_session)
+         || (machine->heard && heartbeat->stamp.session < machine->stamp.session)
+         || (machine->heard && machine->lost && heartbeat->stamp.session == machine->stamp.session);
 }
 
 gboolean
-mm_machine_table_is_unproved(const MmMachineTable *machine_table, const MmReport *report) {
-  const MmMachine *machine = mm_machine_table_find(machine_table, report->machine.s);
+mm_machine_table_is_unproved(const MmMachineTable *machine_table, const MmReport *heartbeat) {
+  const MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine.s);
 
-  return !report->direct && (machine == NULL || !machine->heard)
+  return !heartbeat->direct && (machine == NULL || !machine->heard)
          && !(machine != NULL && machine->registered
-              && machine->registered_session >= report->stamp.session)
-         && report->token.v < machine_table->node->replica->first_term.v;
+              && machine->registered_session >= heartbeat->stamp.session)
+         && heartbeat->token.v < machine_table->node->replica->first_term.v;
 }
 
 MmMachine *
-mm_machine_table_note_unproved(MmMachineTable *machine_table, const MmReport *report) {
-  MmMachine *machine = find_or_add(machine_table, report->machine.s);
+mm_machine_table_note_unproved(MmMachineTable *machine_table, const MmReport *heartbeat) {
+  MmMachine *machine = find_or_add(machine_table, heartbeat->machine.s);
 
-  machine->report_stamp = report->stamp;
+  machine->report_stamp = heartbeat->stamp;
   return machine;
 }
 
@@ -247,57 +249,57 @@
  * taken off the register, and their tasks run elsewhere as well; and who had given them up took
  * their reports for late ones for good. */
 static void
-note_new_session(MmMachine *machine, MmTime seen) {
-  machine->answered = mm_time_max(machine->answered, seen);
-  machine->answered_steadily_since = seen;
+note_new_session(MmMachine *machine, MmTime first_seen_at) {
+  machine->answered = mm_time_max(machine->answered, first_seen_at);
+  machine->answered_steadily_since = first_seen_at;
 }
 
 /* What the machine is, as the report says. */
 static void
-take_identity(MmMachineTable *machine_table, MmMachine *machine, const MmReport *report) {
-  if (report->addr[0] != '\0')
-    memcpy(machine->addr, report->addr, sizeof machine->addr);
-  if (!mm_name_is_empty(&report->type))
-    machine->type_name = report->type;
-  if (!mm_name_is_empty(&report->zone))
-    machine->zone = report->zone;
+take_identity(MmMachineTable *machine_table, MmMachine *machine, const MmReport *heartbeat) {
+  if (heartbeat->addr[0] != '\0')
+    memcpy(machine->addr, heartbeat->addr, sizeof machine->addr);
+  if (!mm_name_is_empty(&heartbeat->type))
+    machine->type_name = heartbeat->type;
+  if (!mm_name_is_empty(&heartbeat->zone))
+    machine->zone = heartbeat->zone;
   machine->type = mm_types_find(machine_table->node->types, &machine->type_name);
-  machine->spot = report->spot;
+  machine->spot = heartbeat->spot;
 }
 
 static void
-take_session(MmMachineTable *machine_table, MmMachine *machine, const MmReport *report,
-             MmTime heard_at) {
-  if (machine->heard && report->stamp.session != machine->stamp.session) {
+take_session(MmMachineTable *machine_table, MmMachine *machine, const MmReport *heartbeat,
+             MmTime received_at) {
+  if (machine->heard && heartbeat->stamp.session != machine->stamp.session) {
     g_array_set_size(machine->images, 0);
     mm_health_note_session(machine_table, machine);
   }
-  if (report->stamp.session > newest_session(machine))
-    note_new_session(machine, heard_at);
+  if (heartbeat->stamp.session > newest_session(machine))
+    note_new_session(machine, received_at);
   if (machine->lost)
     mm_info("machine %s reports again, session %" G_GUINT64_FORMAT, machine->id.s,
-            report->stamp.session);
+            heartbeat->stamp.session);
   machine->heard = TRUE;
   machine->lost = FALSE;
 }
 
 static void
-take_stamps(MmMachine *machine, const MmReport *report, MmTime heard_at, gint host) {
+take_stamps(MmMachine *machine, const MmReport *heartbeat, MmTime received_at, gint serving_node) {
   /* A direct answer shows that commands reach it; a higher term, that an answer did. */
-  if (report->direct || report->token.v > machine->token.v) {
+  if (heartbeat->direct || heartbeat->token.v > machine->token.v) {
     machine->unacknowledged_since.us = 0;
     machine->unacknowledged = 0;
   }
-  machine->stamp = report->stamp;
-  machine->token = report->token;
-  machine->seen = mm_time_max(machine->seen, heard_at);
-  if (!report->direct) {
-    machine->host = host;
-    machine->reported = mm_time_max(machine->reported, heard_at);
+  machine->stamp = heartbeat->stamp;
+  machine->token = heartbeat->token;
+  machine->seen = mm_time_max(machine->seen, received_at);
+  if (!heartbeat->direct) {
+    machine->host = serving_node;
+    machine->reported = mm_time_max(machine->reported, received_at);
   }
-  if (report->warned && !machine->warned)
-    machine->taken = mm_time_add_ms(heard_at, (gint64)(report->notice_s * 1000));
-  machine->warned = report->warned;
+  if (heartbeat->warned && !machine->warned)
+    machine->taken = mm_time_add_ms(received_at, (gint64)(heartbeat->notice_s * 1000));
+  machine->warned = heartbeat->warned;
 }
 
 static gboolean
@@ -307,9 +309,9 @@
 }
 
 static void
-take_tasks(MmMachineTable *machine_table, MmMachine *machine, const MmReport *report) {
-  mm_health_count_errors(machine_table, machine, report);
-  set_tasks(machine_table, machine, report->tasks);
+take_tasks(MmMachineTable *machine_table, MmMachine *machine, const MmReport *heartbeat) {
+  mm_health_count_errors(machine_table, machine, heartbeat);
+  set_tasks(machine_table, machine, heartbeat->tasks);
   machine->live = FALSE;
   for (guint i = 0; i < machine->tasks->len; i++) {
     const MmSeenTask *task = &g_array_index(machine->tasks, MmSeenTask, i);
@@ -324,86 +326,90 @@
 /* A session whose lease has certainly run out is over: such a report was held back on its way, and
  * what it shows is gone. */
 static gboolean
-is_over(const MmMachine *machine, MmStamp stamp) {
+is_over(const MmMachine *machine, MmStamp heartbeat_id) {
   return machine->gone
-         || (machine->heard && machine->lost && stamp.session <= machine->stamp.session);
+         || (machine->heard && machine->lost && heartbeat_id.session <= machine->stamp.session);
 }
 
 /* A direct answer has overtaken the report, whose answer may still be waited for. */
 static void
-take_overtaken(MmMachine *machine, MmTime heard_at, gint host) {
-  machine->untold = machine->untold || machine->host != host;
-  machine->host = host;
-  machine->reported = mm_time_max(machine->reported, heard_at);
+take_overtaken(MmMachine *machine, MmTime received_at, gint serving_node) {
+  machine->untold = machine->untold || machine->host != serving_node;
+  machine->host = serving_node;
+  machine->reported = mm_time_max(machine->reported, received_at);
 }
 
 MmMachine *
-mm_machine_table_take(MmMachineTable *machine_table, const MmReport *report, MmTime heard_at,
-                      gint host) {
+mm_machine_table_take(MmMachineTable *machine_table, const MmReport *heartbeat, MmTime received_at,
+                      gint serving_node) {
   MmMachine *machine;
-  gboolean same, newest_report;
+  gboolean unchanged, is_newest_heartbeat;
 
-  if (host == MM_HOST_SELF || host == MM_HOST_NONE)
+  if (serving_node == MM_HOST_SELF || serving_node == MM_HOST_NONE)
     machine_table->heard_here = mm_node_now(machine_table->node);
-  if (is_past(machine_table, report->machine.s, report->stamp.session))
+  if (is_past(machine_table, heartbeat->machine.s, heartbeat->stamp.session))
     return NULL;
-  machine = find_or_add(machine_table, report->machine.s);
-  if (is_over(machine, report->stamp))
+  machine = find_or_add(machine_table, heartbeat->machine.s);
+  if (is_over(machine, heartbeat->stamp))
     return NULL;
   /* One that is not newer than the newest report is a copy: an answer to it reaches nobody, and the
    * lease of that report counts from when it was first sent. */
-  newest_report = !report->direct && mm_stamp_newer(report->stamp, machine->report_stamp);
-  if (newest_report) {
-    machine->report_stamp = report->stamp;
-    if (!report->unanswered)
-      mm_health_note_answer(machine_table, machine, heard_at);
+  is_newest_heartbeat
+      = !heartbeat->direct && mm_stamp_newer(heartbeat->stamp, machine->report_stamp);
+  if (is_newest_heartbeat) {
+    machine->report_stamp = heartbeat->stamp;
+    if (!heartbeat->unanswered)
+      mm_health_note_answer(machine_table, machine, received_at);
   }
-  if (machine->heard && !mm_stamp_newer(report->stamp, machine->stamp)) {
-    if (newest_report)
-      take_overtaken(machine, heard_at, host);
+  if (machine->heard && !mm_stamp_newer(heartbeat->stamp, machine->stamp)) {
+    if (is_newest_heartbeat)
+      take_overtaken(machine, received_at, serving_node);
     return NULL;
   }
-  same = shows_the_same(machine, report, host);
-  machine->untold = machine->untold || !same;
-  take_session(machine_table, machine, report, heard_at);
-  take_identity(machine_table, machine, report);
-  take_stamps(machine, report, heard_at, host);
-  if (!same)
-    take_tasks(machine_table, machine, report);
+  unchanged = shows_the_same(machine, heartbeat, serving_node);
+  machine->untold = machine->untold || !unchanged;
+  take_session(machine_table, machine, heartbeat, received_at);
+  take_identity(machine_table, machine, heartbeat);
+  take_stamps(machine, heartbeat, received_at, serving_node);
+  if (!unchanged)
+    take_tasks(machine_table, machine, heartbeat);
   if (machine->live)
-    machine->idle_since = heard_at;
-  note_report(machine_table, machine, report, !same);
+    machine->idle_since = received_at;
+  note_report(machine_table, machine, heartbeat, !unchanged);
   return machine;
 }
 
 void
-mm_machine_table_answered(MmMachineTable *machine_table, const char *id, MmTime at) {
-  MmMachine *machine = mm_machine_table_find(machine_table, id);
+mm_machine_table_answered(MmMachineTable *machine_table, const char *machine_id,
+                          MmTime responded_at) {
+  MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
   /* Unknown here: should it come back, it starts as just answered. */
   if (machine != NULL)
-    mm_health_note_answer(machine_table, machine, at);
+    mm_health_note_answer(machine_table, machine, responded_at);
 }
 
 void
-mm_machine_table_beat(MmMachineTable *machine_table, const char *id, MmStamp stamp, MmTime heard_at,
-                      gint host) {
-  MmMachine *machine = mm_machine_table_find(machine_table, id);
-  MmReport report = { .stamp = stamp };
+mm_machine_table_beat(MmMachineTable *machine_table, const char *machine_id, MmStamp heartbeat_id,
+                      MmTime received_at, gint serving_node) {
+  MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
+  MmReport heartbeat = { .stamp = heartbeat_id };
 
-  if (machine == NULL || is_over(machine, stamp) || !mm_stamp_newer(stamp, machine->report_stamp))
+  if (machine == NULL || is_over(machine, heartbeat_id)
+      || !mm_stamp_newer(heartbeat_id, machine->report_stamp))
     return;
-  machine->report_stamp = stamp;
-  mm_health_note_answer(machine_table, machine, heard_at);
-  if (!machine->heard || machine->lost || machine->host != host
-      || stamp.session != machine->stamp.session || !mm_stamp_newer(stamp, machine->stamp))
+  machine->report_stamp = heartbeat_id;
+  mm_health_note_answer(machine_table, machine, received_at);
+  if (!machine->heard || machine->lost || machine->host != serving_node
+      || heartbeat_id.session != machine->stamp.session
+      || !mm_stamp_newer(heartbeat_id, machine->stamp))
     return;
-  machine->stamp = stamp;
-  machine->seen = mm_time_max(machine->seen, heard_at);
-  machine->reported = mm_time_max(machine->reported, heard_at);
+  machine->stamp = heartbeat_id;
+  machine->seen = mm_time_max(machine->seen, received_at);
+  machine->reported = mm_time_max(machine->reported, received_at);
   if (machine->live)
-    machine->idle_since = heard_at;
-  note_report(machine_table, machine, &report, FALSE);
+    machine->idle_since = received_at;
+  note_report(machine_table, machine, &heartbeat, FALSE);
 }
 
 void
@@ -429,8 +435,8 @@
 
 /* Only lost and returned machines are taken off the register. */
 void
-mm_machine_table_unregistered(MmMachineTable *machine_table, const char *id) {
-  MmMachine *machine = mm_machine_table_find(machine_table, id);
+mm_machine_table_unregistered(MmMachineTable *machine_table, const char *machine_id) {
+  MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
   if (machine == NULL)
     return;
@@ -455,8 +461,8 @@
 }
 
 void
-mm_machine_table_gone(MmMachineTable *machine_table, const char *id) {
-  MmMachine *machine = mm_machine_table_find(machine_table, id);
+mm_machine_table_gone(MmMachineTable *machine_table, const char *machine_id) {
+  MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
   if (machine == NULL)
     return;
@@ -469,13 +475,14 @@
 static void
 find_lost(MmMachineTable *machine_table) {
   MmNode *node = machine_table->node;
-  MmTime settled = mm_links_settled(node->links);
+  MmTime responses_known_until = mm_links_settled(node->links);
   gint64 lease_ms = (gint64)(node->settings->lease_s * 1000 * (1 + DRIFT)) + LOST_MARGIN_MS;
 
   for (guint i = 0; i < machine_table->order->len; i++) {
     MmMachine *machine = g_ptr_array_index(machine_table->order, i);
-    MmTime answered = mm_time_max(machine->answered, node->replica->node_gone);
-    if (machine->lost || mm_time_ms_since(settled, answered) < lease_ms)
+    MmTime last_possible_response_at = mm_time_max(machine->answered, node->replica->node_gone);
+    if (machine->lost
+        || mm_time_ms_since(responses_known_until, last_possible_response_at) < lease_ms)
       continue;
     mm_info("machine %s is lost: its lease has run out", machine->id.s);
     clear_away(machine_table, machine);
@@ -508,8 +515,8 @@
 }
 
 guint
-mm_machine_table_running(const MmMachineTable *machine_table, const char *job) {
-  return GPOINTER_TO_UINT(g_hash_table_lookup(machine_table->running, job));
+mm_machine_table_running(const MmMachineTable *machine_table, const char *job_id) {
+  return GPOINTER_TO_UINT(g_hash_table_lookup(machine_table->running, job_id));
 }
 
 /* ---- commands ---- */
--- a/src/checkin/machine-table.h
+++ b/src/checkin/machine-table.h
@@ -99,45 +99,47 @@
 
 MmMachineTable *mm_machine_table_new(MmNode *node);
 void mm_machine_table_free(MmMachineTable *machine_table);
-MmMachine *mm_machine_table_find(const MmMachineTable *machine_table, const char *id);
+MmMachine *mm_machine_table_find(const MmMachineTable *machine_table, const char *machine_id);
 
 /* Whether the report is certainly a late copy, or of a session that is over: no worker waits for
  * its answer, since a worker has one report under way and it is not this one. */
-gboolean mm_machine_table_is_late(const MmMachineTable *machine_table, const MmReport *report);
+gboolean mm_machine_table_is_late(const MmMachineTable *machine_table, const MmReport *heartbeat);
 /* Whether the report alone is no proof that its machine still is: its session is not on the
  * register and it shows no term of this life of the node. It may be a late copy from a machine that
  * this node never knew. It is answered, so that the machine can show the term, and believed in
  * nothing. */
-gboolean mm_machine_table_is_unproved(const MmMachineTable *machine_table, const MmReport *report);
+gboolean mm_machine_table_is_unproved(const MmMachineTable *machine_table,
+                                      const MmReport *heartbeat);
 /* The entry of such a machine. */
-MmMachine *mm_machine_table_note_unproved(MmMachineTable *machine_table, const MmReport *report);
+MmMachine *mm_machine_table_note_unproved(MmMachineTable *machine_table, const MmReport *heartbeat);
 
 /* Takes a report in; NULL when it is older than what is known. `heard_at`: when it was made at the
  * latest; `host`: the node that heard it. */
-MmMachine *mm_machine_table_take(MmMachineTable *machine_table, const MmReport *report,
-                                 MmTime heard_at, gint host);
+MmMachine *mm_machine_table_take(MmMachineTable *machine_table, const MmReport *heartbeat,
+                                 MmTime received_at, gint serving_node);
 /* A peer answered a report that showed nothing new since the last one it told of. */
-void mm_machine_table_beat(MmMachineTable *machine_table, const char *id, MmStamp stamp,
-                           MmTime heard_at, gint host);
+void mm_machine_table_beat(MmMachineTable *machine_table, const char *machine_id,
+                           MmStamp heartbeat_id, MmTime received_at, gint serving_node);
 /* Somebody answered the machine, and nothing else is known of it. */
-void mm_machine_table_answered(MmMachineTable *machine_table, const char *id, MmTime at);
+void mm_machine_table_answered(MmMachineTable *machine_table, const char *machine_id,
+                               MmTime responded_at);
 typedef struct MmEntry MmEntry;
 void mm_machine_table_registered(MmMachineTable *machine_table, const MmEntry *entry);
-void mm_machine_table_unregistered(MmMachineTable *machine_table, const char *id);
+void mm_machine_table_unregistered(MmMachineTable *machine_table, const char *machine_id);
 void mm_machine_table_remove(MmMachineTable *machine_table, MmMachine *machine);
 /* The cloud has proved it gone. Late reports of it may still come; they change nothing. */
-void mm_machine_table_gone(MmMachineTable *machine_table, const char *id);
+void mm_machine_table_gone(MmMachineTable *machine_table, const char *machine_id);
 void mm_machine_table_tick(MmMachineTable *machine_table);
 
 /* Room left beside everything reported and everything placed by this node's parts. Not more than
  * nothing when a task on it belongs to a job that is not known here. */
 MmResources mm_machine_free(const MmMachineTable *machine_table, MmMachine *machine);
 /* The task as the newest report shows it, or NULL. */
-const MmSeenTask *mm_machine_seen(const MmMachine *machine, const MmName *job, guint number,
+const MmSeenTask *mm_machine_seen(const MmMachine *machine, const MmName *job_id, guint number,
                                   MmAttempt attempt);
 /* machine.c */
 /* The machine has this image now; the least recently used ones make room for it. */
-void mm_machine_note_image(MmMachine *machine, MmTime now, const MmName *image, double gb);
+void mm_machine_note_image(MmMachine *machine, MmTime now, const MmName *image, double image_gb);
 gboolean mm_machine_caches(const MmMachine *machine, const MmName *image);
 /* Whether its session is in the register: only then it may be given starts. */
 gboolean mm_machine_is_registered(const MmMachine *machine);
@@ -145,5 +147,5 @@
 gboolean mm_machine_usable(const MmMachineTable *machine_table, const MmMachine *machine);
 /* Whether every registered machine has been heard lately. */
 gboolean mm_machine_table_all_heard(const MmMachineTable *machine_table);
-guint mm_machine_table_running(const MmMachineTable *machine_table, const char *job);
-void mm_machine_queue(MmMachine *machine, guint64 session, const MmCommand *command);
+guint mm_machine_table_running(const MmMachineTable *machine_table, const char *job_id);
+void mm_machine_queue(MmMachine *machine, guint64 incarnation, const MmCommand *command);
--- a/src/checkin/machine.c
+++ b/src/checkin/machine.c
@@ -9,29 +9,29 @@
 /* ---- image caches, which are inferred: a hint only ---- */
 
 void
-mm_machine_note_image(MmMachine *machine, MmTime now, const MmName *image, double gb) {
-  double total = 0;
+mm_machine_note_image(MmMachine *machine, MmTime now, const MmName *image, double image_gb) {
+  double total_gb = 0;
   MmCachedImage *found = NULL;
 
   for (guint i = 0; i < machine->images->len; i++) {
     MmCachedImage *cached = &g_array_index(machine->images, MmCachedImage, i);
     if (mm_name_equal(&cached->name, image))
       found = cached;
-    total += cached->gb;
+    total_gb += cached->gb;
   }
   if (found != NULL) {
     found->used = now;
     return;
   }
-  g_array_append_vals(machine->images, &(MmCachedImage){ *image, gb, now }, 1);
-  total += gb;
-  while (machine->type != NULL && total > machine->type->cache_gb && machine->images->len > 1) {
+  g_array_append_vals(machine->images, &(MmCachedImage){ *image, image_gb, now }, 1);
+  total_gb += image_gb;
+  while (machine->type != NULL && total_gb > machine->type->cache_gb && machine->images->len > 1) {
     guint oldest = 0;
     for (guint i = 1; i < machine->images->len; i++)
       if (mm_time_before(g_array_index(machine->images, MmCachedImage, i).used,
                          g_array_index(machine->images, MmCachedImage, oldest).used))
         oldest = i;
-    total -= g_array_index(machine->images, MmCachedImage, oldest).gb;
+    total_gb -= g_array_index(machine->images, MmCachedImage, oldest).gb;
     g_array_remove_index_fast(machine->images, oldest);
   }
 }
@@ -45,11 +45,12 @@
 }
 
 const MmSeenTask *
-mm_machine_seen(const MmMachine *machine, const MmName *job, guint number, MmAttempt attempt) {
+mm_machine_seen(const MmMachine *machine, const MmName *job_id, guint number, MmAttempt attempt) {
   for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
-    if (seen->number == number && seen->attempt.v == attempt.v && mm_name_equal(&seen->job, job))
-      return seen;
+    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+    if (reported->number == number && reported->attempt.v == attempt.v
+        && mm_name_equal(&reported->job, job_id))
+      return reported;
   }
   return NULL;
 }
@@ -61,15 +62,15 @@
 
 MmResources
 mm_machine_free(const MmMachineTable *machine_table, MmMachine *machine) {
-  MmResources room = { 0 };
+  MmResources available = { 0 };
 
   if (machine->type == NULL)
-    return room;
+    return available;
   if (machine->free_as == machine_table->node->job_table->generation)
     return machine->free;
   machine->free_as = machine_table->node->job_table->generation;
-  machine->free = room;
-  room = machine->type->room;
+  machine->free = available;
+  available = machine->type->room;
   for (guint i = 0; i < machine->tasks->len; i++) {
     const MmSeenTask *task = &g_array_index(machine->tasks, MmSeenTask, i);
     const MmJob *job;
@@ -78,16 +79,16 @@
     job = mm_job_table_find(machine_table->node->job_table, task->job.s);
     if (job == NULL)
       return (MmResources){ 0 };
-    room = mm_resources_sub(room, job->spec.need);
+    available = mm_resources_sub(available, job->spec.need);
   }
   for (guint i = 0; i < machine->placed->len; i++) {
     const MmPlaced *placed = g_ptr_array_index(machine->placed, i);
     guint8 state = placed->job->tasks[placed->number].state;
     if (state == MM_TASK_ISSUED || state == MM_TASK_RESERVED)
-      room = mm_resources_sub(room, placed->job->spec.need);
+      available = mm_resources_sub(available, placed->job->spec.need);
   }
-  machine->free = room;
-  return room;
+  machine->free = available;
+  return available;
 }
 
 gboolean
@@ -101,15 +102,15 @@
 }
 
 void
-mm_machine_queue(MmMachine *machine, guint64 session, const MmCommand *command) {
-  if (machine->queued_session != session)
+mm_machine_queue(MmMachine *machine, guint64 incarnation, const MmCommand *command) {
+  if (machine->queued_session != incarnation)
     g_array_set_size(machine->queued, 0);
-  machine->queued_session = session;
+  machine->queued_session = incarnation;
   for (guint i = 0; i < machine->queued->len; i++) {
-    MmCommand *old = &g_array_index(machine->queued, MmCommand, i);
-    if (old->op == command->op && old->number == command->number
-        && old->attempt.v == command->attempt.v && mm_name_equal(&old->job, &command->job)) {
-      *old = *command;
+    MmCommand *queued = &g_array_index(machine->queued, MmCommand, i);
+    if (queued->op == command->op && queued->number == command->number
+        && queued->attempt.v == command->attempt.v && mm_name_equal(&queued->job, &command->job)) {
+      *queued = *command;
       return;
     }
   }
--- a/src/checkin/pending-answer.c
+++ b/src/checkin/pending-answer.c
@@ -11,10 +11,10 @@
 #define CONFIRMING_MAX 16
 
 static void
-pending_answer_free(MmPendingAnswer *pending) {
-  g_array_unref(pending->starts);
-  g_array_unref(pending->tried);
-  g_free(pending);
+pending_answer_free(MmPendingAnswer *response) {
+  g_array_unref(response->starts);
+  g_array_unref(response->tried);
+  g_free(response);
 }
 
 /* ---- jobs that the replica does not know ---- */
@@ -26,27 +26,27 @@
 
 static void
 confirmed(gpointer data, int status, json_t *body) {
-  Confirm *confirm = data;
+  Confirm *confirmation = data;
 
   if (status == 200)
-    mm_job_table_keep_final(confirm->checkin->node->job_table, confirm->job.s,
+    mm_job_table_keep_final(confirmation->checkin->node->job_table, confirmation->job.s,
                             mm_json_get(body, WIRE_VALUE));
-  g_hash_table_remove(confirm->checkin->confirming, confirm->job.s);
-  g_free(confirm);
+  g_hash_table_remove(confirmation->checkin->confirming, confirmation->job.s);
+  g_free(confirmation);
 }
 
 static void
-confirm_over(MmCheckin *checkin, const MmName *job) {
-  Confirm *confirm;
+confirm_over(MmCheckin *server, const MmName *job_id) {
+  Confirm *confirmation;
 
-  if (g_hash_table_size(checkin->confirming) >= CONFIRMING_MAX
-      || g_hash_table_contains(checkin->confirming, job->s)
-      || mm_store_in_trouble(checkin->node->store))
+  if (g_hash_table_size(server->confirming) >= CONFIRMING_MAX
+      || g_hash_table_contains(server->confirming, job_id->s)
+      || mm_store_in_trouble(server->node->store))
     return;
-  g_hash_table_add(checkin->confirming, g_strdup(job->s));
-  confirm = g_new(Confirm, 1);
-  *confirm = (Confirm){ checkin, *job };
-  mm_store_get(checkin->node->store, MM_KEY_FINAL, job->s, confirmed, confirm);
+  g_hash_table_add(server->confirming, g_strdup(job_id->s));
+  confirmation = g_new(Confirm, 1);
+  *confirmation = (Confirm){ server, *job_id };
+  mm_store_get(server->node->store, MM_KEY_FINAL, job_id->s, confirmed, confirmation);
 }
 
 /* What of these tasks has to go, whoever holds their parts. That a job is cancelled needs no judge:
@@ -55,36 +55,36 @@
  * without a record is over, unless the replica lags: only a final state that has been seen allows
  * its tasks to be cleared away. */
 void
-mm_checkin_clear_away(MmCheckin *checkin, const GArray *tasks, json_t *commands) {
-  MmJobTable *job_table = checkin->node->job_table;
+mm_checkin_clear_away(MmCheckin *server, const GArray *tasks, json_t *commands) {
+  MmJobTable *job_table = server->node->job_table;
 
   for (guint i = 0; i < tasks->len; i++) {
-    const MmSeenTask *seen = &g_array_index(tasks, MmSeenTask, i);
-    const MmJob *job = mm_job_table_find(job_table, seen->job.s);
-    MmCommand command = { seen->state == MM_SEEN_ENDED ? MM_OP_FORGET : MM_OP_STOP, seen->job,
-                          seen->number, seen->attempt, 0 };
-    if (job != NULL ? job->cancelled && seen->state != MM_SEEN_ENDED
-                    : mm_job_table_is_over(job_table, seen->job.s))
+    const MmSeenTask *reported = &g_array_index(tasks, MmSeenTask, i);
+    const MmJob *job = mm_job_table_find(job_table, reported->job.s);
+    MmCommand command = { reported->state == MM_SEEN_ENDED ? MM_OP_FORGET : MM_OP_STOP,
+                          reported->job, reported->number, reported->attempt, 0 };
+    if (job != NULL ? job->cancelled && reported->state != MM_SEEN_ENDED
+                    : mm_job_table_is_over(job_table, reported->job.s))
       json_array_append_new(commands, mm_command_to_json(&command));
     else if (job == NULL)
-      confirm_over(checkin, &seen->job);
+      confirm_over(server, &reported->job);
   }
 }
 
 /* ---- answers ---- */
 
 static gboolean
-start_is_good(const MmPendingAnswer *pending, const MmApprovedStart *start) {
-  const MmCheckin *checkin = pending->checkin;
-  const MmShard *part = mm_replica_shard(checkin->node->replica, start->part.s);
-  const MmJob *job = mm_job_table_find(checkin->node->job_table, start->start.job.s);
+start_is_good(const MmPendingAnswer *response, const MmApprovedStart *start) {
+  const MmCheckin *server = response->checkin;
+  const MmShard *shard = mm_replica_shard(server->node->replica, start->part.s);
+  const MmJob *job = mm_job_table_find(server->node->job_table, start->start.job.s);
 
   /* Adopting a term drops the approvals and the grants of superseded owners. */
-  return mm_sharing_grant_is_current(checkin->node->sharing, pending->machine.s,
-                                     pending->grant_term)
-         && part != NULL && part->term.v == start->term.v
+  return mm_sharing_grant_is_current(server->node->sharing, response->machine.s,
+                                     response->grant_term)
+         && shard != NULL && shard->term.v == start->term.v
          && (job != NULL ? !job->cancelled
-                         : !mm_job_table_is_over(checkin->node->job_table, start->start.job.s));
+                         : !mm_job_table_is_over(server->node->job_table, start->start.job.s));
 }
 
 void
@@ -96,293 +96,293 @@
 }
 
 static void
-finish(MmPendingAnswer *pending) {
-  MmCheckin *checkin = pending->checkin;
-  MmNode *node = checkin->node;
-  MmMachine *machine = mm_machine_table_find(node->machine_table, pending->machine.s);
+finish(MmPendingAnswer *response) {
+  MmCheckin *server = response->checkin;
+  MmNode *node = server->node;
+  MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine.s);
   json_t *commands;
 
   /* Without the machine's entry nothing is known of what must stop there. */
   if (!mm_claims_may_answer(node->claims) || machine == NULL) {
-    mm_exchange_answer(pending->exchange, 503, mm_json_error("not entitled to answer"), 0);
-    pending_answer_free(pending);
+    mm_exchange_answer(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
+    pending_answer_free(response);
     return;
   }
   commands = json_array();
-  if (machine->queued_session == pending->stamp.session)
+  if (machine->queued_session == response->stamp.session)
     for (guint i = 0; i < machine->queued->len; i++)
       json_array_append_new(commands,
                             mm_command_to_json(&g_array_index(machine->queued, MmCommand, i)));
   g_array_set_size(machine->queued, 0);
-  mm_checkin_clear_away(checkin, machine->tasks, commands);
-  for (guint i = 0; i < pending->starts->len; i++) {
-    const MmApprovedStart *start = &g_array_index(pending->starts, MmApprovedStart, i);
-    if (start_is_good(pending, start))
+  mm_checkin_clear_away(server, machine->tasks, commands);
+  for (guint i = 0; i < response->starts->len; i++) {
+    const MmApprovedStart *start = &g_array_index(response->starts, MmApprovedStart, i);
+    if (start_is_good(response, start))
       json_array_append_new(commands, mm_command_to_json(&start->start));
   }
-  mm_checkin_send_commands(node, pending->exchange, commands);
-  pending_answer_free(pending);
+  mm_checkin_send_commands(node, response->exchange, commands);
+  pending_answer_free(response);
 }
 
 static void
-take_approval(MmPendingAnswer *pending, const MmApproval *approval) {
-  MmCheckin *checkin = pending->checkin;
-  const MmJob *job = mm_job_table_find(checkin->node->job_table, approval->job.s);
+take_approval(MmPendingAnswer *response, const MmApproval *approval) {
+  MmCheckin *server = response->checkin;
+  const MmJob *job = mm_job_table_find(server->node->job_table, approval->job.s);
   MmApprovedStart start = { { MM_OP_START, approval->job, approval->number, approval->attempt, 0 },
                             approval->part,
                             approval->term };
 
-  g_array_append_val(pending->starts, start);
+  g_array_append_val(response->starts, start);
   if (job == NULL)
-    pending->room = (MmResources){ 0 };
+    response->room = (MmResources){ 0 };
   else if (!approval->reserved)
-    pending->room = mm_resources_sub(pending->room, job->spec.need);
-  mm_rank_strike(checkin->node->rank, (guint)pending->asked.view, approval->job.s,
+    response->room = mm_resources_sub(response->room, job->spec.need);
+  mm_rank_strike(server->node->rank, (guint)response->asked.view, approval->job.s,
                  approval->number);
 }
 
 static void
-take_refusal(MmPendingAnswer *pending) {
-  pending->fails++;
-  if (pending->asked.n == 0)
-    pending->dry |= 1u << pending->asked.view;
-  g_array_append_vals(pending->tried, pending->asked.tasks, pending->asked.n);
+take_refusal(MmPendingAnswer *response) {
+  response->fails++;
+  if (response->asked.n == 0)
+    response->dry |= 1u << response->asked.view;
+  g_array_append_vals(response->tried, response->asked.tasks, response->asked.n);
 }
 
 static void
-send_ask(MmPendingAnswer *pending) {
-  MmCheckin *checkin = pending->checkin;
+send_ask(MmPendingAnswer *response) {
+  MmCheckin *server = response->checkin;
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__Ask ask = MM__ASK__INIT;
-  Mm__TaskRef refs[MM_RANK_CANDIDATES_MAX];
-  Mm__TaskRef *list[MM_RANK_CANDIDATES_MAX];
-
-  pending->ask = ++checkin->next_ask;
-  g_hash_table_insert(checkin->asks, &pending->ask, pending);
-  ask.id = pending->ask;
-  ask.machine = pending->machine.s;
-  ask.session = pending->stamp.session;
-  ask.seq = pending->stamp.seq;
-  ask.cores = pending->room.cores;
-  ask.accelerators = pending->room.accelerators;
-  ask.memory_gb = pending->room.memory_gb;
-  ask.pull = pending->asked.pull;
-  for (guint i = 0; i < pending->asked.n; i++) {
-    mm__task_ref__init(&refs[i]);
-    refs[i].job = pending->asked.tasks[i].job.s;
-    refs[i].number = pending->asked.tasks[i].number;
-    list[i] = &refs[i];
+  Mm__Ask request = MM__ASK__INIT;
+  Mm__TaskRef task_refs[MM_RANK_CANDIDATES_MAX];
+  Mm__TaskRef *ref_pointers[MM_RANK_CANDIDATES_MAX];
+
+  response->ask = ++server->next_ask;
+  g_hash_table_insert(server->asks, &response->ask, response);
+  request.id = response->ask;
+  request.machine = response->machine.s;
+  request.session = response->stamp.session;
+  request.seq = response->stamp.seq;
+  request.cores = response->room.cores;
+  request.accelerators = response->room.accelerators;
+  request.memory_gb = response->room.memory_gb;
+  request.pull = response->asked.pull;
+  for (guint i = 0; i < response->asked.n; i++) {
+    mm__task_ref__init(&task_refs[i]);
+    task_refs[i].job = response->asked.tasks[i].job.s;
+    task_refs[i].number = response->asked.tasks[i].number;
+    ref_pointers[i] = &task_refs[i];
   }
-  ask.candidates = list;
-  ask.n_candidates = pending->asked.n;
+  request.candidates = ref_pointers;
+  request.n_candidates = response->asked.n;
   frame.body_case = MM__FRAME__BODY_ASK;
-  frame.ask = &ask;
-  mm_links_send(checkin->node->links, (guint)pending->asked.view - 1, &frame);
+  frame.ask = &request;
+  mm_links_send(server->node->links, (guint)response->asked.view - 1, &frame);
 }
 
 /* ---- grants of the machine's resources ---- */
 
 static void
-ask_for_grants(MmPendingAnswer *pending) {
-  MmCheckin *checkin = pending->checkin;
-  guint n = pending->starts->len;
+ask_for_grants(MmPendingAnswer *response) {
+  MmCheckin *server = response->checkin;
+  guint n_starts = response->starts->len;
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__GrantAsk ask = MM__GRANT_ASK__INIT;
-  g_autofree Mm__GrantStart *items = g_new(Mm__GrantStart, n);
-  g_autofree Mm__GrantStart **list = g_new(Mm__GrantStart *, n);
-
-  pending->granting = TRUE;
-  pending->ask = ++checkin->next_ask;
-  pending->deadline = mm_time_add_ms(mm_node_now(checkin->node),
-                                     (gint64)checkin->node->operators->ask_timeout_ms);
-  g_hash_table_insert(checkin->asks, &pending->ask, pending);
-  for (guint i = 0; i < n; i++) {
-    MmApprovedStart *start = &g_array_index(pending->starts, MmApprovedStart, i);
+  Mm__GrantAsk request = MM__GRANT_ASK__INIT;
+  g_autofree Mm__GrantStart *items = g_new(Mm__GrantStart, n_starts);
+  g_autofree Mm__GrantStart **list = g_new(Mm__GrantStart *, n_starts);
+
+  response->granting = TRUE;
+  response->ask = ++server->next_ask;
+  response->deadline
+      = mm_time_add_ms(mm_node_now(server->node), (gint64)server->node->operators->ask_timeout_ms);
+  g_hash_table_insert(server->asks, &response->ask, response);
+  for (guint i = 0; i < n_starts; i++) {
+    MmApprovedStart *start = &g_array_index(response->starts, MmApprovedStart, i);
     mm__grant_start__init(&items[i]);
     items[i].job = start->start.job.s;
     items[i].number = start->start.number;
     items[i].attempt = start->start.attempt.v;
     list[i] = &items[i];
   }
-  ask.id = pending->ask;
-  ask.machine = pending->machine.s;
-  ask.session = pending->stamp.session;
-  ask.seq = pending->stamp.seq;
-  ask.term = pending->grant_term.v;
-  ask.starts = list;
-  ask.n_starts = n;
+  request.id = response->ask;
+  request.machine = response->machine.s;
+  request.session = response->stamp.session;
+  request.seq = response->stamp.seq;
+  request.term = response->grant_term.v;
+  request.starts = list;
+  request.n_starts = n_starts;
   frame.body_case = MM__FRAME__BODY_GRANT_ASK;
-  frame.grant_ask = &ask;
-  mm_links_send(checkin->node->links, pending->grant_peer, &frame);
+  frame.grant_ask = &request;
+  mm_links_send(server->node->links, response->grant_peer, &frame);
 }
 
 static void
-grant_here(MmPendingAnswer *pending) {
-  MmSharing *sharing = pending->checkin->node->sharing;
+grant_here(MmPendingAnswer *response) {
+  MmSharing *sharing = response->checkin->node->sharing;
   MmMachine *machine
-      = mm_machine_table_find(pending->checkin->node->machine_table, pending->machine.s);
+      = mm_machine_table_find(response->checkin->node->machine_table, response->machine.s);
 
-  for (guint i = pending->starts->len; i > 0; i--) {
-    const MmCommand *start = &g_array_index(pending->starts, MmApprovedStart, i - 1).start;
-    MmGrant grant = { start->job, start->number, start->attempt, pending->stamp };
+  for (guint i = response->starts->len; i > 0; i--) {
+    const MmCommand *start = &g_array_index(response->starts, MmApprovedStart, i - 1).start;
+    MmGrant grant = { start->job, start->number, start->attempt, response->stamp };
     if (machine == NULL || !mm_sharing_may_grant(sharing, machine)
         || !mm_grants_give(sharing->grants, machine, &grant))
-      g_array_remove_index(pending->starts, i - 1);
+      g_array_remove_index(response->starts, i - 1);
   }
 }
 
 /* The approved starts need their resources granted by whoever owns the machine's group. */
 static void
-get_grants(MmPendingAnswer *pending) {
-  if (pending->starts->len > 0 && pending->grants == MM_GRANTS_AT_PEER) {
-    ask_for_grants(pending);
+get_grants(MmPendingAnswer *response) {
+  if (response->starts->len > 0 && response->grants == MM_GRANTS_AT_PEER) {
+    ask_for_grants(response);
     return;
   }
-  if (pending->grants == MM_GRANTS_HERE)
-    grant_here(pending);
-  finish(pending);
+  if (response->grants == MM_GRANTS_HERE)
+    grant_here(response);
+  finish(response);
 }
 
 void
-mm_pending_answer_granted(MmCheckin *checkin, guint peer, const Mm__GrantAnswer *answer) {
-  guint64 id = answer->id;
-  MmPendingAnswer *pending = g_hash_table_lookup(checkin->asks, &id);
+mm_pending_answer_granted(MmCheckin *server, guint peer, const Mm__GrantAnswer *reply) {
+  guint64 request_id = reply->id;
+  MmPendingAnswer *response = g_hash_table_lookup(server->asks, &request_id);
 
-  if (pending == NULL || !pending->granting || pending->grant_peer != peer
-      || answer->n_granted != pending->starts->len)
+  if (response == NULL || !response->granting || response->grant_peer != peer
+      || reply->n_granted != response->starts->len)
     return;
-  g_hash_table_remove(checkin->asks, &id);
-  for (guint i = pending->starts->len; i > 0; i--)
-    if (!answer->granted[i - 1])
-      g_array_remove_index(pending->starts, i - 1);
-  finish(pending);
+  g_hash_table_remove(server->asks, &request_id);
+  for (guint i = response->starts->len; i > 0; i--)
+    if (!reply->granted[i - 1])
+      g_array_remove_index(response->starts, i - 1);
+  finish(response);
 }
 
 /* One request after another until the room is used, nothing fits or time is up. */
 static void
-go_on(MmPendingAnswer *pending) {
-  MmCheckin *checkin = pending->checkin;
-  MmNode *node = checkin->node;
-  guint most = (guint)node->operators->starts_per_answer;
-
-  while (pending->starts->len < most && pending->fails < FAILS_MAX
-         && mm_time_before(mm_node_now(node), pending->deadline)) {
-    MmMachine *machine = mm_machine_table_find(node->machine_table, pending->machine.s);
+go_on(MmPendingAnswer *response) {
+  MmCheckin *server = response->checkin;
+  MmNode *node = server->node;
+  guint limit = (guint)node->operators->starts_per_answer;
+
+  while (response->starts->len < limit && response->fails < FAILS_MAX
+         && mm_time_before(mm_node_now(node), response->deadline)) {
+    MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine.s);
     MmApproval approval;
-    MmAsk ask;
+    MmAsk request;
 
-    if (machine == NULL || mm_stamp_newer(machine->stamp, pending->stamp)
+    if (machine == NULL || mm_stamp_newer(machine->stamp, response->stamp)
         || !mm_machine_usable(node->machine_table, machine))
       break;
-    pending->asked
-        = mm_rank_choose(node->rank, machine, pending->room, pending->tried, pending->dry);
-    if (pending->asked.view < 0)
+    response->asked
+        = mm_rank_choose(node->rank, machine, response->room, response->tried, response->dry);
+    if (response->asked.view < 0)
       break;
-    if (pending->asked.view > 0) {
-      if (!node->links->peers[pending->asked.view - 1].up) {
-        take_refusal(pending);
-        pending->dry |= 1u << pending->asked.view;
+    if (response->asked.view > 0) {
+      if (!node->links->peers[response->asked.view - 1].up) {
+        take_refusal(response);
+        response->dry |= 1u << response->asked.view;
         continue;
       }
-      send_ask(pending);
+      send_ask(response);
       return;
     }
-    ask = (MmAsk){ .machine = machine,
-                   .stamp = pending->stamp,
-                   .room = pending->room,
-                   .own = TRUE,
-                   .pull = pending->asked.pull,
-                   .n = pending->asked.n };
-    memcpy(ask.tasks, pending->asked.tasks, sizeof ask.tasks);
-    if (mm_owner_ask(node->owner, &ask, &approval))
-      take_approval(pending, &approval);
+    request = (MmAsk){ .machine = machine,
+                       .stamp = response->stamp,
+                       .room = response->room,
+                       .own = TRUE,
+                       .pull = response->asked.pull,
+                       .n = response->asked.n };
+    memcpy(request.tasks, response->asked.tasks, sizeof request.tasks);
+    if (mm_owner_ask(node->owner, &request, &approval))
+      take_approval(response, &approval);
     else
-      take_refusal(pending);
+      take_refusal(response);
   }
-  get_grants(pending);
+  get_grants(response);
 }
 
 void
-mm_checkin_answered(MmCheckin *checkin, guint peer, const Mm__Answer *answer) {
-  guint64 id = answer->id;
-  MmPendingAnswer *pending = g_hash_table_lookup(checkin->asks, &id);
+mm_checkin_answered(MmCheckin *server, guint peer, const Mm__Answer *reply) {
+  guint64 request_id = reply->id;
+  MmPendingAnswer *response = g_hash_table_lookup(server->asks, &request_id);
 
   /* Too late: its answer has gone out without it, and the machine's next report denies it. */
-  if (pending == NULL || pending->granting || pending->asked.view != (gint)peer + 1)
+  if (response == NULL || response->granting || response->asked.view != (gint)peer + 1)
     return;
-  g_hash_table_remove(checkin->asks, &id);
-  checkin->node->rank->views[peer + 1].unfinished = answer->unfinished;
-  if (answer->approval != NULL) {
-    MmApproval approval = { mm_name(answer->approval->job), answer->approval->number,
-                            { answer->approval->attempt },  mm_name(answer->approval->team),
-                            { answer->approval->term },     FALSE };
-    take_approval(pending, &approval);
+  g_hash_table_remove(server->asks, &request_id);
+  server->node->rank->views[peer + 1].unfinished = reply->unfinished;
+  if (reply->approval != NULL) {
+    MmApproval approval
+        = { mm_name(reply->approval->job),  reply->approval->number,   { reply->approval->attempt },
+            mm_name(reply->approval->team), { reply->approval->term }, FALSE };
+    take_approval(response, &approval);
   } else {
-    take_refusal(pending);
+    take_refusal(response);
   }
-  go_on(pending);
+  go_on(response);
 }
 
 static MmPendingAnswer *
-pending_answer_new(MmCheckin *checkin, const MmReport *report, MmMachine *machine,
+pending_answer_new(MmCheckin *server, const MmReport *heartbeat, MmMachine *machine,
                    MmExchange *exchange) {
-  MmNode *node = checkin->node;
-  MmPendingAnswer *pending = g_new0(MmPendingAnswer, 1);
-
-  pending->checkin = checkin;
-  pending->exchange = exchange;
-  pending->machine = report->machine;
-  pending->stamp = report->stamp;
-  pending->starts = g_array_new(FALSE, TRUE, sizeof(MmApprovedStart));
-  pending->tried = g_array_new(FALSE, TRUE, sizeof(MmTaskRef));
-  pending->room = mm_machine_free(node->machine_table, machine);
-  pending->grants
-      = mm_sharing_grant_source(node->sharing, machine, &pending->grant_peer, &pending->grant_term);
-  pending->deadline = mm_time_add_ms(mm_node_now(node), (gint64)node->operators->ask_timeout_ms);
-  return pending;
+  MmNode *node = server->node;
+  MmPendingAnswer *response = g_new0(MmPendingAnswer, 1);
+
+  response->checkin = server;
+  response->exchange = exchange;
+  response->machine = heartbeat->machine;
+  response->stamp = heartbeat->stamp;
+  response->starts = g_array_new(FALSE, TRUE, sizeof(MmApprovedStart));
+  response->tried = g_array_new(FALSE, TRUE, sizeof(MmTaskRef));
+  response->room = mm_machine_free(node->machine_table, machine);
+  response->grants = mm_sharing_grant_source(node->sharing, machine, &response->grant_peer,
+                                             &response->grant_term);
+  response->deadline = mm_time_add_ms(mm_node_now(node), (gint64)node->operators->ask_timeout_ms);
+  return response;
 }
 
 void
-mm_pending_answer_start(MmCheckin *checkin, const MmReport *report, MmMachine *machine,
+mm_pending_answer_start(MmCheckin *server, const MmReport *heartbeat, MmMachine *machine,
                         MmExchange *exchange) {
-  MmPendingAnswer *pending = pending_answer_new(checkin, report, machine, exchange);
+  MmPendingAnswer *response = pending_answer_new(server, heartbeat, machine, exchange);
 
   /* Where nobody can grant resources, nothing is asked for: it would only be denied later. */
-  if (pending->grants == MM_GRANTS_NOWHERE)
-    finish(pending);
+  if (response->grants == MM_GRANTS_NOWHERE)
+    finish(response);
   else
-    go_on(pending);
+    go_on(response);
 }
 
 void
-mm_pending_answers_expire(MmCheckin *checkin) {
-  MmTime now = mm_node_now(checkin->node);
-  g_autoptr(GPtrArray) late = g_ptr_array_new();
+mm_pending_answers_expire(MmCheckin *server) {
+  MmTime now = mm_node_now(server->node);
+  g_autoptr(GPtrArray) expired = g_ptr_array_new();
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, checkin->asks);
+  g_hash_table_iter_init(&iter, server->asks);
   while (g_hash_table_iter_next(&iter, NULL, &value))
     if (!mm_time_before(now, ((MmPendingAnswer *)value)->deadline))
-      g_ptr_array_add(late, value);
-  for (guint i = 0; i < late->len; i++) {
-    MmPendingAnswer *pending = g_ptr_array_index(late, i);
-    g_hash_table_remove(checkin->asks, &pending->ask);
-    if (pending->granting)
-      g_array_set_size(pending->starts, 0);
-    if (pending->granting || pending->grants == MM_GRANTS_NOT_NEEDED)
-      finish(pending);
+      g_ptr_array_add(expired, value);
+  for (guint i = 0; i < expired->len; i++) {
+    MmPendingAnswer *response = g_ptr_array_index(expired, i);
+    g_hash_table_remove(server->asks, &response->ask);
+    if (response->granting)
+      g_array_set_size(response->starts, 0);
+    if (response->granting || response->grants == MM_GRANTS_NOT_NEEDED)
+      finish(response);
     else
-      get_grants(pending);
+      get_grants(response);
   }
 }
 
 void
-mm_pending_answers_refuse(MmCheckin *checkin) {
+mm_pending_answers_refuse(MmCheckin *server) {
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, checkin->asks);
+  g_hash_table_iter_init(&iter, server->asks);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     mm_exchange_answer(((MmPendingAnswer *)value)->exchange, 503, NULL, 0);
     pending_answer_free(value);
--- a/src/checkin/pending-answer.h
+++ b/src/checkin/pending-answer.h
@@ -38,16 +38,16 @@
 } MmPendingAnswer;
 
 /* Begins the answer to a report that was taken in; the exchange is answered once, now or later. */
-void mm_pending_answer_start(MmCheckin *checkin, const MmReport *report, MmMachine *machine,
+void mm_pending_answer_start(MmCheckin *server, const MmReport *heartbeat, MmMachine *machine,
                              MmExchange *exchange);
 /* The group's owner has said which of the approved starts may have their resources. */
-void mm_pending_answer_granted(MmCheckin *checkin, guint peer, const Mm__GrantAnswer *answer);
+void mm_pending_answer_granted(MmCheckin *server, guint peer, const Mm__GrantAnswer *reply);
 /* Sends what there is to all whose time is up. */
-void mm_pending_answers_expire(MmCheckin *checkin);
+void mm_pending_answers_expire(MmCheckin *server);
 /* Answers all 503: the node ends. */
-void mm_pending_answers_refuse(MmCheckin *checkin);
+void mm_pending_answers_refuse(MmCheckin *server);
 
 /* Adds commands for those of the tasks that have to go, whoever owns their shards. */
-void mm_checkin_clear_away(MmCheckin *checkin, const GArray *tasks, json_t *commands);
+void mm_checkin_clear_away(MmCheckin *server, const GArray *tasks, json_t *commands);
 /* Answers 200 with the replica's term. Takes the commands. */
 void mm_checkin_send_commands(const MmNode *node, MmExchange *exchange, json_t *commands);
--- a/src/checkin/registry.c
+++ b/src/checkin/registry.c
@@ -41,16 +41,18 @@
   json_t *list = json_array();
 
   for (guint i = 0; i < entries->len; i++) {
-    const MmEntry *e = &g_array_index(entries, MmEntry, i);
-    json_array_append_new(list, json_pack("[s, s, s, s, i, I]", e->machine.s, e->addr, e->type.s,
-                                          e->zone.s, e->spot ? 1 : 0, (json_int_t)e->session));
+    const MmEntry *entry = &g_array_index(entries, MmEntry, i);
+    json_array_append_new(list, json_pack("[s, s, s, s, i, I]", entry->machine.s, entry->addr,
+                                          entry->type.s, entry->zone.s, entry->spot ? 1 : 0,
+                                          (json_int_t)entry->session));
   }
   return json_pack("{s:o}", "v", list);
 }
 
 static gsize
-entry_bytes(const MmEntry *e) {
-  return strlen(e->machine.s) + strlen(e->addr) + strlen(e->type.s) + strlen(e->zone.s) + 40;
+entry_bytes(const MmEntry *entry) {
+  return strlen(entry->machine.s) + strlen(entry->addr) + strlen(entry->type.s)
+         + strlen(entry->zone.s) + 40;
 }
 
 static gsize
@@ -75,106 +77,108 @@
   json_t *item;
 
   json_array_foreach(mm_json_get(value, "v"), i, item) {
-    MmEntry e = { .machine = mm_name(json_string_value(json_array_get(item, 0))),
-                  .type = mm_name(json_string_value(json_array_get(item, 2))),
-                  .zone = mm_name(json_string_value(json_array_get(item, 3))),
-                  .spot = json_integer_value(json_array_get(item, 4)) != 0,
-                  .session = (guint64)json_integer_value(json_array_get(item, 5)) };
+    MmEntry entry = { .machine = mm_name(json_string_value(json_array_get(item, 0))),
+                      .type = mm_name(json_string_value(json_array_get(item, 2))),
+                      .zone = mm_name(json_string_value(json_array_get(item, 3))),
+                      .spot = json_integer_value(json_array_get(item, 4)) != 0,
+                      .session = (guint64)json_integer_value(json_array_get(item, 5)) };
     const char *addr = json_string_value(json_array_get(item, 1));
-    if (mm_name_is_empty(&e.machine))
+    if (mm_name_is_empty(&entry.machine))
       continue;
-    g_strlcpy(e.addr, addr != NULL ? addr : "", sizeof e.addr);
-    g_array_append_val(entries, e);
+    g_strlcpy(entry.addr, addr != NULL ? addr : "", sizeof entry.addr);
+    g_array_append_val(entries, entry);
   }
   return entries;
 }
 
 static const MmEntry *
-find_entry(const GArray *entries, const char *machine) {
+find_entry(const GArray *entries, const char *machine_id) {
   for (guint i = 0; i < entries->len; i++)
-    if (strcmp(g_array_index(entries, MmEntry, i).machine.s, machine) == 0)
+    if (strcmp(g_array_index(entries, MmEntry, i).machine.s, machine_id) == 0)
       return &g_array_index(entries, MmEntry, i);
   return NULL;
 }
 
 /* The machine's newest session in the register, or NULL. */
 static const MmEntry *
-newest(const MmRegistry *registry, const char *machine) {
-  const MmEntry *best = NULL;
+newest(const MmRegistry *registry, const char *machine_id) {
+  const MmEntry *newest_entry = NULL;
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init(&iter, registry->packs);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const MmEntry *e = find_entry(((MmPack *)value)->entries, machine);
-    if (e != NULL && (best == NULL || e->session > best->session))
-      best = e;
+    const MmEntry *entry = find_entry(((MmPack *)value)->entries, machine_id);
+    if (entry != NULL && (newest_entry == NULL || entry->session > newest_entry->session))
+      newest_entry = entry;
   }
-  return best;
+  return newest_entry;
 }
 
 /* ---- from the replica ---- */
 
 /* Entries that a pack no longer has. */
 static void
-left_out(MmRegistry *registry, const GArray *old, const GArray *now) {
-  for (guint i = 0; i < old->len; i++) {
-    const MmEntry *e = &g_array_index(old, MmEntry, i);
-    const MmEntry *other;
-    if (now != NULL && find_entry(now, e->machine.s) != NULL)
+left_out(MmRegistry *registry, const GArray *previous, const GArray *current) {
+  for (guint i = 0; i < previous->len; i++) {
+    const MmEntry *entry = &g_array_index(previous, MmEntry, i);
+    const MmEntry *remaining_entry;
+    if (current != NULL && find_entry(current, entry->machine.s) != NULL)
       continue;
-    other = newest(registry, e->machine.s);
-    if (other != NULL)
-      mm_machine_table_registered(registry->node->machine_table, other);
+    remaining_entry = newest(registry, entry->machine.s);
+    if (remaining_entry != NULL)
+      mm_machine_table_registered(registry->node->machine_table, remaining_entry);
     else
-      mm_machine_table_unregistered(registry->node->machine_table, e->machine.s);
+      mm_machine_table_unregistered(registry->node->machine_table, entry->machine.s);
   }
 }
 
 void
-mm_registry_put(MmRegistry *registry, const char *name, const json_t *value, MmKeyVersion version) {
-  MmPack *pack = g_hash_table_lookup(registry->packs, name);
-  g_autoptr(GArray) old = NULL;
+mm_registry_put(MmRegistry *registry, const char *pack_name, const json_t *value,
+                MmKeyVersion version) {
+  MmPack *pack = g_hash_table_lookup(registry->packs, pack_name);
+  g_autoptr(GArray) previous_entries = NULL;
 
   if (pack != NULL && version.v < pack->version.v)
     return;
   if (pack == NULL) {
     pack = g_new0(MmPack, 1);
-    g_hash_table_insert(registry->packs, g_strdup(name), pack);
+    g_hash_table_insert(registry->packs, g_strdup(pack_name), pack);
   }
-  old = g_steal_pointer(&pack->entries);
+  previous_entries = g_steal_pointer(&pack->entries);
   pack->version = version;
   pack->entries = read_pack(value);
   for (guint i = 0; i < pack->entries->len; i++) {
-    const MmEntry *e = &g_array_index(pack->entries, MmEntry, i);
-    const MmMachine *machine = mm_machine_table_find(registry->node->machine_table, e->machine.s);
-    if (machine == NULL || !machine->registered || e->session > machine->registered_session)
-      mm_machine_table_registered(registry->node->machine_table, e);
+    const MmEntry *entry = &g_array_index(pack->entries, MmEntry, i);
+    const MmMachine *machine
+        = mm_machine_table_find(registry->node->machine_table, entry->machine.s);
+    if (machine == NULL || !machine->registered || entry->session > machine->registered_session)
+      mm_machine_table_registered(registry->node->machine_table, entry);
   }
-  if (old != NULL)
-    left_out(registry, old, pack->entries);
+  if (previous_entries != NULL)
+    left_out(registry, previous_entries, pack->entries);
 }
 
 void
-mm_registry_remove(MmRegistry *registry, const char *name) {
-  MmPack *pack = g_hash_table_lookup(registry->packs, name);
-  g_autoptr(GArray) old = NULL;
+mm_registry_remove(MmRegistry *registry, const char *pack_name) {
+  MmPack *pack = g_hash_table_lookup(registry->packs, pack_name);
+  g_autoptr(GArray) previous_entries = NULL;
 
   if (pack == NULL)
     return;
-  old = g_array_ref(pack->entries);
-  g_hash_table_remove(registry->packs, name);
-  left_out(registry, old, NULL);
+  previous_entries = g_array_ref(pack->entries);
+  g_hash_table_remove(registry->packs, pack_name);
+  left_out(registry, previous_entries, NULL);
 }
 
 void
 mm_registry_list_keys(const MmRegistry *registry, const char *prefix, GPtrArray *keys) {
   GHashTableIter iter;
-  gpointer name;
+  gpointer pack_name;
 
   g_hash_table_iter_init(&iter, registry->packs);
-  while (g_hash_table_iter_next(&iter, &name, NULL))
-    g_ptr_array_add(keys, g_strconcat(prefix, name, NULL));
+  while (g_hash_table_iter_next(&iter, &pack_name, NULL))
+    g_ptr_array_add(keys, g_strconcat(prefix, pack_name, NULL));
 }
 
 /* ---- entering ---- */
@@ -190,48 +194,50 @@
 
 static GPtrArray *
 to_enter(const MmRegistry *registry) {
-  GPtrArray *list = g_ptr_array_new();
-  const GPtrArray *order = registry->node->machine_table->order;
+  GPtrArray *unregistered = g_ptr_array_new();
+  const GPtrArray *machines = registry->node->machine_table->order;
 
-  for (guint i = 0; i < order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(order, i);
+  for (guint i = 0; i < machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(machines, i);
     if (!mm_machine_is_registered(machine) && machine->heard && !machine->lost
         && !machine->releasing && mm_sharing_registers(registry->node->sharing, machine)
         && !mm_health_is_deaf(registry->node->machine_table, machine))
-      g_ptr_array_add(list, machine);
+      g_ptr_array_add(unregistered, machine);
   }
-  return list;
+  return unregistered;
 }
 
 /* What the pack should hold: its entries without those that a newer session has replaced elsewhere,
  * and of the list as many as there is room for, which are taken off it. */
 static GArray *
-filled(const MmRegistry *registry, const MmPack *pack, GPtrArray *list) {
+filled(const MmRegistry *registry, const MmPack *pack, GPtrArray *unregistered) {
   GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmEntry));
-  gsize most = pack_limit(registry), bytes = 0;
+  gsize limit = pack_limit(registry), bytes = 0;
 
   for (guint i = 0; pack != NULL && i < pack->entries->len; i++) {
-    const MmEntry *e = &g_array_index(pack->entries, MmEntry, i);
-    const MmMachine *machine = mm_machine_table_find(registry->node->machine_table, e->machine.s);
+    const MmEntry *entry = &g_array_index(pack->entries, MmEntry, i);
+    const MmMachine *machine
+        = mm_machine_table_find(registry->node->machine_table, entry->machine.s);
     if (machine != NULL
-        && (e->session < machine->registered_session || g_ptr_array_find(list, machine, NULL)))
+        && (entry->session < machine->registered_session
+            || g_ptr_array_find(unregistered, machine, NULL)))
       continue;
-    g_array_append_val(entries, *e);
-    bytes += entry_bytes(e);
+    g_array_append_val(entries, *entry);
+    bytes += entry_bytes(entry);
   }
-  while (list->len > 0) {
-    const MmMachine *machine = g_ptr_array_index(list, list->len - 1);
-    MmEntry e = { .machine = machine->id,
-                  .type = machine->type_name,
-                  .zone = machine->zone,
-                  .spot = machine->spot,
-                  .session = machine->stamp.session };
-    memcpy(e.addr, machine->addr, sizeof e.addr);
-    if (bytes + entry_bytes(&e) > most)
+  while (unregistered->len > 0) {
+    const MmMachine *machine = g_ptr_array_index(unregistered, unregistered->len - 1);
+    MmEntry entry = { .machine = machine->id,
+                      .type = machine->type_name,
+                      .zone = machine->zone,
+                      .spot = machine->spot,
+                      .session = machine->stamp.session };
+    memcpy(entry.addr, machine->addr, sizeof entry.addr);
+    if (bytes + entry_bytes(&entry) > limit)
       break;
-    bytes += entry_bytes(&e);
-    g_array_append_val(entries, e);
-    g_ptr_array_set_size(list, (gint)list->len - 1);
+    bytes += entry_bytes(&entry);
+    g_array_append_val(entries, entry);
+    g_ptr_array_set_size(unregistered, (gint)unregistered->len - 1);
   }
   return entries;
 }
@@ -241,32 +247,34 @@
 mm_registry_tick(MmRegistry *registry) {
   MmNode *node = registry->node;
   MmTime now = mm_node_now(node);
-  g_autoptr(GPtrArray) list = NULL;
-  MmTxn txn;
+  g_autoptr(GPtrArray) unregistered = NULL;
+  MmTxn transaction;
 
   if (registry->writing || mm_time_before(now, registry->next) || mm_store_in_trouble(node->store)
       || !node->replica->loaded)
     return;
   registry->next = mm_time_add_ms(now, EVERY_MS);
-  list = to_enter(registry);
-  if (list->len == 0)
+  unregistered = to_enter(registry);
+  if (unregistered->len == 0)
     return;
-  txn = mm_txn();
-  for (guint k = 0; list->len > 0 && txn.puts < mm_store_txn_ops(node->store); k++) {
-    g_autofree char *name = g_strdup_printf("%s/%u", node->settings->label.s, k);
-    const MmPack *pack = g_hash_table_lookup(registry->packs, name);
-    guint before = list->len;
-    g_autoptr(GArray) entries = filled(registry, pack, list);
-
-    if (list->len == before)
+  transaction = mm_txn();
+  for (guint pack_number = 0;
+       unregistered->len > 0 && transaction.puts < mm_store_txn_ops(node->store); pack_number++) {
+    g_autofree char *pack_name = g_strdup_printf("%s/%u", node->settings->label.s, pack_number);
+    const MmPack *pack = g_hash_table_lookup(registry->packs, pack_name);
+    guint n_before = unregistered->len;
+    g_autoptr(GArray) entries = filled(registry, pack, unregistered);
+
+    if (unregistered->len == n_before)
       continue;
     if (!mm_store_may_write(node->store, 1))
       break;
-    mm_txn_guard(&txn, MM_KEY_PACK, name, pack != NULL ? pack->version : (MmKeyVersion){ 0 });
-    mm_txn_put(&txn, MM_KEY_PACK, name, pack_json(entries), 0);
+    mm_txn_guard(&transaction, MM_KEY_PACK, pack_name,
+                 pack != NULL ? pack->version : (MmKeyVersion){ 0 });
+    mm_txn_put(&transaction, MM_KEY_PACK, pack_name, pack_json(entries), 0);
   }
-  registry->writing = txn.puts > 0;
-  mm_store_commit_any(node->store, &txn, entered, registry);
+  registry->writing = transaction.puts > 0;
+  mm_store_commit_any(node->store, &transaction, entered, registry);
 }
 
 /* ---- taking off ---- */
@@ -278,39 +286,40 @@
 
 /* A machine is in one session at a time: hearing a newer one ends the older. */
 static gboolean
-is_over(const MmMachine *machine, const MmEntry *e) {
-  if (machine->gone || (machine->heard && e->session < machine->stamp.session))
+is_over(const MmMachine *machine, const MmEntry *entry) {
+  if (machine->gone || (machine->heard && entry->session < machine->stamp.session))
     return TRUE;
-  return machine->lost && (!machine->heard || e->session == machine->stamp.session);
+  return machine->lost && (!machine->heard || entry->session == machine->stamp.session);
 }
 
 /* The pack other than this one that holds the same session of the machine, or NULL. */
 static const char *
-find_copy(const MmRegistry *registry, const MmPack *except, const MmEntry *e,
+find_copy(const MmRegistry *registry, const MmPack *excluded_pack, const MmEntry *entry,
           MmKeyVersion *version) {
   GHashTableIter iter;
-  gpointer name, value;
+  gpointer pack_name, value;
 
   g_hash_table_iter_init(&iter, registry->packs);
-  while (g_hash_table_iter_next(&iter, &name, &value)) {
+  while (g_hash_table_iter_next(&iter, &pack_name, &value)) {
     const MmPack *pack = value;
-    const MmEntry *copy = pack != except ? find_entry(pack->entries, e->machine.s) : NULL;
-    if (copy != NULL && copy->session == e->session) {
+    const MmEntry *copy
+        = pack != excluded_pack ? find_entry(pack->entries, entry->machine.s) : NULL;
+    if (copy != NULL && copy->session == entry->session) {
       *version = pack->version;
-      return name;
+      return pack_name;
     }
   }
   return NULL;
 }
 
 static gboolean
-is_guarded(const MmTxn *txn, const char *name) {
-  g_autofree char *path = g_strconcat(MM_KEY_PACK, name, NULL);
+is_guarded(const MmTxn *transaction, const char *pack_name) {
+  g_autofree char *key = g_strconcat(MM_KEY_PACK, pack_name, NULL);
   size_t i;
   json_t *guard;
 
-  json_array_foreach(txn->guards, i,
-                     guard) if (g_strcmp0(mm_json_string(guard, WIRE_KEY), path) == 0) return TRUE;
+  json_array_foreach(transaction->guards, i,
+                     guard) if (g_strcmp0(mm_json_string(guard, WIRE_KEY), key) == 0) return TRUE;
   return FALSE;
 }
 
@@ -319,33 +328,34 @@
  * this one is written: of two copies one has to remain. */
 static GArray *
 entries_kept(MmRegistry *registry, const MmPack *pack, MmTxn *guards) {
-  GArray *kept = g_array_new(FALSE, TRUE, sizeof(MmEntry));
+  GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmEntry));
   gboolean too_large = entries_bytes(pack->entries) > pack_limit(registry);
 
   for (guint i = 0; i < pack->entries->len; i++) {
-    const MmEntry *e = &g_array_index(pack->entries, MmEntry, i);
-    const MmMachine *machine = mm_machine_table_find(registry->node->machine_table, e->machine.s);
+    const MmEntry *entry = &g_array_index(pack->entries, MmEntry, i);
+    const MmMachine *machine
+        = mm_machine_table_find(registry->node->machine_table, entry->machine.s);
     const char *copied_to = NULL;
     MmKeyVersion version;
-    if (machine != NULL && is_over(machine, e))
+    if (machine != NULL && is_over(machine, entry))
       continue;
     if (too_large)
-      copied_to = find_copy(registry, pack, e, &version);
+      copied_to = find_copy(registry, pack, entry, &version);
     if (copied_to == NULL)
-      g_array_append_val(kept, *e);
+      g_array_append_val(remaining, *entry);
     else if (!is_guarded(guards, copied_to))
       mm_txn_guard(guards, MM_KEY_PACK, copied_to, version);
   }
-  return kept;
+  return remaining;
 }
 
 static char *
 unused_pack_name(const MmRegistry *registry) {
-  for (guint k = 0;; k++) {
-    char *name = g_strdup_printf("%s/%u", registry->node->settings->label.s, k);
-    if (!g_hash_table_contains(registry->packs, name))
-      return name;
-    g_free(name);
+  for (guint pack_number = 0;; pack_number++) {
+    char *pack_name = g_strdup_printf("%s/%u", registry->node->settings->label.s, pack_number);
+    if (!g_hash_table_contains(registry->packs, pack_name))
+      return pack_name;
+    g_free(pack_name);
   }
 }
 
@@ -353,51 +363,52 @@
  * pack. They leave this one once the replica shows the copies: no reader ever finds a machine in
  * neither. */
 static void
-copy_overflow(MmRegistry *registry, const char *name, const MmPack *pack, const GArray *kept,
-              MmTxn *txn) {
-  g_autoptr(GArray) moved = g_array_new(FALSE, TRUE, sizeof(MmEntry));
-  g_autofree char *to = unused_pack_name(registry);
-  gsize most = pack_limit(registry), left = entries_bytes(kept), bytes = 0;
-
-  for (guint i = kept->len; i > 0 && left > most; i--) {
-    const MmEntry *e = &g_array_index(kept, MmEntry, i - 1);
-    if (bytes + entry_bytes(e) > most)
+copy_overflow(MmRegistry *registry, const char *pack_name, const MmPack *pack,
+              const GArray *remaining, MmTxn *transaction) {
+  g_autoptr(GArray) copied = g_array_new(FALSE, TRUE, sizeof(MmEntry));
+  g_autofree char *new_pack_name = unused_pack_name(registry);
+  gsize limit = pack_limit(registry), bytes_left = entries_bytes(remaining), bytes_copied = 0;
+
+  for (guint i = remaining->len; i > 0 && bytes_left > limit; i--) {
+    const MmEntry *entry = &g_array_index(remaining, MmEntry, i - 1);
+    if (bytes_copied + entry_bytes(entry) > limit)
       break;
-    bytes += entry_bytes(e);
-    left -= entry_bytes(e);
-    g_array_append_val(moved, *e);
+    bytes_copied += entry_bytes(entry);
+    bytes_left -= entry_bytes(entry);
+    g_array_append_val(copied, *entry);
   }
-  mm_txn_guard(txn, MM_KEY_PACK, name, pack->version);
-  mm_txn_guard(txn, MM_KEY_PACK, to, (MmKeyVersion){ 0 });
-  mm_txn_put(txn, MM_KEY_PACK, to, pack_json(moved), 0);
+  mm_txn_guard(transaction, MM_KEY_PACK, pack_name, pack->version);
+  mm_txn_guard(transaction, MM_KEY_PACK, new_pack_name, (MmKeyVersion){ 0 });
+  mm_txn_put(transaction, MM_KEY_PACK, new_pack_name, pack_json(copied), 0);
 }
 
 static void
-write_kept(const char *name, const MmPack *pack, const GArray *kept, MmTxn *txn) {
-  mm_txn_guard(txn, MM_KEY_PACK, name, pack->version);
-  if (kept->len > 0)
-    mm_txn_put(txn, MM_KEY_PACK, name, pack_json(kept), 0);
+write_kept(const char *pack_name, const MmPack *pack, const GArray *remaining, MmTxn *transaction) {
+  mm_txn_guard(transaction, MM_KEY_PACK, pack_name, pack->version);
+  if (remaining->len > 0)
+    mm_txn_put(transaction, MM_KEY_PACK, pack_name, pack_json(remaining), 0);
   else
-    mm_txn_delete(txn, MM_KEY_PACK, name);
+    mm_txn_delete(transaction, MM_KEY_PACK, pack_name);
 }
 
 /* One pack a transaction where guards for copies are needed. */
 static void
-drop_from_pack(MmRegistry *registry, const char *name, const MmPack *pack, MmTxn *txn) {
+drop_from_pack(MmRegistry *registry, const char *pack_name, const MmPack *pack,
+               MmTxn *transaction) {
   MmTxn guards = mm_txn();
-  g_autoptr(GArray) kept = entries_kept(registry, pack, &guards);
-  guint most_guards = 4 * mm_store_txn_ops(registry->node->store);
-  gboolean too_large = entries_bytes(kept) > pack_limit(registry);
-  gboolean alone = too_large || json_array_size(guards.guards) > 0;
+  g_autoptr(GArray) remaining = entries_kept(registry, pack, &guards);
+  guint guards_limit = 4 * mm_store_txn_ops(registry->node->store);
+  gboolean too_large = entries_bytes(remaining) > pack_limit(registry);
+  gboolean needs_own_transaction = too_large || json_array_size(guards.guards) > 0;
 
-  if (kept->len < pack->entries->len && !(alone && txn->puts > 0)
-      && json_array_size(guards.guards) < most_guards
+  if (remaining->len < pack->entries->len && !(needs_own_transaction && transaction->puts > 0)
+      && json_array_size(guards.guards) < guards_limit
       && mm_store_may_write(registry->node->store, 1)) {
-    json_array_extend(txn->guards, guards.guards);
+    json_array_extend(transaction->guards, guards.guards);
     if (too_large)
-      copy_overflow(registry, name, pack, kept, txn);
+      copy_overflow(registry, pack_name, pack, remaining, transaction);
     else
-      write_kept(name, pack, kept, txn);
+      write_kept(pack_name, pack, remaining, transaction);
   }
   json_decref(guards.guards);
   json_decref(guards.apply);
@@ -407,17 +418,17 @@
 mm_registry_drop_lost(MmRegistry *registry) {
   MmNode *node = registry->node;
   GHashTableIter iter;
-  gpointer name, value;
-  MmTxn txn;
+  gpointer pack_name, value;
+  MmTxn transaction;
 
   if (registry->dropping || mm_store_in_trouble(node->store))
     return;
-  txn = mm_txn();
+  transaction = mm_txn();
   g_hash_table_iter_init(&iter, registry->packs);
-  while (txn.puts < mm_store_txn_ops(node->store)
-         && json_array_size(txn.guards) <= mm_store_txn_ops(node->store)
-         && g_hash_table_iter_next(&iter, &name, &value))
-    drop_from_pack(registry, name, value, &txn);
-  registry->dropping = txn.puts > 0;
-  mm_store_commit_any(node->store, &txn, dropped, registry);
+  while (transaction.puts < mm_store_txn_ops(node->store)
+         && json_array_size(transaction.guards) <= mm_store_txn_ops(node->store)
+         && g_hash_table_iter_next(&iter, &pack_name, &value))
+    drop_from_pack(registry, pack_name, value, &transaction);
+  registry->dropping = transaction.puts > 0;
+  mm_store_commit_any(node->store, &transaction, dropped, registry);
 }
--- a/src/checkin/registry.h
+++ b/src/checkin/registry.h
@@ -33,9 +33,9 @@
 void mm_registry_free(MmRegistry *registry);
 
 /* From the replica. */
-void mm_registry_put(MmRegistry *registry, const char *name, const json_t *value,
+void mm_registry_put(MmRegistry *registry, const char *pack_name, const json_t *value,
                      MmKeyVersion version);
-void mm_registry_remove(MmRegistry *registry, const char *name);
+void mm_registry_remove(MmRegistry *registry, const char *pack_name);
 void mm_registry_list_keys(const MmRegistry *registry, const char *prefix, GPtrArray *keys);
 
 /* Enters the sessions heard here that are not in the register yet. */
--- a/src/checkin/report.c
+++ b/src/checkin/report.c
@@ -11,20 +11,20 @@
     = { "", "done", "halted", "peers", "alone", "error", "no_room", "busy", "no_such" };
 
 static gboolean
-read_task(MmSeenTask *task, const json_t *item) {
-  const char *text = mm_json_string(item, WIRE_TASK);
-  const char *slash = text != NULL ? strrchr(text, '/') : NULL;
-  const char *state = mm_json_string(item, WIRE_STATE);
-  const char *cause = mm_json_string(item, WIRE_CAUSE);
-  char *end;
+read_task(MmSeenTask *task, const json_t *json) {
+  const char *task_path = mm_json_string(json, WIRE_TASK);
+  const char *slash = task_path != NULL ? strrchr(task_path, '/') : NULL;
+  const char *state = mm_json_string(json, WIRE_STATE);
+  const char *cause = mm_json_string(json, WIRE_CAUSE);
+  char *number_end;
 
   memset(task, 0, sizeof *task);
-  if (slash == NULL || slash - text > MM_NAME_MAX || !g_ascii_isdigit(slash[1]))
+  if (slash == NULL || slash - task_path > MM_NAME_MAX || !g_ascii_isdigit(slash[1]))
     return FALSE;
-  memcpy(task->job.s, text, (gsize)(slash - text));
-  task->number = (guint)g_ascii_strtoull(slash + 1, &end, 10);
-  task->attempt.v = mm_json_count(item, WIRE_ATTEMPT, 0);
-  task->saved = mm_json_flag(item, WIRE_SAVED);
+  memcpy(task->job.s, task_path, (gsize)(slash - task_path));
+  task->number = (guint)g_ascii_strtoull(slash + 1, &number_end, 10);
+  task->attempt.v = mm_json_count(json, WIRE_ATTEMPT, 0);
+  task->saved = mm_json_flag(json, WIRE_SAVED);
   task->state = G_MAXUINT8;
   for (guint i = 0; i < G_N_ELEMENTS(states); i++)
     if (g_strcmp0(state, states[i]) == 0)
@@ -34,18 +34,18 @@
   for (guint i = 1; i < G_N_ELEMENTS(causes); i++)
     if (g_strcmp0(cause, causes[i]) == 0)
       task->cause = (guint8)i;
-  return *end == '\0' && task->state != G_MAXUINT8;
+  return *number_end == '\0' && task->state != G_MAXUINT8;
 }
 
 gboolean
-mm_report_parse(MmReport *report, const json_t *body, const char **reason) {
+mm_report_parse(MmReport *heartbeat, const json_t *body, const char **reason) {
   const json_t *tasks = mm_json_get(body, "kits");
   const char *addr = mm_json_string(body, WIRE_ADDR);
   size_t i;
   json_t *item;
 
-  memset(report, 0, sizeof *report);
-  report->tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask));
+  memset(heartbeat, 0, sizeof *heartbeat);
+  heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask));
   if (!json_is_object(body) || mm_json_string(body, WIRE_MACHINE) == NULL
       || !json_is_integer(mm_json_get(body, WIRE_SESSION))
       || !json_is_integer(mm_json_get(body, WIRE_SEQ))
@@ -54,38 +54,38 @@
     *reason = "not a worker's report";
     return FALSE;
   }
-  report->machine = mm_name(mm_json_string(body, WIRE_MACHINE));
+  heartbeat->machine = mm_name(mm_json_string(body, WIRE_MACHINE));
   if (addr != NULL)
-    g_strlcpy(report->addr, addr, sizeof report->addr);
-  report->type = mm_name(mm_json_string(body, WIRE_TYPE));
-  report->zone = mm_name(mm_json_string(body, WIRE_ZONE));
-  report->spot = mm_json_flag(body, WIRE_SPOT);
-  report->stamp.session = mm_json_count(body, WIRE_SESSION, 0);
-  report->stamp.seq = mm_json_count(body, WIRE_SEQ, 0);
-  report->token.v = mm_json_count(body, WIRE_TOKEN, 0);
-  report->warned = mm_json_get(body, WIRE_NOTICE) != NULL;
-  report->notice_s = mm_json_number(body, WIRE_NOTICE, 0);
+    g_strlcpy(heartbeat->addr, addr, sizeof heartbeat->addr);
+  heartbeat->type = mm_name(mm_json_string(body, WIRE_TYPE));
+  heartbeat->zone = mm_name(mm_json_string(body, WIRE_ZONE));
+  heartbeat->spot = mm_json_flag(body, WIRE_SPOT);
+  heartbeat->stamp.session = mm_json_count(body, WIRE_SESSION, 0);
+  heartbeat->stamp.seq = mm_json_count(body, WIRE_SEQ, 0);
+  heartbeat->token.v = mm_json_count(body, WIRE_TOKEN, 0);
+  heartbeat->warned = mm_json_get(body, WIRE_NOTICE) != NULL;
+  heartbeat->notice_s = mm_json_number(body, WIRE_NOTICE, 0);
   json_array_foreach(tasks, i, item) {
     MmSeenTask task;
     if (!read_task(&task, item)) {
       *reason = "a task in the report is not readable";
       return FALSE;
     }
-    g_array_append_val(report->tasks, task);
+    g_array_append_val(heartbeat->tasks, task);
   }
   return TRUE;
 }
 
 void
-mm_report_clear(MmReport *report) {
-  g_clear_pointer(&report->tasks, g_array_unref);
+mm_report_clear(MmReport *heartbeat) {
+  g_clear_pointer(&heartbeat->tasks, g_array_unref);
 }
 
 json_t *
 mm_command_to_json(const MmCommand *command) {
   static const char *const ops[] = { WIRE_START, WIRE_STOP, WIRE_FORGET };
-  g_autofree char *task = g_strdup_printf("%s/%u", command->job.s, command->number);
-  json_t *json = json_pack("{s:s, s:s, s:I}", WIRE_OP, ops[command->op], WIRE_TASK, task,
+  g_autofree char *task_path = g_strdup_printf("%s/%u", command->job.s, command->number);
+  json_t *json = json_pack("{s:s, s:s, s:I}", WIRE_OP, ops[command->op], WIRE_TASK, task_path,
                            WIRE_ATTEMPT, (json_int_t)command->attempt.v);
 
   if (command->op == MM_OP_STOP)
--- a/src/checkin/report.h
+++ b/src/checkin/report.h
@@ -59,6 +59,6 @@
 } MmCommand;
 
 /* FALSE with a reason when the body is no report; to be cleared all the same. */
-gboolean mm_report_parse(MmReport *report, const json_t *body, const char **reason);
-void mm_report_clear(MmReport *report);
+gboolean mm_report_parse(MmReport *heartbeat, const json_t *body, const char **reason);
+void mm_report_clear(MmReport *heartbeat);
 json_t *mm_command_to_json(const MmCommand *command);
--- a/src/config/operators.c
+++ b/src/config/operators.c
@@ -56,8 +56,8 @@
   MmOperators operators;
 
   memset(&operators, 0, sizeof operators);
-  for (const MmOperatorSetting *s = mm_operator_settings; s->name != NULL; s++)
-    G_STRUCT_MEMBER(double, &operators, s->offset) = s->fallback;
+  for (const MmOperatorSetting *setting = mm_operator_settings; setting->name != NULL; setting++)
+    G_STRUCT_MEMBER(double, &operators, setting->offset) = setting->fallback;
   return operators;
 }
 
@@ -108,9 +108,9 @@
                 "<%s> stands inside another setting", name);
     return;
   }
-  for (const MmOperatorSetting *s = mm_operator_settings; s->name != NULL; s++)
-    if (strcmp(field, s->name) == 0)
-      parse->open = s;
+  for (const MmOperatorSetting *setting = mm_operator_settings; setting->name != NULL; setting++)
+    if (strcmp(field, setting->name) == 0)
+      parse->open = setting;
   parse->valued = FALSE;
   if (strcmp(name, WEIGHT_ELEMENT) == 0)
     start_weight(parse, attributes, values, error);
@@ -131,11 +131,11 @@
 
 /* A number that is one, within the bounds. */
 static gboolean
-read_number(const char *text, double least, double most, double *number) {
+read_number(const char *text, double min, double max, double *number) {
   char *end = NULL;
 
   *number = g_ascii_strtod(text, &end);
-  return *end == '\0' && isfinite(*number) && *number >= least && *number <= most;
+  return *end == '\0' && isfinite(*number) && *number >= min && *number <= max;
 }
 
 static void
@@ -144,8 +144,8 @@
   Parse *parse = data;
   g_autofree char *value = g_strstrip(g_strndup(text, length));
   const char *unit = parse->open != NULL ? parse->open->unit : "times the share of others";
-  double least = parse->open != NULL ? parse->open->least : 0;
-  double most = parse->open != NULL ? parse->open->most : WEIGHT_MOST;
+  double min = parse->open != NULL ? parse->open->least : 0;
+  double max = parse->open != NULL ? parse->open->most : WEIGHT_MOST;
   double number;
 
   if (value[0] == '\0')
@@ -154,10 +154,10 @@
     g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT, "stray text \"%s\"", value);
     return;
   }
-  if (!read_number(value, least, most, &number)) {
+  if (!read_number(value, min, max, &number)) {
     g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT,
                 "<%s>: \"%s\" must be a number from %g to %g (%s)",
-                g_markup_parse_context_get_element(context), value, least, most, unit);
+                g_markup_parse_context_get_element(context), value, min, max, unit);
     return;
   }
   if (parse->weight != NULL)
@@ -175,19 +175,19 @@
   Parse parse = { .operators = operators, .path = path };
   GMarkupParseContext *context = g_markup_parse_context_new(&parser, 0, &parse, NULL);
   g_autoptr(GError) error = NULL;
-  gboolean good = g_markup_parse_context_parse(context, xml, length, &error)
-                  && g_markup_parse_context_end_parse(context, &error);
+  gboolean is_valid = g_markup_parse_context_parse(context, xml, length, &error)
+                      && g_markup_parse_context_end_parse(context, &error);
 
-  if (!good) {
+  if (!is_valid) {
     int line = 0;
     g_markup_parse_context_get_position(context, &line, NULL);
     *reason = g_strdup_printf("%s: line %d: %s", path, line, error->message);
   } else if (operators->claim_renew_s * 2 > operators->claim_ttl_s) {
     *reason = g_strdup_printf("%s: <claim-renew-s>: must be at most half of <claim-ttl-s>", path);
-    good = FALSE;
+    is_valid = FALSE;
   }
   g_markup_parse_context_free(context);
-  return good;
+  return is_valid;
 }
 
 gboolean
@@ -206,7 +206,7 @@
 gboolean
 mm_operators_check(const MmOperators *operators, const MmSettings *settings, const char *path,
                    char **reason) {
-  double total = mm_operators_group_weight(operators, settings->label.s);
+  double total_weight = mm_operators_group_weight(operators, settings->label.s);
 
   if (operators->groups != floor(operators->groups)) {
     *reason = g_strdup_printf("%s: <groups>: must be a whole number", path);
@@ -219,11 +219,11 @@
       return FALSE;
     }
   for (guint i = 0; i < settings->peers->len; i++)
-    total += mm_operators_group_weight(operators,
-                                       g_array_index(settings->peers, MmPeerSettings, i).label.s);
-  if (total <= 0)
+    total_weight += mm_operators_group_weight(
+        operators, g_array_index(settings->peers, MmPeerSettings, i).label.s);
+  if (total_weight <= 0)
     *reason = g_strdup_printf("%s: <" WEIGHT_ELEMENT ">: is 0 for all nodes", path);
-  return total > 0;
+  return total_weight > 0;
 }
 
 double
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -57,13 +57,14 @@
   MmJobTable *job_table = dependencies->node->job_table;
 
   for (guint i = 0; i < job->spec.n_needs; i++) {
-    const char *id = job->spec.needs[i].s;
-    MmJob *needed = mm_job_table_find(job_table, id);
-    MmFinalState final;
-    if (mm_job_table_final_state(job_table, id, &final))
-      mm_graph_finish(dependencies->graph, id, final.cancelled, final.done_ms, change);
-    if (needed != NULL)
-      add_vertex(dependencies, needed, change);
+    const char *dependency_id = job->spec.needs[i].s;
+    MmJob *dependency = mm_job_table_find(job_table, dependency_id);
+    MmFinalState terminal;
+    if (mm_job_table_final_state(job_table, dependency_id, &terminal))
+      mm_graph_finish(dependencies->graph, dependency_id, terminal.cancelled, terminal.done_ms,
+                      change);
+    if (dependency != NULL)
+      add_vertex(dependencies, dependency, change);
   }
 }
 
@@ -81,29 +82,29 @@
 }
 
 void
-mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job) {
+mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job_id) {
   MmGraphChange change;
 
   mm_graph_change_init(&change);
-  mm_graph_cancel(dependencies->graph, job, &change);
+  mm_graph_cancel(dependencies->graph, job_id, &change);
   apply(dependencies, &change);
   mm_graph_change_clear(&change);
 }
 
 void
-mm_dependencies_job_over(MmDependencies *dependencies, const char *job, gboolean cancelled,
-                         gint64 done_ms) {
+mm_dependencies_job_over(MmDependencies *dependencies, const char *job_id, gboolean is_cancelled,
+                         gint64 done_at_ms) {
   MmGraphChange change;
 
   mm_graph_change_init(&change);
-  mm_graph_finish(dependencies->graph, job, cancelled, done_ms, &change);
+  mm_graph_finish(dependencies->graph, job_id, is_cancelled, done_at_ms, &change);
   apply(dependencies, &change);
   mm_graph_change_clear(&change);
 }
 
 void
-mm_dependencies_job_removed(MmDependencies *dependencies, const char *job) {
-  mm_graph_remove(dependencies->graph, job);
+mm_dependencies_job_removed(MmDependencies *dependencies, const char *job_id) {
+  mm_graph_remove(dependencies->graph, job_id);
 }
 
 gboolean
@@ -156,7 +157,7 @@
   MmNode *node = dependencies->node;
   const GPtrArray *unknown = dependencies->graph->unknown;
   MmTime now = mm_node_now(node);
-  gint64 every_ms = (gint64)(1000 / (node->settings->state_rps * LOOKUP_SHARE));
+  gint64 lookup_interval_ms = (gint64)(1000 / (node->settings->state_rps * LOOKUP_SHARE));
 
   if (unknown->len == 0 || mm_store_in_trouble(node->store)
       || mm_time_before(now, dependencies->next_lookup))
@@ -166,7 +167,7 @@
     if (vertex->looking_up || mm_time_before(now, vertex->look_up_after))
       continue;
     look_up(dependencies, vertex);
-    dependencies->next_lookup = mm_time_add_ms(now, every_ms);
+    dependencies->next_lookup = mm_time_add_ms(now, lookup_interval_ms);
     return;
   }
 }
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -21,12 +21,12 @@
 /* The job has come into the job table. */
 void mm_dependencies_job_added(MmDependencies *dependencies, MmJob *job);
 /* The job's cancellation is in the state service. */
-void mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job);
+void mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job_id);
 /* The job's final state is in the state service. `done_ms` 0: when it was done is not known. */
-void mm_dependencies_job_over(MmDependencies *dependencies, const char *job, gboolean cancelled,
-                              gint64 done_ms);
+void mm_dependencies_job_over(MmDependencies *dependencies, const char *job_id,
+                              gboolean is_cancelled, gint64 done_at_ms);
 /* The job's record has gone. To be told after its final state, where that is known. */
-void mm_dependencies_job_removed(MmDependencies *dependencies, const char *job);
+void mm_dependencies_job_removed(MmDependencies *dependencies, const char *job_id);
 
 /* Whether nothing is known yet of a job that this one depends on, directly or not. Until it is, no
  * user can be told whether this job is cancelled. */
--- a/src/dependencies/graph.c
+++ b/src/dependencies/graph.c
@@ -26,8 +26,8 @@
 }
 
 MmVertex *
-mm_graph_find(const MmGraph *graph, const char *job) {
-  return g_hash_table_lookup(graph->vertices, job);
+mm_graph_find(const MmGraph *graph, const char *job_id) {
+  return g_hash_table_lookup(graph->vertices, job_id);
 }
 
 void
@@ -54,13 +54,13 @@
 }
 
 static MmVertex *
-find_or_create(MmGraph *graph, const char *job) {
-  MmVertex *vertex = mm_graph_find(graph, job);
+find_or_create(MmGraph *graph, const char *job_id) {
+  MmVertex *vertex = mm_graph_find(graph, job_id);
 
   if (vertex != NULL)
     return vertex;
   vertex = g_new0(MmVertex, 1);
-  vertex->job = mm_name(job);
+  vertex->job = mm_name(job_id);
   vertex->needs = g_ptr_array_new();
   vertex->dependents = g_ptr_array_new();
   vertex->state = MM_VERTEX_UNKNOWN;
@@ -106,14 +106,14 @@
 }
 
 static void
-connect_need(MmGraph *graph, MmVertex *vertex, const MmName *need) {
-  MmVertex *needed = find_or_create(graph, need->s);
+connect_need(MmGraph *graph, MmVertex *vertex, const MmName *dependency_id) {
+  MmVertex *dependency = find_or_create(graph, dependency_id->s);
 
-  if (needed == vertex || g_ptr_array_find(vertex->needs, needed, NULL))
+  if (dependency == vertex || g_ptr_array_find(vertex->needs, dependency, NULL))
     return;
-  g_ptr_array_add(vertex->needs, needed);
-  g_ptr_array_add(needed->dependents, vertex);
-  vertex->unmet += needed->state != MM_VERTEX_DONE;
+  g_ptr_array_add(vertex->needs, dependency);
+  g_ptr_array_add(dependency->dependents, vertex);
+  vertex->unmet += dependency->state != MM_VERTEX_DONE;
 }
 
 gboolean
@@ -125,43 +125,44 @@
 }
 
 MmVertex *
-mm_graph_add(MmGraph *graph, const char *job, const MmName *needs, guint n_needs,
+mm_graph_add(MmGraph *graph, const char *job_id, const MmName *dependencies, guint n_dependencies,
              MmGraphChange *change) {
-  MmVertex *vertex = n_needs > 0 ? find_or_create(graph, job) : mm_graph_find(graph, job);
+  MmVertex *vertex
+      = n_dependencies > 0 ? find_or_create(graph, job_id) : mm_graph_find(graph, job_id);
 
   if (vertex == NULL || vertex->in_table)
     return vertex;
   vertex->in_table = TRUE;
   if (vertex->state == MM_VERTEX_UNKNOWN)
     set_state(graph, vertex, MM_VERTEX_UNFINISHED);
-  for (guint i = 0; i < n_needs; i++)
-    connect_need(graph, vertex, &needs[i]);
+  for (guint i = 0; i < n_dependencies; i++)
+    connect_need(graph, vertex, &dependencies[i]);
   if (mm_vertex_needs_cancelled(vertex))
     cancel_from(graph, vertex, change);
   return vertex;
 }
 
 void
-mm_graph_cancel(MmGraph *graph, const char *job, MmGraphChange *change) {
-  MmVertex *vertex = mm_graph_find(graph, job);
+mm_graph_cancel(MmGraph *graph, const char *job_id, MmGraphChange *change) {
+  MmVertex *vertex = mm_graph_find(graph, job_id);
 
   if (vertex != NULL)
     cancel_from(graph, vertex, change);
 }
 
 void
-mm_graph_finish(MmGraph *graph, const char *job, gboolean cancelled, gint64 done_ms,
+mm_graph_finish(MmGraph *graph, const char *job_id, gboolean is_cancelled, gint64 done_at_ms,
                 MmGraphChange *change) {
-  MmVertex *vertex = mm_graph_find(graph, job);
+  MmVertex *vertex = mm_graph_find(graph, job_id);
 
   if (vertex == NULL || is_over(vertex))
     return;
-  if (cancelled) {
+  if (is_cancelled) {
     cancel_from(graph, vertex, change);
     return;
   }
   set_state(graph, vertex, MM_VERTEX_DONE);
-  vertex->done_ms = done_ms;
+  vertex->done_ms = done_at_ms;
   for (guint i = 0; i < vertex->dependents->len; i++) {
     MmVertex *dependent = g_ptr_array_index(vertex->dependents, i);
     dependent->unmet--;
@@ -171,16 +172,16 @@
 }
 
 void
-mm_graph_remove(MmGraph *graph, const char *job) {
-  MmVertex *vertex = mm_graph_find(graph, job);
+mm_graph_remove(MmGraph *graph, const char *job_id) {
+  MmVertex *vertex = mm_graph_find(graph, job_id);
 
   if (vertex == NULL)
     return;
   vertex->in_table = FALSE;
   for (guint i = 0; i < vertex->needs->len; i++) {
-    MmVertex *needed = g_ptr_array_index(vertex->needs, i);
-    g_ptr_array_remove_fast(needed->dependents, vertex);
-    free_if_unused(graph, needed);
+    MmVertex *dependency = g_ptr_array_index(vertex->needs, i);
+    g_ptr_array_remove_fast(dependency->dependents, vertex);
+    free_if_unused(graph, dependency);
   }
   g_ptr_array_set_size(vertex->needs, 0);
   vertex->unmet = 0;
@@ -197,34 +198,34 @@
 
 gint64
 mm_vertex_ready_ms(const MmVertex *vertex) {
-  gint64 latest = 0;
+  gint64 latest_ms = 0;
 
   for (guint i = 0; i < vertex->needs->len; i++)
-    latest = MAX(latest, ((const MmVertex *)g_ptr_array_index(vertex->needs, i))->done_ms);
-  return latest;
+    latest_ms = MAX(latest_ms, ((const MmVertex *)g_ptr_array_index(vertex->needs, i))->done_ms);
+  return latest_ms;
 }
 
 gboolean
 mm_graph_is_undecided(MmGraph *graph, MmVertex *vertex) {
   g_autoptr(GPtrArray) walk = NULL;
-  guint64 number;
+  guint64 walk_number;
 
   if (graph->unknown->len == 0 || is_over(vertex))
     return FALSE;
-  number = ++graph->walks;
+  walk_number = ++graph->walks;
   walk = g_ptr_array_new();
   g_ptr_array_add(walk, vertex);
-  vertex->visited = number;
+  vertex->visited = walk_number;
   for (guint next = 0; next < walk->len; next++) {
-    const MmVertex *at = g_ptr_array_index(walk, next);
-    for (guint i = 0; i < at->needs->len; i++) {
-      MmVertex *needed = g_ptr_array_index(at->needs, i);
-      if (needed->state == MM_VERTEX_UNKNOWN)
+    const MmVertex *current = g_ptr_array_index(walk, next);
+    for (guint i = 0; i < current->needs->len; i++) {
+      MmVertex *dependency = g_ptr_array_index(current->needs, i);
+      if (dependency->state == MM_VERTEX_UNKNOWN)
         return TRUE;
-      if (needed->state != MM_VERTEX_UNFINISHED || needed->visited == number)
+      if (dependency->state != MM_VERTEX_UNFINISHED || dependency->visited == walk_number)
         continue;
-      needed->visited = number;
-      g_ptr_array_add(walk, needed);
+      dependency->visited = walk_number;
+      g_ptr_array_add(walk, dependency);
     }
   }
   return FALSE;
--- a/src/dependencies/graph.h
+++ b/src/dependencies/graph.h
@@ -40,7 +40,7 @@
 void mm_graph_free(MmGraph *graph);
 
 /* The job's vertex, or NULL: it depends on nothing and nothing unfinished depends on it. */
-MmVertex *mm_graph_find(const MmGraph *graph, const char *job);
+MmVertex *mm_graph_find(const MmGraph *graph, const char *job_id);
 
 /* What a change brought about: vertices, lent until the next change of the graph. */
 typedef struct {
@@ -53,15 +53,15 @@
 
 /* The job's record is there, and it depends on `needs`. Later calls for the same job change
  * nothing. Returns its vertex, or NULL when it needs none. */
-MmVertex *mm_graph_add(MmGraph *graph, const char *job, const MmName *needs, guint n_needs,
-                       MmGraphChange *change);
+MmVertex *mm_graph_add(MmGraph *graph, const char *job_id, const MmName *dependencies,
+                       guint n_dependencies, MmGraphChange *change);
 /* The job's record says that it is cancelled. Its dependents are cancelled with it. */
-void mm_graph_cancel(MmGraph *graph, const char *job, MmGraphChange *change);
+void mm_graph_cancel(MmGraph *graph, const char *job_id, MmGraphChange *change);
 /* The job's final state was seen. `done_ms` 0: when it was done is not known. */
-void mm_graph_finish(MmGraph *graph, const char *job, gboolean cancelled, gint64 done_ms,
+void mm_graph_finish(MmGraph *graph, const char *job_id, gboolean is_cancelled, gint64 done_at_ms,
                      MmGraphChange *change);
 /* The job's record is gone. */
-void mm_graph_remove(MmGraph *graph, const char *job);
+void mm_graph_remove(MmGraph *graph, const char *job_id);
 
 /* Whether each of the job's needs is known to be done. */
 gboolean mm_vertex_is_ready(const MmVertex *vertex);
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -7,132 +7,134 @@
 #define PLAN_EVERY_MS 500
 #define LIST_PAGE 500
 
-static void list(MmFleet *fleet, const char *after);
+static void list(MmFleet *autoscaler, const char *after_id);
 
 MmFleet *
 mm_fleet_new(MmNode *node) {
-  MmFleet *fleet = g_new0(MmFleet, 1);
+  MmFleet *autoscaler = g_new0(MmFleet, 1);
 
-  fleet->node = node;
-  fleet->listed = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  fleet->zones = g_array_new(FALSE, TRUE, sizeof(MmZoneQuiet));
-  fleet->offers = g_array_new(FALSE, TRUE, sizeof(MmOffer));
-  return fleet;
+  autoscaler->node = node;
+  autoscaler->listed = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+  autoscaler->zones = g_array_new(FALSE, TRUE, sizeof(MmZoneQuiet));
+  autoscaler->offers = g_array_new(FALSE, TRUE, sizeof(MmOffer));
+  return autoscaler;
 }
 
 void
-mm_fleet_free(MmFleet *fleet) {
-  g_hash_table_unref(fleet->listed);
-  g_array_unref(fleet->offers);
-  g_array_unref(fleet->zones);
-  g_free(fleet);
+mm_fleet_free(MmFleet *autoscaler) {
+  g_hash_table_unref(autoscaler->listed);
+  g_array_unref(autoscaler->offers);
+  g_array_unref(autoscaler->zones);
+  g_free(autoscaler);
 }
 
 /* ---- the list ---- */
 
 MmOffer *
-mm_fleet_offer_for(MmFleet *fleet, const MmName *type, const MmName *zone, gboolean spot) {
-  MmOffer offer = { .type = *type, .zone = *zone, .spot = spot };
+mm_fleet_offer_for(MmFleet *autoscaler, const MmName *type, const MmName *zone, gboolean is_spot) {
+  MmOffer fresh = { .type = *type, .zone = *zone, .spot = is_spot };
 
-  for (guint i = 0; i < fleet->offers->len; i++) {
-    MmOffer *known = &g_array_index(fleet->offers, MmOffer, i);
+  for (guint i = 0; i < autoscaler->offers->len; i++) {
+    MmOffer *known = &g_array_index(autoscaler->offers, MmOffer, i);
     if (mm_name_equal(&known->type, type) && mm_name_equal(&known->zone, zone)
-        && known->spot == spot)
+        && known->spot == is_spot)
       return known;
   }
-  g_array_append_val(fleet->offers, offer);
-  return &g_array_index(fleet->offers, MmOffer, fleet->offers->len - 1);
+  g_array_append_val(autoscaler->offers, fresh);
+  return &g_array_index(autoscaler->offers, MmOffer, autoscaler->offers->len - 1);
 }
 
 static void
-take_listed(MmFleet *fleet, const json_t *item) {
-  MmTime now = mm_node_now(fleet->node);
+take_listed(MmFleet *autoscaler, const json_t *item) {
+  MmTime now = mm_node_now(autoscaler->node);
   const char *id = mm_json_string(item, WIRE_JOB_ID);
   const char *state = mm_json_string(item, WIRE_STATE);
-  MmListed *listed;
+  MmListed *cloud_machine;
 
   if (id == NULL || id[0] == '\0' || strlen(id) > MM_NAME_MAX)
     return;
-  listed = g_hash_table_lookup(fleet->listed, id);
-  if (listed == NULL) {
+  cloud_machine = g_hash_table_lookup(autoscaler->listed, id);
+  if (cloud_machine == NULL) {
     MmOffer *offer;
-    listed = g_new0(MmListed, 1);
-    listed->id = mm_name(id);
-    listed->type = mm_name(mm_json_string(item, WIRE_TYPE));
-    listed->zone = mm_name(mm_json_string(item, WIRE_ZONE));
-    listed->spot = mm_json_flag(item, WIRE_SPOT);
-    listed->first = now;
-    g_hash_table_insert(fleet->listed, listed->id.s, listed);
-    offer = mm_fleet_offer_for(fleet, &listed->type, &listed->zone, listed->spot);
+    cloud_machine = g_new0(MmListed, 1);
+    cloud_machine->id = mm_name(id);
+    cloud_machine->type = mm_name(mm_json_string(item, WIRE_TYPE));
+    cloud_machine->zone = mm_name(mm_json_string(item, WIRE_ZONE));
+    cloud_machine->spot = mm_json_flag(item, WIRE_SPOT);
+    cloud_machine->first = now;
+    g_hash_table_insert(autoscaler->listed, cloud_machine->id.s, cloud_machine);
+    offer = mm_fleet_offer_for(autoscaler, &cloud_machine->type, &cloud_machine->zone,
+                               cloud_machine->spot);
     offer->asked -= offer->asked > 0;
   }
-  listed->running = g_strcmp0(state, WIRE_RUNNING) == 0;
-  listed->failed = g_strcmp0(state, WIRE_FAILED) == 0;
-  listed->age_s = mm_json_number(item, WIRE_AGE, 0);
-  listed->listed = now;
+  cloud_machine->running = g_strcmp0(state, WIRE_RUNNING) == 0;
+  cloud_machine->failed = g_strcmp0(state, WIRE_FAILED) == 0;
+  cloud_machine->age_s = mm_json_number(item, WIRE_AGE, 0);
+  cloud_machine->listed = now;
 }
 
 static void
 listed_answered(gpointer data, int status, json_t *body) {
-  MmFleet *fleet = data;
+  MmFleet *autoscaler = data;
   const json_t *items = mm_json_get(body, WIRE_MACHINES);
-  MmTime now = mm_node_now(fleet->node);
-  double lag = MAX(fleet->node->settings->cloud_list_lag_s, 1);
+  MmTime now = mm_node_now(autoscaler->node);
+  double list_lag_s = MAX(autoscaler->node->settings->cloud_list_lag_s, 1);
   size_t i;
   json_t *item;
-  const char *last = NULL;
+  const char *last_id = NULL;
 
-  fleet->listing = FALSE;
-  fleet->next_list = mm_time_add_ms(now, (gint64)(lag * 1000 / 2));
+  autoscaler->listing = FALSE;
+  autoscaler->next_list = mm_time_add_ms(now, (gint64)(list_lag_s * 1000 / 2));
   if (status != 200 || !json_is_array(items)) {
     mm_info("no machine list from the cloud: status %d", status);
     return;
   }
   json_array_foreach(items, i, item) {
-    take_listed(fleet, item);
-    last = mm_json_string(item, WIRE_JOB_ID);
+    take_listed(autoscaler, item);
+    last_id = mm_json_string(item, WIRE_JOB_ID);
   }
-  if (mm_json_flag(body, WIRE_MORE) && last != NULL) {
-    list(fleet, last);
+  if (mm_json_flag(body, WIRE_MORE) && last_id != NULL) {
+    list(autoscaler, last_id);
     return;
   }
-  fleet->list_known = TRUE;
+  autoscaler->list_known = TRUE;
 }
 
 static void
-list(MmFleet *fleet, const char *after) {
+list(MmFleet *autoscaler, const char *after_id) {
   g_autofree char *path = g_strdup_printf(
-      WIRE_MACHINES_PATH "?%s%s%s" WIRE_LIMIT "=%d", after != NULL ? WIRE_AFTER "=" : "",
-      after != NULL ? after : "", after != NULL ? "&" : "", LIST_PAGE);
+      WIRE_MACHINES_PATH "?%s%s%s" WIRE_LIMIT "=%d", after_id != NULL ? WIRE_AFTER "=" : "",
+      after_id != NULL ? after_id : "", after_id != NULL ? "&" : "", LIST_PAGE);
 
-  fleet->listing = TRUE;
-  fleet->node->port.request(fleet->node->port.self, MM_TARGET_CLOUD, NULL, "GET", path, NULL, 3000,
-                            listed_answered, fleet);
+  autoscaler->listing = TRUE;
+  autoscaler->node->port.request(autoscaler->node->port.self, MM_TARGET_CLOUD, NULL, "GET", path,
+                                 NULL, 3000, listed_answered, autoscaler);
 }
 
 void
-mm_fleet_tick(MmFleet *fleet) {
-  MmNode *node = fleet->node;
+mm_fleet_tick(MmFleet *autoscaler) {
+  MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
-  gboolean active = mm_claims_valid(node->claims) && mm_claims_holds(node->claims, MM_SHARD_FLEET);
-
-  if (active != fleet->active) {
-    fleet->active = active;
-    fleet->list_known = FALSE;
-    g_hash_table_remove_all(fleet->listed);
-    mm_info("the fleet is %s", active ? "held here" : "no longer held here");
+  gboolean is_active
+      = mm_claims_valid(node->claims) && mm_claims_holds(node->claims, MM_SHARD_FLEET);
+
+  if (is_active != autoscaler->active) {
+    autoscaler->active = is_active;
+    autoscaler->list_known = FALSE;
+    g_hash_table_remove_all(autoscaler->listed);
+    mm_info("the fleet is %s", is_active ? "held here" : "no longer held here");
   }
-  if (!active || !mm_types_known(node->types))
+  if (!is_active || !mm_types_known(node->types))
     return;
-  if (!fleet->listing && !mm_time_before(now, fleet->next_list))
-    list(fleet, NULL);
-  if (mm_time_before(now, fleet->next_plan))
+  if (!autoscaler->listing && !mm_time_before(now, autoscaler->next_list))
+    list(autoscaler, NULL);
+  if (mm_time_before(now, autoscaler->next_plan))
     return;
-  fleet->next_plan = mm_time_add_ms(now, PLAN_EVERY_MS);
-  mm_fleet_count_quiet(fleet);
-  mm_fleet_return_machines(fleet);
+  autoscaler->next_plan = mm_time_add_ms(now, PLAN_EVERY_MS);
+  mm_fleet_count_quiet(autoscaler);
+  mm_fleet_return_machines(autoscaler);
   /* A lost machine stays on the register for nobody: after the next taking of a part it would have
    * to be proved lost once more before its tasks, or any others, could be given out. */
   mm_registry_drop_lost(node->registry);
-  mm_fleet_rent(fleet);
+  mm_fleet_rent(autoscaler);
 }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -59,18 +59,19 @@
 };
 
 MmFleet *mm_fleet_new(MmNode *node);
-void mm_fleet_free(MmFleet *fleet);
-void mm_fleet_tick(MmFleet *fleet);
+void mm_fleet_free(MmFleet *autoscaler);
+void mm_fleet_tick(MmFleet *autoscaler);
 /* The entry of this kind of machine, made where there is none. */
-MmOffer *mm_fleet_offer_for(MmFleet *fleet, const MmName *type, const MmName *zone, gboolean spot);
+MmOffer *mm_fleet_offer_for(MmFleet *autoscaler, const MmName *type, const MmName *zone,
+                            gboolean is_spot);
 
 /* returns.c */
 /* Counts which machines are silent, by zone: to be done before anything is returned or rented. */
-void mm_fleet_count_quiet(MmFleet *fleet);
+void mm_fleet_count_quiet(MmFleet *autoscaler);
 /* Most of the zone's machines are silent: it is taken to be cut off. */
-gboolean mm_fleet_zone_is_cut(MmFleet *fleet, const MmName *name);
-void mm_fleet_return_machines(MmFleet *fleet);
+gboolean mm_fleet_zone_is_cut(MmFleet *autoscaler, const MmName *zone_name);
+void mm_fleet_return_machines(MmFleet *autoscaler);
 
 /* renting.c */
 /* Rents for what waits, one kind of machine at a time. */
-void mm_fleet_rent(MmFleet *fleet);
+void mm_fleet_rent(MmFleet *autoscaler);
--- a/src/fleet/types.c
+++ b/src/fleet/types.c
@@ -20,29 +20,29 @@
 
 MmTypes *
 mm_types_new(MmNode *node) {
-  MmTypes *types = g_new0(MmTypes, 1);
+  MmTypes *instance_types = g_new0(MmTypes, 1);
 
-  types->node = node;
-  types->types = g_ptr_array_new_with_free_func(type_free);
-  return types;
+  instance_types->node = node;
+  instance_types->types = g_ptr_array_new_with_free_func(type_free);
+  return instance_types;
 }
 
 void
-mm_types_free(MmTypes *types) {
-  g_ptr_array_unref(types->types);
-  g_free(types->stored);
-  g_free(types);
+mm_types_free(MmTypes *instance_types) {
+  g_ptr_array_unref(instance_types->types);
+  g_free(instance_types->stored);
+  g_free(instance_types);
 }
 
 gboolean
-mm_types_known(const MmTypes *types) {
-  return types->types->len > 0;
+mm_types_known(const MmTypes *instance_types) {
+  return instance_types->types->len > 0;
 }
 
 const MmType *
-mm_types_find(const MmTypes *types, const MmName *name) {
-  for (guint i = 0; i < types->types->len; i++) {
-    const MmType *type = g_ptr_array_index(types->types, i);
+mm_types_find(const MmTypes *instance_types, const MmName *name) {
+  for (guint i = 0; i < instance_types->types->len; i++) {
+    const MmType *type = g_ptr_array_index(instance_types->types, i);
     if (mm_name_equal(&type->name, name))
       return type;
   }
@@ -58,9 +58,9 @@
 }
 
 gboolean
-mm_types_any_fits(const MmTypes *types, const MmSpec *spec) {
-  for (guint i = 0; i < types->types->len; i++) {
-    const MmType *type = g_ptr_array_index(types->types, i);
+mm_types_any_fits(const MmTypes *instance_types, const MmSpec *spec) {
+  for (guint i = 0; i < instance_types->types->len; i++) {
+    const MmType *type = g_ptr_array_index(instance_types->types, i);
     if (mm_spec_allows_type(spec, &type->name) && mm_resources_fits(spec->need, type->room)
         && (mm_name_is_empty(&spec->zone) || mm_type_in_zone(type, &spec->zone)))
       return TRUE;
@@ -69,9 +69,9 @@
 }
 
 static void
-read_type(MmTypes *types, const json_t *item) {
+read_type(MmTypes *instance_types, const json_t *item) {
   MmName name = mm_name(mm_json_string(item, WIRE_TYPE_NAME));
-  MmType *type = (MmType *)mm_types_find(types, &name);
+  MmType *type = (MmType *)mm_types_find(instance_types, &name);
   size_t i;
   json_t *zone;
 
@@ -81,7 +81,7 @@
     type = g_new0(MmType, 1);
     type->name = name;
     type->zones = g_array_new(FALSE, TRUE, sizeof(MmName));
-    g_ptr_array_add(types->types, type);
+    g_ptr_array_add(instance_types->types, type);
   }
   type->room = (MmResources){ mm_json_number(item, WIRE_CORES, 0),
                               mm_json_number(item, WIRE_ACCELERATORS, 0),
@@ -93,8 +93,8 @@
   type->boot_s = mm_json_number(item, WIRE_BOOT, 60);
   g_array_set_size(type->zones, 0);
   json_array_foreach(mm_json_get(item, WIRE_ZONES), i, zone) {
-    MmName z = mm_name(json_string_value(zone));
-    g_array_append_val(type->zones, z);
+    MmName zone_name = mm_name(json_string_value(zone));
+    g_array_append_val(type->zones, zone_name);
   }
 }
 
@@ -104,78 +104,80 @@
   g_autoptr(json_t) copy = json_deep_copy(list);
   size_t i;
   json_t *item;
-  char *text, *kept;
+  char *text, *copied_text;
 
   json_array_foreach(copy, i, item) {
     json_object_del(item, WIRE_PRICE);
     json_object_del(item, WIRE_SPOT_PRICE);
   }
   text = json_dumps(copy, JSON_COMPACT | JSON_SORT_KEYS);
-  kept = g_strdup(text);
+  copied_text = g_strdup(text);
   free(text);
-  return kept;
+  return copied_text;
 }
 
 void
-mm_types_stored(MmTypes *types, const json_t *value, MmKeyVersion version) {
-  const json_t *list = mm_json_get(value, WIRE_TYPES);
+mm_types_stored(MmTypes *instance_types, const json_t *json, MmKeyVersion version) {
+  const json_t *list = mm_json_get(json, WIRE_TYPES);
   size_t i;
   json_t *item;
 
   if (!json_is_array(list))
     return;
-  g_free(types->stored);
-  types->stored = lasting_text(list);
-  types->version = version;
+  g_free(instance_types->stored);
+  instance_types->stored = lasting_text(list);
+  instance_types->version = version;
   /* What the cloud itself has said since is newer. */
-  if (mm_types_known(types))
+  if (mm_types_known(instance_types))
     return;
-  json_array_foreach(list, i, item) read_type(types, item);
+  json_array_foreach(list, i, item) read_type(instance_types, item);
 }
 
 static void
-store(MmTypes *types, const json_t *list) {
-  MmNode *node = types->node;
+store(MmTypes *instance_types, const json_t *list) {
+  MmNode *node = instance_types->node;
   g_autofree char *text = lasting_text(list);
-  MmTxn txn;
+  MmTxn transaction;
 
-  if (g_strcmp0(text, types->stored) == 0 || !mm_claims_may_answer(node->claims)
+  if (g_strcmp0(text, instance_types->stored) == 0 || !mm_claims_may_answer(node->claims)
       || strlen(text) + 512 > node->settings->state_value_bytes
       || !mm_store_may_write(node->store, 1))
     return;
-  txn = mm_txn();
+  transaction = mm_txn();
   /* One that is carried out late must not bring back what the cloud has changed since. */
-  mm_txn_guard(&txn, MM_KEY_TYPES, "", types->version);
-  mm_txn_put(&txn, MM_KEY_TYPES, "", json_pack("{s:O}", WIRE_TYPES, list), 0);
+  mm_txn_guard(&transaction, MM_KEY_TYPES, "", instance_types->version);
+  mm_txn_put(&transaction, MM_KEY_TYPES, "", json_pack("{s:O}", WIRE_TYPES, list), 0);
   /* Should it fail, the cloud's next answer is stored. */
-  mm_store_commit(node->store, &txn, NULL, NULL);
+  mm_store_commit(node->store, &transaction, NULL, NULL);
 }
 
 static void
 answered(gpointer data, int status, json_t *body) {
-  MmTypes *types = data;
+  MmTypes *instance_types = data;
   const json_t *list = mm_json_get(body, WIRE_TYPES);
-  MmTime now = mm_node_now(types->node);
+  MmTime now = mm_node_now(instance_types->node);
   size_t i;
   json_t *item;
 
-  types->asking = FALSE;
-  types->next = mm_time_add_ms(now, RETRY_MS);
+  instance_types->asking = FALSE;
+  instance_types->next = mm_time_add_ms(now, RETRY_MS);
   if (status != 200 || !json_is_array(list)) {
     mm_info("no machine types from the cloud: status %d", status);
     return;
   }
-  json_array_foreach(list, i, item) read_type(types, item);
+  json_array_foreach(list, i, item) read_type(instance_types, item);
   /* Soon again until the state service holds them: a claim may not have been there yet. */
-  types->next = mm_time_add_ms(now, types->stored != NULL ? REFRESH_MS : STORE_AGAIN_MS);
-  store(types, list);
+  instance_types->next
+      = mm_time_add_ms(now, instance_types->stored != NULL ? REFRESH_MS : STORE_AGAIN_MS);
+  store(instance_types, list);
 }
 
 void
-mm_types_tick(MmTypes *types) {
-  if (types->asking || mm_time_before(mm_node_now(types->node), types->next))
+mm_types_tick(MmTypes *instance_types) {
+  if (instance_types->asking
+      || mm_time_before(mm_node_now(instance_types->node), instance_types->next))
     return;
-  types->asking = TRUE;
-  types->node->port.request(types->node->port.self, MM_TARGET_CLOUD, NULL, "GET",
-                            WIRE_MACHINE_TYPES_PATH, NULL, 3000, answered, types);
+  instance_types->asking = TRUE;
+  instance_types->node->port.request(instance_types->node->port.self, MM_TARGET_CLOUD, NULL, "GET",
+                                     WIRE_MACHINE_TYPES_PATH, NULL, 3000, answered, instance_types);
 }
--- a/src/fleet/types.h
+++ b/src/fleet/types.h
@@ -25,11 +25,11 @@
 };
 
 MmTypes *mm_types_new(MmNode *node);
-void mm_types_free(MmTypes *types);
-void mm_types_tick(MmTypes *types);
+void mm_types_free(MmTypes *instance_types);
+void mm_types_tick(MmTypes *instance_types);
 /* The types that a node saw earlier: nodes that start while the cloud is down go by them. */
-void mm_types_stored(MmTypes *types, const json_t *value, MmKeyVersion version);
-gboolean mm_types_known(const MmTypes *types);
-const MmType *mm_types_find(const MmTypes *types, const MmName *name);
-gboolean mm_types_any_fits(const MmTypes *types, const MmSpec *spec);
+void mm_types_stored(MmTypes *instance_types, const json_t *json, MmKeyVersion version);
+gboolean mm_types_known(const MmTypes *instance_types);
+const MmType *mm_types_find(const MmTypes *instance_types, const MmName *name);
+gboolean mm_types_any_fits(const MmTypes *instance_types, const MmSpec *spec);
 gboolean mm_type_in_zone(const MmType *type, const MmName *zone);
--- a/src/jobs/api.c
+++ b/src/jobs/api.c
@@ -24,21 +24,21 @@
 #define LIMITED_TRIES 3
 
 MmCall *
-mm_call_new(MmNode *node, MmExchange *exchange, const char *id) {
-  MmCall *call = g_new0(MmCall, 1);
+mm_call_new(MmNode *node, MmExchange *exchange, const char *job_id) {
+  MmCall *request = g_new0(MmCall, 1);
 
-  call->node = node;
-  call->exchange = exchange;
-  call->id = mm_name(id);
-  return call;
+  request->node = node;
+  request->exchange = exchange;
+  request->id = mm_name(job_id);
+  return request;
 }
 
 void
-mm_call_finish(MmCall *call, int status, json_t *body, guint retry_after_s) {
-  mm_exchange_answer(call->exchange, status, body, retry_after_s);
-  mm_spec_clear(&call->spec);
-  json_decref(call->record);
-  g_free(call);
+mm_call_finish(MmCall *request, int status, json_t *body, guint retry_after_s) {
+  mm_exchange_answer(request->exchange, status, body, retry_after_s);
+  mm_spec_clear(&request->spec);
+  json_decref(request->record);
+  g_free(request);
 }
 
 gboolean
@@ -49,40 +49,40 @@
 }
 
 void
-mm_call_give_up(MmCall *call) {
-  mm_call_finish(call, 503, mm_json_error("the state service does not answer"),
-                 mm_store_in_trouble(call->node->store) ? 2 : 1);
+mm_call_give_up(MmCall *request) {
+  mm_call_finish(request, 503, mm_json_error("the state service does not answer"),
+                 mm_store_in_trouble(request->node->store) ? 2 : 1);
 }
 
 void
-mm_call_wait_out_limit(MmCall *call, void (*resume)(MmCall *call)) {
-  if (++call->tries > LIMITED_TRIES) {
-    mm_call_give_up(call);
+mm_call_wait_out_limit(MmCall *request, void (*resume)(MmCall *call)) {
+  if (++request->tries > LIMITED_TRIES) {
+    mm_call_give_up(request);
     return;
   }
-  call->resume = resume;
-  call->resume_at = mm_time_add_ms(mm_node_now(call->node), LIMITED_PAUSE_MS);
-  g_queue_push_tail(call->node->api->paused, call);
+  request->resume = resume;
+  request->resume_at = mm_time_add_ms(mm_node_now(request->node), LIMITED_PAUSE_MS);
+  g_queue_push_tail(request->node->api->paused, request);
 }
 
 static void
-tick_paused(MmApi *api) {
-  MmTime now = mm_node_now(api->node);
+tick_paused(MmApi *job_api) {
+  MmTime now = mm_node_now(job_api->node);
 
   /* Each waits equally long, so the first is due first. */
-  while (!g_queue_is_empty(api->paused)) {
-    MmCall *call = g_queue_peek_head(api->paused);
-    if (mm_time_before(now, call->resume_at))
+  while (!g_queue_is_empty(job_api->paused)) {
+    MmCall *request = g_queue_peek_head(job_api->paused);
+    if (mm_time_before(now, request->resume_at))
       return;
-    g_queue_pop_head(api->paused);
-    call->resume(call);
+    g_queue_pop_head(job_api->paused);
+    request->resume(request);
   }
 }
 
 static json_t *
-state_body(const char *id, const char *state, guint done, guint running) {
-  return json_pack("{s:s, s:s, s:I, s:I}", WIRE_JOB_ID, id, WIRE_STATE, state, WIRE_DONE,
-                   (json_int_t)done, WIRE_RUNNING, (json_int_t)running);
+state_body(const char *job_id, const char *state, guint n_completed, guint n_running) {
+  return json_pack("{s:s, s:s, s:I, s:I}", WIRE_JOB_ID, job_id, WIRE_STATE, state, WIRE_DONE,
+                   (json_int_t)n_completed, WIRE_RUNNING, (json_int_t)n_running);
 }
 
 /* Whether every node that may still answer a worker knows of the job's cancellation, so that from
@@ -92,15 +92,15 @@
  * that can't be asked knows it all the same, or answers nobody, once the state service has served
  * this node for longer than a node may answer without having read what changed. */
 static gboolean
-all_know(const MmCall *call) {
-  const MmNode *node = call->node;
-  const MmJob *job = mm_job_table_find(node->job_table, call->id.s);
+all_know(const MmCall *request) {
+  const MmNode *node = request->node;
+  const MmJob *job = mm_job_table_find(node->job_table, request->id.s);
 
   if (!node->replica->loaded)
     return FALSE;
   /* Finished as cancelled: its tasks were all gone. */
   if (job == NULL)
-    return mm_job_table_is_over(node->job_table, call->id.s);
+    return mm_job_table_is_over(node->job_table, request->id.s);
   /* None of its tasks has ever been started, and every node works out that it is cancelled. */
   if (mm_job_needs_cancelled(job))
     return TRUE;
@@ -116,290 +116,292 @@
 }
 
 static void
-answer_cancelled(MmCall *call) {
-  MmTime now = mm_node_now(call->node);
+answer_cancelled(MmCall *request) {
+  MmTime now = mm_node_now(request->node);
 
-  if (all_know(call)) {
-    mm_call_finish(call, 200, state_body(call->id.s, WIRE_CANCELLED, 0, 0), 0);
+  if (all_know(request)) {
+    mm_call_finish(request, 200, state_body(request->id.s, WIRE_CANCELLED, 0, 0), 0);
     return;
   }
-  call->deadline = mm_time_add_ms(now, KNOWN_MS);
-  call->told = now;
-  g_queue_push_tail(call->node->api->waiting, call);
-  mm_links_tell_cancelled(call->node->links, call->id.s);
+  request->deadline = mm_time_add_ms(now, KNOWN_MS);
+  request->told = now;
+  g_queue_push_tail(request->node->api->waiting, request);
+  mm_links_tell_cancelled(request->node->links, request->id.s);
 }
 
 static gboolean
-let_go_acked(MmApi *api, GList *link) {
-  MmCall *call = link->data;
+let_go_acked(MmApi *job_api, GList *link) {
+  MmCall *request = link->data;
 
-  if (!all_know(call))
+  if (!all_know(request))
     return FALSE;
-  g_queue_delete_link(api->waiting, link);
-  mm_call_finish(call, 200, state_body(call->id.s, WIRE_CANCELLED, 0, 0), 0);
+  g_queue_delete_link(job_api->waiting, link);
+  mm_call_finish(request, 200, state_body(request->id.s, WIRE_CANCELLED, 0, 0), 0);
   return TRUE;
 }
 
 void
-mm_api_cancel_acked(MmApi *api, guint peer, const char *id) {
-  MmJob *job = mm_job_table_find(api->node->job_table, id);
+mm_api_cancel_acked(MmApi *job_api, guint peer, const char *job_id) {
+  MmJob *job = mm_job_table_find(job_api->node->job_table, job_id);
   GList *next;
 
   if (job != NULL)
     job->cancel_acks |= G_GUINT64_CONSTANT(1) << peer;
-  for (GList *link = api->waiting->head; link != NULL; link = next) {
+  for (GList *link = job_api->waiting->head; link != NULL; link = next) {
     next = link->next;
-    if (strcmp(((MmCall *)link->data)->id.s, id) == 0)
-      let_go_acked(api, link);
+    if (strcmp(((MmCall *)link->data)->id.s, job_id) == 0)
+      let_go_acked(job_api, link);
   }
 }
 
 /* Lets go a question about a job whose dependencies are not all known yet, once they are. */
 static gboolean
-let_go_decided(MmApi *api, GList *link) {
-  MmCall *call = link->data;
-  const MmJob *job = mm_job_table_find(api->node->job_table, call->id.s);
+let_go_decided(MmApi *job_api, GList *link) {
+  MmCall *request = link->data;
+  const MmJob *job = mm_job_table_find(job_api->node->job_table, request->id.s);
 
-  if (job != NULL && mm_dependencies_undecided(api->node->dependencies, job))
+  if (job != NULL && mm_dependencies_undecided(job_api->node->dependencies, job))
     return FALSE;
-  g_queue_delete_link(api->undecided, link);
-  mm_call_answer_when_current(call);
+  g_queue_delete_link(job_api->undecided, link);
+  mm_call_answer_when_current(request);
   return TRUE;
 }
 
 static void
-tick_undecided(MmApi *api) {
-  MmTime now = mm_node_now(api->node);
+tick_undecided(MmApi *job_api) {
+  MmTime now = mm_node_now(job_api->node);
   GList *next;
 
-  for (GList *link = api->undecided->head; link != NULL; link = next) {
-    MmCall *call = link->data;
+  for (GList *link = job_api->undecided->head; link != NULL; link = next) {
+    MmCall *request = link->data;
     next = link->next;
-    if (let_go_decided(api, link) || mm_time_before(now, call->deadline))
+    if (let_go_decided(job_api, link) || mm_time_before(now, request->deadline))
       continue;
-    g_queue_delete_link(api->undecided, link);
-    mm_call_give_up(call);
+    g_queue_delete_link(job_api->undecided, link);
+    mm_call_give_up(request);
   }
 }
 
 void
-mm_api_tick(MmApi *api) {
-  MmTime now = mm_node_now(api->node);
+mm_api_tick(MmApi *job_api) {
+  MmTime now = mm_node_now(job_api->node);
   GList *next;
 
-  tick_paused(api);
-  tick_undecided(api);
-  for (GList *link = api->waiting->head; link != NULL; link = next) {
-    MmCall *call = link->data;
+  tick_paused(job_api);
+  tick_undecided(job_api);
+  for (GList *link = job_api->waiting->head; link != NULL; link = next) {
+    MmCall *request = link->data;
     next = link->next;
-    if (let_go_acked(api, link))
+    if (let_go_acked(job_api, link))
       continue;
-    if (!mm_time_before(now, call->deadline)) {
-      g_queue_delete_link(api->waiting, link);
-      mm_call_give_up(call);
-    } else if (mm_time_ms_since(now, call->told) >= TELL_AGAIN_MS) {
-      call->told = now;
-      mm_links_tell_cancelled(api->node->links, call->id.s);
+    if (!mm_time_before(now, request->deadline)) {
+      g_queue_delete_link(job_api->waiting, link);
+      mm_call_give_up(request);
+    } else if (mm_time_ms_since(now, request->told) >= TELL_AGAIN_MS) {
+      request->told = now;
+      mm_links_tell_cancelled(job_api->node->links, request->id.s);
     }
   }
 }
 
 MmApi *
 mm_api_new(MmNode *node) {
-  MmApi *api = g_new0(MmApi, 1);
+  MmApi *job_api = g_new0(MmApi, 1);
 
-  api->node = node;
-  api->waiting = g_queue_new();
-  api->undecided = g_queue_new();
-  api->paused = g_queue_new();
-  return api;
+  job_api->node = node;
+  job_api->waiting = g_queue_new();
+  job_api->undecided = g_queue_new();
+  job_api->paused = g_queue_new();
+  return job_api;
 }
 
 void
-mm_api_free(MmApi *api) {
-  MmCall *call;
-
-  while ((call = g_queue_pop_head(api->waiting)) != NULL)
-    mm_call_give_up(call);
-  while ((call = g_queue_pop_head(api->undecided)) != NULL)
-    mm_call_give_up(call);
-  while ((call = g_queue_pop_head(api->paused)) != NULL)
-    mm_call_give_up(call);
-  g_queue_free(api->paused);
-  g_queue_free(api->waiting);
-  g_queue_free(api->undecided);
-  g_free(api);
+mm_api_free(MmApi *job_api) {
+  MmCall *request;
+
+  while ((request = g_queue_pop_head(job_api->waiting)) != NULL)
+    mm_call_give_up(request);
+  while ((request = g_queue_pop_head(job_api->undecided)) != NULL)
+    mm_call_give_up(request);
+  while ((request = g_queue_pop_head(job_api->paused)) != NULL)
+    mm_call_give_up(request);
+  g_queue_free(job_api->paused);
+  g_queue_free(job_api->waiting);
+  g_queue_free(job_api->undecided);
+  g_free(job_api);
 }
 
 /* Counts are for display only. */
 static void
-answer_unfinished(MmCall *call, gboolean cancelled) {
-  MmJob *job = mm_job_table_find(call->node->job_table, call->id.s);
-  guint running = mm_machine_table_running(call->node->machine_table, call->id.s);
-  guint done = 0;
+answer_unfinished(MmCall *request, gboolean is_cancelled) {
+  MmJob *job = mm_job_table_find(request->node->job_table, request->id.s);
+  guint n_running = mm_machine_table_running(request->node->machine_table, request->id.s);
+  guint n_completed = 0;
   const char *state = WIRE_PENDING;
 
-  if (cancelled) {
-    answer_cancelled(call);
+  if (is_cancelled) {
+    answer_cancelled(request);
     return;
   }
   if (job != NULL)
-    done = job->tasks != NULL ? job->done.count : job->recorded.count;
-  if (running > 0)
+    n_completed = job->tasks != NULL ? job->done.count : job->recorded.count;
+  if (n_running > 0)
     state = WIRE_RUNNING;
-  mm_call_finish(call, 200, state_body(call->id.s, state, done, running), 0);
+  mm_call_finish(request, 200, state_body(request->id.s, state, n_completed, n_running), 0);
 }
 
 static void
 final_read(gpointer data, int status, json_t *body) {
-  MmCall *call = data;
-  MmJobTable *job_table = call->node->job_table;
-  json_t *final = NULL;
+  MmCall *request = data;
+  MmJobTable *job_table = request->node->job_table;
+  json_t *terminal_response = NULL;
 
   if (status == 404) {
-    mm_call_finish(call, 404, mm_json_error("no such job"), 0);
+    mm_call_finish(request, 404, mm_json_error("no such job"), 0);
     return;
   }
   if (status == 200) {
-    mm_job_table_keep_final(job_table, call->id.s, mm_json_get(body, WIRE_VALUE));
-    final = mm_job_table_final(job_table, call->id.s);
+    mm_job_table_keep_final(job_table, request->id.s, mm_json_get(body, WIRE_VALUE));
+    terminal_response = mm_job_table_final(job_table, request->id.s);
   }
-  if (final != NULL)
-    mm_call_finish(call, 200, final, 0);
+  if (terminal_response != NULL)
+    mm_call_finish(request, 200, terminal_response, 0);
   else
-    mm_call_give_up(call);
+    mm_call_give_up(request);
 }
 
 static void
 cancel_written(gpointer data, int status, json_t *body) {
-  MmCall *call = data;
+  MmCall *request = data;
   guint64 revision;
 
-  if (status == 409 && ++call->tries < CANCEL_TRIES) {
-    mm_call_look_up(call);
+  if (status == 409 && ++request->tries < CANCEL_TRIES) {
+    mm_call_look_up(request);
     return;
   }
   if (status == 429) {
-    mm_call_wait_out_limit(call, mm_call_look_up);
+    mm_call_wait_out_limit(request, mm_call_look_up);
     return;
   }
   if (status != 200) {
-    mm_call_give_up(call);
+    mm_call_give_up(request);
     return;
   }
   /* The watch may be behind, or stop here. */
   revision = mm_json_count(body, WIRE_REVISION, 0);
-  if (revision > call->node->replica->revision && call->node->replica->loaded)
-    mm_job_table_put(call->node->job_table, call->id.s, call->record, (MmKeyVersion){ revision });
-  mm_owner_cancelled(call->node->owner, call->id.s);
-  answer_cancelled(call);
+  if (revision > request->node->replica->revision && request->node->replica->loaded)
+    mm_job_table_put(request->node->job_table, request->id.s, request->record,
+                     (MmKeyVersion){ revision });
+  mm_owner_cancelled(request->node->owner, request->id.s);
+  answer_cancelled(request);
 }
 
 static void
-write_cancel(MmCall *call, MmKeyVersion version) {
-  MmTxn txn = mm_txn();
+write_cancel(MmCall *request, MmKeyVersion version) {
+  MmTxn transaction = mm_txn();
 
-  json_object_set_new(call->record, "c", json_integer(1));
+  json_object_set_new(request->record, "c", json_integer(1));
   /* Written under larger limits: which of its tasks are done matters no more. */
-  if (json_dumpb(call->record, NULL, 0, JSON_COMPACT) > mm_store_value_bytes(call->node->store))
-    json_object_del(call->record, "d");
-  mm_txn_guard(&txn, MM_KEY_JOB, call->id.s, version);
-  mm_txn_put(&txn, MM_KEY_JOB, call->id.s, json_incref(call->record), 0);
-  mm_store_commit(call->node->store, &txn, cancel_written, call);
+  if (json_dumpb(request->record, NULL, 0, JSON_COMPACT)
+      > mm_store_value_bytes(request->node->store))
+    json_object_del(request->record, "d");
+  mm_txn_guard(&transaction, MM_KEY_JOB, request->id.s, version);
+  mm_txn_put(&transaction, MM_KEY_JOB, request->id.s, json_incref(request->record), 0);
+  mm_store_commit(request->node->store, &transaction, cancel_written, request);
 }
 
 static void
 record_read(gpointer data, int status, json_t *body) {
-  MmCall *call = data;
+  MmCall *request = data;
 
   if (status == 404) {
     /* Finished jobs move from the one key to the other, so this order cannot miss one. */
-    mm_store_get(call->node->store, MM_KEY_FINAL, call->id.s, final_read, call);
+    mm_store_get(request->node->store, MM_KEY_FINAL, request->id.s, final_read, request);
     return;
   }
   if (status != 200 || !json_is_object(mm_json_get(body, WIRE_VALUE))) {
-    mm_call_give_up(call);
+    mm_call_give_up(request);
     return;
   }
-  json_decref(call->record);
-  call->record = json_deep_copy(mm_json_get(body, WIRE_VALUE));
-  if (call->cancel && mm_json_count(call->record, "c", 0) == 0)
-    write_cancel(call, (MmKeyVersion){ mm_json_count(body, WIRE_VERSION, 0) });
-  else if (mm_json_count(call->record, "c", 0) == 0 && mm_json_get(call->record, "w") != NULL)
-    mm_call_answer_when_current(call); /* cancelled all the same, if what it depends on is */
+  json_decref(request->record);
+  request->record = json_deep_copy(mm_json_get(body, WIRE_VALUE));
+  if (request->cancel && mm_json_count(request->record, "c", 0) == 0)
+    write_cancel(request, (MmKeyVersion){ mm_json_count(body, WIRE_VERSION, 0) });
+  else if (mm_json_count(request->record, "c", 0) == 0 && mm_json_get(request->record, "w") != NULL)
+    mm_call_answer_when_current(request); /* cancelled all the same, if what it depends on is */
   else
-    answer_unfinished(call, mm_json_count(call->record, "c", 0) != 0);
+    answer_unfinished(request, mm_json_count(request->record, "c", 0) != 0);
 }
 
 void
-mm_call_look_up(MmCall *call) {
-  json_t *final = mm_job_table_final(call->node->job_table, call->id.s);
+mm_call_look_up(MmCall *request) {
+  json_t *terminal_response = mm_job_table_final(request->node->job_table, request->id.s);
 
-  if (final != NULL)
-    mm_call_finish(call, 200, final, 0);
-  else if (call->tries == 0 && mm_call_is_refused_now(call->node))
-    mm_call_give_up(call);
+  if (terminal_response != NULL)
+    mm_call_finish(request, 200, terminal_response, 0);
+  else if (request->tries == 0 && mm_call_is_refused_now(request->node))
+    mm_call_give_up(request);
   else
-    mm_store_get(call->node->store, MM_KEY_JOB, call->id.s, record_read, call);
+    mm_store_get(request->node->store, MM_KEY_JOB, request->id.s, record_read, request);
 }
 
 static void
-wait_until_decided(MmCall *call) {
-  MmApi *api = call->node->api;
+wait_until_decided(MmCall *request) {
+  MmApi *job_api = request->node->api;
 
-  if (call->deadline.us == 0)
-    call->deadline = mm_time_add_ms(mm_node_now(call->node), KNOWN_MS);
-  g_queue_push_tail(api->undecided, call);
+  if (request->deadline.us == 0)
+    request->deadline = mm_time_add_ms(mm_node_now(request->node), KNOWN_MS);
+  g_queue_push_tail(job_api->undecided, request);
 }
 
 /* The replica holds all that was written when the question came: whatever any node had told of the
  * job by then shows here. */
 static void
-replica_current(gpointer data, gboolean current) {
-  MmCall *call = data;
-  const MmJob *job = mm_job_table_find(call->node->job_table, call->id.s);
-  json_t *final = mm_job_table_final(call->node->job_table, call->id.s);
-
-  if (final != NULL)
-    mm_call_finish(call, 200, final, 0);
-  else if (!current)
-    mm_call_give_up(call);
+replica_current(gpointer data, gboolean is_current) {
+  MmCall *request = data;
+  const MmJob *job = mm_job_table_find(request->node->job_table, request->id.s);
+  json_t *terminal_response = mm_job_table_final(request->node->job_table, request->id.s);
+
+  if (terminal_response != NULL)
+    mm_call_finish(request, 200, terminal_response, 0);
+  else if (!is_current)
+    mm_call_give_up(request);
   else if (job == NULL)
-    mm_store_get(call->node->store, MM_KEY_FINAL, call->id.s, final_read, call);
-  else if (!job->cancelled && mm_dependencies_undecided(call->node->dependencies, job))
-    wait_until_decided(call);
+    mm_store_get(request->node->store, MM_KEY_FINAL, request->id.s, final_read, request);
+  else if (!job->cancelled && mm_dependencies_undecided(request->node->dependencies, job))
+    wait_until_decided(request);
   else
-    answer_unfinished(call, job->cancelled);
+    answer_unfinished(request, job->cancelled);
 }
 
 void
-mm_call_answer_when_current(MmCall *call) {
-  mm_replica_when_current(call->node->replica, replica_current, call);
+mm_call_answer_when_current(MmCall *request) {
+  mm_replica_when_current(request->node->replica, replica_current, request);
 }
 
 void
-mm_api_status(MmNode *node, const char *id, MmExchange *exchange) {
-  json_t *final = mm_job_table_final(node->job_table, id);
+mm_api_status(MmNode *node, const char *job_id, MmExchange *exchange) {
+  json_t *terminal_response = mm_job_table_final(node->job_table, job_id);
 
-  if (final != NULL)
-    mm_exchange_answer(exchange, 200, final, 0);
-  else if (!mm_spec_id_is_valid(id))
+  if (terminal_response != NULL)
+    mm_exchange_answer(exchange, 200, terminal_response, 0);
+  else if (!mm_spec_id_is_valid(job_id))
     mm_exchange_answer(exchange, 404, mm_json_error("no such job"), 0);
   else if (mm_call_is_refused_now(node))
-    mm_call_give_up(mm_call_new(node, exchange, id));
+    mm_call_give_up(mm_call_new(node, exchange, job_id));
   else
-    mm_call_answer_when_current(mm_call_new(node, exchange, id));
+    mm_call_answer_when_current(mm_call_new(node, exchange, job_id));
 }
 
 void
-mm_api_cancel(MmNode *node, const char *id, MmExchange *exchange) {
-  MmCall *call;
+mm_api_cancel(MmNode *node, const char *job_id, MmExchange *exchange) {
+  MmCall *request;
 
-  if (!mm_spec_id_is_valid(id)) {
+  if (!mm_spec_id_is_valid(job_id)) {
     mm_exchange_answer(exchange, 404, mm_json_error("no such job"), 0);
     return;
   }
-  call = mm_call_new(node, exchange, id);
-  call->cancel = TRUE;
-  mm_call_look_up(call);
+  request = mm_call_new(node, exchange, job_id);
+  request->cancel = TRUE;
+  mm_call_look_up(request);
 }
--- a/src/jobs/api.h
+++ b/src/jobs/api.h
@@ -11,11 +11,11 @@
 };
 
 MmApi *mm_api_new(MmNode *node);
-void mm_api_free(MmApi *api);
-void mm_api_tick(MmApi *api);
+void mm_api_free(MmApi *job_api);
+void mm_api_tick(MmApi *job_api);
 /* The peer knows that the job is cancelled. */
-void mm_api_cancel_acked(MmApi *api, guint peer, const char *id);
+void mm_api_cancel_acked(MmApi *job_api, guint peer, const char *job_id);
 /* submit.c */
-void mm_api_submit(MmNode *node, const json_t *body, MmExchange *exchange);
-void mm_api_status(MmNode *node, const char *id, MmExchange *exchange);
-void mm_api_cancel(MmNode *node, const char *id, MmExchange *exchange);
+void mm_api_submit(MmNode *node, const json_t *json, MmExchange *exchange);
+void mm_api_status(MmNode *node, const char *job_id, MmExchange *exchange);
+void mm_api_cancel(MmNode *node, const char *job_id, MmExchange *exchange);
--- a/src/jobs/doneset.c
+++ b/src/jobs/doneset.c
@@ -3,10 +3,10 @@
 #include <string.h>
 
 void
-mm_done_set_init(MmDoneSet *set, guint size) {
-  set->size = size;
+mm_done_set_init(MmDoneSet *set, guint n_tasks) {
+  set->size = n_tasks;
   set->count = 0;
-  set->bits = g_new0(guint64, (size + 63) / 64);
+  set->bits = g_new0(guint64, (n_tasks + 63) / 64);
 }
 
 void
@@ -16,15 +16,15 @@
 }
 
 gboolean
-mm_done_set_has(const MmDoneSet *set, guint number) {
-  return number < set->size && (set->bits[number / 64] >> (number % 64) & 1) != 0;
+mm_done_set_has(const MmDoneSet *set, guint task_number) {
+  return task_number < set->size && (set->bits[task_number / 64] >> (task_number % 64) & 1) != 0;
 }
 
 gboolean
-mm_done_set_add(MmDoneSet *set, guint number) {
-  if (number >= set->size || mm_done_set_has(set, number))
+mm_done_set_add(MmDoneSet *set, guint task_number) {
+  if (task_number >= set->size || mm_done_set_has(set, task_number))
     return FALSE;
-  set->bits[number / 64] |= G_GUINT64_CONSTANT(1) << (number % 64);
+  set->bits[task_number / 64] |= G_GUINT64_CONSTANT(1) << (task_number % 64);
   set->count++;
   return TRUE;
 }
@@ -37,10 +37,10 @@
 static gint
 longer_first(gconstpointer a, gconstpointer b) {
   const Run *x = a, *y = b;
-  guint nx = x->last - x->first, ny = y->last - y->first;
+  guint x_length = x->last - x->first, y_length = y->last - y->first;
 
-  if (nx != ny)
-    return nx > ny ? -1 : 1;
+  if (x_length != y_length)
+    return x_length > y_length ? -1 : 1;
   return x->first < y->first ? -1 : x->first > y->first;
 }
 
@@ -52,37 +52,38 @@
 }
 
 static gsize
-run_text(const Run *run, char *buffer, gsize size) {
-  if (run->first == run->last)
-    return (gsize)g_snprintf(buffer, size, "%u,", run->first);
-  return (gsize)g_snprintf(buffer, size, "%u-%u,", run->first, run->last);
+run_text(const Run *range, char *buffer, gsize size) {
+  if (range->first == range->last)
+    return (gsize)g_snprintf(buffer, size, "%u,", range->first);
+  return (gsize)g_snprintf(buffer, size, "%u-%u,", range->first, range->last);
 }
 
 char *
-mm_done_set_text(const MmDoneSet *set, gsize most) {
-  g_autoptr(GArray) runs = g_array_new(FALSE, FALSE, sizeof(Run));
+mm_done_set_text(const MmDoneSet *set, gsize max_bytes) {
+  g_autoptr(GArray) ranges = g_array_new(FALSE, FALSE, sizeof(Run));
   GString *text = g_string_new(NULL);
   char buffer[32];
   gsize length = 0;
-  guint kept = 0;
+  guint n_kept = 0;
 
   for (guint i = 0; i < set->size; i++) {
-    Run run = { i, i };
+    Run range = { i, i };
     if (!mm_done_set_has(set, i))
       continue;
-    while (mm_done_set_has(set, run.last + 1))
-      run.last++;
-    g_array_append_val(runs, run);
-    i = run.last;
+    while (mm_done_set_has(set, range.last + 1))
+      range.last++;
+    g_array_append_val(ranges, range);
+    i = range.last;
   }
-  g_array_sort(runs, longer_first);
-  while (kept < runs->len
-         && (length += run_text(&g_array_index(runs, Run, kept), buffer, sizeof buffer)) <= most)
-    kept++;
-  g_array_set_size(runs, kept);
-  g_array_sort(runs, lower_first);
-  for (guint i = 0; i < runs->len; i++) {
-    run_text(&g_array_index(runs, Run, i), buffer, sizeof buffer);
+  g_array_sort(ranges, longer_first);
+  while (n_kept < ranges->len
+         && (length += run_text(&g_array_index(ranges, Run, n_kept), buffer, sizeof buffer))
+                <= max_bytes)
+    n_kept++;
+  g_array_set_size(ranges, n_kept);
+  g_array_sort(ranges, lower_first);
+  for (guint i = 0; i < ranges->len; i++) {
+    run_text(&g_array_index(ranges, Run, i), buffer, sizeof buffer);
     g_string_append(text, buffer);
   }
   if (text->len > 0)
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -62,7 +62,7 @@
 }
 
 void
-mm_job_table_put(MmJobTable *job_table, const char *id, const json_t *value, MmKeyVersion version) {
+mm_job_table_put(MmJobTable *job_table, const char *id, const json_t *json, MmKeyVersion version) {
   MmJob *job = mm_job_table_find(job_table, id);
 
   if (job != NULL && version.v < job->version.v)
@@ -70,18 +70,18 @@
   if (job == NULL) {
     const char *reason = NULL;
     job = g_new0(MmJob, 1);
-    if (!mm_spec_parse(&job->spec, mm_json_get(value, "s"), &reason)) {
+    if (!mm_spec_parse(&job->spec, mm_json_get(json, "s"), &reason)) {
       mm_error("job record %s is not readable: %s", id, reason);
       g_free(job);
       return;
     }
-    if (!mm_spec_needs_parse(&job->spec, mm_json_string(value, "w"))) {
+    if (!mm_spec_needs_parse(&job->spec, mm_json_string(json, "w"))) {
       mm_error("job record %s is not readable: what it depends on", id);
       mm_spec_clear(&job->spec);
       g_free(job);
       return;
     }
-    job->submitted_ms = (gint64)mm_json_count(value, "at", 0);
+    job->submitted_ms = (gint64)mm_json_count(json, "at", 0);
     job->waits_from_ms = job->submitted_ms;
     job->priority = job->spec.priority;
     job->part = mm_claims_shard_of_team(&job->spec.team);
@@ -95,9 +95,9 @@
     mm_dependencies_job_added(job_table->node->dependencies, job);
   }
   job->version = version;
-  if (!mm_done_set_parse(&job->recorded, mm_json_string(value, "d")))
+  if (!mm_done_set_parse(&job->recorded, mm_json_string(json, "d")))
     mm_error("job record %s: done set is not readable", id);
-  if (mm_json_count(value, "c", 0) != 0) {
+  if (mm_json_count(json, "c", 0) != 0) {
     if (job->cancel_version.v == 0)
       job->cancel_version = version;
     mm_owner_cancelled(job_table->node->owner, id);
@@ -106,7 +106,7 @@
 }
 
 static void
-bounded_add(GHashTable *table, GQueue *order, guint most, const char *id, gpointer value) {
+bounded_add(GHashTable *table, GQueue *order, guint max_entries, const char *id, gpointer value) {
   if (!g_hash_table_contains(table, id)) {
     char *key = g_strdup(id);
     g_queue_push_tail(order, key);
@@ -114,7 +114,7 @@
   } else {
     g_hash_table_insert(table, g_strdup(id), value);
   }
-  while (g_queue_get_length(order) > most)
+  while (g_queue_get_length(order) > max_entries)
     g_hash_table_remove(table, g_queue_pop_head(order));
 }
 
@@ -147,64 +147,66 @@
 }
 
 json_t *
-mm_final_record(const MmFinalState *state) {
-  return json_pack("{s:s, s:I, s:I}", "m", state->cancelled ? WIRE_CANCELLED : WIRE_DONE, "n",
-                   (json_int_t)state->done, "t", (json_int_t)state->done_ms);
+mm_final_record(const MmFinalState *terminal) {
+  return json_pack("{s:s, s:I, s:I}", "m", terminal->cancelled ? WIRE_CANCELLED : WIRE_DONE, "n",
+                   (json_int_t)terminal->done, "t", (json_int_t)terminal->done_ms);
 }
 
 gboolean
-mm_final_parse(const json_t *value, MmFinalState *state) {
-  const char *word = mm_json_string(value, "m");
+mm_final_parse(const json_t *json, MmFinalState *terminal) {
+  const char *outcome = mm_json_string(json, "m");
 
-  if (g_strcmp0(word, WIRE_CANCELLED) != 0 && g_strcmp0(word, WIRE_DONE) != 0)
+  if (g_strcmp0(outcome, WIRE_CANCELLED) != 0 && g_strcmp0(outcome, WIRE_DONE) != 0)
     return FALSE;
-  *state = (MmFinalState){ strcmp(word, WIRE_CANCELLED) == 0, (guint)mm_json_count(value, "n", 0),
-                           (gint64)mm_json_count(value, "t", 0) };
+  *terminal
+      = (MmFinalState){ strcmp(outcome, WIRE_CANCELLED) == 0, (guint)mm_json_count(json, "n", 0),
+                        (gint64)mm_json_count(json, "t", 0) };
   return TRUE;
 }
 
 void
-mm_job_table_keep_final(MmJobTable *job_table, const char *id, const json_t *value) {
-  MmFinalState state;
+mm_job_table_keep_final(MmJobTable *job_table, const char *id, const json_t *json) {
+  MmFinalState terminal;
 
-  if (!mm_final_parse(value, &state))
+  if (!mm_final_parse(json, &terminal))
     return;
   bounded_add(job_table->finals, job_table->final_order, FINALS_KEPT, id,
-              g_memdup2(&state, sizeof state));
-  mm_dependencies_job_over(job_table->node->dependencies, id, state.cancelled, state.done_ms);
+              g_memdup2(&terminal, sizeof terminal));
+  mm_dependencies_job_over(job_table->node->dependencies, id, terminal.cancelled, terminal.done_ms);
 }
 
 gboolean
-mm_job_table_final_state(const MmJobTable *job_table, const char *id, MmFinalState *state) {
-  const MmFinalState *kept = g_hash_table_lookup(job_table->finals, id);
+mm_job_table_final_state(const MmJobTable *job_table, const char *id, MmFinalState *terminal) {
+  const MmFinalState *known = g_hash_table_lookup(job_table->finals, id);
 
-  if (kept != NULL)
-    *state = *kept;
-  return kept != NULL;
+  if (known != NULL)
+    *terminal = *known;
+  return known != NULL;
 }
 
 json_t *
 mm_job_table_final(const MmJobTable *job_table, const char *id) {
-  MmFinalState state;
+  MmFinalState terminal;
 
-  if (!mm_job_table_final_state(job_table, id, &state))
+  if (!mm_job_table_final_state(job_table, id, &terminal))
     return NULL;
   return json_pack("{s:s, s:s, s:I, s:i}", WIRE_JOB_ID, id, WIRE_STATE,
-                   state.cancelled ? WIRE_CANCELLED : WIRE_DONE, WIRE_DONE, (json_int_t)state.done,
-                   WIRE_RUNNING, 0);
+                   terminal.cancelled ? WIRE_CANCELLED : WIRE_DONE, WIRE_DONE,
+                   (json_int_t)terminal.done, WIRE_RUNNING, 0);
 }
 
 json_t *
-mm_job_record(const MmSpec *spec, gint64 submitted_ms, gboolean cancelled, const char *done_text) {
-  g_autofree char *needs = mm_spec_needs_text(spec);
+mm_job_record(const MmSpec *spec, gint64 submitted_at_ms, gboolean is_cancelled,
+              const char *completed_text) {
+  g_autofree char *dependencies = mm_spec_needs_text(spec);
   json_t *record
-      = json_pack("{s:o, s:I}", "s", mm_spec_to_json(spec), "at", (json_int_t)submitted_ms);
+      = json_pack("{s:o, s:I}", "s", mm_spec_to_json(spec), "at", (json_int_t)submitted_at_ms);
 
-  if (needs != NULL)
-    json_object_set_new(record, "w", json_string(needs));
-  if (done_text != NULL && done_text[0] != '\0')
-    json_object_set_new(record, "d", json_string(done_text));
-  if (cancelled)
+  if (dependencies != NULL)
+    json_object_set_new(record, "w", json_string(dependencies));
+  if (completed_text != NULL && completed_text[0] != '\0')
+    json_object_set_new(record, "d", json_string(completed_text));
+  if (is_cancelled)
     json_object_set_new(record, "c", json_integer(1));
   return record;
 }
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -114,7 +114,7 @@
 void mm_job_table_free(MmJobTable *job_table);
 
 MmJob *mm_job_table_find(const MmJobTable *job_table, const char *id);
-void mm_job_table_put(MmJobTable *job_table, const char *id, const json_t *value,
+void mm_job_table_put(MmJobTable *job_table, const char *id, const json_t *json,
                       MmKeyVersion version);
 void mm_job_table_remove(MmJobTable *job_table, const char *id);
 void mm_job_table_list_keys(const MmJobTable *job_table, const char *prefix, GPtrArray *keys);
@@ -122,15 +122,16 @@
 /* Known to be over: its record is gone, or its final state is known. */
 gboolean mm_job_table_is_over(const MmJobTable *job_table, const char *id);
 /* Takes note of a final record that is in the state service; what is no such record is ignored. */
-void mm_job_table_keep_final(MmJobTable *job_table, const char *id, const json_t *value);
-gboolean mm_job_table_final_state(const MmJobTable *job_table, const char *id, MmFinalState *state);
+void mm_job_table_keep_final(MmJobTable *job_table, const char *id, const json_t *json);
+gboolean mm_job_table_final_state(const MmJobTable *job_table, const char *id,
+                                  MmFinalState *terminal);
 /* The final answer for the user, or NULL. */
 json_t *mm_job_table_final(const MmJobTable *job_table, const char *id);
 
-json_t *mm_job_record(const MmSpec *spec, gint64 submitted_ms, gboolean cancelled,
-                      const char *done_text);
-json_t *mm_final_record(const MmFinalState *state);
-gboolean mm_final_parse(const json_t *value, MmFinalState *state);
+json_t *mm_job_record(const MmSpec *spec, gint64 submitted_at_ms, gboolean is_cancelled,
+                      const char *completed_text);
+json_t *mm_final_record(const MmFinalState *terminal);
+gboolean mm_final_parse(const json_t *json, MmFinalState *terminal);
 /* A task of the job ended with an error on the machine. */
 void mm_job_note_failure(MmJob *job, const MmName *machine);
 /* It has failed on several machines and succeeded on none. */
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -35,7 +35,7 @@
 } MmSpec;
 
 /* FALSE with a reason (static text) when the body is malformed. */
-gboolean mm_spec_parse(MmSpec *spec, const json_t *body, const char **reason);
+gboolean mm_spec_parse(MmSpec *spec, const json_t *json, const char **reason);
 /* The known fields only, as they are to be stored; without the jobs that it depends on, which have
  * a shorter form of their own. */
 json_t *mm_spec_to_json(const MmSpec *spec);
@@ -49,6 +49,7 @@
 gboolean mm_spec_id_is_valid(const char *id);
 gboolean mm_spec_allows_type(const MmSpec *spec, const MmName *type);
 /* Whether a machine of this kind may ever hold one of the job's tasks. */
-gboolean mm_spec_allows(const MmSpec *spec, const MmName *type, const MmName *zone, gboolean spot);
+gboolean mm_spec_allows(const MmSpec *spec, const MmName *type, const MmName *zone,
+                        gboolean is_spot);
 /* How many of the job's tasks one zone may hold. */
 guint mm_spec_zone_limit(const MmSpec *spec);
--- a/src/jobs/submit.c
+++ b/src/jobs/submit.c
@@ -18,20 +18,20 @@
 /* Until a node that is being upgraded has come back. */
 #define UPGRADE_RETRY_S 2
 
-static void write_job(MmCall *call);
+static void write_job(MmCall *request);
 
 /* Whether the job is cancelled from the start: so is one that it names. */
 static gboolean
-names_a_cancelled_job(const MmCall *call) {
-  const MmJobTable *job_table = call->node->job_table;
-
-  for (guint i = 0; i < call->spec.n_needs; i++) {
-    const char *id = call->spec.needs[i].s;
-    const MmJob *needed = mm_job_table_find(job_table, id);
-    MmFinalState final;
-    if (needed != NULL && needed->cancelled)
+names_a_cancelled_job(const MmCall *request) {
+  const MmJobTable *job_table = request->node->job_table;
+
+  for (guint i = 0; i < request->spec.n_needs; i++) {
+    const char *dependency_id = request->spec.needs[i].s;
+    const MmJob *dependency = mm_job_table_find(job_table, dependency_id);
+    MmFinalState terminal;
+    if (dependency != NULL && dependency->cancelled)
       return TRUE;
-    if (mm_job_table_final_state(job_table, id, &final) && final.cancelled)
+    if (mm_job_table_final_state(job_table, dependency_id, &terminal) && terminal.cancelled)
       return TRUE;
   }
   return FALSE;
@@ -39,68 +39,68 @@
 
 static void
 submit_written(gpointer data, int status, json_t *body) {
-  MmCall *call = data;
+  MmCall *request = data;
 
   if (status == 200) {
-    mm_info("%s (%s of %s, %u tasks) is accepted", call->id.s, call->spec.job_class.s,
-            call->spec.team.s, call->spec.tasks);
-    mm_call_finish(call, 201,
-                   json_pack("{s:s, s:s}", WIRE_JOB_ID, call->id.s, WIRE_STATE,
-                             names_a_cancelled_job(call) ? WIRE_CANCELLED : WIRE_PENDING),
+    mm_info("%s (%s of %s, %u tasks) is accepted", request->id.s, request->spec.job_class.s,
+            request->spec.team.s, request->spec.tasks);
+    mm_call_finish(request, 201,
+                   json_pack("{s:s, s:s}", WIRE_JOB_ID, request->id.s, WIRE_STATE,
+                             names_a_cancelled_job(request) ? WIRE_CANCELLED : WIRE_PENDING),
                    0);
   } else if (status == 409) {
-    mm_call_look_up(call); /* known already: its state now */
+    mm_call_look_up(request); /* known already: its state now */
   } else if (status == 429) {
-    mm_call_wait_out_limit(call, write_job);
+    mm_call_wait_out_limit(request, write_job);
   } else {
-    mm_call_give_up(call);
+    mm_call_give_up(request);
   }
 }
 
 static void
-write_job(MmCall *call) {
-  MmNode *node = call->node;
-  json_t *record = mm_job_record(&call->spec, mm_node_wall_ms(node), FALSE, NULL);
-  guint most = node->settings->state_value_bytes;
-  guint reserve = MIN(RECORD_RESERVE_BYTES, most / RECORD_RESERVE_SHARE);
-  MmTxn txn;
-
-  if (json_dumpb(record, NULL, 0, JSON_COMPACT) + reserve > most) {
+write_job(MmCall *request) {
+  MmNode *node = request->node;
+  json_t *record = mm_job_record(&request->spec, mm_node_wall_ms(node), FALSE, NULL);
+  guint value_max_bytes = node->settings->state_value_bytes;
+  guint reserved_bytes = MIN(RECORD_RESERVE_BYTES, value_max_bytes / RECORD_RESERVE_SHARE);
+  MmTxn transaction;
+
+  if (json_dumpb(record, NULL, 0, JSON_COMPACT) + reserved_bytes > value_max_bytes) {
     json_decref(record);
-    mm_call_finish(call, 400, mm_json_error("the job's description is too long"), 0);
+    mm_call_finish(request, 400, mm_json_error("the job's description is too long"), 0);
     return;
   }
-  txn = mm_txn();
-  mm_txn_guard(&txn, MM_KEY_JOB, call->id.s, (MmKeyVersion){ 0 });
-  mm_txn_guard(&txn, MM_KEY_FINAL, call->id.s, (MmKeyVersion){ 0 });
-  mm_txn_put(&txn, MM_KEY_JOB, call->id.s, record, 0);
-  mm_store_commit(node->store, &txn, submit_written, call);
+  transaction = mm_txn();
+  mm_txn_guard(&transaction, MM_KEY_JOB, request->id.s, (MmKeyVersion){ 0 });
+  mm_txn_guard(&transaction, MM_KEY_FINAL, request->id.s, (MmKeyVersion){ 0 });
+  mm_txn_put(&transaction, MM_KEY_JOB, request->id.s, record, 0);
+  mm_store_commit(node->store, &transaction, submit_written, request);
 }
 
 /* ---- the jobs that it depends on ---- */
 
-static void look_up_needs(MmCall *call);
+static void look_up_needs(MmCall *request);
 
 static void
-refuse_needs(MmCall *call, const char *reason) {
-  mm_call_finish(call, 422, mm_json_error(reason), 0);
+refuse_needs(MmCall *request, const char *reason) {
+  mm_call_finish(request, 422, mm_json_error(reason), 0);
 }
 
 /* Goes on to the first job that is not known here. FALSE when the call is over. */
 static gboolean
-pass_known_needs(MmCall *call) {
-  const MmJobTable *job_table = call->node->job_table;
+pass_known_needs(MmCall *request) {
+  const MmJobTable *job_table = request->node->job_table;
 
-  for (; call->next_need < call->spec.n_needs; call->next_need++) {
-    const char *id = call->spec.needs[call->next_need].s;
-    const MmJob *needed = mm_job_table_find(job_table, id);
-    MmFinalState final;
+  for (; request->next_need < request->spec.n_needs; request->next_need++) {
+    const char *dependency_id = request->spec.needs[request->next_need].s;
+    const MmJob *dependency = mm_job_table_find(job_table, dependency_id);
+    MmFinalState terminal;
 
-    if (needed != NULL && needed->spec.kind == MM_KIND_SERVICE) {
-      refuse_needs(call, "a job cannot depend on a service");
+    if (dependency != NULL && dependency->spec.kind == MM_KIND_SERVICE) {
+      refuse_needs(request, "a job cannot depend on a service");
       return FALSE;
     }
-    if (needed == NULL && !mm_job_table_final_state(job_table, id, &final))
+    if (dependency == NULL && !mm_job_table_final_state(job_table, dependency_id, &terminal))
       return TRUE;
   }
   return TRUE;
@@ -108,82 +108,84 @@
 
 static void
 need_read(gpointer data, int status, json_t *body) {
-  MmCall *call = data;
+  MmCall *request = data;
 
   if (status == 404) {
     /* The replica that did not show its record is as new as the question, and a record that goes
      * leaves a final state: it was never accepted. */
-    refuse_needs(call, "a job that it depends on was never accepted");
+    refuse_needs(request, "a job that it depends on was never accepted");
     return;
   }
-  if (status != 200 || !mm_time_before(mm_node_now(call->node), call->deadline)) {
-    mm_call_give_up(call);
+  if (status != 200 || !mm_time_before(mm_node_now(request->node), request->deadline)) {
+    mm_call_give_up(request);
     return;
   }
-  mm_job_table_keep_final(call->node->job_table, call->spec.needs[call->next_need].s,
+  mm_job_table_keep_final(request->node->job_table, request->spec.needs[request->next_need].s,
                           mm_json_get(body, WIRE_VALUE));
-  call->next_need++;
-  look_up_needs(call);
+  request->next_need++;
+  look_up_needs(request);
 }
 
 /* Reads the final states of those that the replica, which is current, does not show. */
 static void
-look_up_needs(MmCall *call) {
-  if (!pass_known_needs(call))
+look_up_needs(MmCall *request) {
+  if (!pass_known_needs(request))
     return;
-  if (call->next_need == call->spec.n_needs)
-    write_job(call);
+  if (request->next_need == request->spec.n_needs)
+    write_job(request);
   else
-    mm_store_get(call->node->store, MM_KEY_FINAL, call->spec.needs[call->next_need].s, need_read,
-                 call);
+    mm_store_get(request->node->store, MM_KEY_FINAL, request->spec.needs[request->next_need].s,
+                 need_read, request);
 }
 
 static void
-needs_current(gpointer data, gboolean current) {
-  MmCall *call = data;
+needs_current(gpointer data, gboolean is_current) {
+  MmCall *request = data;
 
-  if (current)
-    look_up_needs(call);
+  if (is_current)
+    look_up_needs(request);
   else
-    mm_call_give_up(call);
+    mm_call_give_up(request);
 }
 
 static void
-find_needs(MmCall *call) {
-  for (guint i = 0; i < call->spec.n_needs; i++) {
-    if (mm_name_equal(&call->spec.needs[i], &call->id)) {
-      refuse_needs(call, "a job cannot depend on itself");
+find_needs(MmCall *request) {
+  for (guint i = 0; i < request->spec.n_needs; i++) {
+    if (mm_name_equal(&request->spec.needs[i], &request->id)) {
+      refuse_needs(request, "a job cannot depend on itself");
       return;
     }
-    if (!mm_spec_id_is_valid(call->spec.needs[i].s)) {
-      refuse_needs(call, "a job that it depends on was never accepted");
+    if (!mm_spec_id_is_valid(request->spec.needs[i].s)) {
+      refuse_needs(request, "a job that it depends on was never accepted");
       return;
     }
   }
-  if (!mm_versions_all(call->node->versions, MM_VERSION_DEPENDENCIES)) {
-    mm_call_finish(call, 503, mm_json_error("not every node understands dependencies yet"),
+  if (!mm_versions_all(request->node->versions, MM_VERSION_DEPENDENCIES)) {
+    mm_call_finish(request, 503, mm_json_error("not every node understands dependencies yet"),
                    UPGRADE_RETRY_S);
     return;
   }
-  call->deadline = mm_time_add_ms(mm_node_now(call->node), FIND_NEEDS_MS);
-  if (!pass_known_needs(call))
+  request->deadline = mm_time_add_ms(mm_node_now(request->node), FIND_NEEDS_MS);
+  if (!pass_known_needs(request))
     return;
-  if (call->next_need == call->spec.n_needs)
-    write_job(call);
+  if (request->next_need == request->spec.n_needs)
+    write_job(request);
   else
-    mm_replica_when_current(call->node->replica, needs_current, call);
+    mm_replica_when_current(request->node->replica, needs_current, request);
 }
 
 static const char *
 never_runs(const MmNode *node, const MmSpec *spec) {
   const MmTeamSettings *team = mm_settings_team(node->settings, &spec->team);
-  double times = spec->kind == MM_KIND_ARRAY ? 1 : spec->tasks;
+  double tasks_at_once = spec->kind == MM_KIND_ARRAY ? 1 : spec->tasks;
 
   if (team == NULL)
     return "unknown team";
-  if ((team->limit.cores > 0 && spec->need.cores * times > team->limit.cores + MM_RESOURCES_SLACK)
+  if ((team->limit.cores > 0
+       && spec->need.cores * tasks_at_once > team->limit.cores + MM_RESOURCES_SLACK)
       || (team->limit.accelerators > 0
-          && spec->need.accelerators * times > team->limit.accelerators + MM_RESOURCES_SLACK))
+          && spec->need.accelerators * tasks_at_once
+                 > team->limit.accelerators + MM_RESOURCES_SLACK))
     return "the job needs more than the team's limit";
   if (!mm_types_any_fits(node->types, spec))
     return "a task fits no allowed machine type";
@@ -191,37 +193,37 @@
 }
 
 static gboolean
-is_known(const MmNode *node, const char *id) {
-  return mm_job_table_find(node->job_table, id) != NULL
-         || mm_job_table_is_over(node->job_table, id);
+is_known(const MmNode *node, const char *job_id) {
+  return mm_job_table_find(node->job_table, job_id) != NULL
+         || mm_job_table_is_over(node->job_table, job_id);
 }
 
 void
-mm_api_submit(MmNode *node, const json_t *body, MmExchange *exchange) {
-  MmCall *call = mm_call_new(node, exchange, "");
+mm_api_submit(MmNode *node, const json_t *json, MmExchange *exchange) {
+  MmCall *request = mm_call_new(node, exchange, "");
   const char *reason = NULL;
 
-  if (!mm_spec_parse(&call->spec, body, &reason)) {
-    mm_call_finish(call, 400, mm_json_error(reason), 0);
+  if (!mm_spec_parse(&request->spec, json, &reason)) {
+    mm_call_finish(request, 400, mm_json_error(reason), 0);
     return;
   }
-  call->id = call->spec.id;
+  request->id = request->spec.id;
   if (!mm_types_known(node->types)) {
-    mm_call_finish(call, 503, mm_json_error("the machine types are not known yet"), RETRY_S);
+    mm_call_finish(request, 503, mm_json_error("the machine types are not known yet"), RETRY_S);
     return;
   }
-  reason = never_runs(node, &call->spec);
+  reason = never_runs(node, &request->spec);
   if (reason != NULL) {
-    mm_call_finish(call, 422, mm_json_error(reason), 0);
+    mm_call_finish(request, 422, mm_json_error(reason), 0);
     return;
   }
   if (mm_call_is_refused_now(node)) {
-    mm_call_give_up(call);
+    mm_call_give_up(request);
     return;
   }
   /* A repetition is answered with the job's state, whatever it depends on. */
-  if (call->spec.n_needs == 0 || is_known(node, call->id.s))
-    write_job(call);
+  if (request->spec.n_needs == 0 || is_known(node, request->id.s))
+    write_job(request);
   else
-    find_needs(call);
+    find_needs(request);
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -29,13 +29,13 @@
 #define FENCED_RETRY_S 5
 
 MmNode *
-mm_node_new(const MmSettings *settings, const MmOperators *operators, const MmPort *port,
+mm_node_new(const MmSettings *settings, const MmOperators *operators, const MmPort *platform,
             guint32 seed) {
   MmNode *node = g_new0(MmNode, 1);
 
   node->settings = settings;
   node->operators = operators;
-  node->port = *port;
+  node->port = *platform;
   node->rand = g_rand_new_with_seed(seed);
   node->started = mm_node_now(node);
   node->store = mm_store_new(node);
@@ -93,17 +93,18 @@
 static void
 measure_lag(MmNode *node) {
   MmTime now = mm_node_now(node);
-  gint64 late_ms = node->ticked.us != 0 ? mm_time_ms_since(now, node->ticked) - MM_NODE_TICK_MS : 0;
+  gint64 delay_ms
+      = node->ticked.us != 0 ? mm_time_ms_since(now, node->ticked) - MM_NODE_TICK_MS : 0;
 
   node->ticked = now;
-  if (late_ms >= SHED_POLLS_MS && node->lag_ms < SHED_POLLS_MS)
-    mm_info("too much to do: %" G_GINT64_FORMAT " ms late, polls are turned away", late_ms);
-  node->lag_ms = MAX(late_ms, node->lag_ms / 2);
+  if (delay_ms >= SHED_POLLS_MS && node->lag_ms < SHED_POLLS_MS)
+    mm_info("too much to do: %" G_GINT64_FORMAT " ms late, polls are turned away", delay_ms);
+  node->lag_ms = MAX(delay_ms, node->lag_ms / 2);
 }
 
 static gboolean
-shed(const MmNode *node, gint64 bound_ms, MmExchange *exchange) {
-  if (node->lag_ms < bound_ms)
+shed(const MmNode *node, gint64 max_delay_ms, MmExchange *exchange) {
+  if (node->lag_ms < max_delay_ms)
     return FALSE;
   mm_exchange_answer(exchange, 503, mm_json_error("too busy"), SHED_RETRY_S);
   return TRUE;
@@ -151,16 +152,16 @@
 }
 
 static void
-handle_job(MmNode *node, const char *method, const char *rest, MmExchange *exchange) {
-  const char *slash = strchr(rest, '/');
+handle_job(MmNode *node, const char *method, const char *subpath, MmExchange *exchange) {
+  const char *slash = strchr(subpath, '/');
 
   if (slash == NULL) {
     if (strcmp(method, "GET") != 0)
       wrong_method(exchange);
     else if (!shed(node, SHED_POLLS_MS, exchange))
-      mm_api_status(node, rest, exchange);
+      mm_api_status(node, subpath, exchange);
   } else if (strcmp(slash + 1, WIRE_CANCEL_WORD) == 0) {
-    g_autofree char *id = g_strndup(rest, (gsize)(slash - rest));
+    g_autofree char *id = g_strndup(subpath, (gsize)(slash - subpath));
     if (strcmp(method, "POST") == 0)
       mm_api_cancel(node, id, exchange);
     else
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -55,8 +55,8 @@
   MmSharing *sharing;
 };
 
-MmNode *mm_node_new(const MmSettings *settings, const MmOperators *operators, const MmPort *port,
-                    guint32 seed);
+MmNode *mm_node_new(const MmSettings *settings, const MmOperators *operators,
+                    const MmPort *platform, guint32 seed);
 /* Only when no answer to one of its requests can come any more. */
 void mm_node_free(MmNode *node);
 
