--- a/src/owner/approve.c
+++ b/src/owner/approve.c
@@ -53,17 +53,17 @@
 
 gboolean
 mm_owner_yields(const MmOwner *owner, const MmJob *job) {
-  const MmJob *to = owner->yield;
+  const MmJob *gang = owner->yield;
 
-  return to != NULL && to != job && job->spec.need.accelerators > 0
-         && mm_owner_compare_pressing(&to, &job) < 0;
+  return gang != NULL && gang != job && job->spec.need.accelerators > 0
+         && mm_owner_compare_pressing(&gang, &job) < 0;
 }
 
 /* `claims_at` zero: only tasks that are or may be on machines count. */
 static gboolean
 place_allowed(const MmMachineTable *machine_table, const MmJob *job, const MmMachine *machine,
-              MmTime claims_at) {
-  guint here = 0;
+              MmTime reservations_at) {
+  guint n_in_zone = 0;
 
   if (!mm_rank_allows(job, machine))
     return FALSE;
@@ -71,18 +71,19 @@
     return TRUE;
   for (guint i = 0; i < job->spec.tasks; i++) {
     const MmTask *task = &job->tasks[i];
-    const MmMachine *at = task->machine;
-    gboolean same;
-    if (at == NULL && claims_at.us != 0 && mm_time_before(claims_at, task->claimed))
-      at = mm_machine_table_find(machine_table, task->claimed_on.s);
-    if (at == NULL)
+    const MmMachine *task_machine = task->machine;
+    gboolean same_zone;
+    if (task_machine == NULL && reservations_at.us != 0
+        && mm_time_before(reservations_at, task->claimed))
+      task_machine = mm_machine_table_find(machine_table, task->claimed_on.s);
+    if (task_machine == NULL)
       continue;
-    same = mm_name_equal(&at->zone, &machine->zone);
-    here += same;
-    if (job->spec.one_zone && !same)
+    same_zone = mm_name_equal(&task_machine->zone, &machine->zone);
+    n_in_zone += same_zone;
+    if (job->spec.one_zone && !same_zone)
       return FALSE;
   }
-  return !job->spec.spread || here < mm_spec_zone_limit(&job->spec);
+  return !job->spec.spread || n_in_zone < mm_spec_zone_limit(&job->spec);
 }
 
 gboolean
@@ -114,8 +115,8 @@
 void
 mm_owner_sum_unacknowledged(MmOwner *owner, MmOwnedShard *held) {
   GHashTableIter iter;
-  gpointer id;
-  guint kinds = held->unacknowledged_kinds->len;
+  gpointer machine_id;
+  guint n_kinds_before = held->unacknowledged_kinds->len;
 
   if (!held->unacknowledged_changed)
     return;
@@ -124,8 +125,8 @@
   held->unacknowledged_of_unknown_type = FALSE;
   held->unacknowledged_resources = (MmResources){ 0 };
   g_hash_table_iter_init(&iter, held->unacknowledged);
-  while (g_hash_table_iter_next(&iter, &id, NULL)) {
-    const MmMachine *machine = mm_machine_table_find(owner->node->machine_table, id);
+  while (g_hash_table_iter_next(&iter, &machine_id, NULL)) {
+    const MmMachine *machine = mm_machine_table_find(owner->node->machine_table, machine_id);
     add_kind(held, machine);
     if (machine == NULL || machine->type == NULL)
       held->unacknowledged_of_unknown_type = held->unacknowledged_changed
@@ -134,7 +135,7 @@
       held->unacknowledged_resources
           = mm_resources_add(held->unacknowledged_resources, machine->type->room);
   }
-  if (held->unacknowledged_kinds->len < kinds)
+  if (held->unacknowledged_kinds->len < n_kinds_before)
     mm_rank_changed(owner->node->rank);
 }
 
@@ -170,19 +171,20 @@
 
 guint
 mm_owner_crowd(const MmOwner *owner, const MmJob *job, const MmMachine *machine) {
-  guint n = 0;
+  guint n_tasks = 0;
 
   for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
-    const MmJob *other = mm_job_table_find(owner->node->job_table, seen->job.s);
-    n += seen->state != MM_SEEN_ENDED && other != NULL && other->priority >= job->priority;
+    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+    const MmJob *other = mm_job_table_find(owner->node->job_table, reported->job.s);
+    n_tasks
+        += reported->state != MM_SEEN_ENDED && other != NULL && other->priority >= job->priority;
   }
   for (guint i = 0; i < machine->placed->len; i++) {
     const MmPlaced *placed = g_ptr_array_index(machine->placed, i);
-    n += placed->job->tasks[placed->number].state == MM_TASK_ISSUED
-         && placed->job->priority >= job->priority;
+    n_tasks += placed->job->tasks[placed->number].state == MM_TASK_ISSUED
+               && placed->job->priority >= job->priority;
   }
-  return n;
+  return n_tasks;
 }
 
 /* The outlook, not older than a moment; of a job that could not be looked at in time, as it was. */
@@ -190,33 +192,33 @@
 outlook_for(MmOwner *owner, MmJob *job) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
-  MmOutlook *outlook = &job->outlook;
+  MmOutlook *estimate = &job->outlook;
 
-  if (outlook->at.us != 0 && mm_time_ms_since(now, outlook->at) < OUTLOOK_MS)
-    return outlook;
+  if (estimate->at.us != 0 && mm_time_ms_since(now, estimate->at) < OUTLOOK_MS)
+    return estimate;
   if (owner->looks == 0)
-    return outlook->at.us != 0 && mm_time_ms_since(now, outlook->at) < OUTLOOK_OLD_MS ? outlook
-                                                                                      : NULL;
+    return estimate->at.us != 0 && mm_time_ms_since(now, estimate->at) < OUTLOOK_OLD_MS ? estimate
+                                                                                        : NULL;
   owner->looks--;
-  *outlook = (MmOutlook){ .at = now, .best_s = -1, .next_s = -1, .least_crowd = G_MAXUINT };
+  *estimate = (MmOutlook){ .at = now, .best_s = -1, .next_s = -1, .least_crowd = G_MAXUINT };
   for (guint i = 0; i < node->machine_table->order->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
     double delay_s = mm_owner_delay_on(owner, job, machine);
 
     if (delay_s < 0)
       continue;
-    if (outlook->best_s < 0 || delay_s < outlook->best_s) {
-      outlook->next_s = outlook->best_s;
-      outlook->best_s = delay_s;
-      outlook->best = machine->id;
-    } else if (outlook->next_s < 0 || delay_s < outlook->next_s) {
-      outlook->next_s = delay_s;
+    if (estimate->best_s < 0 || delay_s < estimate->best_s) {
+      estimate->next_s = estimate->best_s;
+      estimate->best_s = delay_s;
+      estimate->best = machine->id;
+    } else if (estimate->next_s < 0 || delay_s < estimate->next_s) {
+      estimate->next_s = delay_s;
     }
     if (job->spec.kind == MM_KIND_SERVICE
         && delay_s <= job->spec.image_gb / machine->type->fetch_gb_per_s + node->settings->report_s)
-      outlook->least_crowd = MIN(outlook->least_crowd, mm_owner_crowd(owner, job, machine));
+      estimate->least_crowd = MIN(estimate->least_crowd, mm_owner_crowd(owner, job, machine));
   }
-  return outlook;
+  return estimate;
 }
 
 /* Work in a hurry does not fetch its image where another machine could run it sooner, be it by
@@ -231,8 +233,8 @@
   double fetch_s = mm_owner_fetch_s(job, here);
   double waited_s = (double)mm_time_ms_since(mm_node_now(node), task->since) / 1000.0;
   gboolean spread_out = job->spec.kind == MM_KIND_SERVICE && waited_s < period_s * SPREAD_PERIODS;
-  const MmOutlook *outlook;
-  double other_s;
+  const MmOutlook *estimate;
+  double elsewhere_s;
 
   if (fetch_s < 0.5 || waited_s > MIN(fetch_s, period_s * 1.5))
     return FALSE;
@@ -240,90 +242,91 @@
   if (mm_time_before(mm_node_now(node), task->claimed)
       && mm_name_equal(&task->claimed_on, &here->id))
     return FALSE;
-  outlook = outlook_for(owner, job);
-  if (outlook == NULL)
+  estimate = outlook_for(owner, job);
+  if (estimate == NULL)
     return FALSE;
-  other_s = mm_name_equal(&outlook->best, &here->id) ? outlook->next_s : outlook->best_s;
-  if ((other_s < 0 || other_s >= fetch_s)
-      && !(spread_out && outlook->least_crowd < mm_owner_crowd(owner, job, here)))
+  elsewhere_s = mm_name_equal(&estimate->best, &here->id) ? estimate->next_s : estimate->best_s;
+  if ((elsewhere_s < 0 || elsewhere_s >= fetch_s)
+      && !(spread_out && estimate->least_crowd < mm_owner_crowd(owner, job, here)))
     return FALSE;
   mm_debug("%s waits %.1f s: another would run it in %.1f s, %s in %.1f s", job->spec.id.s,
-           waited_s, other_s, here->id.s, fetch_s);
+           waited_s, elsewhere_s, here->id.s, fetch_s);
   return TRUE;
 }
 
 /* A machine with accelerators is given up only to a task that has waited a little and that nothing
  * else could run, be it by stopping something. */
 static gboolean
-leaves_enough(MmOwner *owner, MmJob *job, const MmTask *task, const MmAsk *ask) {
+leaves_enough(MmOwner *owner, MmJob *job, const MmTask *task, const MmAsk *request) {
   MmNode *node = owner->node;
-  MmLeaves leaves = mm_rank_leaves(node->rank, job, ask->machine, ask->room);
-  const MmOutlook *outlook;
+  MmLeaves verdict = mm_rank_leaves(node->rank, job, request->machine, request->room);
+  const MmOutlook *estimate;
 
-  if (leaves < MM_WOULD_TAKE)
+  if (verdict < MM_WOULD_TAKE)
     return TRUE;
-  if (leaves == MM_MAY_NOT || mm_time_ms_since(mm_node_now(node), task->since) < GIVE_UP_AFTER_MS
-      || !mm_rank_may_give_up(node->rank, ask->machine))
+  if (verdict == MM_MAY_NOT || mm_time_ms_since(mm_node_now(node), task->since) < GIVE_UP_AFTER_MS
+      || !mm_rank_may_give_up(node->rank, request->machine))
     return FALSE;
-  outlook = outlook_for(owner, job);
-  return outlook != NULL && outlook->best_s < 0;
+  estimate = outlook_for(owner, job);
+  return estimate != NULL && estimate->best_s < 0;
 }
 
 /* What holds for all tasks of the job alike. */
 static gboolean
-job_may_start(MmOwner *owner, const MmJob *job, const MmAsk *ask) {
-  return mm_resources_fits(job->spec.need, ask->room) && !mm_owner_yields(owner, job)
-         && mm_owner_place_allowed(job, ask->machine)
+job_may_start(MmOwner *owner, const MmJob *job, const MmAsk *request) {
+  return mm_resources_fits(job->spec.need, request->room) && !mm_owner_yields(owner, job)
+         && mm_owner_place_allowed(job, request->machine)
          && mm_owner_quota_allows(owner, job->held, job, 1);
 }
 
 static gboolean
-task_may_start(MmOwner *owner, MmJob *job, guint number, const MmAsk *ask) {
+task_may_start(MmOwner *owner, MmJob *job, guint number, const MmAsk *request) {
   const MmTask *task = &job->tasks[number];
   MmTime now = mm_node_now(owner->node);
 
   return task->state == MM_TASK_IDLE && !mm_time_before(now, task->not_before)
-         && !(mm_name_equal(&task->avoid, &ask->machine->id)
+         && !(mm_name_equal(&task->avoid, &request->machine->id)
               && mm_time_ms_since(now, task->since) < AVOID_MS)
-         && leaves_enough(owner, job, task, ask)
-         && !(mm_owner_goes_first(owner, job) && better_elsewhere(owner, job, task, ask->machine));
+         && leaves_enough(owner, job, task, request)
+         && !(mm_owner_goes_first(owner, job)
+              && better_elsewhere(owner, job, task, request->machine));
 }
 
 static void
-approve(MmOwner *owner, MmOwnedShard *held, MmJob *job, guint number, const MmAsk *ask,
+approve(MmOwner *owner, MmOwnedShard *held, MmJob *job, guint number, const MmAsk *request,
         MmApproval *approval) {
   MmAttempt attempt = mm_owner_next_attempt(owner, held);
 
-  mm_owner_place(owner, job, number, ask->machine, MM_TASK_ISSUED, attempt);
-  job->tasks[number].issued = ask->stamp;
+  mm_owner_place(owner, job, number, request->machine, MM_TASK_ISSUED, attempt);
+  job->tasks[number].issued = request->stamp;
   *approval = (MmApproval){ job->spec.id, number, attempt, mm_name(held->name), held->term, FALSE };
-  mm_debug("%s/%u may start on %s (%s%s) after %.1f s", job->spec.id.s, number, ask->machine->id.s,
-           ask->machine->type_name.s,
-           mm_machine_caches(ask->machine, &job->spec.image) ? ", cached" : "",
+  mm_debug("%s/%u may start on %s (%s%s) after %.1f s", job->spec.id.s, number,
+           request->machine->id.s, request->machine->type_name.s,
+           mm_machine_caches(request->machine, &job->spec.image) ? ", cached" : "",
            mm_job_waited_s(owner->node, job));
 }
 
 static gboolean
-try_task(MmOwner *owner, MmJob *job, guint number, const MmAsk *ask, MmApproval *approval) {
+try_task(MmOwner *owner, MmJob *job, guint number, const MmAsk *request, MmApproval *approval) {
   if (job == NULL || !mm_owner_open(owner, job) || number >= job->spec.tasks || mm_job_is_gang(job)
-      || !job_may_start(owner, job, ask) || !task_may_start(owner, job, number, ask))
+      || !job_may_start(owner, job, request) || !task_may_start(owner, job, number, request))
     return FALSE;
-  approve(owner, job->held, job, number, ask, approval);
+  approve(owner, job->held, job, number, request, approval);
   return TRUE;
 }
 
 /* The job's lowest unassigned task, if it may start there. */
 static gboolean
-try_job(MmOwner *owner, MmJob *job, const MmAsk *ask, MmApproval *approval) {
+try_job(MmOwner *owner, MmJob *job, const MmAsk *request, MmApproval *approval) {
   guint tries = 8;
 
-  if (!job_may_start(owner, job, ask))
+  if (!job_may_start(owner, job, request))
     return FALSE;
   for (guint i = job->first_idle; i < job->spec.tasks && tries > 0; i++) {
     if (job->tasks[i].state != MM_TASK_IDLE)
       continue;
-    if (task_may_start(owner, job, i, ask)) {
-      approve(owner, job->held, job, i, ask, approval);
+    if (task_may_start(owner, job, i, request)) {
+      approve(owner, job->held, job, i, request, approval);
       return TRUE;
     }
     tries--;
@@ -333,10 +336,10 @@
 
 /* Work that goes first to any fitting machine, most pressing first. */
 static gboolean
-try_first(MmOwner *owner, const MmAsk *ask, GPtrArray *jobs, MmApproval *approval) {
+try_first(MmOwner *owner, const MmAsk *request, GPtrArray *jobs, MmApproval *approval) {
   for (guint i = 0; i < jobs->len; i++) {
     MmJob *job = g_ptr_array_index(jobs, i);
-    if (mm_owner_goes_first(owner, job) && try_job(owner, job, ask, approval))
+    if (mm_owner_goes_first(owner, job) && try_job(owner, job, request, approval))
       return TRUE;
   }
   return FALSE;
@@ -355,17 +358,18 @@
 
 /* The kept-list answers the machine's next request first. */
 static gboolean
-try_kept(MmOwner *owner, const MmAsk *ask, MmMachine *whose, guint at, MmApproval *approval) {
-  MmTaskRef task = g_array_index(whose->kept, MmTaskRef, at);
+try_kept(MmOwner *owner, const MmAsk *request, MmMachine *list_machine, guint position,
+         MmApproval *approval) {
+  MmTaskRef task = g_array_index(list_machine->kept, MmTaskRef, position);
 
-  g_array_remove_index(whose->kept, at);
-  return try_task(owner, mm_job_table_find(owner->node->job_table, task.job.s), task.number, ask,
-                  approval);
+  g_array_remove_index(list_machine->kept, position);
+  return try_task(owner, mm_job_table_find(owner->node->job_table, task.job.s), task.number,
+                  request, approval);
 }
 
 /* A random task from the longest kept-list; without any, the oldest unassigned task that fits. */
 static gboolean
-try_pull(MmOwner *owner, const MmAsk *ask, GPtrArray *jobs, MmApproval *approval) {
+try_pull(MmOwner *owner, const MmAsk *request, GPtrArray *jobs, MmApproval *approval) {
   MmMachineTable *machine_table = owner->node->machine_table;
   MmMachine *longest = NULL;
 
@@ -375,12 +379,12 @@
       longest = machine;
   }
   if (longest != NULL
-      && try_kept(owner, ask, longest,
+      && try_kept(owner, request, longest,
                   (guint)g_rand_int_range(owner->node->rand, 0, (gint32)longest->kept->len),
                   approval))
     return TRUE;
   for (guint i = 0; i < jobs->len; i++)
-    if (try_job(owner, g_ptr_array_index(jobs, i), ask, approval))
+    if (try_job(owner, g_ptr_array_index(jobs, i), request, approval))
       return TRUE;
   return FALSE;
 }
@@ -404,48 +408,48 @@
 }
 
 gboolean
-mm_owner_ask(MmOwner *owner, MmAsk *ask, MmApproval *approval) {
+mm_owner_ask(MmOwner *owner, MmAsk *request, MmApproval *approval) {
   MmJobTable *job_table = owner->node->job_table;
   g_autoptr(GPtrArray) jobs = NULL;
-  const GPtrArray *pressing;
+  const GPtrArray *by_urgency;
 
   if (!mm_claims_valid(owner->node->claims)
-      || !mm_machine_usable(owner->node->machine_table, ask->machine)
-      || mm_stamp_newer(ask->machine->stamp, ask->stamp)
-      || mm_time_before(mm_node_now(owner->node), ask->machine->full_until))
+      || !mm_machine_usable(owner->node->machine_table, request->machine)
+      || mm_stamp_newer(request->machine->stamp, request->stamp)
+      || mm_time_before(mm_node_now(owner->node), request->machine->full_until))
     return FALSE;
-  if (mm_owner_reserved(owner, ask, approval))
+  if (mm_owner_reserved(owner, request, approval))
     return TRUE;
-  ask->room
-      = mm_resources_least(ask->room, mm_machine_free(owner->node->machine_table, ask->machine));
-  pressing = mm_owner_pressing(owner);
-  jobs = g_ptr_array_sized_new(pressing->len);
-  for (guint i = 0; i < pressing->len; i++) {
-    MmJob *job = g_ptr_array_index(pressing, i);
-    if (job->idle > 0 && mm_resources_fits(job->spec.need, ask->room) && mm_owner_open(owner, job)
-        && mm_owner_quota_allows(owner, job->held, job, 1))
+  request->room = mm_resources_least(request->room,
+                                     mm_machine_free(owner->node->machine_table, request->machine));
+  by_urgency = mm_owner_pressing(owner);
+  jobs = g_ptr_array_sized_new(by_urgency->len);
+  for (guint i = 0; i < by_urgency->len; i++) {
+    MmJob *job = g_ptr_array_index(by_urgency, i);
+    if (job->idle > 0 && mm_resources_fits(job->spec.need, request->room)
+        && mm_owner_open(owner, job) && mm_owner_quota_allows(owner, job->held, job, 1))
       g_ptr_array_add(jobs, job);
   }
   if (jobs->len == 0)
     return FALSE;
-  if (try_first(owner, ask, jobs, approval))
+  if (try_first(owner, request, jobs, approval))
     return TRUE;
-  while (ask->machine->kept->len > 0)
-    if (try_kept(owner, ask, ask->machine, 0, approval))
+  while (request->machine->kept->len > 0)
+    if (try_kept(owner, request, request->machine, 0, approval))
       return TRUE;
-  for (guint i = 0; i < ask->n; i++) {
-    if (!try_task(owner, mm_job_table_find(job_table, ask->tasks[i].job.s), ask->tasks[i].number,
-                  ask, approval))
+  for (guint i = 0; i < request->n; i++) {
+    if (!try_task(owner, mm_job_table_find(job_table, request->tasks[i].job.s),
+                  request->tasks[i].number, request, approval))
       continue;
-    for (guint k = i + 1; k < ask->n; k++) {
-      const MmJob *job = mm_job_table_find(job_table, ask->tasks[k].job.s);
-      if (job != NULL && job->tasks != NULL && ask->tasks[k].number < job->spec.tasks
-          && job->tasks[ask->tasks[k].number].state == MM_TASK_IDLE)
-        keep(ask->machine, &ask->tasks[k]);
+    for (guint k = i + 1; k < request->n; k++) {
+      const MmJob *job = mm_job_table_find(job_table, request->tasks[k].job.s);
+      if (job != NULL && job->tasks != NULL && request->tasks[k].number < job->spec.tasks
+          && job->tasks[request->tasks[k].number].state == MM_TASK_IDLE)
+        keep(request->machine, &request->tasks[k]);
     }
     return TRUE;
   }
-  return ask->pull && try_pull(owner, ask, jobs, approval);
+  return request->pull && try_pull(owner, request, jobs, approval);
 }
 
 void
@@ -453,24 +457,24 @@
   MmMachine *machine = mm_machine_table_find(owner->node->machine_table, message->machine);
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Answer answer = MM__ANSWER__INIT;
-  Mm__Approval granted = MM__APPROVAL__INIT;
+  Mm__Approval approval_message = MM__APPROVAL__INIT;
   MmApproval approval;
-  MmAsk ask = { .machine = machine,
-                .stamp = { message->session, message->seq },
-                .room = { message->cores, message->accelerators, message->memory_gb },
-                .pull = message->pull };
+  MmAsk request = { .machine = machine,
+                    .stamp = { message->session, message->seq },
+                    .room = { message->cores, message->accelerators, message->memory_gb },
+                    .pull = message->pull };
 
-  for (size_t i = 0; i < message->n_candidates && ask.n < MM_RANK_CANDIDATES_MAX; i++)
-    ask.tasks[ask.n++]
+  for (size_t i = 0; i < message->n_candidates && request.n < MM_RANK_CANDIDATES_MAX; i++)
+    request.tasks[request.n++]
         = (MmTaskRef){ mm_name(message->candidates[i]->job), message->candidates[i]->number };
   answer.id = message->id;
-  if (machine != NULL && mm_owner_ask(owner, &ask, &approval)) {
-    granted.job = approval.job.s;
-    granted.number = approval.number;
-    granted.attempt = approval.attempt.v;
-    granted.team = approval.part.s;
-    granted.term = approval.term.v;
-    answer.approval = &granted;
+  if (machine != NULL && mm_owner_ask(owner, &request, &approval)) {
+    approval_message.job = approval.job.s;
+    approval_message.number = approval.number;
+    approval_message.attempt = approval.attempt.v;
+    approval_message.team = approval.part.s;
+    approval_message.term = approval.term.v;
+    answer.approval = &approval_message;
   }
   answer.unfinished = mm_owner_unfinished(owner);
   frame.body_case = MM__FRAME__BODY_ANSWER;
--- a/src/owner/command.c
+++ b/src/owner/command.c
@@ -48,21 +48,21 @@
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
     for (guint k = 0; machine->host == MM_HOST_SELF && k < machine->tasks->len; k++) {
-      const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, k);
-      if (seen->state != MM_SEEN_ENDED && mm_name_equal(&seen->job, &job->spec.id)
-          && (job->tasks == NULL || seen->number >= job->spec.tasks
-              || job->tasks[seen->number].machine != machine))
-        mm_owner_stop(owner, machine, &seen->job, seen->number, seen->attempt, 0);
+      const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, k);
+      if (reported->state != MM_SEEN_ENDED && mm_name_equal(&reported->job, &job->spec.id)
+          && (job->tasks == NULL || reported->number >= job->spec.tasks
+              || job->tasks[reported->number].machine != machine))
+        mm_owner_stop(owner, machine, &reported->job, reported->number, reported->attempt, 0);
     }
   }
 }
 
 gboolean
-mm_owner_cancelled(MmOwner *owner, const char *id) {
-  MmJob *job = mm_job_table_find(owner->node->job_table, id);
+mm_owner_cancelled(MmOwner *owner, const char *job_id) {
+  MmJob *job = mm_job_table_find(owner->node->job_table, job_id);
 
   if (job == NULL)
-    return mm_job_table_is_over(owner->node->job_table, id);
+    return mm_job_table_is_over(owner->node->job_table, job_id);
   if (job->cancelled)
     return TRUE;
   job->cancelled = TRUE;
@@ -77,30 +77,30 @@
   if (!mm_job_needs_cancelled(job))
     stop_seen(owner, job);
   mm_rank_changed(owner->node->rank);
-  mm_dependencies_job_cancelled(owner->node->dependencies, id);
+  mm_dependencies_job_cancelled(owner->node->dependencies, job_id);
   return TRUE;
 }
 
 static void
 direct_answered(gpointer data, int status, json_t *body) {
   MmOwner *owner = data;
-  MmReport report;
+  MmReport heartbeat;
   const char *reason = NULL;
 
   if (status != 200 && status != 409)
     return;
-  if (mm_report_parse(&report, body, &reason)) {
-    MmMachine *machine = mm_machine_table_find(owner->node->machine_table, report.machine.s);
-    gboolean acknowledgement = machine != NULL && report.token.v > machine->token.v;
-    report.direct = TRUE;
+  if (mm_report_parse(&heartbeat, body, &reason)) {
+    MmMachine *machine = mm_machine_table_find(owner->node->machine_table, heartbeat.machine.s);
+    gboolean is_acknowledgement = machine != NULL && heartbeat.token.v > machine->token.v;
+    heartbeat.direct = TRUE;
     if (machine != NULL)
-      machine = mm_machine_table_take(owner->node->machine_table, &report, mm_node_now(owner->node),
-                                      MM_HOST_NONE);
+      machine = mm_machine_table_take(owner->node->machine_table, &heartbeat,
+                                      mm_node_now(owner->node), MM_HOST_NONE);
     /* Other nodes may wait for the same acknowledgement. */
-    if (acknowledgement && machine != NULL)
+    if (is_acknowledgement && machine != NULL)
       mm_links_tell_direct(owner->node->links, machine);
   }
-  mm_report_clear(&report);
+  mm_report_clear(&heartbeat);
 }
 
 static void
@@ -133,9 +133,9 @@
 
   for (guint i = 0; i < node->claims->names->len; i++) {
     const char *name = g_ptr_array_index(node->claims->names, i);
-    const MmShard *part = mm_replica_shard(node->replica, name);
-    if (part != NULL && !mm_claims_is_duty(name))
-      newest.v = MAX(newest.v, part->term.v);
+    const MmShard *shard = mm_replica_shard(node->replica, name);
+    if (shard != NULL && !mm_claims_is_duty(name))
+      newest.v = MAX(newest.v, shard->term.v);
   }
   return newest;
 }
@@ -174,25 +174,26 @@
 mm_owner_ask_acknowledgements(MmOwner *owner) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
-  gint64 quiet_ms = (gint64)(node->settings->report_s * 1500);
+  gint64 silent_ms = (gint64)(node->settings->report_s * 1500);
   MmTerm newest = newest_taking(node);
-  guint left = (guint)CLAMP(node->settings->cpu_share * ASKS_A_CORE, ASKS_LEAST, ASKS_MOST);
+  guint requests_left
+      = (guint)CLAMP(node->settings->cpu_share * ASKS_A_CORE, ASKS_LEAST, ASKS_MOST);
 
   if (mm_checkin_is_settling(node->checkin))
     return;
-  for (guint i = 0; i < node->machine_table->order->len && left > 0; i++) {
+  for (guint i = 0; i < node->machine_table->order->len && requests_left > 0; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
-    gboolean deaf;
+    gboolean is_deaf;
 
     if (machine->lost || mm_time_ms_since(now, machine->acknowledgement_asked) < ASK_EVERY_MS)
       continue;
-    deaf = mm_health_is_deaf(node->machine_table, machine);
-    if (!deaf && !acknowledgement_would_be_late(node, machine, newest)
-        && (mm_time_ms_since(now, machine->reported) < quiet_ms
+    is_deaf = mm_health_is_deaf(node->machine_table, machine);
+    if (!is_deaf && !acknowledgement_would_be_late(node, machine, newest)
+        && (mm_time_ms_since(now, machine->reported) < silent_ms
             || !is_unacknowledged(owner, machine)))
       continue;
     machine->acknowledgement_asked = now;
-    left--;
+    requests_left--;
     send_direct(owner, machine, json_array());
   }
 }
--- a/src/owner/gang.c
+++ b/src/owner/gang.c
@@ -73,11 +73,11 @@
         continue;
       while (chosen->len < job->spec.tasks && mm_resources_fits(job->spec.need, place->room)) {
         if (job->spec.spread) {
-          guint here = 0;
+          guint n_in_zone = 0;
           for (guint k = 0; k < chosen->len; k++)
-            here += mm_name_equal(&((MmMachine *)g_ptr_array_index(chosen, k))->zone,
-                                  &place->machine->zone);
-          if (here >= mm_spec_zone_limit(&job->spec))
+            n_in_zone += mm_name_equal(&((MmMachine *)g_ptr_array_index(chosen, k))->zone,
+                                       &place->machine->zone);
+          if (n_in_zone >= mm_spec_zone_limit(&job->spec))
             break;
         }
         place->room = mm_resources_sub(place->room, job->spec.need);
@@ -118,7 +118,7 @@
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
   g_autoptr(GPtrArray) jobs = g_ptr_array_new();
-  gint64 patience_ms = (gint64)(node->settings->report_s * 1000 * RESERVED_PERIODS);
+  gint64 reservation_ms = (gint64)(node->settings->report_s * 1000 * RESERVED_PERIODS);
 
   for (guint i = 0; i < node->job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->order, i);
@@ -129,43 +129,45 @@
   for (guint i = 0; i < jobs->len; i++) {
     MmJob *job = g_ptr_array_index(jobs, i);
     MmOwnedShard *held = mm_owner_held(owner, job);
-    guint started = 0;
-    gboolean late = FALSE, paused = FALSE;
+    guint n_started = 0;
+    gboolean is_reservation_expired = FALSE, is_paused = FALSE;
 
     for (guint k = 0; k < job->spec.tasks; k++) {
       const MmTask *task = &job->tasks[k];
-      paused = paused || mm_time_before(now, task->not_before);
-      started += task->machine != NULL && task->state != MM_TASK_RESERVED;
-      late = late
-             || (task->state == MM_TASK_RESERVED
-                 && mm_time_ms_since(now, task->since) > patience_ms);
+      is_paused = is_paused || mm_time_before(now, task->not_before);
+      n_started += task->machine != NULL && task->state != MM_TASK_RESERVED;
+      is_reservation_expired = is_reservation_expired
+                               || (task->state == MM_TASK_RESERVED
+                                   && mm_time_ms_since(now, task->since) > reservation_ms);
     }
     /* Some members are gone while others live, or a place did not ask in time: all or none. */
-    if (late || (started > 0 && job->idle > 0))
+    if (is_reservation_expired || (n_started > 0 && job->idle > 0))
       release_gang(owner, job);
-    else if (!paused && job->live == 0 && job->idle < job->spec.tasks)
+    else if (!is_paused && job->live == 0 && job->idle < job->spec.tasks)
       run_again(owner, job);
-    else if (!paused && job->idle == job->spec.tasks)
+    else if (!is_paused && job->idle == job->spec.tasks)
       plan(owner, held, job);
   }
 }
 
 gboolean
-mm_owner_reserved(MmOwner *owner, const MmAsk *ask, MmApproval *approval) {
-  for (guint i = 0; i < ask->machine->placed->len; i++) {
-    const MmPlaced *placed = g_ptr_array_index(ask->machine->placed, i);
+mm_owner_reserved(MmOwner *owner, const MmAsk *request, MmApproval *approval) {
+  for (guint i = 0; i < request->machine->placed->len; i++) {
+    const MmPlaced *placed = g_ptr_array_index(request->machine->placed, i);
     MmTask *task = &placed->job->tasks[placed->number];
     MmOwnedShard *held = mm_owner_held(owner, placed->job);
     MmResources need = placed->job->spec.need;
     /* Own requests have its room taken off already. Compared without it, no gang ever began that
      * had a place on a machine which reports to its owner. */
-    MmResources room = ask->own ? mm_resources_add(ask->room, need) : ask->room;
+    MmResources free_resources
+        = request->own ? mm_resources_add(request->room, need) : request->room;
 
     if (task->state != MM_TASK_RESERVED || held == NULL || placed->job->cancelled
-        || !mm_resources_fits(need, room))
+        || !mm_resources_fits(need, free_resources))
       continue;
-    mm_owner_place(owner, placed->job, placed->number, ask->machine, MM_TASK_ISSUED, task->attempt);
-    task->issued = ask->stamp;
+    mm_owner_place(owner, placed->job, placed->number, request->machine, MM_TASK_ISSUED,
+                   task->attempt);
+    task->issued = request->stamp;
     *approval = (MmApproval){ placed->job->spec.id, placed->number, task->attempt,
                               mm_name(held->name),  held->term,     TRUE };
     return TRUE;
--- a/src/owner/guarantee.c
+++ b/src/owner/guarantee.c
@@ -8,14 +8,14 @@
 #define EVERY_MS 1000
 
 static gboolean
-fits(const MmResources *guaranteed, const MmResources *sum, const MmSpec *spec) {
+fits(const MmResources *guaranteed, const MmResources *team_sum, const MmSpec *spec) {
   /* An amount of 0 is no guarantee at all. */
   if (spec->need.accelerators > 0
-      && sum->accelerators > guaranteed->accelerators + MM_RESOURCES_SLACK)
+      && team_sum->accelerators > guaranteed->accelerators + MM_RESOURCES_SLACK)
     return FALSE;
   if (guaranteed->cores <= 0)
     return spec->need.accelerators > 0;
-  return sum->cores <= guaranteed->cores + MM_RESOURCES_SLACK;
+  return team_sum->cores <= guaranteed->cores + MM_RESOURCES_SLACK;
 }
 
 void
@@ -23,15 +23,16 @@
   MmNode *node = owner->node;
   const GArray *teams = node->settings->teams;
   MmTime now = mm_node_now(node);
-  g_autofree MmResources *sums = NULL;
-  gboolean timed = FALSE;
+  g_autofree MmResources *team_sums = NULL;
+  gboolean has_guarantee_aim = FALSE;
 
   if (mm_time_before(now, owner->next_guarantees))
     return;
   owner->next_guarantees = mm_time_add_ms(now, EVERY_MS);
   for (guint i = 0; i < node->settings->aims->len; i++)
-    timed = timed || g_array_index(node->settings->aims, MmAim, i).kind == MM_AIM_GUARANTEE;
-  sums = g_new0(MmResources, teams->len);
+    has_guarantee_aim = has_guarantee_aim
+                        || g_array_index(node->settings->aims, MmAim, i).kind == MM_AIM_GUARANTEE;
+  team_sums = g_new0(MmResources, teams->len);
   memset(owner->team_used, 0, teams->len * sizeof *owner->team_used);
   for (guint i = 0; i < node->job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->order, i);
@@ -40,17 +41,18 @@
     if (job->team < 0 || job->cancelled || !mm_job_is_ready(job))
       continue;
     team = &g_array_index(teams, MmTeamSettings, job->team);
-    sums[job->team].cores += job->spec.tasks * job->spec.need.cores;
-    sums[job->team].accelerators += job->spec.tasks * job->spec.need.accelerators;
-    job->within = fits(&team->guaranteed, &sums[job->team], &job->spec);
-    job->favoured = job->within && !timed;
+    team_sums[job->team].cores += job->spec.tasks * job->spec.need.cores;
+    team_sums[job->team].accelerators += job->spec.tasks * job->spec.need.accelerators;
+    job->within = fits(&team->guaranteed, &team_sums[job->team], &job->spec);
+    job->favoured = job->within && !has_guarantee_aim;
   }
   for (guint i = 0; i < node->machine_table->order->len; i++) {
     const MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
-      const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, k);
-      const MmJob *job
-          = seen->state != MM_SEEN_ENDED ? mm_job_table_find(node->job_table, seen->job.s) : NULL;
+      const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, k);
+      const MmJob *job = reported->state != MM_SEEN_ENDED
+                             ? mm_job_table_find(node->job_table, reported->job.s)
+                             : NULL;
       if (job != NULL && job->team >= 0)
         owner->team_used[job->team] = mm_resources_add(owner->team_used[job->team], job->spec.need);
     }
@@ -58,15 +60,15 @@
 }
 
 gboolean
-mm_owner_may_reclaim(const MmOwner *owner, const MmJob *job, const MmJob *from) {
+mm_owner_may_reclaim(const MmOwner *owner, const MmJob *job, const MmJob *victim) {
   const MmTeamSettings *team;
-  MmResources left;
+  MmResources team_use_after;
 
-  if (!job->within || from->team < 0 || from->team == job->team || from->within
-      || from->spec.kind == MM_KIND_SERVICE || from->priority > job->priority)
+  if (!job->within || victim->team < 0 || victim->team == job->team || victim->within
+      || victim->spec.kind == MM_KIND_SERVICE || victim->priority > job->priority)
     return FALSE;
-  team = &g_array_index(owner->node->settings->teams, MmTeamSettings, from->team);
-  left = mm_resources_sub(owner->team_used[from->team], from->spec.need);
-  return left.cores >= team->guaranteed.cores - MM_RESOURCES_SLACK
-         && left.accelerators >= team->guaranteed.accelerators - MM_RESOURCES_SLACK;
+  team = &g_array_index(owner->node->settings->teams, MmTeamSettings, victim->team);
+  team_use_after = mm_resources_sub(owner->team_used[victim->team], victim->spec.need);
+  return team_use_after.cores >= team->guaranteed.cores - MM_RESOURCES_SLACK
+         && team_use_after.accelerators >= team->guaranteed.accelerators - MM_RESOURCES_SLACK;
 }
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -194,13 +194,14 @@
 }
 
 static void
-adopt_part(MmOwner *owner, const char *name, const MmTeamSettings *team, const MmShard *part) {
+adopt_part(MmOwner *owner, const char *name, const MmTeamSettings *team,
+           const MmShard *shard_record) {
   MmNode *node = owner->node;
   MmOwnedShard *held = g_new0(MmOwnedShard, 1);
 
   held->name = g_strdup(name);
-  held->term = part->term;
-  held->version = part->version;
+  held->term = shard_record->term;
+  held->version = shard_record->version;
   held->team = team;
   held->taken = mm_node_now(node);
   held->unacknowledged = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -238,15 +239,15 @@
     const MmTeamSettings *team = &g_array_index(node->settings->teams, MmTeamSettings, i);
     g_autofree char *name = mm_claims_shard_of_team(&team->name);
     MmOwnedShard *held = g_hash_table_lookup(owner->held, name);
-    gboolean holds = mm_claims_holds(node->claims, name);
-    const MmShard *part = mm_replica_shard(node->replica, name);
+    gboolean is_leader = mm_claims_holds(node->claims, name);
+    const MmShard *shard_record = mm_replica_shard(node->replica, name);
 
-    if (held != NULL && (!holds || part->term.v != held->term.v)) {
+    if (held != NULL && (!is_leader || shard_record->term.v != held->term.v)) {
       drop_part(owner, name);
       held = NULL;
     }
-    if (held == NULL && holds)
-      adopt_part(owner, name, team, part);
+    if (held == NULL && is_leader)
+      adopt_part(owner, name, team, shard_record);
   }
 }
 
@@ -290,40 +291,40 @@
 /* ---- backlog ---- */
 
 static void
-add_waiting(MmOwner *owner, MmJob *job, GPtrArray *list, guint *budget) {
+add_waiting(MmOwner *owner, MmJob *job, GPtrArray *list, guint *tasks_left) {
   MmTime now = mm_node_now(owner->node);
-  MmWaiting *waiting = g_new0(MmWaiting, 1);
+  MmWaiting *pending = g_new0(MmWaiting, 1);
 
-  waiting->job = job->spec.id;
-  waiting->first = mm_owner_goes_first(owner, job);
-  waiting->aged = job->aged;
-  waiting->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
+  pending->job = job->spec.id;
+  pending->first = mm_owner_goes_first(owner, job);
+  pending->aged = job->aged;
+  pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
   while (job->first_idle < job->spec.tasks && job->tasks[job->first_idle].state != MM_TASK_IDLE)
     job->first_idle++;
-  for (guint i = job->first_idle; i<job->spec.tasks && * budget> 0; i++) {
+  for (guint i = job->first_idle; i<job->spec.tasks && * tasks_left> 0; i++) {
     const MmTask *task = &job->tasks[i];
-    guint *last;
+    guint *last_range;
     if (task->state != MM_TASK_IDLE || mm_time_before(now, task->not_before))
       continue;
-    (*budget)--;
-    last = waiting->ranges->len > 0
-               ? &g_array_index(waiting->ranges, guint, waiting->ranges->len - 2)
-               : NULL;
-    if (last != NULL && last[0] + last[1] == i) {
-      last[1]++;
+    (*tasks_left)--;
+    last_range = pending->ranges->len > 0
+                     ? &g_array_index(pending->ranges, guint, pending->ranges->len - 2)
+                     : NULL;
+    if (last_range != NULL && last_range[0] + last_range[1] == i) {
+      last_range[1]++;
     } else {
       guint range[2] = { i, 1 };
-      if (waiting->ranges->len >= 2 * BACKLOG_RANGES)
+      if (pending->ranges->len >= 2 * BACKLOG_RANGES)
         break;
-      g_array_append_vals(waiting->ranges, range, 2);
+      g_array_append_vals(pending->ranges, range, 2);
     }
   }
-  if (waiting->ranges->len == 0) {
-    g_array_unref(waiting->ranges);
-    g_free(waiting);
+  if (pending->ranges->len == 0) {
+    g_array_unref(pending->ranges);
+    g_free(pending);
     return;
   }
-  g_ptr_array_add(list, waiting);
+  g_ptr_array_add(list, pending);
 }
 
 /* Only gangs' places are reserved: these are few, while machines with tasks are thousands. */
@@ -335,36 +336,36 @@
 }
 
 void
-mm_owner_backlog(MmOwner *owner, GPtrArray *waiting, GArray *reserved) {
+mm_owner_backlog(MmOwner *owner, GPtrArray *pending, GArray *reserved_machines) {
   MmJobTable *job_table = owner->node->job_table;
   g_autoptr(GPtrArray) jobs = g_ptr_array_new();
-  guint budget = BACKLOG_TASKS;
+  guint tasks_left = BACKLOG_TASKS;
 
   for (guint i = 0; i < job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(job_table->order, i);
     if (job->tasks != NULL && mm_job_is_gang(job))
-      add_reserved(job, reserved);
+      add_reserved(job, reserved_machines);
     /* What its team's limit keeps from starting need not be asked for, nor machines rented. */
     if (job->tasks != NULL && job->idle > 0 && mm_owner_open(owner, job)
         && mm_owner_quota_allows(owner, job->held, job, mm_job_is_gang(job) ? job->spec.tasks : 1))
       g_ptr_array_add(jobs, job);
   }
   g_ptr_array_sort(jobs, mm_owner_compare_pressing);
-  for (guint i = 0; i < jobs->len && i < BACKLOG_JOBS && budget > 0; i++)
-    add_waiting(owner, g_ptr_array_index(jobs, i), waiting, &budget);
+  for (guint i = 0; i < jobs->len && i < BACKLOG_JOBS && tasks_left > 0; i++)
+    add_waiting(owner, g_ptr_array_index(jobs, i), pending, &tasks_left);
 }
 
 guint
 mm_owner_unfinished(const MmOwner *owner) {
   MmJobTable *job_table = owner->node->job_table;
-  guint unfinished = 0;
+  guint n_pending_tasks = 0;
 
   for (guint i = 0; i < job_table->order->len; i++) {
     const MmJob *job = g_ptr_array_index(job_table->order, i);
     if (job->tasks != NULL && !job->cancelled && mm_job_is_ready(job))
-      unfinished += job->idle;
+      n_pending_tasks += job->idle;
   }
-  return unfinished;
+  return n_pending_tasks;
 }
 
 /* ---- the loop ---- */
@@ -411,30 +412,32 @@
   MmNode *node = owner->node;
   MmJobTable *job_table = node->job_table;
   gint64 now_ms = mm_node_wall_ms(node);
-  gint64 bound_ms = (gint64)(node->operators->wait_bound_s * 1000);
-  const MmJob *aged = NULL, *waits = NULL;
-  guint n = 0;
+  gint64 wait_bound_ms = (gint64)(node->operators->wait_bound_s * 1000);
+  const MmJob *starving_gang = NULL, *waiting_gang = NULL;
+  guint n_waiting_jobs = 0;
 
   for (guint v = 0; v < node->rank->n_views; v++) {
-    const GPtrArray *list = node->rank->views[v].waiting;
-    for (guint i = 0; i < list->len; i++) {
-      const MmWaiting *waiting = g_ptr_array_index(list, i);
-      const MmJob *job = mm_job_table_find(job_table, waiting->job.s);
+    const GPtrArray *pending_list = node->rank->views[v].waiting;
+    for (guint i = 0; i < pending_list->len; i++) {
+      const MmWaiting *pending = g_ptr_array_index(pending_list, i);
+      const MmJob *job = mm_job_table_find(job_table, pending->job.s);
       const MmJob **best;
       gint64 waited_ms;
       if (job == NULL || job->cancelled || job->spec.need.accelerators <= 0
           || (job->tasks != NULL && job->idle == 0))
         continue;
-      n++;
+      n_waiting_jobs++;
       waited_ms = now_ms - job->waits_from_ms;
-      if (!mm_job_is_gang(job) || waited_ms < bound_ms || waited_ms > YIELD_MOST_MS)
+      if (!mm_job_is_gang(job) || waited_ms < wait_bound_ms || waited_ms > YIELD_MOST_MS)
         continue;
-      best = job->aged ? &aged : &waits;
+      best = job->aged ? &starving_gang : &waiting_gang;
       if (*best == NULL || mm_owner_compare_pressing(&job, best) < 0)
         *best = job;
     }
   }
-  owner->yield = aged != NULL ? aged : n <= YIELD_JOBS ? waits : NULL;
+  owner->yield = starving_gang != NULL          ? starving_gang
+                 : n_waiting_jobs <= YIELD_JOBS ? waiting_gang
+                                                : NULL;
 }
 
 void
--- a/src/owner/owner.h
+++ b/src/owner/owner.h
@@ -89,18 +89,19 @@
 /* The job's cancellation is in the state service, which needs no judge: whoever holds its part,
  * this node stops its tasks wherever it can from now on, and lets none start. FALSE when it knows
  * nothing of the job yet. */
-gboolean mm_owner_cancelled(MmOwner *owner, const char *id);
+gboolean mm_owner_cancelled(MmOwner *owner, const char *job_id);
 /* `changed`: the report shows other tasks than the one before. */
-void mm_owner_report(MmOwner *owner, MmMachine *machine, const MmReport *report, gboolean changed);
+void mm_owner_report(MmOwner *owner, MmMachine *machine, const MmReport *heartbeat,
+                     gboolean changed);
 void mm_owner_machine_gone(MmOwner *owner, MmMachine *machine);
 /* Adds MmWaiting for what is unassigned in the parts held here, most pressing first, and the names
  * of machines with reserved places. */
-void mm_owner_backlog(MmOwner *owner, GPtrArray *waiting, GArray *reserved);
+void mm_owner_backlog(MmOwner *owner, GPtrArray *pending, GArray *reserved_machines);
 guint mm_owner_unfinished(const MmOwner *owner);
 
 /* approve.c */
 /* Lowers the request's room to what is free as seen here. */
-gboolean mm_owner_ask(MmOwner *owner, MmAsk *ask, MmApproval *approval);
+gboolean mm_owner_ask(MmOwner *owner, MmAsk *request, MmApproval *approval);
 void mm_owner_peer_ask(MmOwner *owner, guint peer, const Mm__Ask *message);
 MmOwnedShard *mm_owner_held(const MmOwner *owner, const MmJob *job);
 /* Whether all is known that earlier holders of its part may have started of the job: every machine
@@ -135,7 +136,7 @@
 
 /* reports.c */
 /* Places what the machine's newest report shows, of one part only unless that is NULL. */
-void mm_owner_take_tasks(MmOwner *owner, MmMachine *machine, const char *only_part);
+void mm_owner_take_tasks(MmOwner *owner, MmMachine *machine, const char *only_shard);
 
 /* record.c */
 void mm_owner_write_jobs(MmOwner *owner);
@@ -156,7 +157,7 @@
 
 /* gang.c */
 void mm_owner_plan_gangs(MmOwner *owner);
-gboolean mm_owner_reserved(MmOwner *owner, const MmAsk *ask, MmApproval *approval);
+gboolean mm_owner_reserved(MmOwner *owner, const MmAsk *request, MmApproval *approval);
 static inline gboolean
 mm_job_is_gang(const MmJob *job) {
   return job->spec.kind == MM_KIND_GANG && job->spec.tasks > 1;
@@ -166,7 +167,7 @@
 void mm_owner_count_guarantees(MmOwner *owner);
 /* Whether a task of `from` may be stopped to give the job, of another team, what that is
  * guaranteed. */
-gboolean mm_owner_may_reclaim(const MmOwner *owner, const MmJob *job, const MmJob *from);
+gboolean mm_owner_may_reclaim(const MmOwner *owner, const MmJob *job, const MmJob *victim);
 
 /* urgency.c */
 gboolean mm_owner_goes_first(const MmOwner *owner, const MmJob *job);
--- a/src/owner/preempt.c
+++ b/src/owner/preempt.c
@@ -52,27 +52,27 @@
 /* The tasks to stop on the machine so that the job's task fits: how many, or -1 when that is not to
  * be had. */
 static gint
-victims_on(MmOwner *owner, const MmJob *job, const MmMachine *machine, MmResources room,
+victims_on(MmOwner *owner, const MmJob *job, const MmMachine *machine, MmResources free_resources,
            Victim chosen[VICTIMS_MAX]) {
-  guint able = 0, n = 0;
+  guint n_candidates = 0, n_chosen = 0;
 
-  if (mm_resources_fits(job->spec.need, room))
+  if (mm_resources_fits(job->spec.need, free_resources))
     return 0;
-  for (guint i = 0; i < machine->tasks->len && able < VICTIMS_MAX; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->tasks->len && n_candidates < VICTIMS_MAX; i++) {
+    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
     const MmJob *other;
-    if (seen->state == MM_SEEN_ENDED || seen->state == MM_SEEN_SAVING)
+    if (reported->state == MM_SEEN_ENDED || reported->state == MM_SEEN_SAVING)
       continue;
-    other = mm_job_table_find(owner->node->job_table, seen->job.s);
+    other = mm_job_table_find(owner->node->job_table, reported->job.s);
     if (other != NULL
         && (other->priority < job->priority || mm_owner_may_reclaim(owner, job, other))
         && !is_spared(owner, other))
-      chosen[able++] = (Victim){ seen, other };
+      chosen[n_candidates++] = (Victim){ reported, other };
   }
-  qsort(chosen, able, sizeof *chosen, cheapest_first);
-  while (n < able && !mm_resources_fits(job->spec.need, room))
-    room = mm_resources_add(room, chosen[n++].job->spec.need);
-  return mm_resources_fits(job->spec.need, room) ? (gint)n : -1;
+  qsort(chosen, n_candidates, sizeof *chosen, cheapest_first);
+  while (n_chosen < n_candidates && !mm_resources_fits(job->spec.need, free_resources))
+    free_resources = mm_resources_add(free_resources, chosen[n_chosen++].job->spec.need);
+  return mm_resources_fits(job->spec.need, free_resources) ? (gint)n_chosen : -1;
 }
 
 double
@@ -89,19 +89,19 @@
   MmTime now = mm_node_now(node);
   gint64 period_ms = (gint64)(node->settings->report_s * 1000);
   gint64 silent_ms = mm_time_ms_since(now, machine->reported);
-  MmResources room;
+  MmResources free_resources;
 
   owner->looked++;
   if (silent_ms > 2 * period_ms || machine->addr[0] == '\0'
       || !mm_machine_usable(node->machine_table, machine)
       || mm_time_before(now, machine->full_until) || !mm_owner_place_hoped(owner, job, machine))
     return -1;
-  room = mm_machine_free(node->machine_table, machine);
-  if (mm_rank_leaves(node->rank, job, machine, room) >= MM_WOULD_TAKE)
+  free_resources = mm_machine_free(node->machine_table, machine);
+  if (mm_rank_leaves(node->rank, job, machine, free_resources) >= MM_WOULD_TAKE)
     return -1;
   if (mm_time_before(now, machine->clearing))
-    room = mm_resources_sub(room, machine->promised);
-  *n_victims = victims_on(owner, job, machine, room, victims);
+    free_resources = mm_resources_sub(free_resources, machine->promised);
+  *n_victims = victims_on(owner, job, machine, free_resources, victims);
   if (*n_victims < 0)
     return -1;
   /* Room that is there is given at the next report; a stop makes the worker report at once. */
@@ -113,9 +113,9 @@
 double
 mm_owner_delay_on(MmOwner *owner, const MmJob *job, MmMachine *machine) {
   Victim victims[VICTIMS_MAX];
-  gint n;
+  gint n_victims;
 
-  return delay_on(owner, job, machine, victims, &n);
+  return delay_on(owner, job, machine, victims, &n_victims);
 }
 
 /* Work of the lowest priority is not given time to save for work of the highest: it falls back to
@@ -129,8 +129,9 @@
 }
 
 static void
-stop_victims(MmOwner *owner, const MmJob *job, MmMachine *machine, const Victim *victims, gint n) {
-  for (gint i = 0; i < n; i++) {
+stop_victims(MmOwner *owner, const MmJob *job, MmMachine *machine, const Victim *victims,
+             gint n_victims) {
+  for (gint i = 0; i < n_victims; i++) {
     const Victim *victim = &victims[i];
     mm_info("stopping %s/%u on %s for %s", victim->job->spec.id.s, victim->seen->number,
             machine->id.s, job->spec.id.s);
@@ -161,16 +162,16 @@
   const GPtrArray *order = owner->node->machine_table->order;
   MmTime now = mm_node_now(owner->node);
   Victim victims[VICTIMS_MAX];
-  gint n = 0;
+  gint n_victims = 0;
 
   if (mm_time_before(now, job->tasks[0].claimed))
     return;
   job->tasks[0].claimed = mm_time_add_ms(now, (gint64)(owner->node->settings->report_s * 1000));
   for (guint i = 0; i < order->len && machines > 0; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
-    if (delay_on(owner, job, machine, victims, &n) < 0 || n == 0)
+    if (delay_on(owner, job, machine, victims, &n_victims) < 0 || n_victims == 0)
       continue;
-    stop_victims(owner, job, machine, victims, n);
+    stop_victims(owner, job, machine, victims, n_victims);
     machines--;
   }
 }
@@ -183,11 +184,11 @@
   MmMachine *best = NULL;
   Victim victims[VICTIMS_MAX];
   double best_s = 0;
-  gint n = 0;
+  gint n_victims = 0;
 
   for (guint i = 0; i < node->machine_table->order->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
-    double delay_s = delay_on(owner, job, machine, victims, &n);
+    double delay_s = delay_on(owner, job, machine, victims, &n_victims);
 
     if (delay_s < 0)
       continue;
@@ -198,25 +199,25 @@
     best = machine;
     best_s = delay_s;
   }
-  if (best == NULL || delay_on(owner, job, best, victims, &n) < 0)
+  if (best == NULL || delay_on(owner, job, best, victims, &n_victims) < 0)
     return FALSE;
-  stop_victims(owner, job, best, victims, n);
+  stop_victims(owner, job, best, victims, n_victims);
   promise(owner, job, task, best);
   return TRUE;
 }
 
 /* Where a replica that runs on `from` could run again shortly, or NULL. */
 static MmMachine *
-new_home(MmOwner *owner, const MmJob *job, const MmMachine *from, double most_fetch_s) {
+new_home(MmOwner *owner, const MmJob *job, const MmMachine *current, double max_fetch_s) {
   MmMachineTable *machine_table = owner->node->machine_table;
 
   for (guint i = 0; i < machine_table->order->len; i++) {
     MmMachine *machine = g_ptr_array_index(machine_table->order, i);
     double delay_s;
-    if (machine == from || mm_owner_fetch_s(job, machine) > most_fetch_s)
+    if (machine == current || mm_owner_fetch_s(job, machine) > max_fetch_s)
       continue;
     delay_s = mm_owner_delay_on(owner, job, machine);
-    if (delay_s >= 0 && delay_s <= owner->node->settings->report_s + STOP_S + most_fetch_s)
+    if (delay_s >= 0 && delay_s <= owner->node->settings->report_s + STOP_S + max_fetch_s)
       return machine;
   }
   return NULL;
@@ -228,7 +229,7 @@
 static gboolean
 move_replica(MmOwner *owner, const MmJob *job, MmTask *task) {
   MmNode *node = owner->node;
-  guint homes = MOVE_HOMES, from;
+  guint scans_left = MOVE_HOMES, first_index;
   MmTime now = mm_node_now(node);
   /* A replica may fetch its image for it once the wait has outgrown that. */
   double fetch_s = mm_time_ms_since(now, task->since) > MOVE_FETCH_S * 1000 ? MOVE_FETCH_S : 0;
@@ -237,37 +238,39 @@
       || mm_time_ms_since(now, task->since) < MOVE_AFTER_MS)
     return FALSE;
   owner->next_move = mm_time_add_ms(now, MOVE_EVERY_MS);
-  from = node->machine_table->order->len > 0
-             ? (guint)g_rand_int_range(node->rand, 0, (gint32)node->machine_table->order->len)
-             : 0;
-  for (guint i = 0; i < node->machine_table->order->len && homes > 0; i++) {
+  first_index
+      = node->machine_table->order->len > 0
+            ? (guint)g_rand_int_range(node->rand, 0, (gint32)node->machine_table->order->len)
+            : 0;
+  for (guint i = 0; i < node->machine_table->order->len && scans_left > 0; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->order,
-                                           (from + i) % node->machine_table->order->len);
-    MmResources room = mm_machine_free(node->machine_table, machine);
+                                           (first_index + i) % node->machine_table->order->len);
+    MmResources free_resources = mm_machine_free(node->machine_table, machine);
 
     if (!mm_machine_usable(node->machine_table, machine) || mm_time_before(now, machine->clearing)
         || !mm_owner_place_hoped(owner, job, machine)
-        || mm_rank_leaves(node->rank, job, machine, room) >= MM_WOULD_TAKE)
+        || mm_rank_leaves(node->rank, job, machine, free_resources) >= MM_WOULD_TAKE)
       continue;
     for (guint k = 0; k < machine->placed->len; k++) {
       const MmPlaced *placed = g_ptr_array_index(machine->placed, k);
       MmJob *other = placed->job;
-      MmTask *moved = &other->tasks[placed->number];
-      MmMachine *home;
+      MmTask *moved_task = &other->tasks[placed->number];
+      MmMachine *target;
 
       if (other == job || other->cancelled || other->spec.kind != MM_KIND_SERVICE
-          || other->priority > job->priority || moved->state != MM_TASK_RUNNING || moved->stopping
-          || !mm_resources_fits(job->spec.need, mm_resources_add(room, other->spec.need)))
+          || other->priority > job->priority || moved_task->state != MM_TASK_RUNNING
+          || moved_task->stopping
+          || !mm_resources_fits(job->spec.need, mm_resources_add(free_resources, other->spec.need)))
         continue;
-      if (homes-- == 0)
+      if (scans_left-- == 0)
         return FALSE;
-      home = new_home(owner, other, machine, fetch_s);
-      if (home == NULL)
+      target = new_home(owner, other, machine, fetch_s);
+      if (target == NULL)
         continue;
       mm_info("moving %s/%u from %s to %s to make room for %s", other->spec.id.s, placed->number,
-              machine->id.s, home->id.s, job->spec.id.s);
+              machine->id.s, target->id.s, job->spec.id.s);
       promise(owner, job, task, machine);
-      moved->avoid = machine->id;
+      moved_task->avoid = machine->id;
       mm_owner_stop_task(owner, other, placed->number);
       return TRUE;
     }
@@ -279,14 +282,14 @@
  * job's zones: clearing for one task at a time instead made a wide service that had lost a zone
  * wait two seconds for each of its replicas. */
 static guint
-clear_for_job(MmOwner *owner, MmJob *job, guint most) {
+clear_for_job(MmOwner *owner, MmJob *job, guint max_tries) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
   gint64 bound_ms = job->priority >= MM_URGENT ? (gint64)(node->operators->preempt_after_s * 1000)
                                                : RECLAIM_AFTER_MS;
   guint tries = 0;
 
-  for (guint i = job->first_idle; i < job->spec.tasks && tries < most; i++) {
+  for (guint i = job->first_idle; i < job->spec.tasks && tries < max_tries; i++) {
     MmTask *task = &job->tasks[i];
     if (task->state != MM_TASK_IDLE)
       continue;
@@ -327,22 +330,24 @@
 void
 mm_owner_preempt(MmOwner *owner) {
   const GPtrArray *jobs = mm_owner_pressing(owner);
-  guint left = TASKS_A_ROUND, clears = CLEARS_A_ROUND, n = 0;
-  guint plain_clears = low_work_runs(owner) ? PLAIN_CLEARS_A_ROUND : 0;
-
-  for (; n < jobs->len && left > 0 && clears > 0; n++) {
-    MmJob *job = g_ptr_array_index(jobs, (owner->next_clear + n) % jobs->len);
-    gboolean plain = is_plain(job);
-    guint most = MIN(left, plain ? MIN(clears, plain_clears) : clears);
+  guint tasks_left = TASKS_A_ROUND, preemptions_left = CLEARS_A_ROUND, n_jobs_visited = 0;
+  guint ordinary_preemptions_left = low_work_runs(owner) ? PLAIN_CLEARS_A_ROUND : 0;
+
+  for (; n_jobs_visited < jobs->len && tasks_left > 0 && preemptions_left > 0; n_jobs_visited++) {
+    MmJob *job = g_ptr_array_index(jobs, (owner->next_clear + n_jobs_visited) % jobs->len);
+    gboolean ordinary = is_plain(job);
+    guint max_tries = MIN(tasks_left, ordinary ? MIN(preemptions_left, ordinary_preemptions_left)
+                                               : preemptions_left);
     guint tries;
 
-    if (job->idle == 0 || most == 0 || (plain && job->priority <= MM_LOW)
+    if (job->idle == 0 || max_tries == 0 || (ordinary && job->priority <= MM_LOW)
         || !mm_owner_open(owner, job) || !mm_owner_quota_allows(owner, job->held, job, 1))
       continue;
-    tries = clear_for_job(owner, job, most);
-    left -= tries;
-    plain_clears -= plain ? tries : 0;
-    clears -= tries;
+    tries = clear_for_job(owner, job, max_tries);
+    tasks_left -= tries;
+    ordinary_preemptions_left -= ordinary ? tries : 0;
+    preemptions_left -= tries;
   }
-  owner->next_clear = left > 0 && clears > 0 ? 0 : owner->next_clear + n;
+  owner->next_clear
+      = tasks_left > 0 && preemptions_left > 0 ? 0 : owner->next_clear + n_jobs_visited;
 }
--- a/src/owner/reports.c
+++ b/src/owner/reports.c
@@ -9,16 +9,16 @@
 /* Old days weigh less and less: guesses may be too high on one day and too low on the next. */
 static void
 learn(MmOwner *owner, const MmJob *job, double ran_s) {
-  MmGuesses *guesses = g_hash_table_lookup(owner->guesses, job->spec.job_class.s);
+  MmGuesses *estimate_error = g_hash_table_lookup(owner->guesses, job->spec.job_class.s);
 
   if (job->spec.estimate_s <= 0)
     return;
-  if (guesses == NULL) {
-    guesses = g_new0(MmGuesses, 1);
-    g_hash_table_insert(owner->guesses, g_strdup(job->spec.job_class.s), guesses);
+  if (estimate_error == NULL) {
+    estimate_error = g_new0(MmGuesses, 1);
+    g_hash_table_insert(owner->guesses, g_strdup(job->spec.job_class.s), estimate_error);
   }
-  guesses->seen_s = guesses->seen_s * 0.98 + ran_s;
-  guesses->guessed_s = guesses->guessed_s * 0.98 + job->spec.estimate_s;
+  estimate_error->seen_s = estimate_error->seen_s * 0.98 + ran_s;
+  estimate_error->guessed_s = estimate_error->guessed_s * 0.98 + job->spec.estimate_s;
 }
 
 static void
@@ -77,58 +77,60 @@
 }
 
 static MmTaskState
-state_of_seen(guint8 seen) {
+state_of_seen(guint8 reported_state) {
   static const MmTaskState map[]
       = { MM_TASK_FETCHING, MM_TASK_WAITING, MM_TASK_RUNNING, MM_TASK_SAVING };
-  return map[MIN(seen, MM_SEEN_SAVING)];
+  return map[MIN(reported_state, MM_SEEN_SAVING)];
 }
 
 static void
-take_task(MmOwner *owner, MmMachine *machine, MmJob *job, const MmSeenTask *seen) {
-  MmTask *task = &job->tasks[seen->number];
-  gboolean same = task->machine == machine && task->attempt.v == seen->attempt.v;
+take_task(MmOwner *owner, MmMachine *machine, MmJob *job, const MmSeenTask *reported) {
+  MmTask *task = &job->tasks[reported->number];
+  gboolean is_same_attempt = task->machine == machine && task->attempt.v == reported->attempt.v;
 
-  if (seen->state == MM_SEEN_ENDED) {
-    if (seen->cause == MM_CAUSE_DONE && (same || !mm_task_is_live(task->state)))
-      task_done(owner, job, seen->number);
-    else if (same && mm_task_is_live(task->state))
-      task_ended(owner, job, seen->number, machine, seen->cause);
+  if (reported->state == MM_SEEN_ENDED) {
+    if (reported->cause == MM_CAUSE_DONE && (is_same_attempt || !mm_task_is_live(task->state)))
+      task_done(owner, job, reported->number);
+    else if (is_same_attempt && mm_task_is_live(task->state))
+      task_ended(owner, job, reported->number, machine, reported->cause);
     return;
   }
-  if (same || !mm_task_is_live(task->state) || task->state == MM_TASK_RESERVED
+  if (is_same_attempt || !mm_task_is_live(task->state) || task->state == MM_TASK_RESERVED
       || task->machine == machine) {
     if (task->state == MM_TASK_DONE)
       return; /* to be stopped, see commands_for */
-    if (same && task->state == MM_TASK_ISSUED)
+    if (is_same_attempt && task->state == MM_TASK_ISSUED)
       machine->refused_starts = 0;
-    mm_owner_place(owner, job, seen->number, machine, state_of_seen(seen->state), seen->attempt);
+    mm_owner_place(owner, job, reported->number, machine, state_of_seen(reported->state),
+                   reported->attempt);
     return;
   }
   /* A newer attempt is only ever approved when the older is gone for certain: of two that show, the
    * older is what a late report brought back. */
-  if (seen->attempt.v > task->attempt.v) {
-    mm_info("task %s/%u is on %s: what %s showed is over", job->spec.id.s, seen->number,
+  if (reported->attempt.v > task->attempt.v) {
+    mm_info("task %s/%u is on %s: what %s showed is over", job->spec.id.s, reported->number,
             machine->id.s, task->machine->id.s);
-    mm_owner_place(owner, job, seen->number, machine, state_of_seen(seen->state), seen->attempt);
+    mm_owner_place(owner, job, reported->number, machine, state_of_seen(reported->state),
+                   reported->attempt);
     return;
   }
-  mm_info("task %s/%u shows on %s while it is placed on %s", job->spec.id.s, seen->number,
+  mm_info("task %s/%u shows on %s while it is placed on %s", job->spec.id.s, reported->number,
           machine->id.s, task->machine->id.s);
 }
 
 void
-mm_owner_take_tasks(MmOwner *owner, MmMachine *machine, const char *only_part) {
+mm_owner_take_tasks(MmOwner *owner, MmMachine *machine, const char *only_shard) {
   gboolean unsettled = FALSE;
 
   for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
-    MmJob *job = mm_job_table_find(owner->node->job_table, seen->job.s);
-    unsettled = unsettled || job == NULL || seen->state == MM_SEEN_ENDED;
-    if (job == NULL || job->tasks == NULL || seen->number >= job->spec.tasks)
+    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+    MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
+    unsettled = unsettled || job == NULL || reported->state == MM_SEEN_ENDED;
+    if (job == NULL || job->tasks == NULL || reported->number >= job->spec.tasks)
       continue;
-    if (only_part == NULL || strcmp(only_part, job->part) == 0)
-      take_task(owner, machine, job, seen);
-    unsettled = unsettled || job->tasks[seen->number].machine != machine;
+    if (only_shard == NULL || strcmp(only_shard, job->part) == 0)
+      take_task(owner, machine, job, reported);
+    unsettled = unsettled || job->tasks[reported->number].machine != machine;
   }
   /* A record may come after the report that shows its tasks, and a result may be taken only once
    * another attempt has left its machine: the same report must then be looked at again. */
@@ -138,7 +140,7 @@
 /* Tasks placed on the machine that this report does not show have left it; a start is denied only
  * by a report that was sent after the one whose answer carried it. */
 static void
-miss_tasks(MmOwner *owner, MmMachine *machine, const MmReport *report) {
+miss_tasks(MmOwner *owner, MmMachine *machine, const MmReport *heartbeat) {
   for (guint i = machine->placed->len; i > 0; i--) {
     const MmPlaced *placed = g_ptr_array_index(machine->placed, i - 1);
     MmJob *job = placed->job;
@@ -149,12 +151,13 @@
         || mm_machine_seen(machine, &job->spec.id, number, task->attempt) != NULL)
       continue;
     if (task->state == MM_TASK_ISSUED) {
-      gboolean denied = report->stamp.session > task->issued.session
-                        || (!report->direct && mm_stamp_newer(report->stamp, task->issued));
-      if (!denied)
+      gboolean is_start_refused
+          = heartbeat->stamp.session > task->issued.session
+            || (!heartbeat->direct && mm_stamp_newer(heartbeat->stamp, task->issued));
+      if (!is_start_refused)
         continue;
       mm_debug("start of %s/%u on %s was not carried out", job->spec.id.s, number, machine->id.s);
-      if (report->stamp.session == task->issued.session)
+      if (heartbeat->stamp.session == task->issued.session)
         mm_health_note_refused_start(owner->node->machine_table, machine);
     }
     mm_owner_unplace(owner, job, number);
@@ -163,23 +166,23 @@
 
 /* Stops and clears that follow from the report. */
 static void
-commands_for(MmOwner *owner, MmMachine *machine, const MmReport *report) {
+commands_for(MmOwner *owner, MmMachine *machine, const MmReport *heartbeat) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   MmTime now = mm_node_now(owner->node);
 
   for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
-    MmJob *job = mm_job_table_find(owner->node->job_table, seen->job.s);
-    MmCommand command = { MM_OP_FORGET, seen->job, seen->number, seen->attempt, 0 };
+    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+    MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
+    MmCommand command = { MM_OP_FORGET, reported->job, reported->number, reported->attempt, 0 };
     MmTask *task;
 
-    if (job == NULL || job->tasks == NULL || seen->number >= job->spec.tasks)
+    if (job == NULL || job->tasks == NULL || reported->number >= job->spec.tasks)
       continue;
-    task = &job->tasks[seen->number];
-    if (seen->state == MM_SEEN_ENDED) {
+    task = &job->tasks[reported->number];
+    if (reported->state == MM_SEEN_ENDED) {
       /* The result is forgotten here only once the state service holds it. */
-      if (seen->cause == MM_CAUSE_DONE && job->spec.kind != MM_KIND_SERVICE
-          && !mm_done_set_has(&job->recorded, seen->number) && !job->cancelled)
+      if (reported->cause == MM_CAUSE_DONE && job->spec.kind != MM_KIND_SERVICE
+          && !mm_done_set_has(&job->recorded, reported->number) && !job->cancelled)
         continue;
       g_array_append_val(commands, command);
       continue;
@@ -188,7 +191,7 @@
     command.grace_s = mm_owner_grace_s(job);
     if (job->cancelled || task->state == MM_TASK_DONE
         || (task->stopping && task->machine == machine && mm_time_ms_since(now, task->told) > 500
-            && seen->state != MM_SEEN_SAVING)) {
+            && reported->state != MM_SEEN_SAVING)) {
       g_array_append_val(commands, command);
     } else if (machine->warned && !task->stopping && task->machine == machine) {
       /* The machine is about to be taken: save, or at least start again elsewhere sooner. */
@@ -211,15 +214,16 @@
  * need an entry that only who has seen the part's term can believe. */
 static gboolean
 is_heard(const MmOwnedShard *held, const MmMachine *machine) {
-  gpointer session;
+  gpointer registered_incarnation;
 
   return machine->token.v >= held->term.v
-         || (g_hash_table_lookup_extended(held->unacknowledged, machine->id.s, NULL, &session)
-             && machine->stamp.session > GPOINTER_TO_SIZE(session));
+         || (g_hash_table_lookup_extended(held->unacknowledged, machine->id.s, NULL,
+                                          &registered_incarnation)
+             && machine->stamp.session > GPOINTER_TO_SIZE(registered_incarnation));
 }
 
 void
-mm_owner_report(MmOwner *owner, MmMachine *machine, const MmReport *report, gboolean changed) {
+mm_owner_report(MmOwner *owner, MmMachine *machine, const MmReport *heartbeat, gboolean changed) {
   GHashTableIter iter;
   gpointer value;
 
@@ -227,7 +231,7 @@
     return;
   if (changed || machine->unsettled)
     mm_owner_take_tasks(owner, machine, NULL);
-  miss_tasks(owner, machine, report);
+  miss_tasks(owner, machine, heartbeat);
   g_hash_table_iter_init(&iter, owner->held);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     MmOwnedShard *held = value;
@@ -237,7 +241,7 @@
       mm_owner_check_ready(owner, held);
     }
   }
-  commands_for(owner, machine, report);
+  commands_for(owner, machine, heartbeat);
 }
 
 /* Lost or returned: nothing is on it any more and no start can reach it. */
--- a/src/owner/urgency.c
+++ b/src/owner/urgency.c
@@ -45,9 +45,10 @@
  * seen of the job's own tasks. */
 static double
 run_guess_s(const MmOwner *owner, const MmJob *job) {
-  const MmGuesses *guesses = g_hash_table_lookup(owner->guesses, job->spec.job_class.s);
-  double ratio
-      = guesses != NULL && guesses->guessed_s > 0 ? guesses->seen_s / guesses->guessed_s : 1;
+  const MmGuesses *estimate_error = g_hash_table_lookup(owner->guesses, job->spec.job_class.s);
+  double ratio = estimate_error != NULL && estimate_error->guessed_s > 0
+                     ? estimate_error->seen_s / estimate_error->guessed_s
+                     : 1;
 
   if (job->seen_n > 0)
     return job->seen_s / job->seen_n;
@@ -59,13 +60,14 @@
 static double
 rounds(const MmOwner *owner, const MmJob *job) {
   const MmTeamSettings *team = mm_settings_team(owner->node->settings, &job->spec.team);
-  double at_once = job->spec.tasks;
+  double n_parallel = job->spec.tasks;
 
   if (team != NULL && team->limit.cores > 0 && job->spec.need.cores > 0)
-    at_once = MIN(at_once, floor(team->limit.cores / job->spec.need.cores + 1e-6));
+    n_parallel = MIN(n_parallel, floor(team->limit.cores / job->spec.need.cores + 1e-6));
   if (team != NULL && team->limit.accelerators > 0 && job->spec.need.accelerators > 0)
-    at_once = MIN(at_once, floor(team->limit.accelerators / job->spec.need.accelerators + 1e-6));
-  return MAX(ceil((double)job->idle / MAX(at_once, 1)), 1);
+    n_parallel
+        = MIN(n_parallel, floor(team->limit.accelerators / job->spec.need.accelerators + 1e-6));
+  return MAX(ceil((double)job->idle / MAX(n_parallel, 1)), 1);
 }
 
 /* By when the job must be given machines for the first of its own aims that it can still meet. */
@@ -74,26 +76,26 @@
   const MmSettings *settings = owner->node->settings;
   gint64 now_ms = mm_node_wall_ms(owner->node);
   gint64 due_ms = NO_DUE_MS;
-  gboolean any = FALSE;
+  gboolean has_own_aim = FALSE;
 
   for (guint i = 0; i < settings->aims->len; i++) {
     const MmAim *aim = &g_array_index(settings->aims, MmAim, i);
-    double at_s;
-    gint64 from_ms, at_ms;
+    double start_s;
+    gint64 counted_from_ms, start_ms;
     if (aim->kind == MM_AIM_GUARANTEE ? !job->within
                                       : !mm_name_equal(&aim->job_class, &job->spec.job_class))
       continue;
-    at_s = aim_at(job, aim, run_s);
-    from_ms = aim->kind == MM_AIM_DEADLINE ? job->submitted_ms : job->waits_from_ms;
-    at_ms = from_ms + (gint64)(at_s * 1000);
-    any = any || (at_s >= 0 && aim->kind != MM_AIM_GUARANTEE);
-    if (at_s >= 0 && at_ms >= now_ms && at_ms < due_ms)
-      due_ms = at_ms;
+    start_s = aim_at(job, aim, run_s);
+    counted_from_ms = aim->kind == MM_AIM_DEADLINE ? job->submitted_ms : job->waits_from_ms;
+    start_ms = counted_from_ms + (gint64)(start_s * 1000);
+    has_own_aim = has_own_aim || (start_s >= 0 && aim->kind != MM_AIM_GUARANTEE);
+    if (start_s >= 0 && start_ms >= now_ms && start_ms < due_ms)
+      due_ms = start_ms;
   }
   /* Without any aim of its own, its deadline or its age counts. */
-  if (!any && job->spec.deadline_s >= 0)
+  if (!has_own_aim && job->spec.deadline_s >= 0)
     due_ms = job->submitted_ms + (gint64)(MAX(job->spec.deadline_s - run_s, 0) * 1000);
-  else if (!any)
+  else if (!has_own_aim)
     due_ms = job->waits_from_ms;
   return due_ms;
 }
@@ -111,7 +113,7 @@
 static void
 inherit(const MmOwner *owner, MmJob *job, double run_s) {
   const MmJobTable *job_table = owner->node->job_table;
-  gint64 before_ms = NO_DUE_MS;
+  gint64 dependents_due_ms = NO_DUE_MS;
 
   job->inherited_priority = job->spec.priority;
   job->inherited_due_ms = NO_DUE_MS;
@@ -121,11 +123,11 @@
     if (dependent == NULL || dependent->cancelled)
       continue;
     job->inherited_priority = MAX(job->inherited_priority, dependent->inherited_priority);
-    before_ms = MIN(before_ms, deadline_due_ms(dependent));
+    dependents_due_ms = MIN(dependents_due_ms, deadline_due_ms(dependent));
   }
-  if (before_ms != NO_DUE_MS)
+  if (dependents_due_ms != NO_DUE_MS)
     job->inherited_due_ms
-        = MAX(before_ms - STAGE_MS - (gint64)(run_s * 1000), mm_node_wall_ms(owner->node));
+        = MAX(dependents_due_ms - STAGE_MS - (gint64)(run_s * 1000), mm_node_wall_ms(owner->node));
 }
 
 /* While there is time until the deadline that it has taken over, a job goes in the order of what is
--- a/src/parts/claims.h
+++ b/src/parts/claims.h
@@ -30,20 +30,20 @@
 void mm_claims_tick(MmClaims *claims);
 
 /* Whether the claim still holds for certain, by the steady clock. */
-gboolean mm_claims_valid(const MmClaims *claims);
+gboolean mm_claims_valid(const MmClaims *lease);
 /* Whether parts are about to change hands, as far as shows: one is held by nobody, or its holder or
  * another node has a claim that is new. */
-gboolean mm_claims_unsettled(const MmClaims *claims);
+gboolean mm_claims_unsettled(const MmClaims *ownership);
 /* Whether this node may answer workers: a valid claim that the replica shows. */
-gboolean mm_claims_may_answer(const MmClaims *claims);
+gboolean mm_claims_may_answer(const MmClaims *lease);
 /* Whether an outage of the state service has been proved within the last second. */
-gboolean mm_claims_outage(const MmClaims *claims);
+gboolean mm_claims_outage(const MmClaims *lease);
 /* For how long, in microseconds and outages aside, a node may answer workers without having read
  * what has changed in the state service. */
-gint64 mm_claims_staleness_bound(const MmClaims *claims);
+gint64 mm_claims_staleness_bound(const MmClaims *lease);
 /* Whether the replica shows this life of this node as holder of the part. */
-gboolean mm_claims_holds(const MmClaims *claims, const char *name);
+gboolean mm_claims_holds(const MmClaims *ownership, const char *shard_name);
 /* Whether the shard is a duty that one node has, rather than a team. */
-gboolean mm_claims_is_duty(const char *name);
+gboolean mm_claims_is_duty(const char *shard_name);
 /* The part's name for a team: its name in a form that a key may have. */
 char *mm_claims_shard_of_team(const MmName *team);
--- a/src/peers/links.c
+++ b/src/peers/links.c
@@ -69,10 +69,10 @@
 
 /* How long ago, plus one; 0: never, or not to speak of. */
 static guint32
-age_ms(const MmLinks *links, MmTime then) {
-  gint64 age = mm_time_ms_since(mm_node_now(links->node), then);
+age_ms(const MmLinks *links, MmTime since) {
+  gint64 age = mm_time_ms_since(mm_node_now(links->node), since);
 
-  return then.us == 0 || age > 3600000 ? 0 : (guint32)age + 1;
+  return since.us == 0 || age > 3600000 ? 0 : (guint32)age + 1;
 }
 
 static void
@@ -138,19 +138,19 @@
 MmTime
 mm_links_settled(const MmLinks *links) {
   const MmReplica *replica = links->node->replica;
-  MmTime settled = replica->fresh;
+  MmTime known_until = replica->fresh;
 
   for (guint i = 0; i < links->n_peers; i++) {
     const MmPeer *peer = &links->peers[i];
-    const MmNodeClaim *live = g_hash_table_lookup(replica->nodes, peer->label.s);
-    if (live == NULL)
+    const MmNodeClaim *live_node = g_hash_table_lookup(replica->nodes, peer->label.s);
+    if (live_node == NULL)
       continue;
     /* A pong of another life says nothing of this one; a silent peer counts as answering. */
-    if (live->claim != peer->claim)
+    if (live_node->claim != peer->claim)
       return (MmTime){ 0 };
-    settled = mm_time_min(settled, peer->settled);
+    known_until = mm_time_min(known_until, peer->settled);
   }
-  return settled;
+  return known_until;
 }
 
 MmTime
@@ -173,10 +173,10 @@
 
 gboolean
 mm_links_peer_answers(const MmLinks *links, guint peer) {
-  const MmPeer *p = &links->peers[peer];
+  const MmPeer *peer_state = &links->peers[peer];
 
-  return p->up && p->answering
-         && mm_time_ms_since(mm_node_now(links->node), p->ponged) <= PONG_RECENT_MS;
+  return peer_state->up && peer_state->answering
+         && mm_time_ms_since(mm_node_now(links->node), peer_state->ponged) <= PONG_RECENT_MS;
 }
 
 gint
@@ -198,73 +198,75 @@
  * refusal counts from when our ping went out, since the pong may have been held back, or have lain
  * unread while this node stood still; a ping of theirs says nothing of its age. */
 static void
-note_served(MmLinks *links, guint peer, guint32 served_ms) {
-  if (served_ms > 0)
-    links->peers[peer].served = mm_time_add_ms(mm_node_now(links->node), 1 - (gint64)served_ms);
+note_served(MmLinks *links, guint peer, guint32 served_age_ms) {
+  if (served_age_ms > 0)
+    links->peers[peer].served = mm_time_add_ms(mm_node_now(links->node), 1 - (gint64)served_age_ms);
 }
 
 static void
-note_refused(MmLinks *links, guint peer, MmTime asked, guint32 refused_ms) {
-  MmPeer *p = &links->peers[peer];
+note_refused(MmLinks *links, guint peer, MmTime ping_sent_at, guint32 refused_age_ms) {
+  MmPeer *peer_state = &links->peers[peer];
 
-  if (refused_ms > 0)
-    p->refused = mm_time_max(p->refused, mm_time_add_ms(asked, -(gint64)refused_ms));
+  if (refused_age_ms > 0)
+    peer_state->refused
+        = mm_time_max(peer_state->refused, mm_time_add_ms(ping_sent_at, -(gint64)refused_age_ms));
 }
 
 static void
 take_report(MmLinks *links, guint peer, const Mm__Report *message) {
-  MmReport report = { .machine = mm_name(message->machine),
-                      .type = mm_name(message->type),
-                      .zone = mm_name(message->zone),
-                      .spot = message->spot,
-                      .stamp = { message->session, message->seq },
-                      .token = { message->token },
-                      .warned = message->warned,
-                      .direct = message->direct,
-                      .unanswered = message->unanswered,
-                      .notice_s = message->notice_s };
+  MmReport heartbeat = { .machine = mm_name(message->machine),
+                         .type = mm_name(message->type),
+                         .zone = mm_name(message->zone),
+                         .spot = message->spot,
+                         .stamp = { message->session, message->seq },
+                         .token = { message->token },
+                         .warned = message->warned,
+                         .direct = message->direct,
+                         .unanswered = message->unanswered,
+                         .notice_s = message->notice_s };
 
   MmMachine *machine;
 
-  if (mm_name_is_empty(&report.machine)
-      || (report.direct
-          && mm_machine_table_find(links->node->machine_table, report.machine.s) == NULL))
+  if (mm_name_is_empty(&heartbeat.machine)
+      || (heartbeat.direct
+          && mm_machine_table_find(links->node->machine_table, heartbeat.machine.s) == NULL))
     return;
-  g_strlcpy(report.addr, message->addr, sizeof report.addr);
-  report.tasks = g_array_sized_new(FALSE, TRUE, sizeof(MmSeenTask), (guint)message->n_tasks);
+  g_strlcpy(heartbeat.addr, message->addr, sizeof heartbeat.addr);
+  heartbeat.tasks = g_array_sized_new(FALSE, TRUE, sizeof(MmSeenTask), (guint)message->n_tasks);
   for (size_t i = 0; i < message->n_tasks; i++) {
     const Mm__TaskState *task = message->tasks[i];
-    MmSeenTask seen = { .job = mm_name(task->job),
-                        .number = task->number,
-                        .attempt = { task->attempt },
-                        .state = (guint8)MIN(task->state, MM_SEEN_ENDED),
-                        .cause = (guint8)MIN(task->cause, MM_CAUSE_UNKNOWN),
-                        .saved = task->saved };
-    g_array_append_val(report.tasks, seen);
+    MmSeenTask reported_task = { .job = mm_name(task->job),
+                                 .number = task->number,
+                                 .attempt = { task->attempt },
+                                 .state = (guint8)MIN(task->state, MM_SEEN_ENDED),
+                                 .cause = (guint8)MIN(task->cause, MM_CAUSE_UNKNOWN),
+                                 .saved = task->saved };
+    g_array_append_val(heartbeat.tasks, reported_task);
   }
   machine = mm_machine_table_take(
-      links->node->machine_table, &report,
+      links->node->machine_table, &heartbeat,
       mm_time_add_ms(mm_node_now(links->node), -(gint64)message->age_ms), (gint)peer);
   if (machine != NULL && !message->unanswered)
     mm_health_count_answer(links->node->machine_table, machine, (MmTerm){ message->term });
-  mm_report_clear(&report);
+  mm_report_clear(&heartbeat);
 }
 
 static void
-take_beats(MmLinks *links, guint peer, const Mm__Beats *beats) {
+take_beats(MmLinks *links, guint peer, const Mm__Beats *repeats) {
   MmTime now = mm_node_now(links->node);
 
-  if (beats->n_sessions != beats->n_machines || beats->n_seqs != beats->n_machines)
+  if (repeats->n_sessions != repeats->n_machines || repeats->n_seqs != repeats->n_machines)
     return;
-  for (size_t i = 0; i < beats->n_machines; i++) {
-    MmStamp stamp = { beats->sessions[i], beats->seqs[i] };
-    MmMachine *machine = mm_machine_table_find(links->node->machine_table, beats->machines[i]);
-    mm_machine_table_beat(links->node->machine_table, beats->machines[i], stamp, now, (gint)peer);
+  for (size_t i = 0; i < repeats->n_machines; i++) {
+    MmStamp heartbeat_id = { repeats->sessions[i], repeats->seqs[i] };
+    MmMachine *machine = mm_machine_table_find(links->node->machine_table, repeats->machines[i]);
+    mm_machine_table_beat(links->node->machine_table, repeats->machines[i], heartbeat_id, now,
+                          (gint)peer);
     if (machine != NULL)
-      mm_health_count_answer(links->node->machine_table, machine, (MmTerm){ beats->term });
+      mm_health_count_answer(links->node->machine_table, machine, (MmTerm){ repeats->term });
   }
-  for (size_t i = 0; i < beats->n_unproved; i++)
-    mm_machine_table_answered(links->node->machine_table, beats->unproved[i], now);
+  for (size_t i = 0; i < repeats->n_unproved; i++)
+    mm_machine_table_answered(links->node->machine_table, repeats->unproved[i], now);
 }
 
 static void
@@ -307,21 +309,21 @@
 
 /* What is about machine groups; FALSE when it is something else. */
 static gboolean
-take_sharing_frame(MmLinks *links, guint index, const Mm__Frame *frame) {
+take_sharing_frame(MmLinks *links, guint peer_index, const Mm__Frame *frame) {
   MmSharing *sharing = links->node->sharing;
 
   switch (frame->body_case) {
   case MM__FRAME__BODY_GRANT_ASK:
-    mm_sharing_grant_asked(sharing, index, frame->grant_ask);
+    mm_sharing_grant_asked(sharing, peer_index, frame->grant_ask);
     return TRUE;
   case MM__FRAME__BODY_GRANT_ANSWER:
-    mm_pending_answer_granted(links->node->checkin, index, frame->grant_answer);
+    mm_pending_answer_granted(links->node->checkin, peer_index, frame->grant_answer);
     return TRUE;
   case MM__FRAME__BODY_MOVE_ORDER:
-    mm_sharing_move_ordered(sharing, index, frame->move_order);
+    mm_sharing_move_ordered(sharing, peer_index, frame->move_order);
     return TRUE;
   case MM__FRAME__BODY_GROUP_MOVES:
-    mm_sharing_moves_heard(sharing, index, frame->group_moves);
+    mm_sharing_moves_heard(sharing, peer_index, frame->group_moves);
     return TRUE;
   default:
     return FALSE;
@@ -329,21 +331,21 @@
 }
 
 void
-mm_links_frame(MmLinks *links, guint index, const Mm__Frame *frame) {
-  MmPeer *peer = &links->peers[index];
+mm_links_frame(MmLinks *links, guint peer_index, const Mm__Frame *frame) {
+  MmPeer *peer = &links->peers[peer_index];
 
   if (peer->connected && !peer->up)
-    introduce(links, index);
+    introduce(links, peer_index);
   switch (frame->body_case) {
   case MM__FRAME__BODY_HELLO:
     break; /* the transport has used it to tell whose link this is */
   case MM__FRAME__BODY_PING:
-    note_served(links, index, frame->ping->served_ms);
-    answer_ping(links, index, frame->ping);
+    note_served(links, peer_index, frame->ping->served_ms);
+    answer_ping(links, peer_index, frame->ping);
     break;
   case MM__FRAME__BODY_PONG:
-    note_served(links, index, frame->pong->served_ms);
-    note_refused(links, index, (MmTime){ (gint64)frame->pong->at_us }, frame->pong->outage_ms);
+    note_served(links, peer_index, frame->pong->served_ms);
+    note_refused(links, peer_index, (MmTime){ (gint64)frame->pong->at_us }, frame->pong->outage_ms);
     peer->ponged = mm_node_now(links->node);
     peer->silent_us = 0;
     peer->answering = frame->pong->answering;
@@ -354,35 +356,35 @@
     peer->settled = mm_time_max(peer->settled, (MmTime){ (gint64)frame->pong->at_us });
     break;
   case MM__FRAME__BODY_REPORT:
-    take_report(links, index, frame->report);
+    take_report(links, peer_index, frame->report);
     break;
   case MM__FRAME__BODY_BEATS:
-    take_beats(links, index, frame->beats);
+    take_beats(links, peer_index, frame->beats);
     break;
   case MM__FRAME__BODY_ASK:
-    mm_owner_peer_ask(links->node->owner, index, frame->ask);
+    mm_owner_peer_ask(links->node->owner, peer_index, frame->ask);
     break;
   case MM__FRAME__BODY_ANSWER:
-    mm_checkin_answered(links->node->checkin, index, frame->answer);
+    mm_checkin_answered(links->node->checkin, peer_index, frame->answer);
     break;
   case MM__FRAME__BODY_BACKLOG:
-    mm_rank_heard(links->node->rank, (gint)index, frame->backlog);
+    mm_rank_heard(links->node->rank, (gint)peer_index, frame->backlog);
     break;
   case MM__FRAME__BODY_COMMANDS:
     take_commands(links, frame->commands);
     break;
   case MM__FRAME__BODY_CANCELLED:
     if (mm_owner_cancelled(links->node->owner, frame->cancelled->job))
-      mm_links_tell_cancel_ack(links, index, frame->cancelled->job);
+      mm_links_tell_cancel_ack(links, peer_index, frame->cancelled->job);
     break;
   case MM__FRAME__BODY_CANCEL_ACK:
-    mm_api_cancel_acked(links->node->api, index, frame->cancel_ack->job);
+    mm_api_cancel_acked(links->node->api, peer_index, frame->cancel_ack->job);
     break;
   case MM__FRAME__BODY_GONE:
     mm_machine_table_gone(links->node->machine_table, frame->gone->machine);
     break;
   default:
-    if (!take_sharing_frame(links, index, frame))
+    if (!take_sharing_frame(links, peer_index, frame))
       mm_debug("a frame of unknown kind from %s", peer->label.s);
     break;
   }
@@ -394,8 +396,8 @@
  * the peers had heard. */
 static void
 reopen_silent(MmLinks *links, MmTime now) {
-  gint64 passed_us = MIN(now.us - links->ticked.us, TICK_MOST_MS * 1000);
-  gint64 patience_ms
+  gint64 elapsed_us = MIN(now.us - links->ticked.us, TICK_MOST_MS * 1000);
+  gint64 silence_limit_ms
       = MAX((gint64)(links->node->operators->peer_ping_s * 1000 * SILENT_PINGS), SILENT_LEAST_MS);
 
   links->ticked = now;
@@ -403,8 +405,8 @@
     MmPeer *peer = &links->peers[i];
     if (!peer->connected)
       continue;
-    peer->silent_us += passed_us;
-    if (peer->silent_us < patience_ms * 1000)
+    peer->silent_us += elapsed_us;
+    if (peer->silent_us < silence_limit_ms * 1000)
       continue;
     mm_info("no ping to %s was answered for %.1f s: a new connection", peer->label.s,
             (double)peer->silent_us / G_USEC_PER_SEC);
--- a/src/peers/links.h
+++ b/src/peers/links.h
@@ -46,7 +46,7 @@
 /* The connection to the peer is open. That proves nothing yet: the peer may stand still. */
 void mm_links_connected(MmLinks *links, guint peer);
 void mm_links_down(MmLinks *links, guint peer);
-void mm_links_frame(MmLinks *links, guint index, const Mm__Frame *frame);
+void mm_links_frame(MmLinks *links, guint peer_index, const Mm__Frame *frame);
 /* -1 when no peer has this label. */
 gint mm_links_find(const MmLinks *links, const char *label);
 
@@ -61,7 +61,7 @@
 
 /* A report that was heard here and is about to be answered: whole when it shows anything new, else
  * in one of the batches that keep peers informed of who was answered. */
-void mm_links_tell_report(MmLinks *links, MmMachine *machine, gboolean answered);
+void mm_links_tell_report(MmLinks *links, MmMachine *machine, gboolean is_answered);
 /* What a direct answer showed: good as an acknowledgement, and proof of nothing else. */
 void mm_links_tell_direct(MmLinks *links, MmMachine *machine);
 void mm_links_tell_unproved(MmLinks *links, const MmName *machine);
--- a/src/peers/telling.c
+++ b/src/peers/telling.c
@@ -15,45 +15,45 @@
 typedef enum { ANSWERED, UNANSWERED, DIRECT } Telling;
 
 static void
-send_report(MmLinks *links, guint peer, const MmMachine *machine, Telling telling) {
+send_report(MmLinks *links, guint peer, const MmMachine *machine, Telling kind) {
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__Report report = MM__REPORT__INIT;
+  Mm__Report heartbeat = MM__REPORT__INIT;
   guint n = machine->tasks->len;
   g_autofree Mm__TaskState *tasks = g_new(Mm__TaskState, MAX(n, 1));
   g_autofree Mm__TaskState **list = g_new(Mm__TaskState *, MAX(n, 1));
   MmTime now = mm_node_now(links->node);
 
-  report.machine = (char *)machine->id.s;
-  report.addr = (char *)machine->addr;
-  report.type = (char *)machine->type_name.s;
-  report.zone = (char *)machine->zone.s;
-  report.spot = machine->spot;
-  report.unanswered = telling != ANSWERED;
-  report.direct = telling == DIRECT;
-  report.term = telling == ANSWERED ? links->node->replica->term.v : 0;
-  report.session = machine->stamp.session;
-  report.seq = machine->stamp.seq;
-  report.token = machine->token.v;
-  report.warned = machine->warned;
-  report.notice_s = machine->warned ? (double)mm_time_ms_since(machine->taken, now) / 1000.0 : 0;
-  report.age_ms = telling == DIRECT
-                      ? 0
-                      : (guint32)CLAMP(mm_time_ms_since(now, machine->reported), 0, G_MAXUINT32);
+  heartbeat.machine = (char *)machine->id.s;
+  heartbeat.addr = (char *)machine->addr;
+  heartbeat.type = (char *)machine->type_name.s;
+  heartbeat.zone = (char *)machine->zone.s;
+  heartbeat.spot = machine->spot;
+  heartbeat.unanswered = kind != ANSWERED;
+  heartbeat.direct = kind == DIRECT;
+  heartbeat.term = kind == ANSWERED ? links->node->replica->term.v : 0;
+  heartbeat.session = machine->stamp.session;
+  heartbeat.seq = machine->stamp.seq;
+  heartbeat.token = machine->token.v;
+  heartbeat.warned = machine->warned;
+  heartbeat.notice_s = machine->warned ? (double)mm_time_ms_since(machine->taken, now) / 1000.0 : 0;
+  heartbeat.age_ms = kind == DIRECT
+                         ? 0
+                         : (guint32)CLAMP(mm_time_ms_since(now, machine->reported), 0, G_MAXUINT32);
   for (guint i = 0; i < n; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
+    const MmSeenTask *reported_task = &g_array_index(machine->tasks, MmSeenTask, i);
     mm__task_state__init(&tasks[i]);
-    tasks[i].job = (char *)seen->job.s;
-    tasks[i].number = seen->number;
-    tasks[i].attempt = seen->attempt.v;
-    tasks[i].state = seen->state;
-    tasks[i].cause = seen->cause;
-    tasks[i].saved = seen->saved;
+    tasks[i].job = (char *)reported_task->job.s;
+    tasks[i].number = reported_task->number;
+    tasks[i].attempt = reported_task->attempt.v;
+    tasks[i].state = reported_task->state;
+    tasks[i].cause = reported_task->cause;
+    tasks[i].saved = reported_task->saved;
     list[i] = &tasks[i];
   }
-  report.tasks = list;
-  report.n_tasks = n;
+  heartbeat.tasks = list;
+  heartbeat.n_tasks = n;
   frame.body_case = MM__FRAME__BODY_REPORT;
-  frame.report = &report;
+  frame.report = &heartbeat;
   mm_links_send(links, peer, &frame);
 }
 
@@ -61,32 +61,32 @@
 mm_links_tell_beats(MmLinks *links) {
   guint n = links->beats->len;
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__Beats beats = MM__BEATS__INIT;
+  Mm__Beats repeats = MM__BEATS__INIT;
   g_autofree char **machines = g_new(char *, MAX(n, 1));
-  g_autofree guint64 *sessions = g_new(guint64, MAX(n, 1));
-  g_autofree guint64 *seqs = g_new(guint64, MAX(n, 1));
-  g_autofree char **unproved = g_new(char *, MAX(links->unproved->len, 1));
+  g_autofree guint64 *incarnations = g_new(guint64, MAX(n, 1));
+  g_autofree guint64 *sequences = g_new(guint64, MAX(n, 1));
+  g_autofree char **unverified = g_new(char *, MAX(links->unproved->len, 1));
 
   links->beat_told = mm_node_now(links->node);
   if (n == 0 && links->unproved->len == 0)
     return;
   for (guint i = 0; i < n; i++) {
-    MmBeat *beat = &g_array_index(links->beats, MmBeat, i);
-    machines[i] = beat->machine.s;
-    sessions[i] = beat->stamp.session;
-    seqs[i] = beat->stamp.seq;
+    MmBeat *repeat = &g_array_index(links->beats, MmBeat, i);
+    machines[i] = repeat->machine.s;
+    incarnations[i] = repeat->stamp.session;
+    sequences[i] = repeat->stamp.seq;
   }
   for (guint i = 0; i < links->unproved->len; i++)
-    unproved[i] = g_array_index(links->unproved, MmName, i).s;
-  beats.unproved = unproved;
-  beats.n_unproved = links->unproved->len;
-  beats.term = links->node->replica->term.v;
-  beats.machines = machines;
-  beats.sessions = sessions;
-  beats.seqs = seqs;
-  beats.n_machines = beats.n_sessions = beats.n_seqs = n;
+    unverified[i] = g_array_index(links->unproved, MmName, i).s;
+  repeats.unproved = unverified;
+  repeats.n_unproved = links->unproved->len;
+  repeats.term = links->node->replica->term.v;
+  repeats.machines = machines;
+  repeats.sessions = incarnations;
+  repeats.seqs = sequences;
+  repeats.n_machines = repeats.n_sessions = repeats.n_seqs = n;
   frame.body_case = MM__FRAME__BODY_BEATS;
-  frame.beats = &beats;
+  frame.beats = &repeats;
   send_to_all(links, &frame);
   g_array_set_size(links->beats, 0);
   g_array_set_size(links->unproved, 0);
@@ -100,23 +100,23 @@
 }
 
 static void
-tell_machine(MmLinks *links, const MmMachine *machine, Telling telling) {
+tell_machine(MmLinks *links, const MmMachine *machine, Telling kind) {
   for (guint i = 0; i < links->n_peers; i++)
     if (links->peers[i].up)
-      send_report(links, i, machine, telling);
+      send_report(links, i, machine, kind);
 }
 
 void
-mm_links_tell_report(MmLinks *links, MmMachine *machine, gboolean answered) {
-  if (!machine->untold && answered) {
-    MmBeat beat = { machine->id, machine->stamp };
-    g_array_append_val(links->beats, beat);
+mm_links_tell_report(MmLinks *links, MmMachine *machine, gboolean is_answered) {
+  if (!machine->untold && is_answered) {
+    MmBeat repeat = { machine->id, machine->stamp };
+    g_array_append_val(links->beats, repeat);
     if (links->beats->len >= BEATS_MAX)
       mm_links_tell_beats(links);
     return;
   }
   machine->untold = FALSE;
-  tell_machine(links, machine, answered ? ANSWERED : UNANSWERED);
+  tell_machine(links, machine, is_answered ? ANSWERED : UNANSWERED);
 }
 
 void
@@ -206,30 +206,30 @@
 void
 mm_links_tell_answered(MmLinks *links, guint peer) {
   MmNode *node = links->node;
-  const GPtrArray *order = node->machine_table->order;
+  const GPtrArray *machines = node->machine_table->order;
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->lease_s * 2000);
-  g_autoptr(GPtrArray) others = g_ptr_array_new();
+  g_autoptr(GPtrArray) hosted_elsewhere = g_ptr_array_new();
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__Beats beats = MM__BEATS__INIT;
+  Mm__Beats repeats = MM__BEATS__INIT;
 
-  for (guint i = 0; i < order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(order, i);
-    gboolean hosted = machine->heard && machine->host == MM_HOST_SELF && !machine->lost;
-    if (hosted && !is_known_by_direct_answer(machine)) {
+  for (guint i = 0; i < machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(machines, i);
+    gboolean is_hosted_here = machine->heard && machine->host == MM_HOST_SELF && !machine->lost;
+    if (is_hosted_here && !is_known_by_direct_answer(machine)) {
       send_report(links, peer, machine, ANSWERED);
       continue;
     }
-    if (hosted)
+    if (is_hosted_here)
       send_report(links, peer, machine, DIRECT);
     if (machine->answered_here.us != 0 && mm_time_ms_since(now, machine->answered_here) < recent_ms)
-      g_ptr_array_add(others, machine->id.s);
+      g_ptr_array_add(hosted_elsewhere, machine->id.s);
   }
-  if (others->len == 0)
+  if (hosted_elsewhere->len == 0)
     return;
-  beats.unproved = (char **)others->pdata;
-  beats.n_unproved = others->len;
+  repeats.unproved = (char **)hosted_elsewhere->pdata;
+  repeats.n_unproved = hosted_elsewhere->len;
   frame.body_case = MM__FRAME__BODY_BEATS;
-  frame.beats = &beats;
+  frame.beats = &repeats;
   mm_links_send(links, peer, &frame);
 }
--- a/src/rank/modulo.c
+++ b/src/rank/modulo.c
@@ -6,17 +6,19 @@
  * within a block, which spreads the requests over controllers. i % m may exceed x + b when m > b:
  * the remainder is taken as non-negative, where C would give a negative one. */
 gint64
-mm_modulo_priority(guint z, guint f, guint i, guint n, guint m) {
-  gint64 x, y, b, inner;
+mm_modulo_priority(guint task, guint n_tasks, guint machine, guint n_machines,
+                   guint n_controllers) {
+  gint64 round_number, slot, n_rounds, rotated_round;
 
-  n = MAX(n, 1);
-  m = MAX(m, 1);
-  f = MAX(f, 1);
-  x = ((gint64)z + n - 1) / n;
-  y = ((gint64)z - 1) % n + 1;
-  b = ((gint64)f + n - 1) / n;
-  inner = (x + b - (gint64)(i % m)) % b;
-  if (inner < 0)
-    inner += b;
-  return b * ((y + n - (gint64)(i % n)) % n) + inner;
+  n_machines = MAX(n_machines, 1);
+  n_controllers = MAX(n_controllers, 1);
+  n_tasks = MAX(n_tasks, 1);
+  round_number = ((gint64)task + n_machines - 1) / n_machines;
+  slot = ((gint64)task - 1) % n_machines + 1;
+  n_rounds = ((gint64)n_tasks + n_machines - 1) / n_machines;
+  rotated_round = (round_number + n_rounds - (gint64)(machine % n_controllers)) % n_rounds;
+  if (rotated_round < 0)
+    rotated_round += n_rounds;
+  return n_rounds * ((slot + n_machines - (gint64)(machine % n_machines)) % n_machines)
+         + rotated_round;
 }
--- a/src/rank/modulo.h
+++ b/src/rank/modulo.h
@@ -4,4 +4,5 @@
 #include <glib.h>
 
 /* Task z (from 1) of f on machine i of n with m controllers; the highest goes first. */
-gint64 mm_modulo_priority(guint z, guint f, guint i, guint n, guint m);
+gint64 mm_modulo_priority(guint task, guint n_tasks, guint machine, guint n_machines,
+                          guint n_controllers);
--- a/src/rank/rank.c
+++ b/src/rank/rank.c
@@ -17,10 +17,10 @@
 
 static void
 waiting_free(gpointer data) {
-  MmWaiting *waiting = data;
+  MmWaiting *pending = data;
 
-  g_array_unref(waiting->ranges);
-  g_free(waiting);
+  g_array_unref(pending->ranges);
+  g_free(pending);
 }
 
 MmRank *
@@ -56,41 +56,41 @@
 
 static void
 refresh(MmRank *rank) {
-  MmBacklogView *own = &rank->views[0];
+  MmBacklogView *own_view = &rank->views[0];
 
-  g_ptr_array_set_size(own->waiting, 0);
-  g_array_set_size(own->reserved, 0);
-  mm_owner_backlog(rank->node->owner, own->waiting, own->reserved);
-  own->unfinished = mm_owner_unfinished(rank->node->owner);
+  g_ptr_array_set_size(own_view->waiting, 0);
+  g_array_set_size(own_view->reserved, 0);
+  mm_owner_backlog(rank->node->owner, own_view->waiting, own_view->reserved);
+  own_view->unfinished = mm_owner_unfinished(rank->node->owner);
 }
 
 void
 mm_rank_tell(MmRank *rank, gint peer) {
-  const MmBacklogView *own = &rank->views[0];
-  guint n = own->waiting->len;
+  const MmBacklogView *own_view = &rank->views[0];
+  guint n_pending = own_view->waiting->len;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Backlog backlog = MM__BACKLOG__INIT;
-  g_autofree Mm__Waiting *items = g_new(Mm__Waiting, MAX(n, 1));
-  g_autofree Mm__Waiting **list = g_new(Mm__Waiting *, MAX(n, 1));
-  g_autofree char **reserved = g_new(char *, MAX(own->reserved->len, 1));
+  g_autofree Mm__Waiting *items = g_new(Mm__Waiting, MAX(n_pending, 1));
+  g_autofree Mm__Waiting **list = g_new(Mm__Waiting *, MAX(n_pending, 1));
+  g_autofree char **reserved = g_new(char *, MAX(own_view->reserved->len, 1));
 
-  for (guint i = 0; i < n; i++) {
-    MmWaiting *waiting = g_ptr_array_index(own->waiting, i);
+  for (guint i = 0; i < n_pending; i++) {
+    MmWaiting *pending = g_ptr_array_index(own_view->waiting, i);
     mm__waiting__init(&items[i]);
-    items[i].job = waiting->job.s;
-    items[i].ranges = (guint32 *)waiting->ranges->data;
-    items[i].n_ranges = waiting->ranges->len;
-    items[i].first = waiting->first;
-    items[i].aged = waiting->aged;
+    items[i].job = pending->job.s;
+    items[i].ranges = (guint32 *)pending->ranges->data;
+    items[i].n_ranges = pending->ranges->len;
+    items[i].first = pending->first;
+    items[i].aged = pending->aged;
     list[i] = &items[i];
   }
-  for (guint i = 0; i < own->reserved->len; i++)
-    reserved[i] = g_array_index(own->reserved, MmName, i).s;
+  for (guint i = 0; i < own_view->reserved->len; i++)
+    reserved[i] = g_array_index(own_view->reserved, MmName, i).s;
   backlog.reserved = reserved;
-  backlog.n_reserved = own->reserved->len;
+  backlog.n_reserved = own_view->reserved->len;
   backlog.waiting = list;
-  backlog.n_waiting = n;
-  backlog.unfinished = own->unfinished;
+  backlog.n_waiting = n_pending;
+  backlog.unfinished = own_view->unfinished;
   frame.body_case = MM__FRAME__BODY_BACKLOG;
   frame.backlog = &backlog;
   mm_links_send(rank->node->links, (guint)peer, &frame);
@@ -99,10 +99,10 @@
 void
 mm_rank_tick(MmRank *rank) {
   MmTime now = mm_node_now(rank->node);
-  gint64 age = mm_time_ms_since(now, rank->told);
+  gint64 announced_ms_ago = mm_time_ms_since(now, rank->told);
 
   /* Waits grow without anything changing, so the backlog is also told again now and then. */
-  if (!(rank->dirty && age >= TELL_EVERY_MS) && age < TELL_AGAIN_MS)
+  if (!(rank->dirty && announced_ms_ago >= TELL_EVERY_MS) && announced_ms_ago < TELL_AGAIN_MS)
     return;
   rank->dirty = FALSE;
   rank->told = now;
@@ -124,42 +124,42 @@
   }
   for (size_t i = 0; i < backlog->n_waiting; i++) {
     const Mm__Waiting *item = backlog->waiting[i];
-    MmWaiting *waiting = g_new0(MmWaiting, 1);
+    MmWaiting *pending = g_new0(MmWaiting, 1);
     MmJob *job = mm_job_table_find(rank->node->job_table, item->job);
-    waiting->job = mm_name(item->job);
-    waiting->first = item->first;
-    waiting->aged = item->aged;
+    pending->job = mm_name(item->job);
+    pending->first = item->first;
+    pending->aged = item->aged;
     if (job != NULL && job->tasks == NULL)
       job->aged = item->aged;
-    waiting->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
-    g_array_append_vals(waiting->ranges, item->ranges, (guint)(item->n_ranges & ~(size_t)1));
-    g_ptr_array_add(view->waiting, waiting);
+    pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
+    g_array_append_vals(pending->ranges, item->ranges, (guint)(item->n_ranges & ~(size_t)1));
+    g_ptr_array_add(view->waiting, pending);
   }
 }
 
 void
 mm_rank_strike(MmRank *rank, guint view, const char *job, guint number) {
-  GPtrArray *list = rank->views[view].waiting;
+  GPtrArray *pending_list = rank->views[view].waiting;
 
-  for (guint i = 0; i < list->len; i++) {
-    MmWaiting *waiting = g_ptr_array_index(list, i);
-    if (strcmp(waiting->job.s, job) != 0)
+  for (guint i = 0; i < pending_list->len; i++) {
+    MmWaiting *pending = g_ptr_array_index(pending_list, i);
+    if (strcmp(pending->job.s, job) != 0)
       continue;
-    for (guint k = 0; k + 1 < waiting->ranges->len; k += 2) {
-      guint first = g_array_index(waiting->ranges, guint, k);
-      guint length = g_array_index(waiting->ranges, guint, k + 1);
+    for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
+      guint first = g_array_index(pending->ranges, guint, k);
+      guint length = g_array_index(pending->ranges, guint, k + 1);
       guint rest[2] = { number + 1, first + length - number - 1 };
       if (number < first || number >= first + length)
         continue;
-      g_array_index(waiting->ranges, guint, k + 1) = number - first;
+      g_array_index(pending->ranges, guint, k + 1) = number - first;
       if (rest[1] > 0)
-        g_array_insert_vals(waiting->ranges, k + 2, rest, 2);
+        g_array_insert_vals(pending->ranges, k + 2, rest, 2);
       if (number == first)
-        g_array_remove_range(waiting->ranges, k, 2);
+        g_array_remove_range(pending->ranges, k, 2);
       break;
     }
-    if (waiting->ranges->len == 0)
-      g_ptr_array_remove_index(list, i);
+    if (pending->ranges->len == 0)
+      g_ptr_array_remove_index(pending_list, i);
     return;
   }
 }
@@ -185,23 +185,24 @@
  * tasks. Counting reported tasks alone once let one answer fill such a machine with services for
  * good. */
 static MmResources
-others_take(const MmRank *rank, const MmMachine *machine, MmResources room) {
-  MmResources others = mm_resources_sub(machine->type->room, room);
+others_take(const MmRank *rank, const MmMachine *machine, MmResources free_resources) {
+  MmResources taken = mm_resources_sub(machine->type->room, free_resources);
 
   for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
-    const MmJob *there = mm_job_table_find(rank->node->job_table, seen->job.s);
-    if (seen->state != MM_SEEN_ENDED && there != NULL && there->spec.need.accelerators > 0)
-      others = mm_resources_sub(others, there->spec.need);
+    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+    const MmJob *task_job = mm_job_table_find(rank->node->job_table, reported->job.s);
+    if (reported->state != MM_SEEN_ENDED && task_job != NULL
+        && task_job->spec.need.accelerators > 0)
+      taken = mm_resources_sub(taken, task_job->spec.need);
   }
-  return others;
+  return taken;
 }
 
 static gboolean
 lasts(const MmRank *rank, const MmJob *job) {
-  MmPriority outranks = rank->accelerated ? rank->accelerated_priority : MM_URGENT;
+  MmPriority outranked_priority = rank->accelerated ? rank->accelerated_priority : MM_URGENT;
 
-  return job->spec.need.accelerators <= 0 && job->priority > outranks;
+  return job->spec.need.accelerators <= 0 && job->priority > outranked_priority;
 }
 
 /* What accelerated work could not stop. Counting arrays as well once gave up every such machine at
@@ -211,10 +212,10 @@
   MmResources taken = { 0 };
 
   for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
-    const MmJob *there = mm_job_table_find(rank->node->job_table, seen->job.s);
-    if (seen->state != MM_SEEN_ENDED && there != NULL && lasts(rank, there))
-      taken = mm_resources_add(taken, there->spec.need);
+    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+    const MmJob *task_job = mm_job_table_find(rank->node->job_table, reported->job.s);
+    if (reported->state != MM_SEEN_ENDED && task_job != NULL && lasts(rank, task_job))
+      taken = mm_resources_add(taken, task_job->spec.need);
   }
   for (guint i = 0; i < machine->placed->len; i++) {
     const MmPlaced *placed = g_ptr_array_index(machine->placed, i);
@@ -236,21 +237,21 @@
  * as taken: after a restart of all nodes a second one was given up, since nothing was known of the
  * first. */
 static gboolean
-holds_largest(const MmRank *rank, const MmMachine *machine, MmResources others) {
-  MmResources room = machine->type->room;
+holds_largest(const MmRank *rank, const MmMachine *machine, MmResources taken) {
+  MmResources capacity = machine->type->room;
 
   if (!rank->accelerated)
-    return others.cores <= MM_RESOURCES_SLACK;
-  return others.cores + rank->largest.cores <= room.cores + MM_RESOURCES_SLACK
-         && others.memory_gb + rank->largest.memory_gb <= room.memory_gb + MM_RESOURCES_SLACK;
+    return taken.cores <= MM_RESOURCES_SLACK;
+  return taken.cores + rank->largest.cores <= capacity.cores + MM_RESOURCES_SLACK
+         && taken.memory_gb + rank->largest.memory_gb <= capacity.memory_gb + MM_RESOURCES_SLACK;
 }
 
 static gboolean
 accelerated_work_waits(const MmRank *rank) {
   for (guint v = 0; v < rank->n_views; v++)
     for (guint i = 0; i < rank->views[v].waiting->len; i++) {
-      const MmWaiting *waiting = g_ptr_array_index(rank->views[v].waiting, i);
-      const MmJob *job = mm_job_table_find(rank->node->job_table, waiting->job.s);
+      const MmWaiting *pending = g_ptr_array_index(rank->views[v].waiting, i);
+      const MmJob *job = mm_job_table_find(rank->node->job_table, pending->job.s);
       if (job != NULL && !job->cancelled && job->spec.need.accelerators > 0)
         return TRUE;
     }
@@ -260,9 +261,9 @@
 static gboolean
 runs_accelerated_work(const MmRank *rank, const MmMachine *machine) {
   for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *seen = &g_array_index(machine->tasks, MmSeenTask, i);
-    const MmJob *job = mm_job_table_find(rank->node->job_table, seen->job.s);
-    if (seen->state != MM_SEEN_ENDED && job != NULL && job->spec.need.accelerators > 0)
+    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+    const MmJob *job = mm_job_table_find(rank->node->job_table, reported->job.s);
+    if (reported->state != MM_SEEN_ENDED && job != NULL && job->spec.need.accelerators > 0)
       return TRUE;
   }
   return FALSE;
@@ -279,17 +280,17 @@
 
 /* Machines that accelerated work could have at once, or after stopping what they are lent to. */
 static GPtrArray *
-idle_accelerated(const MmRank *rank, guint *all) {
+idle_accelerated(const MmRank *rank, guint *n_all) {
   const GPtrArray *order = rank->node->machine_table->order;
   GPtrArray *idle = g_ptr_array_new();
 
-  *all = 0;
+  *n_all = 0;
   for (guint i = 0; i < order->len; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
     if (!mm_machine_usable(rank->node->machine_table, machine)
         || machine->type->room.accelerators <= 0 || (machine->spot && !rank->accelerated_spot))
       continue;
-    ++*all;
+    ++*n_all;
     if (!runs_accelerated_work(rank, machine) && !is_reserved(rank, machine)
         && holds_largest(rank, machine, lasting_take(rank, machine)))
       g_ptr_array_add(idle, machine);
@@ -302,7 +303,7 @@
 choose_lent(MmRank *rank) {
   MmTime now = mm_node_now(rank->node);
   g_autoptr(GPtrArray) idle = NULL;
-  guint all;
+  guint n_all;
 
   if (mm_time_ms_since(now, rank->lent_at) < LENT_EVERY_MS)
     return;
@@ -310,15 +311,16 @@
   g_hash_table_remove_all(rank->lent);
   if (!rank->accelerated || accelerated_work_waits(rank))
     return;
-  idle = idle_accelerated(rank, &all);
-  for (guint i = MAX(KEPT_IDLE_LEAST, all / KEPT_IDLE_SHARE); i < idle->len; i++)
+  idle = idle_accelerated(rank, &n_all);
+  for (guint i = MAX(KEPT_IDLE_LEAST, n_all / KEPT_IDLE_SHARE); i < idle->len; i++)
     g_hash_table_add(rank->lent, g_strdup(((MmMachine *)g_ptr_array_index(idle, i))->id.s));
 }
 
 MmLeaves
-mm_rank_leaves(MmRank *rank, const MmJob *job, const MmMachine *machine, MmResources room) {
-  gboolean given_up;
-  MmResources others;
+mm_rank_leaves(MmRank *rank, const MmJob *job, const MmMachine *machine,
+               MmResources free_resources) {
+  gboolean is_released;
+  MmResources taken;
 
   if (machine->type == NULL || machine->type->room.accelerators <= 0
       || job->spec.need.accelerators > 0)
@@ -329,26 +331,27 @@
     return MM_LEAVES;
   if (still_unknown(rank))
     return MM_WOULD_TAKE;
-  others = others_take(rank, machine, room);
-  if (holds_largest(rank, machine, mm_resources_add(others, job->spec.need)))
+  taken = others_take(rank, machine, free_resources);
+  if (holds_largest(rank, machine, mm_resources_add(taken, job->spec.need)))
     return MM_LEAVES;
-  given_up = !holds_largest(rank, machine, lasting_take(rank, machine));
+  is_released = !holds_largest(rank, machine, lasting_take(rank, machine));
   /* Beside services that keep accelerated work away, other work takes nothing from it, and can be
    * stopped for it. A quarter of all room once lay idle there while arrays waited for minutes. */
   if (job->priority <= rank->accelerated_priority) {
     if (job->priority == rank->accelerated_priority)
       return MM_MAY_NOT;
     choose_lent(rank);
-    return given_up || g_hash_table_contains(rank->lent, machine->id.s) ? MM_GIVEN_UP : MM_MAY_NOT;
+    return is_released || g_hash_table_contains(rank->lent, machine->id.s) ? MM_GIVEN_UP
+                                                                           : MM_MAY_NOT;
   }
-  return given_up ? MM_GIVEN_UP : MM_WOULD_TAKE;
+  return is_released ? MM_GIVEN_UP : MM_WOULD_TAKE;
 }
 
 gboolean
 mm_rank_may_give_up(MmRank *rank, const MmMachine *machine) {
   const MmMachineTable *machine_table = rank->node->machine_table;
   const MmMachine *next = NULL;
-  guint n = 0, given_up = 0;
+  guint n_accelerated = 0, n_released = 0;
   MmTime now = mm_node_now(rank->node);
 
   if (mm_time_ms_since(now, rank->given_up_at) < GIVE_UP_EVERY_MS)
@@ -359,14 +362,16 @@
     if (!mm_machine_usable(machine_table, other) || other->type->room.accelerators <= 0
         || (other->spot && !rank->accelerated_spot))
       continue;
-    n++;
+    n_accelerated++;
     if (!holds_largest(rank, other, lasting_take(rank, other)))
-      given_up++;
+      n_released++;
     else if (next == NULL)
       next = other;
   }
   rank->given_up_at = now;
-  rank->next_given_up = !still_unknown(rank) && n >= 2 && given_up < MAX(n / 3, 1) ? next : NULL;
+  rank->next_given_up
+      = !still_unknown(rank) && n_accelerated >= 2 && n_released < MAX(n_accelerated / 3, 1) ? next
+                                                                                             : NULL;
   return next != NULL && machine == rank->next_given_up;
 }
 
@@ -384,9 +389,9 @@
 }
 
 static gboolean
-was_tried(const GArray *tried, const MmName *job, guint number) {
-  for (guint i = 0; i < tried->len; i++) {
-    const MmTaskRef *task = &g_array_index(tried, MmTaskRef, i);
+was_tried(const GArray *requested, const MmName *job, guint number) {
+  for (guint i = 0; i < requested->len; i++) {
+    const MmTaskRef *task = &g_array_index(requested, MmTaskRef, i);
     if (task->number == number && mm_name_equal(&task->job, job))
       return TRUE;
   }
@@ -395,36 +400,38 @@
 
 /* Gangs are listed for the fleet; their places are the owner's to pick. */
 static const MmJob *
-fitting(MmRank *rank, const MmWaiting *waiting, const MmMachine *machine, MmResources room) {
-  const MmJob *job = mm_job_table_find(rank->node->job_table, waiting->job.s);
-
-  return job != NULL && !job->cancelled && !mm_job_is_gang(job) && waiting->ranges->len > 0
-                 && mm_resources_fits(job->spec.need, room) && mm_rank_allows(job, machine)
-                 && mm_rank_leaves(rank, job, machine, room) != MM_MAY_NOT
+fitting(MmRank *rank, const MmWaiting *pending, const MmMachine *machine,
+        MmResources free_resources) {
+  const MmJob *job = mm_job_table_find(rank->node->job_table, pending->job.s);
+
+  return job != NULL && !job->cancelled && !mm_job_is_gang(job) && pending->ranges->len > 0
+                 && mm_resources_fits(job->spec.need, free_resources)
+                 && mm_rank_allows(job, machine)
+                 && mm_rank_leaves(rank, job, machine, free_resources) != MM_MAY_NOT
              ? job
              : NULL;
 }
 
 static gboolean
-choose_first(MmRank *rank, const MmMachine *machine, MmResources room, const GArray *tried,
-             guint dry, MmChoice *choice) {
+choose_first(MmRank *rank, const MmMachine *machine, MmResources free_resources,
+             const GArray *requested, guint exhausted_views, MmChoice *choice) {
   const MmJob *best = NULL;
 
   for (guint v = 0; v < rank->n_views; v++) {
-    for (guint i = 0; i < rank->views[v].waiting->len && !(dry >> v & 1); i++) {
-      const MmWaiting *waiting = g_ptr_array_index(rank->views[v].waiting, i);
-      const MmJob *job = waiting->first ? fitting(rank, waiting, machine, room) : NULL;
+    for (guint i = 0; i < rank->views[v].waiting->len && !(exhausted_views >> v & 1); i++) {
+      const MmWaiting *pending = g_ptr_array_index(rank->views[v].waiting, i);
+      const MmJob *job = pending->first ? fitting(rank, pending, machine, free_resources) : NULL;
       guint number;
       if (job == NULL)
         continue;
-      number = g_array_index(waiting->ranges, guint, 0);
-      if (was_tried(tried, &waiting->job, number)
+      number = g_array_index(pending->ranges, guint, 0);
+      if (was_tried(requested, &pending->job, number)
           || (best != NULL && mm_owner_compare_pressing(&job, &best) >= 0))
         continue;
       best = job;
       choice->view = (gint)v;
       choice->n = 1;
-      choice->tasks[0] = (MmTaskRef){ waiting->job, number };
+      choice->tasks[0] = (MmTaskRef){ pending->job, number };
     }
   }
   return best != NULL;
@@ -432,41 +439,43 @@
 
 /* The ordinary path: the machine's own order of the tasks whose image it caches. */
 static gboolean
-choose_cached(MmRank *rank, const MmMachine *machine, MmResources room, const GArray *tried,
-              MmChoice *choice) {
+choose_cached(MmRank *rank, const MmMachine *machine, MmResources free_resources,
+              const GArray *requested, MmChoice *choice) {
   g_autoptr(GArray) ranked = g_array_new(FALSE, FALSE, sizeof(Ranked));
-  guint n = rank->node->machine_table->order->len, m = rank->n_views, f = 0, z = 0;
-  guint most = MIN((guint)rank->node->operators->candidates, MM_RANK_CANDIDATES_MAX);
+  guint n_machines = rank->node->machine_table->order->len, n_controllers = rank->n_views,
+        n_tasks = 0, task_offset = 0;
+  guint max_tasks = MIN((guint)rank->node->operators->candidates, MM_RANK_CANDIDATES_MAX);
 
   for (guint v = 0; v < rank->n_views; v++)
     for (guint i = 0; i < rank->views[v].waiting->len; i++) {
-      const MmWaiting *waiting = g_ptr_array_index(rank->views[v].waiting, i);
-      for (guint k = 0; k + 1 < waiting->ranges->len; k += 2)
-        f += g_array_index(waiting->ranges, guint, k + 1);
+      const MmWaiting *pending = g_ptr_array_index(rank->views[v].waiting, i);
+      for (guint k = 0; k + 1 < pending->ranges->len; k += 2)
+        n_tasks += g_array_index(pending->ranges, guint, k + 1);
     }
   for (guint v = 0; v < rank->n_views; v++)
     for (guint i = 0; i < rank->views[v].waiting->len; i++) {
-      const MmWaiting *waiting = g_ptr_array_index(rank->views[v].waiting, i);
-      const MmJob *job = fitting(rank, waiting, machine, room);
+      const MmWaiting *pending = g_ptr_array_index(rank->views[v].waiting, i);
+      const MmJob *job = fitting(rank, pending, machine, free_resources);
       gboolean cached = job != NULL && mm_machine_caches(machine, &job->spec.image);
-      for (guint k = 0; k + 1 < waiting->ranges->len; k += 2) {
-        guint first = g_array_index(waiting->ranges, guint, k);
-        guint length = g_array_index(waiting->ranges, guint, k + 1);
+      for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
+        guint first = g_array_index(pending->ranges, guint, k);
+        guint length = g_array_index(pending->ranges, guint, k + 1);
         for (guint t = 0; t < length && cached && ranked->len < RANKED_MAX; t++) {
-          Ranked item = { mm_modulo_priority(z + t + 1, f, machine->index + 1, n, m),
+          Ranked item = { mm_modulo_priority(task_offset + t + 1, n_tasks, machine->index + 1,
+                                             n_machines, n_controllers),
                           v,
-                          { waiting->job, first + t } };
-          if (!was_tried(tried, &waiting->job, first + t))
+                          { pending->job, first + t } };
+          if (!was_tried(requested, &pending->job, first + t))
             g_array_append_val(ranked, item);
         }
-        z += length;
+        task_offset += length;
       }
     }
   if (ranked->len == 0)
     return FALSE;
   g_array_sort(ranked, highest_first);
   choice->view = (gint)g_array_index(ranked, Ranked, 0).view;
-  for (guint i = 0; i < ranked->len && choice->n < most; i++) {
+  for (guint i = 0; i < ranked->len && choice->n < max_tasks; i++) {
     const Ranked *item = &g_array_index(ranked, Ranked, i);
     if ((gint)item->view == choice->view)
       choice->tasks[choice->n++] = item->task;
@@ -476,15 +485,19 @@
 
 /* A pull: an owner drawn in proportion to what it has unfinished. */
 static gboolean
-choose_pull(MmRank *rank, const MmMachine *machine, MmResources room, guint dry, MmChoice *choice) {
+choose_pull(MmRank *rank, const MmMachine *machine, MmResources free_resources,
+            guint exhausted_views, MmChoice *choice) {
   g_autofree guint *weights = g_new0(guint, rank->n_views);
   guint total = 0, drawn;
 
   for (guint v = 0; v < rank->n_views; v++) {
-    gboolean any = FALSE;
-    for (guint i = 0; i < rank->views[v].waiting->len && !any && !(dry >> v & 1); i++)
-      any = fitting(rank, g_ptr_array_index(rank->views[v].waiting, i), machine, room) != NULL;
-    weights[v] = any ? MAX(rank->views[v].unfinished, 1) : 0;
+    gboolean has_fitting_job = FALSE;
+    for (guint i = 0;
+         i < rank->views[v].waiting->len && !has_fitting_job && !(exhausted_views >> v & 1); i++)
+      has_fitting_job
+          = fitting(rank, g_ptr_array_index(rank->views[v].waiting, i), machine, free_resources)
+            != NULL;
+    weights[v] = has_fitting_job ? MAX(rank->views[v].unfinished, 1) : 0;
     total += weights[v];
   }
   if (total == 0)
@@ -500,9 +513,9 @@
 /* A gang's place is given out whatever else there is: without this, a machine with nothing else to
  * ask for would never fetch the start that is reserved for it. */
 static gboolean
-choose_reserved(MmRank *rank, const MmMachine *machine, guint dry, MmChoice *choice) {
+choose_reserved(MmRank *rank, const MmMachine *machine, guint exhausted_views, MmChoice *choice) {
   for (guint v = 0; v < rank->n_views; v++)
-    for (guint i = 0; i < rank->views[v].reserved->len && !(dry >> v & 1); i++)
+    for (guint i = 0; i < rank->views[v].reserved->len && !(exhausted_views >> v & 1); i++)
       if (mm_name_equal(&g_array_index(rank->views[v].reserved, MmName, i), &machine->id)) {
         choice->view = (gint)v;
         return TRUE;
@@ -511,15 +524,15 @@
 }
 
 MmChoice
-mm_rank_choose(MmRank *rank, const MmMachine *machine, MmResources room, const GArray *tried,
-               guint dry) {
+mm_rank_choose(MmRank *rank, const MmMachine *machine, MmResources free_resources,
+               const GArray *requested, guint exhausted_views) {
   MmChoice choice = { .view = -1 };
 
   if (rank->dirty && rank->views[0].waiting->len == 0)
     refresh(rank);
-  if (!choose_reserved(rank, machine, dry, &choice)
-      && !choose_first(rank, machine, room, tried, dry, &choice)
-      && !choose_cached(rank, machine, room, tried, &choice))
-    choose_pull(rank, machine, room, dry, &choice);
+  if (!choose_reserved(rank, machine, exhausted_views, &choice)
+      && !choose_first(rank, machine, free_resources, requested, exhausted_views, &choice)
+      && !choose_cached(rank, machine, free_resources, requested, &choice))
+    choose_pull(rank, machine, free_resources, exhausted_views, &choice);
   return choice;
 }
--- a/src/rank/rank.h
+++ b/src/rank/rank.h
@@ -54,8 +54,8 @@
 void mm_rank_tell(MmRank *rank, gint peer);
 void mm_rank_heard(MmRank *rank, gint peer, const Mm__Backlog *backlog);
 /* `tried`: MmTaskRef already asked for in this answer; `dry`: views that had nothing, by bit. */
-MmChoice mm_rank_choose(MmRank *rank, const MmMachine *machine, MmResources room,
-                        const GArray *tried, guint dry);
+MmChoice mm_rank_choose(MmRank *rank, const MmMachine *machine, MmResources free_resources,
+                        const GArray *requested, guint exhausted_views);
 /* Takes a task out of a view: it has been given out or refused. */
 void mm_rank_strike(MmRank *rank, guint view, const char *job, guint number);
 /* A job has come: what accelerated work needs is remembered. */
@@ -72,7 +72,8 @@
   MM_MAY_NOT     /* of too low a priority for that */
 } MmLeaves;
 /* `room` is what is left, starts that no report shows yet already taken off. */
-MmLeaves mm_rank_leaves(MmRank *rank, const MmJob *job, const MmMachine *machine, MmResources room);
+MmLeaves mm_rank_leaves(MmRank *rank, const MmJob *job, const MmMachine *machine,
+                        MmResources free_resources);
 /* Whether one more such machine may be given up, and this is the one: owners that decide at the
  * same time must not each choose another. */
 gboolean mm_rank_may_give_up(MmRank *rank, const MmMachine *machine);
--- a/src/sharing/admin.c
+++ b/src/sharing/admin.c
@@ -87,8 +87,8 @@
 /* ---- a move by hand ---- */
 
 static int
-status_of(MmMoveAnswer answer) {
-  switch (answer) {
+status_of(MmMoveAnswer result) {
+  switch (result) {
   case MM_MOVE_STARTED:
     return 202;
   case MM_MOVE_UNKNOWN_GROUP:
@@ -108,10 +108,10 @@
 }
 
 static void
-answer_move(MmMoveAnswer answer, MmExchange *exchange) {
-  int status = status_of(answer);
+answer_move(MmMoveAnswer result, MmExchange *exchange) {
+  int status = status_of(result);
 
-  mm_exchange_answer(exchange, status, mm_json_error(mm_sharing_move_text(answer)),
+  mm_exchange_answer(exchange, status, mm_json_error(mm_sharing_move_text(result)),
                      status == 503 ? RETRY_S : 0);
 }
 
@@ -138,16 +138,16 @@
 
 static void
 move_by_hand(MmSharing *sharing, guint group, const char *target, MmExchange *exchange) {
-  MmMoveAnswer answer = mm_sharing_move(sharing, group, target, TRUE);
+  MmMoveAnswer result = mm_sharing_move(sharing, group, target, TRUE);
   MmGroupOwner owner;
 
-  if (answer != MM_MOVE_NOT_OWNER) {
-    answer_move(answer, exchange);
+  if (result != MM_MOVE_NOT_OWNER) {
+    answer_move(result, exchange);
     return;
   }
   owner = mm_group_map_owner(sharing->map, group);
   if (owner.holding == NULL || mm_name_equal(&owner.holding->node, &sharing->node->settings->label))
-    answer_move(answer, exchange);
+    answer_move(result, exchange);
   else if (strcmp(owner.holding->node.s, target) == 0)
     answer_move(MM_MOVE_SAME_NODE, exchange);
   else
@@ -156,25 +156,25 @@
 
 /* "/NUMBER/move"; FALSE when it is something else. */
 static gboolean
-read_move_path(const char *rest, guint *group) {
+read_move_path(const char *subpath, guint *group) {
   guint64 number;
   char *end = NULL;
 
-  if (rest[0] != '/' || !g_ascii_isdigit(rest[1]))
+  if (subpath[0] != '/' || !g_ascii_isdigit(subpath[1]))
     return FALSE;
-  number = g_ascii_strtoull(rest + 1, &end, 10);
+  number = g_ascii_strtoull(subpath + 1, &end, 10);
   *group = (guint)MIN(number, G_MAXUINT);
   return strcmp(end, MOVE_SUFFIX) == 0;
 }
 
 void
-mm_sharing_admin(MmSharing *sharing, const char *method, const char *rest, const json_t *body,
+mm_sharing_admin(MmSharing *sharing, const char *method, const char *subpath, const json_t *body,
                  MmExchange *exchange) {
-  gboolean is_list = rest[0] == '\0';
+  gboolean is_list = subpath[0] == '\0';
   const char *target = mm_json_string(body, MM_ADMIN_TO);
   guint group;
 
-  if (!is_list && !read_move_path(rest, &group))
+  if (!is_list && !read_move_path(subpath, &group))
     mm_exchange_answer(exchange, 404, mm_json_error("no such path"), 0);
   else if (strcmp(method, is_list ? "GET" : "POST") != 0)
     mm_exchange_answer(exchange, 405, mm_json_error("this path does not take that method"), 0);
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -112,11 +112,11 @@
 static void
 order_moves(MmSharing *sharing, MmSharePlan *plan) {
   guint n = plan->live->len;
-  guint most = (guint)sharing->node->operators->group_moves;
+  guint max_moves = (guint)sharing->node->operators->group_moves;
   guint slack = 1 + sharing->groups / MAX(n, 1) / SLACK_SHARE;
   guint under_way = moves_under_way(sharing);
 
-  for (guint group = 0; group < sharing->groups && under_way < most; group++) {
+  for (guint group = 0; group < sharing->groups && under_way < max_moves; group++) {
     const MmGroupHolding *holding = mm_group_map_owner(sharing->map, group).holding;
     MmShareMove move;
     const char *from;
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -30,7 +30,7 @@
 
 /* Takes off what tasks that the report shows use; FALSE when one of them is of an unknown job. */
 static gboolean
-take_off_reported(const MmGrants *grants, const MmMachine *machine, MmResources *left) {
+take_off_reported(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->tasks->len; i++) {
     const MmSeenTask *task = &g_array_index(machine->tasks, MmSeenTask, i);
     const MmJob *job;
@@ -40,24 +40,24 @@
     job = mm_job_table_find(grants->node->job_table, task->job.s);
     if (job == NULL)
       return FALSE;
-    *left = mm_resources_sub(*left, job->spec.need);
+    *remaining = mm_resources_sub(*remaining, job->spec.need);
   }
   return TRUE;
 }
 
 static void
-take_off_reserved(const MmMachine *machine, MmResources *left) {
+take_off_reserved(const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->placed->len; i++) {
     const MmPlaced *placed = g_ptr_array_index(machine->placed, i);
     if (placed->job->tasks[placed->number].state == MM_TASK_RESERVED)
-      *left = mm_resources_sub(*left, placed->job->spec.need);
+      *remaining = mm_resources_sub(*remaining, placed->job->spec.need);
   }
 }
 
 /* FALSE when an outstanding grant is of a job that is not known here any more: what it uses can't
  * be told. */
 static gboolean
-take_off_outstanding(const MmGrants *grants, const MmMachine *machine, MmResources *left) {
+take_off_outstanding(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   const GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
 
   for (guint i = 0; list != NULL && i < list->len; i++) {
@@ -65,22 +65,23 @@
     const MmJob *job = mm_job_table_find(grants->node->job_table, grant->job.s);
     if (job == NULL)
       return FALSE;
-    *left = mm_resources_sub(*left, job->spec.need);
+    *remaining = mm_resources_sub(*remaining, job->spec.need);
   }
   return TRUE;
 }
 
 MmResources
 mm_grants_left(const MmGrants *grants, const MmMachine *machine) {
-  MmResources left;
+  MmResources remaining;
 
   if (machine->type == NULL)
     return (MmResources){ 0 };
-  left = machine->type->room;
-  take_off_reserved(machine, &left);
-  if (!take_off_reported(grants, machine, &left) || !take_off_outstanding(grants, machine, &left))
+  remaining = machine->type->room;
+  take_off_reserved(machine, &remaining);
+  if (!take_off_reported(grants, machine, &remaining)
+      || !take_off_outstanding(grants, machine, &remaining))
     return (MmResources){ 0 };
-  return left;
+  return remaining;
 }
 
 static gboolean
@@ -119,17 +120,19 @@
 
 /* A direct answer of the same session may have been made before the answer with the start came. */
 static gboolean
-is_denied(const MmGrant *grant, MmStamp stamp, gboolean direct) {
-  return stamp.session > grant->stamp.session || (!direct && mm_stamp_newer(stamp, grant->stamp));
+is_denied(const MmGrant *grant, MmStamp heartbeat_id, gboolean is_direct_reply) {
+  return heartbeat_id.session > grant->stamp.session
+         || (!is_direct_reply && mm_stamp_newer(heartbeat_id, grant->stamp));
 }
 
 void
-mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmStamp stamp, gboolean direct) {
+mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmStamp heartbeat_id,
+                   gboolean is_direct_reply) {
   GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
 
   for (guint i = list != NULL ? list->len : 0; i > 0; i--) {
     const MmGrant *grant = &g_array_index(list, MmGrant, i - 1);
-    if (is_shown(machine, grant) || is_denied(grant, stamp, direct))
+    if (is_shown(machine, grant) || is_denied(grant, heartbeat_id, is_direct_reply))
       g_array_remove_index_fast(list, i - 1);
   }
   if (list != NULL && list->len == 0)
@@ -142,24 +145,24 @@
 }
 
 void
-mm_grants_drop_group(MmGrants *grants, guint group, guint groups) {
+mm_grants_drop_group(MmGrants *grants, guint group, guint n_groups) {
   GHashTableIter iter;
   gpointer machine;
 
   g_hash_table_iter_init(&iter, grants->outstanding);
   while (g_hash_table_iter_next(&iter, &machine, NULL))
-    if (mm_group_of_machine(machine, groups) == group)
+    if (mm_group_of_machine(machine, n_groups) == group)
       g_hash_table_iter_remove(&iter);
 }
 
 guint
-mm_grants_outstanding(const MmGrants *grants, guint group, guint groups) {
+mm_grants_outstanding(const MmGrants *grants, guint group, guint n_groups) {
   GHashTableIter iter;
   gpointer machine;
   guint n = 0;
 
   g_hash_table_iter_init(&iter, grants->outstanding);
   while (g_hash_table_iter_next(&iter, &machine, NULL))
-    n += mm_group_of_machine(machine, groups) == group;
+    n += mm_group_of_machine(machine, n_groups) == group;
   return n;
 }
--- a/src/sharing/grants.h
+++ b/src/sharing/grants.h
@@ -30,12 +30,13 @@
 /* A report of the machine was taken in: starts that it shows are accounted for, and those whose
  * answer it was sent after without showing them were not carried out. `direct`: the answer to a
  * direct command, which says nothing of starts under way in the same session. */
-void mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmStamp stamp, gboolean direct);
+void mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmStamp heartbeat_id,
+                        gboolean is_direct_reply);
 /* Nothing is on the machine any more and no start can reach it. */
 void mm_grants_machine_gone(MmGrants *grants, const char *machine);
 /* Another node may grant the group's resources from now on. */
-void mm_grants_drop_group(MmGrants *grants, guint group, guint groups);
+void mm_grants_drop_group(MmGrants *grants, guint group, guint n_groups);
 /* How many machines of the group have outstanding grants. */
-guint mm_grants_outstanding(const MmGrants *grants, guint group, guint groups);
+guint mm_grants_outstanding(const MmGrants *grants, guint group, guint n_groups);
 /* What the machine has left to grant. */
 MmResources mm_grants_left(const MmGrants *grants, const MmMachine *machine);
--- a/src/sharing/group-map.c
+++ b/src/sharing/group-map.c
@@ -28,14 +28,14 @@
 
 /* One entry: [term, "ranges"]. */
 static MmGroupGrant *
-grant_from_json(const json_t *entry, guint groups) {
+grant_from_json(const json_t *entry, guint n_groups) {
   const json_t *term = json_array_get(entry, 0), *ranges = json_array_get(entry, 1);
   MmGroupSet *set;
   MmGroupGrant *grant;
 
   if (!json_is_integer(term) || json_integer_value(term) <= 0 || !json_is_string(ranges))
     return NULL;
-  set = mm_group_set_from_text(json_string_value(ranges), groups);
+  set = mm_group_set_from_text(json_string_value(ranges), n_groups);
   if (set == NULL)
     return NULL;
   grant = g_new(MmGroupGrant, 1);
@@ -46,7 +46,7 @@
 /* NULL where the value is malformed. */
 static MmGroupHolding *
 holding_from_json(const char *label, const json_t *value, MmKeyVersion version) {
-  const json_t *given = mm_json_get(value, FIELD_GIVEN);
+  const json_t *grants = mm_json_get(value, FIELD_GIVEN);
   MmGroupHolding *holding = g_new0(MmGroupHolding, 1);
   size_t i;
   json_t *entry;
@@ -57,11 +57,11 @@
   holding->groups = (guint)MIN(mm_json_count(value, FIELD_COUNT, 0), G_MAXUINT);
   holding->given = g_ptr_array_new_with_free_func(group_grant_free);
   if (holding->lease == 0 || holding->groups == 0 || holding->groups > MM_GROUPS_MAX
-      || !json_is_array(given)) {
+      || !json_is_array(grants)) {
     holding_free(holding);
     return NULL;
   }
-  json_array_foreach(given, i, entry) {
+  json_array_foreach(grants, i, entry) {
     MmGroupGrant *grant = grant_from_json(entry, holding->groups);
     if (grant == NULL) {
       holding_free(holding);
@@ -75,13 +75,13 @@
 /* ---- the map ---- */
 
 MmGroupMap *
-mm_group_map_new(guint groups) {
+mm_group_map_new(guint n_groups) {
   MmGroupMap *map = g_new0(MmGroupMap, 1);
 
-  map->groups = groups;
+  map->groups = n_groups;
   map->holdings = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, holding_free);
   map->malformed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  map->owners = g_new0(MmGroupOwner, groups);
+  map->owners = g_new0(MmGroupOwner, n_groups);
   return map;
 }
 
@@ -101,12 +101,12 @@
 
 static bool
 list_group(guint32 group, void *data) {
-  const Listing *listing = data;
-  MmGroupOwner *owner = &listing->map->owners[group];
+  const Listing *update = data;
+  MmGroupOwner *owner = &update->map->owners[group];
 
   /* In two keys only if somebody wrote by hand: the later transaction stands. */
-  if (listing->term.v > owner->term.v)
-    *owner = (MmGroupOwner){ listing->holding, listing->term };
+  if (update->term.v > owner->term.v)
+    *owner = (MmGroupOwner){ update->holding, update->term };
   return true;
 }
 
@@ -122,8 +122,8 @@
     const MmGroupHolding *holding = value;
     for (guint i = 0; i < holding->given->len && holding->groups == map->groups; i++) {
       const MmGroupGrant *grant = g_ptr_array_index(holding->given, i);
-      Listing listing = { map, holding, grant->term };
-      roaring_iterate(grant->groups, list_group, &listing);
+      Listing update = { map, holding, grant->term };
+      roaring_iterate(grant->groups, list_group, &update);
       map->newest.v = MAX(map->newest.v, grant->term.v);
     }
   }
@@ -143,9 +143,9 @@
   if (holding != NULL) {
     g_hash_table_replace(map->holdings, g_strdup(label), holding);
   } else {
-    MmKeyVersion *kept = g_new(MmKeyVersion, 1);
-    *kept = version;
-    g_hash_table_replace(map->malformed, g_strdup(label), kept);
+    MmKeyVersion *malformed_version = g_new(MmKeyVersion, 1);
+    *malformed_version = version;
+    g_hash_table_replace(map->malformed, g_strdup(label), malformed_version);
     mm_error("the key of %s's machine groups is malformed: nothing is granted there", label);
   }
   work_out_owners(map);
@@ -179,11 +179,11 @@
 MmKeyVersion
 mm_group_map_key_version(const MmGroupMap *map, const char *label) {
   const MmGroupHolding *holding = mm_group_map_holding(map, label);
-  const MmKeyVersion *unread = g_hash_table_lookup(map->malformed, label);
+  const MmKeyVersion *malformed_version = g_hash_table_lookup(map->malformed, label);
 
   if (holding != NULL)
     return holding->version;
-  return unread != NULL ? *unread : (MmKeyVersion){ 0 };
+  return malformed_version != NULL ? *malformed_version : (MmKeyVersion){ 0 };
 }
 
 MmGroupOwner
@@ -212,12 +212,12 @@
 };
 
 MmGroupValue *
-mm_group_value_new(guint groups, guint64 lease) {
+mm_group_value_new(guint n_groups, guint64 lease_id) {
   MmGroupValue *value = g_new0(MmGroupValue, 1);
 
-  value->groups = groups;
-  value->lease = lease;
-  value->terms = g_new0(MmTerm, groups);
+  value->groups = n_groups;
+  value->lease = lease_id;
+  value->terms = g_new0(MmTerm, n_groups);
   return value;
 }
 
@@ -240,10 +240,10 @@
 
 static bool
 copy_group(guint32 group, void *data) {
-  const Copying *copying = data;
+  const Copying *copy = data;
 
-  if (copying->without == NULL || !roaring_bitmap_contains(copying->without, group))
-    mm_group_value_add(copying->value, group, copying->term);
+  if (copy->without == NULL || !roaring_bitmap_contains(copy->without, group))
+    mm_group_value_add(copy->value, group, copy->term);
   return true;
 }
 
@@ -252,8 +252,8 @@
                        const MmGroupSet *without) {
   for (guint i = 0; i < holding->given->len; i++) {
     const MmGroupGrant *grant = g_ptr_array_index(holding->given, i);
-    Copying copying = { value, without, grant->term };
-    roaring_iterate(grant->groups, copy_group, &copying);
+    Copying copy = { value, without, grant->term };
+    roaring_iterate(grant->groups, copy_group, &copy);
   }
 }
 
@@ -265,7 +265,7 @@
 }
 
 static void
-append_term(json_t *given, const MmGroupValue *value, MmTerm term) {
+append_term(json_t *grants, const MmGroupValue *value, MmTerm term) {
   g_autoptr(MmGroupSet) set = roaring_bitmap_create();
   g_autofree char *ranges = NULL;
 
@@ -273,19 +273,19 @@
     if (value->terms[group].v == term.v)
       roaring_bitmap_add(set, group);
   ranges = mm_group_set_to_text(set);
-  json_array_append_new(given, json_pack("[I, s]", (json_int_t)term.v, ranges));
+  json_array_append_new(grants, json_pack("[I, s]", (json_int_t)term.v, ranges));
 }
 
 json_t *
 mm_group_value_to_json(const MmGroupValue *value) {
   g_autoptr(GHashTable) written = g_hash_table_new(g_int64_hash, g_int64_equal);
-  json_t *given = json_array();
+  json_t *grants = json_array();
 
   for (guint group = 0; group < value->groups; group++) {
     if (value->terms[group].v == 0 || !g_hash_table_add(written, &value->terms[group].v))
       continue;
-    append_term(given, value, value->terms[group]);
+    append_term(grants, value, value->terms[group]);
   }
   return json_pack("{s:I, s:i, s:o}", FIELD_LEASE, (json_int_t)value->lease, FIELD_COUNT,
-                   (int)value->groups, FIELD_GIVEN, given);
+                   (int)value->groups, FIELD_GIVEN, grants);
 }
--- a/src/sharing/group-map.h
+++ b/src/sharing/group-map.h
@@ -40,7 +40,7 @@
 } MmGroupMap;
 
 /* `groups`: at least 1. */
-MmGroupMap *mm_group_map_new(guint groups);
+MmGroupMap *mm_group_map_new(guint n_groups);
 void mm_group_map_free(MmGroupMap *map);
 /* A node's key has changed. FALSE when it is malformed: then nobody can tell what the node owns,
  * and no group without an owner may be given to anybody. */
@@ -59,7 +59,7 @@
 
 /* A key's value under construction. */
 typedef struct MmGroupValue MmGroupValue;
-MmGroupValue *mm_group_value_new(guint groups, guint64 lease);
+MmGroupValue *mm_group_value_new(guint n_groups, guint64 lease_id);
 void mm_group_value_free(MmGroupValue *value);
 /* Lists a group; of one that is listed already the later term stands. */
 void mm_group_value_add(MmGroupValue *value, guint group, MmTerm term);
--- a/src/sharing/group-set.c
+++ b/src/sharing/group-set.c
@@ -13,8 +13,8 @@
 hash_name(const char *name) {
   guint64 hash = FNV_OFFSET;
 
-  for (const char *at = name; *at != '\0'; at++) {
-    hash ^= (guchar)*at;
+  for (const char *cursor = name; *cursor != '\0'; cursor++) {
+    hash ^= (guchar)*cursor;
     hash *= FNV_PRIME;
   }
   hash ^= hash >> 33;
@@ -26,8 +26,8 @@
 }
 
 guint
-mm_group_of_machine(const char *machine, guint groups) {
-  return groups > 0 ? (guint)(hash_name(machine) % groups) : 0;
+mm_group_of_machine(const char *machine, guint n_groups) {
+  return n_groups > 0 ? (guint)(hash_name(machine) % n_groups) : 0;
 }
 
 typedef struct {
@@ -72,30 +72,30 @@
 }
 
 static gboolean
-read_number(const char **at, guint groups, guint *number) {
+read_number(const char **cursor, guint n_groups, guint *number) {
   char *end = NULL;
   guint64 value;
 
-  if (!g_ascii_isdigit(**at))
+  if (!g_ascii_isdigit(**cursor))
     return FALSE;
-  value = g_ascii_strtoull(*at, &end, 10);
-  if (value >= groups)
+  value = g_ascii_strtoull(*cursor, &end, 10);
+  if (value >= n_groups)
     return FALSE;
   *number = (guint)value;
-  *at = end;
+  *cursor = end;
   return TRUE;
 }
 
 static gboolean
-read_range(const char **at, guint groups, MmGroupSet *set) {
+read_range(const char **cursor, guint n_groups, MmGroupSet *set) {
   guint first, last;
 
-  if (!read_number(at, groups, &first))
+  if (!read_number(cursor, n_groups, &first))
     return FALSE;
   last = first;
-  if (**at == '-') {
-    ++*at;
-    if (!read_number(at, groups, &last) || last < first)
+  if (**cursor == '-') {
+    ++*cursor;
+    if (!read_number(cursor, n_groups, &last) || last < first)
       return FALSE;
   }
   roaring_bitmap_add_range_closed(set, first, last);
@@ -103,16 +103,16 @@
 }
 
 MmGroupSet *
-mm_group_set_from_text(const char *text, guint groups) {
+mm_group_set_from_text(const char *text, guint n_groups) {
   g_autoptr(MmGroupSet) set = roaring_bitmap_create();
-  const char *at = text;
+  const char *cursor = text;
 
-  while (*at != '\0') {
-    if (!read_range(&at, groups, set))
+  while (*cursor != '\0') {
+    if (!read_range(&cursor, n_groups, set))
       return NULL;
-    if (*at == ',' && at[1] != '\0')
-      at++;
-    else if (*at != '\0')
+    if (*cursor == ',' && cursor[1] != '\0')
+      cursor++;
+    else if (*cursor != '\0')
       return NULL;
   }
   return g_steal_pointer(&set);
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -6,7 +6,7 @@
 #include "store/replica.h"
 
 const char *
-mm_sharing_move_text(MmMoveAnswer answer) {
+mm_sharing_move_text(MmMoveAnswer result) {
   static const char *const texts[] = {
     [MM_MOVE_STARTED] = "the move has begun",
     [MM_MOVE_SHARING_OFF] = "machines are not shared out",
@@ -20,14 +20,14 @@
     [MM_MOVE_TARGET_AWAY] = "the node is not there at the moment",
   };
 
-  return texts[answer];
+  return texts[result];
 }
 
 static MmMoveAnswer
 may_move(const MmSharing *sharing, guint group, const char *target, gboolean by_hand) {
   const MmNode *node = sharing->node;
   const MmOwnedGroup *owned;
-  gint64 held_ms;
+  gint64 owned_ms;
 
   if (!sharing->active)
     return MM_MOVE_SHARING_OFF;
@@ -44,8 +44,8 @@
     return MM_MOVE_UNDER_WAY;
   if (g_hash_table_lookup(node->replica->nodes, target) == NULL)
     return MM_MOVE_TARGET_AWAY;
-  held_ms = mm_time_ms_since(mm_node_now(node), owned->acquired);
-  if (!by_hand && held_ms < (gint64)(node->operators->group_hold_s * 1000))
+  owned_ms = mm_time_ms_since(mm_node_now(node), owned->acquired);
+  if (!by_hand && owned_ms < (gint64)(node->operators->group_hold_s * 1000))
     return MM_MOVE_TOO_SOON;
   if (!by_hand && sharing->n_moving >= (guint)node->operators->group_moves)
     return MM_MOVE_TOO_MANY;
@@ -54,11 +54,11 @@
 
 MmMoveAnswer
 mm_sharing_move(MmSharing *sharing, guint group, const char *target, gboolean by_hand) {
-  MmMoveAnswer answer = may_move(sharing, group, target, by_hand);
+  MmMoveAnswer result = may_move(sharing, group, target, by_hand);
   MmOwnedGroup *owned;
 
-  if (answer != MM_MOVE_STARTED)
-    return answer;
+  if (result != MM_MOVE_STARTED)
+    return result;
   owned = sharing->owned[group];
   owned->moving = TRUE;
   owned->target = mm_name(target);
@@ -66,24 +66,25 @@
   sharing->n_moving++;
   mm_info("group %u is to go to %s", group, target);
   mm_sharing_tell_moves(sharing);
-  return answer;
+  return result;
 }
 
 /* Only the holder of the duty may order moves, and a person by way of any node. */
 void
 mm_sharing_move_ordered(MmSharing *sharing, guint peer, const Mm__MoveOrder *order) {
-  const MmShard *duty = mm_replica_shard(sharing->node->replica, MM_SHARD_SHARING);
+  const MmShard *balancer_shard = mm_replica_shard(sharing->node->replica, MM_SHARD_SHARING);
   const MmName *sender = &sharing->node->links->peers[peer].label;
-  MmMoveAnswer answer;
+  MmMoveAnswer result;
 
   if (!order->by_hand
-      && (duty == NULL || duty->term.v != order->term || !mm_name_equal(&duty->holder, sender))) {
+      && (balancer_shard == NULL || balancer_shard->term.v != order->term
+          || !mm_name_equal(&balancer_shard->holder, sender))) {
     mm_info("%s ordered a move without having the duty", sender->s);
     return;
   }
-  answer = mm_sharing_move(sharing, order->group, order->target, order->by_hand);
-  if (answer != MM_MOVE_STARTED)
-    mm_debug("group %u stays: %s", order->group, mm_sharing_move_text(answer));
+  result = mm_sharing_move(sharing, order->group, order->target, order->by_hand);
+  if (result != MM_MOVE_STARTED)
+    mm_debug("group %u stays: %s", order->group, mm_sharing_move_text(result));
 }
 
 void
--- a/src/sharing/shares.c
+++ b/src/sharing/shares.c
@@ -1,10 +1,10 @@
 #include "sharing/shares.h"
 
 static double
-total_weight(const MmShare *shares, guint n) {
+total_weight(const MmShare *shares, guint n_nodes) {
   double total = 0;
 
-  for (guint i = 0; i < n; i++)
+  for (guint i = 0; i < n_nodes; i++)
     total += shares[i].weight;
   return total;
 }
@@ -20,48 +20,48 @@
 }
 
 void
-mm_shares_targets(const MmShare *shares, guint n, guint groups, guint *targets) {
-  double total = total_weight(shares, n);
-  g_autofree double *remainders = g_new0(double, MAX(n, 1));
-  guint left = groups;
+mm_shares_targets(const MmShare *shares, guint n_nodes, guint n_groups, guint *targets) {
+  double total = total_weight(shares, n_nodes);
+  g_autofree double *remainders = g_new0(double, MAX(n_nodes, 1));
+  guint unassigned = n_groups;
 
-  for (guint i = 0; i < n; i++) {
-    double part = total > 0 ? shares[i].weight / total : 1.0 / n;
-    double exact = part * groups;
+  for (guint i = 0; i < n_nodes; i++) {
+    double fraction = total > 0 ? shares[i].weight / total : 1.0 / n_nodes;
+    double exact = fraction * n_groups;
     targets[i] = (guint)exact;
     /* Who weighs nothing gets no rest either. */
-    remainders[i] = part > 0 ? exact - targets[i] : -1;
-    left -= targets[i];
+    remainders[i] = fraction > 0 ? exact - targets[i] : -1;
+    unassigned -= targets[i];
   }
-  while (left > 0 && n > 0) {
+  while (unassigned > 0 && n_nodes > 0) {
     guint first = 0;
-    for (guint i = 1; i < n; i++)
+    for (guint i = 1; i < n_nodes; i++)
       if (comes_first(shares, remainders, i, first))
         first = i;
     targets[first]++;
     remainders[first] = -1;
-    left--;
+    unassigned--;
   }
 }
 
 static gint
-surplus(const MmShare *shares, const guint *targets, guint i) {
-  return (gint)shares[i].owned - (gint)targets[i];
+surplus(const MmShare *shares, const guint *targets, guint node_index) {
+  return (gint)shares[node_index].owned - (gint)targets[node_index];
 }
 
 gboolean
-mm_shares_next_move(const MmShare *shares, const guint *targets, guint n, guint slack,
+mm_shares_next_move(const MmShare *shares, const guint *targets, guint n_nodes, guint slack,
                     MmShareMove *move) {
   guint from = 0, to = 0;
   gboolean must_leave;
 
-  for (guint i = 1; i < n; i++) {
+  for (guint i = 1; i < n_nodes; i++) {
     if (surplus(shares, targets, i) > surplus(shares, targets, from))
       from = i;
     if (surplus(shares, targets, i) < surplus(shares, targets, to))
       to = i;
   }
-  if (n < 2 || surplus(shares, targets, from) <= 0 || surplus(shares, targets, to) >= 0)
+  if (n_nodes < 2 || surplus(shares, targets, from) <= 0 || surplus(shares, targets, to) >= 0)
     return FALSE;
   must_leave = targets[from] == 0;
   if (!must_leave && surplus(shares, targets, from) <= (gint)slack
@@ -72,10 +72,10 @@
 }
 
 guint
-mm_shares_next_taker(const MmShare *shares, const guint *targets, guint n) {
-  guint taker = n > 0 ? 0 : G_MAXUINT;
+mm_shares_next_taker(const MmShare *shares, const guint *targets, guint n_nodes) {
+  guint taker = n_nodes > 0 ? 0 : G_MAXUINT;
 
-  for (guint i = 1; i < n; i++)
+  for (guint i = 1; i < n_nodes; i++)
     if (surplus(shares, targets, i) < surplus(shares, targets, taker))
       taker = i;
   return taker;
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -103,30 +103,30 @@
 static void
 take_over_map(MmSharing *sharing) {
   const GPtrArray *machines = sharing->node->machine_table->order;
-  g_autoptr(MmGroupSet) adopted = roaring_bitmap_create();
+  g_autoptr(MmGroupSet) adopted_groups = roaring_bitmap_create();
 
   for (guint group = 0; group < sharing->groups; group++) {
-    gboolean shown = is_shown_here(sharing, group);
+    gboolean is_owned = is_shown_here(sharing, group);
     MmTerm term = mm_group_map_owner(sharing->map, group).term;
 
-    if (sharing->owned[group] != NULL && (!shown || term.v != sharing->owned[group]->term.v))
+    if (sharing->owned[group] != NULL && (!is_owned || term.v != sharing->owned[group]->term.v))
       drop_group(sharing, group);
-    if (sharing->owned[group] == NULL && shown) {
+    if (sharing->owned[group] == NULL && is_owned) {
       adopt_group(sharing, group);
-      roaring_bitmap_add(adopted, group);
+      roaring_bitmap_add(adopted_groups, group);
     }
   }
-  if (roaring_bitmap_is_empty(adopted))
+  if (roaring_bitmap_is_empty(adopted_groups))
     return;
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    if (!roaring_bitmap_contains(adopted, machine->group))
+    if (!roaring_bitmap_contains(adopted_groups, machine->group))
       continue;
     note_unacknowledged(sharing, machine);
     machine->acknowledgement_asked.us = 0;
   }
   mm_info("%u machine groups are owned here, %u of them new", sharing->n_owned,
-          (guint)roaring_bitmap_get_cardinality(adopted));
+          (guint)roaring_bitmap_get_cardinality(adopted_groups));
 }
 
 static void
@@ -150,12 +150,12 @@
 
 static void
 check_active(MmSharing *sharing) {
-  gboolean active = mm_versions_groups(sharing->node->versions) == sharing->groups;
+  gboolean is_active = mm_versions_groups(sharing->node->versions) == sharing->groups;
 
-  if (active != sharing->active)
-    mm_info("machines are %s", active ? "shared out: every node takes part"
-                                      : "not shared out: not every node takes part");
-  sharing->active = active;
+  if (is_active != sharing->active)
+    mm_info("machines are %s", is_active ? "shared out: every node takes part"
+                                         : "not shared out: not every node takes part");
+  sharing->active = is_active;
 }
 
 void
@@ -193,22 +193,23 @@
 /* As for a team's shard: the report shows the group's term, or a newer session than was registered
  * when the group was acquired; what was started in the old one is gone. */
 static gboolean
-acknowledges(const MmOwnedGroup *owned, const MmMachine *machine, gsize session) {
-  return machine->token.v >= owned->term.v || machine->stamp.session > session;
+acknowledges(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
+  return machine->token.v >= owned->term.v || machine->stamp.session > incarnation;
 }
 
 void
-mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmStamp stamp, gboolean direct) {
+mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmStamp heartbeat_id,
+                    gboolean is_direct_reply) {
   MmOwnedGroup *owned;
-  gpointer session;
+  gpointer incarnation;
 
   if (sharing->groups == 0)
     return;
-  mm_grants_reported(sharing->grants, machine, stamp, direct);
+  mm_grants_reported(sharing->grants, machine, heartbeat_id, is_direct_reply);
   owned = sharing->owned[machine->group];
   if (owned != NULL
-      && g_hash_table_lookup_extended(owned->unacknowledged, machine->id.s, NULL, &session)
-      && acknowledges(owned, machine, GPOINTER_TO_SIZE(session)))
+      && g_hash_table_lookup_extended(owned->unacknowledged, machine->id.s, NULL, &incarnation)
+      && acknowledges(owned, machine, GPOINTER_TO_SIZE(incarnation)))
     g_hash_table_remove(owned->unacknowledged, machine->id.s);
 }
 
@@ -274,7 +275,7 @@
 mm_sharing_grant_source(const MmSharing *sharing, const MmMachine *machine, guint *peer,
                         MmTerm *term) {
   MmGroupOwner owner;
-  gint index;
+  gint peer_index;
 
   if (!sharing->active)
     return MM_GRANTS_NOT_NEEDED;
@@ -284,10 +285,10 @@
     return MM_GRANTS_NOWHERE;
   if (mm_name_equal(&owner.holding->node, &sharing->node->settings->label))
     return mm_sharing_may_grant(sharing, machine) ? MM_GRANTS_HERE : MM_GRANTS_NOWHERE;
-  index = mm_links_find(sharing->node->links, owner.holding->node.s);
-  if (index < 0 || !sharing->node->links->peers[index].up)
+  peer_index = mm_links_find(sharing->node->links, owner.holding->node.s);
+  if (peer_index < 0 || !sharing->node->links->peers[peer_index].up)
     return MM_GRANTS_NOWHERE;
-  *peer = (guint)index;
+  *peer = (guint)peer_index;
   return MM_GRANTS_AT_PEER;
 }
 
@@ -303,26 +304,26 @@
 
 /* The answers to an ask: one flag a start. */
 void
-mm_sharing_grant_asked(MmSharing *sharing, guint peer, const Mm__GrantAsk *ask) {
-  MmMachine *machine = mm_machine_table_find(sharing->node->machine_table, ask->machine);
+mm_sharing_grant_asked(MmSharing *sharing, guint peer, const Mm__GrantAsk *request) {
+  MmMachine *machine = mm_machine_table_find(sharing->node->machine_table, request->machine);
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__GrantAnswer answer = MM__GRANT_ANSWER__INIT;
-  g_autofree protobuf_c_boolean *granted = g_new0(protobuf_c_boolean, MAX(ask->n_starts, 1));
-  gboolean good = machine != NULL && mm_sharing_may_grant(sharing, machine)
-                  && sharing->owned[machine->group]->term.v == ask->term;
-
-  for (size_t i = 0; i < ask->n_starts && good; i++) {
-    MmGrant grant = { mm_name(ask->starts[i]->job),
-                      ask->starts[i]->number,
-                      { ask->starts[i]->attempt },
-                      { ask->session, ask->seq } };
+  Mm__GrantAnswer response = MM__GRANT_ANSWER__INIT;
+  g_autofree protobuf_c_boolean *granted = g_new0(protobuf_c_boolean, MAX(request->n_starts, 1));
+  gboolean may_grant = machine != NULL && mm_sharing_may_grant(sharing, machine)
+                       && sharing->owned[machine->group]->term.v == request->term;
+
+  for (size_t i = 0; i < request->n_starts && may_grant; i++) {
+    MmGrant grant = { mm_name(request->starts[i]->job),
+                      request->starts[i]->number,
+                      { request->starts[i]->attempt },
+                      { request->session, request->seq } };
     granted[i] = mm_grants_give(sharing->grants, machine, &grant);
   }
-  answer.id = ask->id;
-  answer.granted = granted;
-  answer.n_granted = ask->n_starts;
+  response.id = request->id;
+  response.granted = granted;
+  response.n_granted = request->n_starts;
   frame.body_case = MM__FRAME__BODY_GRANT_ANSWER;
-  frame.grant_answer = &answer;
+  frame.grant_answer = &response;
   mm_links_send(sharing->node->links, peer, &frame);
 }
 
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -92,7 +92,8 @@
                             MmKeyVersion version);
 
 /* From the machine table. */
-void mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmStamp stamp, gboolean direct);
+void mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmStamp heartbeat_id,
+                         gboolean is_direct_reply);
 void mm_sharing_machine_gone(MmSharing *sharing, const MmMachine *machine);
 
 /* Whether this node owns the group, by a lease that holds for certain. */
@@ -126,10 +127,10 @@
 /* Starts to give the group to another node, if this one owns it. By hand, neither the least time
  * nor the number of moves under way count. */
 MmMoveAnswer mm_sharing_move(MmSharing *sharing, guint group, const char *target, gboolean by_hand);
-const char *mm_sharing_move_text(MmMoveAnswer answer);
+const char *mm_sharing_move_text(MmMoveAnswer result);
 
 /* From peers. */
-void mm_sharing_grant_asked(MmSharing *sharing, guint peer, const Mm__GrantAsk *ask);
+void mm_sharing_grant_asked(MmSharing *sharing, guint peer, const Mm__GrantAsk *request);
 void mm_sharing_move_ordered(MmSharing *sharing, guint peer, const Mm__MoveOrder *order);
 void mm_sharing_moves_heard(MmSharing *sharing, guint peer, const Mm__GroupMoves *moves);
 void mm_sharing_peer_down(MmSharing *sharing, guint peer);
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -53,7 +53,7 @@
 static void
 written(gpointer data, int status, json_t *body) {
   MmSharing *sharing = data;
-  MmGroupWrite what = sharing->writing;
+  MmGroupWrite kind = sharing->writing;
 
   sharing->writing = MM_GROUP_WRITE_NONE;
   wait_ms(sharing, WRITE_EVERY_MS);
@@ -67,19 +67,19 @@
     wait_ms(sharing, CONFLICT_MS);
   } else if (status == 400) {
     /* The target's lease has ended, or this node's: that is void for good. */
-    if (what == MM_GROUP_WRITE_MOVE)
+    if (kind == MM_GROUP_WRITE_MOVE)
       abort_moves(sharing, "the other node's lease has ended");
     sharing->move_unknown = FALSE;
     wait_ms(sharing, CONFLICT_MS);
-  } else if (status == 0 && what == MM_GROUP_WRITE_MOVE) {
+  } else if (status == 0 && kind == MM_GROUP_WRITE_MOVE) {
     /* It may be carried out yet. Nothing is granted of those groups before that is known. */
     sharing->move_unknown = TRUE;
   }
 }
 
 static void
-commit(MmSharing *sharing, MmTxn *txn, MmGroupWrite what) {
-  sharing->writing = what;
+commit(MmSharing *sharing, MmTxn *txn, MmGroupWrite kind) {
+  sharing->writing = kind;
   mm_store_commit(sharing->node->store, txn, written, sharing);
 }
 
@@ -96,9 +96,9 @@
 
 static void
 put_value(const MmSharing *sharing, MmTxn *txn, const char *label, const MmGroupValue *value,
-          guint64 lease) {
+          guint64 lease_id) {
   mm_txn_guard(txn, MM_KEY_GROUPS, label, key_version(sharing, label));
-  mm_txn_put(txn, MM_KEY_GROUPS, label, mm_group_value_to_json(value), lease);
+  mm_txn_put(txn, MM_KEY_GROUPS, label, mm_group_value_to_json(value), lease_id);
 }
 
 static gboolean
@@ -112,9 +112,9 @@
  * into a value, all are listed under the new one: their owner then waits for the machines once
  * more. */
 static MmGroupValue *
-value_with(const MmSharing *sharing, const MmGroupHolding *holding, guint64 lease,
+value_with(const MmSharing *sharing, const MmGroupHolding *holding, guint64 lease_id,
            const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
-  MmGroupValue *value = mm_group_value_new(sharing->groups, lease);
+  MmGroupValue *value = mm_group_value_new(sharing->groups, lease_id);
 
   if (holding != NULL)
     mm_group_value_add_all(value, holding, without);
@@ -150,26 +150,26 @@
 static gboolean
 waits_for_others(const MmSharing *sharing) {
   const MmNode *node = sharing->node;
-  const MmNodeClaim *own = g_hash_table_lookup(node->replica->nodes, node->settings->label.s);
+  const MmNodeClaim *own_node = g_hash_table_lookup(node->replica->nodes, node->settings->label.s);
 
-  return own == NULL
+  return own_node == NULL
          || (g_hash_table_size(node->replica->nodes) < node->settings->node_count
              && sharing->map->newest.v == 0
-             && mm_time_ms_since(mm_node_now(node), own->since) < START_PATIENCE_MS);
+             && mm_time_ms_since(mm_node_now(node), own_node->since) < START_PATIENCE_MS);
 }
 
 static MmGroupSet *
 groups_to_acquire(const MmSharing *sharing) {
   g_autoptr(MmSharePlan) plan = mm_share_plan_new(sharing);
   MmGroupSet *set = roaring_bitmap_create();
-  gboolean all = anyone_may_take(sharing);
+  gboolean may_take_all = anyone_may_take(sharing);
 
   for (guint group = 0; group < sharing->groups; group++) {
     const char *taker;
     if (!is_free(sharing, group))
       continue;
     taker = mm_share_plan_take(plan);
-    if (all || g_strcmp0(taker, sharing->node->settings->label.s) == 0)
+    if (may_take_all || g_strcmp0(taker, sharing->node->settings->label.s) == 0)
       roaring_bitmap_add(set, group);
   }
   return set;
@@ -261,10 +261,10 @@
 static gboolean
 give(MmSharing *sharing) {
   MmNode *node = sharing->node;
-  g_autoptr(MmGroupSet) going = NULL;
-  g_autoptr(MmGroupValue) kept = NULL, theirs = NULL;
+  g_autoptr(MmGroupSet) moved = NULL;
+  g_autoptr(MmGroupValue) own_value = NULL, targets_value = NULL;
   const MmGroupHolding *holding;
-  const MmNodeClaim *claim;
+  const MmNodeClaim *live_target;
   MmName target;
   MmTxn txn;
   MmTerm term;
@@ -272,21 +272,21 @@
   abort_hopeless(sharing);
   if (sharing->n_moving == 0 || mm_store_txn_ops(node->store) < MOVE_PUTS)
     return FALSE;
-  going = groups_to_give(sharing, &target);
-  if (roaring_bitmap_is_empty(going) || own_holding(sharing) == NULL)
+  moved = groups_to_give(sharing, &target);
+  if (roaring_bitmap_is_empty(moved) || own_holding(sharing) == NULL)
     return FALSE;
-  claim = g_hash_table_lookup(node->replica->nodes, target.s);
+  live_target = g_hash_table_lookup(node->replica->nodes, target.s);
   holding = mm_group_map_holding(sharing->map, target.s);
-  if (holding != NULL && holding->lease != claim->claim)
+  if (holding != NULL && holding->lease != live_target->claim)
     return FALSE; /* its new life takes up what the old one had first */
   txn = mm_txn();
   term = raise_term(sharing, &txn);
-  kept = value_with(sharing, own_holding(sharing), node->claims->claim, going, NULL, term);
-  theirs = value_with(sharing, holding, claim->claim, NULL, going, term);
-  put_value(sharing, &txn, node->settings->label.s, kept, node->claims->claim);
-  put_value(sharing, &txn, target.s, theirs, claim->claim);
+  own_value = value_with(sharing, own_holding(sharing), node->claims->claim, moved, NULL, term);
+  targets_value = value_with(sharing, holding, live_target->claim, NULL, moved, term);
+  put_value(sharing, &txn, node->settings->label.s, own_value, node->claims->claim);
+  put_value(sharing, &txn, target.s, targets_value, live_target->claim);
   mm_info("giving %u machine groups to %s with term %" G_GUINT64_FORMAT,
-          (guint)roaring_bitmap_get_cardinality(going), target.s, term.v);
+          (guint)roaring_bitmap_get_cardinality(moved), target.s, term.v);
   commit(sharing, &txn, MM_GROUP_WRITE_MOVE);
   return TRUE;
 }
--- a/src/store/replica.c
+++ b/src/store/replica.c
@@ -63,13 +63,13 @@
 
 static void
 put_part(MmReplica *replica, const char *name, const json_t *value, MmKeyVersion version) {
-  MmShard *part = g_new0(MmShard, 1);
+  MmShard *shard = g_new0(MmShard, 1);
 
-  part->holder = mm_name(mm_json_string(value, "n"));
-  part->claim = mm_json_count(value, "c", 0);
-  part->term.v = mm_json_count(value, "t", 0);
-  part->version = version;
-  g_hash_table_replace(replica->parts, g_strdup(name), part);
+  shard->holder = mm_name(mm_json_string(value, "n"));
+  shard->claim = mm_json_count(value, "c", 0);
+  shard->term.v = mm_json_count(value, "t", 0);
+  shard->version = version;
+  g_hash_table_replace(replica->parts, g_strdup(name), shard);
 }
 
 static void
@@ -79,19 +79,19 @@
 
 static void
 put_node(MmReplica *replica, const char *label, const json_t *value) {
-  MmNodeClaim *old = g_hash_table_lookup(replica->nodes, label);
-  guint64 claim = mm_json_count(value, "c", 0);
-  MmNodeClaim *new;
+  MmNodeClaim *known = g_hash_table_lookup(replica->nodes, label);
+  guint64 lease_id = mm_json_count(value, "c", 0);
+  MmNodeClaim *added;
 
-  if (old != NULL && old->claim == claim)
+  if (known != NULL && known->claim == lease_id)
     return;
-  if (old != NULL)
+  if (known != NULL)
     node_gone(replica);
-  new = g_new0(MmNodeClaim, 1);
-  new->claim = claim;
-  new->since = mm_node_now(replica->node);
-  g_hash_table_replace(replica->nodes, g_strdup(label), new);
-  mm_info("node %s is here with claim %" G_GUINT64_FORMAT, label, claim);
+  added = g_new0(MmNodeClaim, 1);
+  added->claim = lease_id;
+  added->since = mm_node_now(replica->node);
+  g_hash_table_replace(replica->nodes, g_strdup(label), added);
+  mm_info("node %s is here with claim %" G_GUINT64_FORMAT, label, lease_id);
 }
 
 static void
@@ -142,11 +142,11 @@
 /* ---- questions that need a current replica ---- */
 
 static void
-let_go(MmReplica *replica, GList *link, gboolean current) {
+let_go(MmReplica *replica, GList *link, gboolean is_current) {
   Waiter *waiter = link->data;
 
   g_queue_delete_link(replica->waiters, link);
-  waiter->call(waiter->data, current);
+  waiter->call(waiter->data, is_current);
   g_free(waiter);
 }
 
@@ -190,8 +190,8 @@
 static void
 read_revision(MmReplica *replica) {
   MmTime now = mm_node_now(replica->node);
-  gint64 every_ms = (gint64)(1000 / (replica->node->settings->state_rps * READ_SHARE));
-  gboolean any = FALSE;
+  gint64 interval_ms = (gint64)(1000 / (replica->node->settings->state_rps * READ_SHARE));
+  gboolean has_waiters = FALSE;
 
   if (replica->reading || mm_time_before(now, replica->next_read))
     return;
@@ -200,27 +200,27 @@
     if (waiter->read != 0)
       continue;
     waiter->read = replica->reads + 1;
-    any = TRUE;
+    has_waiters = TRUE;
   }
-  if (!any)
+  if (!has_waiters)
     return;
   replica->reads++;
   replica->reading = TRUE;
-  replica->next_read = mm_time_add_ms(now, every_ms);
+  replica->next_read = mm_time_add_ms(now, interval_ms);
   /* A key that never is: the answer tells the revision. */
   mm_store_get(replica->node->store, MM_KEY_NONE, "", revision_read, replica);
 }
 
 void
-mm_replica_when_current(MmReplica *replica, MmCurrent call, gpointer data) {
+mm_replica_when_current(MmReplica *replica, MmCurrent on_current, gpointer data) {
   Waiter *waiter;
 
   if (g_queue_get_length(replica->waiters) >= WAITERS_MAX || !replica->loaded) {
-    call(data, FALSE);
+    on_current(data, FALSE);
     return;
   }
   waiter = g_new0(Waiter, 1);
-  waiter->call = call;
+  waiter->call = on_current;
   waiter->data = data;
   waiter->deadline = mm_time_add_ms(mm_node_now(replica->node), CURRENT_MS);
   g_queue_push_tail(replica->waiters, waiter);
@@ -259,24 +259,24 @@
 /* After a reload: what was not met has been deleted meanwhile. */
 static void
 forget_unmet(MmReplica *replica) {
-  g_autoptr(GPtrArray) gone = g_ptr_array_new_with_free_func(g_free);
+  g_autoptr(GPtrArray) known_keys = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter iter;
   gpointer key;
 
   g_hash_table_iter_init(&iter, replica->parts);
   while (g_hash_table_iter_next(&iter, &key, NULL))
-    g_ptr_array_add(gone, g_strconcat(MM_KEY_SHARD, key, NULL));
+    g_ptr_array_add(known_keys, g_strconcat(MM_KEY_SHARD, key, NULL));
   g_hash_table_iter_init(&iter, replica->nodes);
   while (g_hash_table_iter_next(&iter, &key, NULL))
-    g_ptr_array_add(gone, g_strconcat(MM_KEY_NODE, key, NULL));
-  mm_job_table_list_keys(replica->node->job_table, MM_KEY_JOB, gone);
-  mm_registry_list_keys(replica->node->registry, MM_KEY_PACK, gone);
-  g_ptr_array_add(gone, g_strdup(MM_KEY_FORMAT));
+    g_ptr_array_add(known_keys, g_strconcat(MM_KEY_NODE, key, NULL));
+  mm_job_table_list_keys(replica->node->job_table, MM_KEY_JOB, known_keys);
+  mm_registry_list_keys(replica->node->registry, MM_KEY_PACK, known_keys);
+  g_ptr_array_add(known_keys, g_strdup(MM_KEY_FORMAT));
   if (replica->node->sharing->map != NULL)
-    mm_group_map_list_keys(replica->node->sharing->map, MM_KEY_GROUPS, gone);
-  for (guint i = 0; i < gone->len; i++)
-    if (!g_hash_table_contains(replica->seen, g_ptr_array_index(gone, i)))
-      apply_delete(replica, g_ptr_array_index(gone, i));
+    mm_group_map_list_keys(replica->node->sharing->map, MM_KEY_GROUPS, known_keys);
+  for (guint i = 0; i < known_keys->len; i++)
+    if (!g_hash_table_contains(replica->seen, g_ptr_array_index(known_keys, i)))
+      apply_delete(replica, g_ptr_array_index(known_keys, i));
 }
 
 /* Later pages may show a term that is newer than the part map of the first: until the watch has
@@ -355,15 +355,15 @@
 
 static void
 watched(gpointer data, int status, json_t *body) {
-  Watch *w = data;
-  MmReplica *replica = w->replica;
-  MmTime sent = w->sent;
+  Watch *request = data;
+  MmReplica *replica = request->replica;
+  MmTime sent_at = request->sent;
   json_t *events = mm_json_get(body, WIRE_EVENTS);
   size_t i;
   json_t *event;
   gint64 pause_ms;
 
-  g_free(w);
+  g_free(request);
   if (status == 410) {
     mm_info("the watch fell too far behind: reading everything again");
     load(replica);
@@ -374,18 +374,18 @@
     return;
   }
   json_array_foreach(events, i, event) {
-    const char *put = mm_json_string(event, WIRE_PUT);
-    const char *gone = mm_json_string(event, WIRE_DELETE);
-    if (put != NULL)
-      apply_put(replica, put, mm_json_get(event, WIRE_VALUE),
+    const char *put_key = mm_json_string(event, WIRE_PUT);
+    const char *deleted_key = mm_json_string(event, WIRE_DELETE);
+    if (put_key != NULL)
+      apply_put(replica, put_key, mm_json_get(event, WIRE_VALUE),
                 (MmKeyVersion){ mm_json_count(event, WIRE_VERSION, 0) });
-    else if (gone != NULL)
-      apply_delete(replica, gone);
+    else if (deleted_key != NULL)
+      apply_delete(replica, deleted_key);
   }
   replica->revision = MAX(replica->revision, mm_json_count(body, WIRE_REVISION, 0));
-  replica->fresh = mm_time_max(replica->fresh, sent);
+  replica->fresh = mm_time_max(replica->fresh, sent_at);
   replica->ticked = mm_node_now(replica->node);
-  replica->stale_us = replica->ticked.us - sent.us;
+  replica->stale_us = replica->ticked.us - sent_at.us;
   check_whole(replica);
   if (json_array_size(events) > 0 && replica->loaded)
     changed(replica);
@@ -393,7 +393,7 @@
   /* Changes that come close together are fetched together. */
   pause_ms = json_array_size(events) > 0
                  ? (gint64)(1000 / (replica->node->settings->state_rps * WATCH_SHARE))
-                       - mm_time_ms_since(mm_node_now(replica->node), sent)
+                       - mm_time_ms_since(mm_node_now(replica->node), sent_at)
                  : 0;
   if (pause_ms > 0)
     replica->node->port.later(replica->node->port.self, (guint)pause_ms, watch, replica);
@@ -404,10 +404,10 @@
 static void
 watch(gpointer data) {
   MmReplica *replica = data;
-  Watch *w = g_new(Watch, 1);
+  Watch *request = g_new(Watch, 1);
 
-  *w = (Watch){ replica, mm_node_now(replica->node) };
-  mm_store_watch(replica->node->store, MM_KEY_ROOT, replica->revision, WATCH_MS, watched, w);
+  *request = (Watch){ replica, mm_node_now(replica->node) };
+  mm_store_watch(replica->node->store, MM_KEY_ROOT, replica->revision, WATCH_MS, watched, request);
 }
 
 void
@@ -427,13 +427,13 @@
 
 GPtrArray *
 mm_replica_live(const MmReplica *replica) {
-  GPtrArray *live = g_ptr_array_new();
+  GPtrArray *labels = g_ptr_array_new();
   GHashTableIter iter;
   gpointer label;
 
   g_hash_table_iter_init(&iter, replica->nodes);
   while (g_hash_table_iter_next(&iter, &label, NULL))
-    g_ptr_array_add(live, label);
-  g_ptr_array_sort(live, compare_labels);
-  return live;
+    g_ptr_array_add(labels, label);
+  g_ptr_array_sort(labels, compare_labels);
+  return labels;
 }
--- a/src/store/replica.h
+++ b/src/store/replica.h
@@ -57,7 +57,7 @@
 /* Calls back once the replica holds all that was written up to now. One read of the revision serves
  * all who ask within a short while: reading each job's record for each poll took two thirds of the
  * state service's requests and a tenth of the nodes' time. */
-void mm_replica_when_current(MmReplica *replica, MmCurrent call, gpointer data);
+void mm_replica_when_current(MmReplica *replica, MmCurrent on_current, gpointer data);
 /* For how long this node can't have read what changed, proved outages aside. */
 gint64 mm_replica_staleness_us(const MmReplica *replica);
 const MmShard *mm_replica_shard(const MmReplica *replica, const char *name);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -44,42 +44,43 @@
 #define MM_KEY_FINAL "mm/f/" /* not watched: final states of jobs */
 
 MmStore *mm_store_new(MmNode *node);
-void mm_store_free(MmStore *store);
+void mm_store_free(MmStore *kv);
 /* Counts the time in which the state service serves: of a node that stood still, and can't know, no
  * more than a few ticks. */
-void mm_store_tick(MmStore *store);
+void mm_store_tick(MmStore *kv);
 
 /* Answers the transactions that were not sent; also before what waits for them is freed. */
-void mm_store_answer_refused(MmStore *store);
+void mm_store_answer_refused(MmStore *kv);
 
 MmTxn mm_txn(void);
-void mm_txn_guard(MmTxn *txn, const char *prefix, const char *key, MmKeyVersion version);
+void mm_txn_guard(MmTxn *transaction, const char *prefix, const char *key, MmKeyVersion version);
 /* Takes the value. Claim 0: none. */
-void mm_txn_put(MmTxn *txn, const char *prefix, const char *key, json_t *value, guint64 claim);
-void mm_txn_delete(MmTxn *txn, const char *prefix, const char *key);
+void mm_txn_put(MmTxn *transaction, const char *prefix, const char *key, json_t *value,
+                guint64 lease_id);
+void mm_txn_delete(MmTxn *transaction, const char *prefix, const char *key);
 
-void mm_store_get(MmStore *store, const char *prefix, const char *key, MmAnswered answered,
+void mm_store_get(MmStore *kv, const char *prefix, const char *key, MmAnswered on_response,
                   gpointer data);
-void mm_store_list(MmStore *store, const char *prefix, const char *after, guint most,
-                   MmAnswered answered, gpointer data);
-void mm_store_watch(MmStore *store, const char *prefix, guint64 since, guint wait_ms,
-                    MmAnswered answered, gpointer data);
+void mm_store_list(MmStore *kv, const char *prefix, const char *after_key, guint limit,
+                   MmAnswered on_response, gpointer data);
+void mm_store_watch(MmStore *kv, const char *prefix, guint64 after_revision, guint wait_ms,
+                    MmAnswered on_response, gpointer data);
 /* Sends and consumes the transaction. `answered` may be NULL where the replica shows the outcome.
  */
-void mm_store_commit(MmStore *store, MmTxn *txn, MmAnswered answered, gpointer data);
+void mm_store_commit(MmStore *kv, MmTxn *transaction, MmAnswered on_response, gpointer data);
 /* The same, or nothing at all when it changes nothing. */
-void mm_store_commit_any(MmStore *store, MmTxn *txn, MmAnswered answered, gpointer data);
-void mm_store_request(MmStore *store, const char *method, const char *path, const json_t *body,
-                      guint timeout_ms, MmAnswered answered, gpointer data);
+void mm_store_commit_any(MmStore *kv, MmTxn *transaction, MmAnswered on_response, gpointer data);
+void mm_store_request(MmStore *kv, const char *method, const char *path, const json_t *body,
+                      guint timeout_ms, MmAnswered on_response, gpointer data);
 
 /* What a value and a transaction may hold: by the settings, and less where the state service has
  * refused that much. */
-guint mm_store_value_bytes(const MmStore *store);
-guint mm_store_txn_ops(const MmStore *store);
+guint mm_store_value_bytes(const MmStore *kv);
+guint mm_store_txn_ops(const MmStore *kv);
 /* Whether work that can wait may write `puts` keys now; takes them from the budget if so. */
-gboolean mm_store_may_write(MmStore *store, guint puts);
+gboolean mm_store_may_write(MmStore *kv, guint n_operations);
 /* Whether the state service refuses us at the moment. */
-gboolean mm_store_in_trouble(const MmStore *store);
+gboolean mm_store_in_trouble(const MmStore *kv);
 /* Whether it has answered us nothing at all for a while: more likely we are cut off from it than
  * that it is down. */
-gboolean mm_store_is_silent(const MmStore *store);
+gboolean mm_store_is_silent(const MmStore *kv);
--- a/src/transport/groups-command.c
+++ b/src/transport/groups-command.c
@@ -27,12 +27,12 @@
 
 static SoupMessage *
 new_message(const Arguments *arguments) {
-  g_autofree char *base = g_strdup_printf("http://%s" MM_ADMIN_GROUPS_PATH, arguments->front);
-  g_autofree char *move = g_strdup_printf("%s/%d/move", base, arguments->group);
-  gboolean moves = arguments->group != NO_GROUP;
-  SoupMessage *message = soup_message_new(moves ? "POST" : "GET", moves ? move : base);
+  g_autofree char *list_url = g_strdup_printf("http://%s" MM_ADMIN_GROUPS_PATH, arguments->front);
+  g_autofree char *move_url = g_strdup_printf("%s/%d/move", list_url, arguments->group);
+  gboolean is_move = arguments->group != NO_GROUP;
+  SoupMessage *message = soup_message_new(is_move ? "POST" : "GET", is_move ? move_url : list_url);
 
-  if (message != NULL && moves) {
+  if (message != NULL && is_move) {
     g_autoptr(json_t) body = json_pack("{s:s}", MM_ADMIN_TO, arguments->to);
     char *text = json_dumps(body, JSON_COMPACT);
     g_autoptr(GBytes) bytes = g_bytes_new_with_free_func(text, strlen(text), free, text);
@@ -44,7 +44,7 @@
 /* The answer's body, to be released; NULL with a reason when there is none. */
 static json_t *
 ask(const Arguments *arguments, guint *status, char **reason) {
-  g_autoptr(SoupSession) session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
+  g_autoptr(SoupSession) soup_session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
   g_autoptr(SoupMessage) message = new_message(arguments);
   g_autoptr(GError) error = NULL;
   g_autoptr(GBytes) bytes = NULL;
@@ -54,7 +54,7 @@
     *reason = g_strdup("is no address of the form HOST:PORT");
     return NULL;
   }
-  bytes = soup_session_send_and_read(session, message, NULL, &error);
+  bytes = soup_session_send_and_read(soup_session, message, NULL, &error);
   if (bytes == NULL) {
     *reason = g_strdup(error->message);
     return NULL;
@@ -100,7 +100,7 @@
   g_autofree char *reason = NULL;
   guint status = 0;
   g_autoptr(json_t) body = ask(arguments, &status, &reason);
-  const char *text = mm_json_string(body, "error");
+  const char *error_text = mm_json_string(body, "error");
 
   if (body == NULL)
     return fail(EXIT_FAILURE, arguments->front, reason);
@@ -109,19 +109,19 @@
     return EXIT_SUCCESS;
   }
   if (status != SOUP_STATUS_ACCEPTED)
-    return fail(EXIT_FAILURE, arguments->front, text != NULL ? text : "refused");
+    return fail(EXIT_FAILURE, arguments->front, error_text != NULL ? error_text : "refused");
   printf("group %d goes to %s\n", arguments->group, arguments->to);
   return EXIT_SUCCESS;
 }
 
 int
 mm_groups_command(int argc, char **argv) {
-  g_autofree char *front = NULL, *to = NULL;
+  g_autofree char *front = NULL, *target_node = NULL;
   int group = NO_GROUP;
   const GOptionEntry entries[] = {
     { "front", 'f', 0, G_OPTION_ARG_STRING, &front, "A node's address for users", "HOST:PORT" },
     { "move", 'm', 0, G_OPTION_ARG_INT, &group, "Move this group", "GROUP" },
-    { "to", 't', 0, G_OPTION_ARG_STRING, &to, "To this node", "NODE" },
+    { "to", 't', 0, G_OPTION_ARG_STRING, &target_node, "To this node", "NODE" },
     { NULL },
   };
   g_autoptr(GOptionContext) context = g_option_context_new("- who owns which machine groups");
@@ -134,7 +134,7 @@
     return fail(EXIT_USAGE, NULL, "stray argument");
   if (front == NULL)
     return fail(EXIT_USAGE, NULL, "--front HOST:PORT is required");
-  if ((group == NO_GROUP) != (to == NULL))
+  if ((group == NO_GROUP) != (target_node == NULL))
     return fail(EXIT_USAGE, NULL, "--move and --to go together");
-  return run(&(Arguments){ front, to, group });
+  return run(&(Arguments){ front, target_node, group });
 }
--- a/src/transport/http-client.c
+++ b/src/transport/http-client.c
@@ -70,27 +70,27 @@
 
 static gboolean
 timed_out(gpointer data) {
-  Call *call = data;
+  Call *request = data;
 
-  call->timer = 0;
-  g_cancellable_cancel(call->cancellable);
+  request->timer = 0;
+  g_cancellable_cancel(request->cancellable);
   return G_SOURCE_REMOVE;
 }
 
 static void
 finished(GObject *source, GAsyncResult *result, gpointer data) {
-  Call *call = data;
+  Call *request = data;
   g_autoptr(GError) error = NULL;
   g_autoptr(GBytes) bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, &error);
   g_autoptr(json_t) body = NULL;
   int status = 0;
 
-  if (call->timer != 0)
-    g_source_remove(call->timer);
+  if (request->timer != 0)
+    g_source_remove(request->timer);
   if (bytes != NULL) {
     gsize length;
     const char *text = g_bytes_get_data(bytes, &length);
-    status = (int)soup_message_get_status(call->message);
+    status = (int)soup_message_get_status(request->message);
     if (length > 0)
       body = json_loadb(text, length, JSON_DECODE_ANY, NULL);
     if (length > 0 && body == NULL && status == 200) {
@@ -100,12 +100,12 @@
   } else {
     mm_debug("no answer: %s", error->message);
   }
-  if (call->target == MM_TARGET_WORKER)
-    call->client->worker_under_way--;
-  call->answered(call->data, status, body);
-  g_object_unref(call->message);
-  g_object_unref(call->cancellable);
-  g_free(call);
+  if (request->target == MM_TARGET_WORKER)
+    request->client->worker_under_way--;
+  request->answered(request->data, status, body);
+  g_object_unref(request->message);
+  g_object_unref(request->cancellable);
+  g_free(request);
 }
 
 typedef struct {
@@ -115,28 +115,28 @@
 
 static gboolean
 refused(gpointer data) {
-  Refusal *refusal = data;
+  Refusal *failure = data;
 
-  refusal->answered(refusal->data, 0, NULL);
-  g_free(refusal);
+  failure->answered(failure->data, 0, NULL);
+  g_free(failure);
   return G_SOURCE_REMOVE;
 }
 
 void
 mm_http_client_request(MmHttpClient *client, MmTarget target, const char *address,
                        const char *method, const char *path, const json_t *body, guint timeout_ms,
-                       MmAnswered answered, gpointer data) {
+                       MmAnswered callback, gpointer data) {
   g_autofree char *uri = target == MM_TARGET_WORKER
                              ? g_strconcat("http://", address, path, NULL)
                              : g_strconcat(client->bases[target], path, NULL);
   SoupMessage *message = soup_message_new(method, uri);
-  Call *call;
+  Call *request;
 
   if (message == NULL) {
-    Refusal *refusal = g_new(Refusal, 1);
-    *refusal = (Refusal){ answered, data };
+    Refusal *failure = g_new(Refusal, 1);
+    *failure = (Refusal){ callback, data };
     mm_info("%s is not an address that can be asked", uri);
-    g_idle_add(refused, refusal);
+    g_idle_add(refused, failure);
     return;
   }
   if (body != NULL) {
@@ -149,14 +149,14 @@
     client->worker_requests++;
     client->worker_under_way++;
   }
-  call = g_new0(Call, 1);
-  call->client = client;
-  call->target = target;
-  call->message = message;
-  call->cancellable = g_cancellable_new();
-  call->answered = answered;
-  call->data = data;
-  call->timer = g_timeout_add(timeout_ms, timed_out, call);
+  request = g_new0(Call, 1);
+  request->client = client;
+  request->target = target;
+  request->message = message;
+  request->cancellable = g_cancellable_new();
+  request->answered = callback;
+  request->data = data;
+  request->timer = g_timeout_add(timeout_ms, timed_out, request);
   soup_session_send_and_read_async(client->sessions[target], message, priorities[target],
-                                   call->cancellable, finished, call);
+                                   request->cancellable, finished, request);
 }
--- a/src/transport/http-server.c
+++ b/src/transport/http-server.c
@@ -89,14 +89,14 @@
  * when the node has answered a request that had to wait. */
 static enum MHD_Result
 handle(gpointer data, struct MHD_Connection *connection, const char *path, const char *method,
-       const char *version, const char *piece, size_t *length, void **request) {
-  MmHttpServer *self = data;
-  Exchange *exchange = *request;
+       const char *version, const char *piece, size_t *length, void **request_state) {
+  MmHttpServer *server = data;
+  Exchange *exchange = *request_state;
 
   if (exchange == NULL) {
-    *request = exchange = g_new0(Exchange, 1);
+    *request_state = exchange = g_new0(Exchange, 1);
     exchange->exchange.answer = answer;
-    exchange->server = self;
+    exchange->server = server;
     exchange->connection = connection;
     return MHD_YES;
   }
@@ -120,7 +120,7 @@
     g_clear_pointer(&exchange->body, g_byte_array_unref);
     exchange->handed = TRUE;
     exchange->inside = TRUE;
-    mm_node_handle(self->node, method, path, body, &exchange->exchange);
+    mm_node_handle(server->node, method, path, body, &exchange->exchange);
     exchange->inside = FALSE;
     if (exchange->status == 0) {
       MHD_suspend_connection(connection);
@@ -131,11 +131,11 @@
 }
 
 static void
-completed(gpointer data, struct MHD_Connection *connection, void **request,
+completed(gpointer data, struct MHD_Connection *connection, void **request_state,
           enum MHD_RequestTerminationCode code) {
-  Exchange *exchange = *request;
+  Exchange *exchange = *request_state;
 
-  *request = NULL;
+  *request_state = NULL;
   if (exchange == NULL)
     return;
   if (exchange->handed)
@@ -177,41 +177,41 @@
     = { source_prepare, source_check, source_dispatch, NULL, NULL, NULL };
 
 static void
-attach(MmHttpServer *self) {
-  const union MHD_DaemonInfo *info = MHD_get_daemon_info(self->daemon, MHD_DAEMON_INFO_EPOLL_FD);
+attach(MmHttpServer *server) {
+  const union MHD_DaemonInfo *info = MHD_get_daemon_info(server->daemon, MHD_DAEMON_INFO_EPOLL_FD);
   DaemonSource *source = (DaemonSource *)g_source_new(&source_funcs, sizeof *source);
 
-  source->server = self;
+  source->server = server;
   source->epoll = g_source_add_unix_fd(&source->base, info->epoll_fd, G_IO_IN);
   g_source_attach(&source->base, NULL);
-  self->source = &source->base;
+  server->source = &source->base;
 }
 
 MmHttpServer *
 mm_http_server_new(MmNode *node, const char *listen, GError **error) {
   g_autoptr(GSocketAddress) address = mm_transport_address(listen);
-  MmHttpServer *self = g_new0(MmHttpServer, 1);
-  guint most = node->settings->max_sockets;
-  struct sockaddr_in native;
+  MmHttpServer *server = g_new0(MmHttpServer, 1);
+  guint max_sockets = node->settings->max_sockets;
+  struct sockaddr_in socket_address;
 
-  self->node = node;
+  server->node = node;
   if (address == NULL || g_socket_address_get_family(address) != G_SOCKET_FAMILY_IPV4
-      || !g_socket_address_to_native(address, &native, sizeof native, error)) {
+      || !g_socket_address_to_native(address, &socket_address, sizeof socket_address, error)) {
     g_set_error(error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an address", listen);
-    g_free(self);
+    g_free(server);
     return NULL;
   }
-  self->daemon = MHD_start_daemon(
-      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, self, MHD_OPTION_SOCK_ADDR,
-      &native, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1,
-      MHD_OPTION_CONNECTION_LIMIT, most - MIN(SOCKETS_KEPT, most / 3),
+  server->daemon = MHD_start_daemon(
+      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, server, MHD_OPTION_SOCK_ADDR,
+      &socket_address, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG, MHD_OPTION_LISTENING_ADDRESS_REUSE,
+      1, MHD_OPTION_CONNECTION_LIMIT, max_sockets - MIN(SOCKETS_KEPT, max_sockets / 3),
       MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY, MHD_OPTION_CONNECTION_TIMEOUT,
-      IDLE_S, MHD_OPTION_NOTIFY_COMPLETED, completed, self, MHD_OPTION_END);
-  if (self->daemon == NULL) {
+      IDLE_S, MHD_OPTION_NOTIFY_COMPLETED, completed, server, MHD_OPTION_END);
+  if (server->daemon == NULL) {
     g_set_error(error, G_IO_ERROR, G_IO_ERROR_ADDRESS_IN_USE, "%s cannot be served", listen);
-    g_free(self);
+    g_free(server);
     return NULL;
   }
-  attach(self);
-  return self;
+  attach(server);
+  return server;
 }
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -14,31 +14,31 @@
 } Transport;
 
 static MmTime
-transport_now(gpointer self) {
+transport_now(gpointer context) {
   return mm_clock_now();
 }
 
 static gint64
-transport_wall_ms(gpointer self) {
+transport_wall_ms(gpointer context) {
   return mm_clock_wall_ms();
 }
 
 static void
-transport_request(gpointer self, MmTarget target, const char *address, const char *method,
-                  const char *path, const json_t *body, guint timeout_ms, MmAnswered answered,
+transport_request(gpointer context, MmTarget target, const char *address, const char *method,
+                  const char *path, const json_t *body, guint timeout_ms, MmAnswered callback,
                   gpointer data) {
-  mm_http_client_request(((Transport *)self)->client, target, address, method, path, body,
-                         timeout_ms, answered, data);
+  mm_http_client_request(((Transport *)context)->client, target, address, method, path, body,
+                         timeout_ms, callback, data);
 }
 
 static void
-transport_send(gpointer self, guint peer, const Mm__Frame *frame) {
-  mm_peer_sockets_send(((Transport *)self)->peers, peer, frame);
+transport_send(gpointer context, guint peer, const Mm__Frame *frame) {
+  mm_peer_sockets_send(((Transport *)context)->peers, peer, frame);
 }
 
 static void
-transport_reconnect(gpointer self, guint peer) {
-  mm_peer_sockets_reconnect(((Transport *)self)->peers, peer);
+transport_reconnect(gpointer context, guint peer) {
+  mm_peer_sockets_reconnect(((Transport *)context)->peers, peer);
 }
 
 typedef struct {
@@ -48,19 +48,19 @@
 
 static gboolean
 later_due(gpointer data) {
-  Later *later = data;
+  Later *timer = data;
 
-  later->call(later->data);
-  g_free(later);
+  timer->call(timer->data);
+  g_free(timer);
   return G_SOURCE_REMOVE;
 }
 
 static void
-transport_later(gpointer self, guint ms, void (*call)(gpointer data), gpointer data) {
-  Later *later = g_new(Later, 1);
+transport_later(gpointer context, guint ms, void (*callback)(gpointer data), gpointer data) {
+  Later *timer = g_new(Later, 1);
 
-  *later = (Later){ call, data };
-  g_timeout_add(ms, later_due, later);
+  *timer = (Later){ callback, data };
+  g_timeout_add(ms, later_due, timer);
 }
 
 static gboolean
@@ -81,9 +81,9 @@
 static int
 run(const MmSettings *settings, const MmOperators *operators) {
   Transport transport = { mm_http_client_new(settings), mm_peer_sockets_new(settings) };
-  MmPort port = { &transport,     transport_now,       transport_wall_ms, transport_request,
-                  transport_send, transport_reconnect, transport_later };
-  MmNode *node = mm_node_new(settings, operators, &port, g_random_int());
+  MmPort platform = { &transport,     transport_now,       transport_wall_ms, transport_request,
+                      transport_send, transport_reconnect, transport_later };
+  MmNode *node = mm_node_new(settings, operators, &platform, g_random_int());
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
   g_autoptr(GError) error = NULL;
 
@@ -101,16 +101,17 @@
 
 int
 main(int argc, char **argv) {
-  g_autofree char *config = NULL;
+  g_autofree char *settings_path = NULL;
   g_autofree char *operators_path = NULL;
-  gboolean check = FALSE, version = FALSE;
+  gboolean only_check = FALSE, show_version = FALSE;
   const GOptionEntry entries[] = {
-    { "config", 'c', 0, G_OPTION_ARG_FILENAME, &config, "The platform's settings (TOML)", "FILE" },
+    { "config", 'c', 0, G_OPTION_ARG_FILENAME, &settings_path, "The platform's settings (TOML)",
+      "FILE" },
     { "operators", 'o', 0, G_OPTION_ARG_FILENAME, &operators_path, "The operators' settings (XML)",
       "FILE" },
-    { "check", 0, 0, G_OPTION_ARG_NONE, &check, "Read the settings, say whether they hold, exit",
-      NULL },
-    { "version", 0, 0, G_OPTION_ARG_NONE, &version, "Print the version and exit", NULL },
+    { "check", 0, 0, G_OPTION_ARG_NONE, &only_check,
+      "Read the settings, say whether they hold, exit", NULL },
+    { "version", 0, 0, G_OPTION_ARG_NONE, &show_version, "Print the version and exit", NULL },
     { NULL },
   };
   g_autoptr(GOptionContext) context
@@ -131,17 +132,17 @@
     fprintf(stderr, "martenmount: %s\n%s", error != NULL ? error->message : "stray argument", help);
     return EXIT_USAGE;
   }
-  if (version) {
+  if (show_version) {
     puts("martenmount " MM_VERSION);
     return EXIT_SUCCESS;
   }
   if (!mm_log_setup())
     fprintf(stderr, "martenmount: LOG_LEVEL is none of error, info, debug: info holds\n");
-  if (config == NULL) {
+  if (settings_path == NULL) {
     fprintf(stderr, "martenmount: --config FILE is required\n");
     return EXIT_USAGE;
   }
-  settings = mm_settings_read(config, &reason);
+  settings = mm_settings_read(settings_path, &reason);
   if (settings == NULL
       || (operators_path != NULL
           && (!mm_operators_read(&operators, operators_path, &reason)
@@ -149,7 +150,7 @@
     fprintf(stderr, "martenmount: %s\n", reason);
     return EXIT_USAGE;
   }
-  if (check) {
+  if (only_check) {
     puts("the settings hold");
     return EXIT_SUCCESS;
   }
