--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -46,7 +46,7 @@
   guint n;
 };
 
-static void connect_out(Out *out);
+static void connect_out(Out *outbound);
 
 GSocketAddress *
 mm_transport_address(const char *text) {
@@ -91,48 +91,49 @@
 }
 
 static void
-drop_out(Out *out) {
-  if (out->connection == NULL)
+drop_out(Out *outbound) {
+  if (outbound->connection == NULL)
     return;
-  drop_source(&out->writable);
-  drop_source(&out->readable);
-  close_connection(g_steal_pointer(&out->connection));
-  g_byte_array_set_size(out->queue, 0);
-  mm_links_down(out->sockets->node->links, out->peer);
-  g_timeout_add(RETRY_MS, reconnect, out);
+  drop_source(&outbound->writable);
+  drop_source(&outbound->readable);
+  close_connection(g_steal_pointer(&outbound->connection));
+  g_byte_array_set_size(outbound->queue, 0);
+  mm_links_down(outbound->sockets->node->links, outbound->peer);
+  g_timeout_add(RETRY_MS, reconnect, outbound);
 }
 
 static gboolean write_again(GSocket *socket, GIOCondition condition, gpointer data);
 
 static void
-write_out(Out *out) {
+write_out(Out *outbound) {
   g_autoptr(GError) error = NULL;
   GSocket *socket;
-  gssize n;
+  gssize n_written;
 
-  if (out->connection == NULL || out->queue->len == 0 || out->writable != NULL)
+  if (outbound->connection == NULL || outbound->queue->len == 0 || outbound->writable != NULL)
     return;
-  socket = g_socket_connection_get_socket(out->connection);
-  n = g_socket_send(socket, (const char *)out->queue->data, out->queue->len, NULL, &error);
-  if (n > 0)
-    g_byte_array_remove_range(out->queue, 0, (guint)n);
+  socket = g_socket_connection_get_socket(outbound->connection);
+  n_written = g_socket_send(socket, (const char *)outbound->queue->data, outbound->queue->len, NULL,
+                            &error);
+  if (n_written > 0)
+    g_byte_array_remove_range(outbound->queue, 0, (guint)n_written);
   else if (!g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
-    drop_out(out);
+    drop_out(outbound);
     return;
   }
-  if (out->queue->len == 0)
+  if (outbound->queue->len == 0)
     return;
-  out->writable = g_socket_create_source(socket, G_IO_OUT, NULL);
-  g_source_set_callback(out->writable, G_SOURCE_FUNC(write_again), out, NULL);
-  g_source_attach(out->writable, NULL);
+  outbound->writable = g_socket_create_source(socket, G_IO_OUT, NULL);
+  g_source_set_callback(outbound->writable, G_SOURCE_FUNC(write_again), outbound, NULL);
+  g_source_attach(outbound->writable, NULL);
 }
 
 static gboolean
 write_again(GSocket *socket, GIOCondition condition, gpointer data) {
-  Out *out = data;
+  Out *outbound = data;
 
-  g_clear_pointer(&out->writable, g_source_unref);
-  write_out(out);
+  g_clear_pointer(&outbound->writable, g_source_unref);
+  write_out(outbound);
   return G_SOURCE_REMOVE;
 }
 
@@ -162,36 +163,36 @@
   g_socket_client_set_enable_proxy(sockets->client, FALSE);
   g_socket_client_set_timeout(sockets->client, CONNECT_S);
   for (guint i = 0; i < sockets->n; i++) {
-    Out *out = &sockets->outs[i];
-    out->sockets = sockets;
-    out->peer = i;
-    out->endpoint = g_array_index(settings->peers, MmPeerSettings, i).endpoint;
-    out->queue = g_byte_array_new();
-    out->flush = g_source_new(&flush_funcs, sizeof(GSource));
-    g_source_set_callback(out->flush, flush, out, NULL);
-    g_source_attach(out->flush, NULL);
+    Out *outbound = &sockets->outs[i];
+    outbound->sockets = sockets;
+    outbound->peer = i;
+    outbound->endpoint = g_array_index(settings->peers, MmPeerSettings, i).endpoint;
+    outbound->queue = g_byte_array_new();
+    outbound->flush = g_source_new(&flush_funcs, sizeof(GSource));
+    g_source_set_callback(outbound->flush, flush, outbound, NULL);
+    g_source_attach(outbound->flush, NULL);
   }
   return sockets;
 }
 
 void
 mm_peer_sockets_send(MmPeerSockets *sockets, guint peer, const Mm__Frame *frame) {
-  Out *out = &sockets->outs[peer];
+  Out *outbound = &sockets->outs[peer];
   guint32 length = (guint32)mm__frame__get_packed_size(frame);
-  guint32 big = g_htonl(length);
-  guint at = out->queue->len;
+  guint32 length_be = g_htonl(length);
+  guint offset = outbound->queue->len;
 
-  if (out->connection == NULL)
+  if (outbound->connection == NULL)
     return;
-  if (at + length > MAX(QUEUE_LEAST, sockets->settings->memory_mb * QUEUE_SHARE)) {
+  if (offset + length > MAX(QUEUE_LEAST, sockets->settings->memory_mb * QUEUE_SHARE)) {
     mm_info("peer %u does not read: its link is closed", peer);
-    drop_out(out);
+    drop_out(outbound);
     return;
   }
-  g_byte_array_set_size(out->queue, at + 4 + length);
-  memcpy(out->queue->data + at, &big, 4);
-  mm__frame__pack(frame, out->queue->data + at + 4);
-  g_source_set_ready_time(out->flush, 0);
+  g_byte_array_set_size(outbound->queue, offset + 4 + length);
+  memcpy(outbound->queue->data + offset, &length_be, 4);
+  mm__frame__pack(frame, outbound->queue->data + offset + 4);
+  g_source_set_ready_time(outbound->flush, 0);
 }
 
 void
@@ -207,123 +208,126 @@
 
 static void
 connected(GObject *source, GAsyncResult *result, gpointer data) {
-  Out *out = data;
+  Out *outbound = data;
   GSocketConnection *connection
       = g_socket_client_connect_finish(G_SOCKET_CLIENT(source), result, NULL);
 
   if (connection == NULL) {
-    g_timeout_add(RETRY_MS, reconnect, out);
+    g_timeout_add(RETRY_MS, reconnect, outbound);
     return;
   }
   prepare_socket(connection);
-  out->connection = connection;
-  out->readable = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
-  g_source_set_callback(out->readable, G_SOURCE_FUNC(out_read), out, NULL);
-  g_source_attach(out->readable, NULL);
-  mm_links_connected(out->sockets->node->links, out->peer);
+  outbound->connection = connection;
+  outbound->readable
+      = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
+  g_source_set_callback(outbound->readable, G_SOURCE_FUNC(out_read), outbound, NULL);
+  g_source_attach(outbound->readable, NULL);
+  mm_links_connected(outbound->sockets->node->links, outbound->peer);
 }
 
 static void
-connect_out(Out *out) {
-  g_autoptr(GSocketAddress) address = mm_transport_address(out->endpoint);
+connect_out(Out *outbound) {
+  g_autoptr(GSocketAddress) address = mm_transport_address(outbound->endpoint);
 
   if (address == NULL) {
-    mm_error("peer address %s is not usable", out->endpoint);
+    mm_error("peer address %s is not usable", outbound->endpoint);
     return;
   }
-  g_socket_client_connect_async(out->sockets->client, G_SOCKET_CONNECTABLE(address), NULL,
-                                connected, out);
+  g_socket_client_connect_async(outbound->sockets->client, G_SOCKET_CONNECTABLE(address), NULL,
+                                connected, outbound);
 }
 
 /* ---- receiving ---- */
 
 static void
-drop_in(In *in) {
-  if (in->peer >= 0 && in->sockets->ins[in->peer] == in)
-    in->sockets->ins[in->peer] = NULL;
-  drop_source(&in->readable);
-  close_connection(in->connection);
-  g_byte_array_unref(in->buffer);
-  g_free(in);
+drop_in(In *inbound) {
+  if (inbound->peer >= 0 && inbound->sockets->ins[inbound->peer] == inbound)
+    inbound->sockets->ins[inbound->peer] = NULL;
+  drop_source(&inbound->readable);
+  close_connection(inbound->connection);
+  g_byte_array_unref(inbound->buffer);
+  g_free(inbound);
 }
 
 /* The peer has opened a new connection: should the one before be half-open, nothing would ever show
  * its end. */
 static void
-note_hello(In *in, const char *label) {
-  MmPeerSockets *sockets = in->sockets;
+note_hello(In *inbound, const char *label) {
+  MmPeerSockets *sockets = inbound->sockets;
 
-  in->peer = mm_links_find(sockets->node->links, label);
-  if (in->peer < 0 || sockets->ins[in->peer] == in)
+  inbound->peer = mm_links_find(sockets->node->links, label);
+  if (inbound->peer < 0 || sockets->ins[inbound->peer] == inbound)
     return;
-  if (sockets->ins[in->peer] != NULL)
-    drop_in(sockets->ins[in->peer]);
-  sockets->ins[in->peer] = in;
+  if (sockets->ins[inbound->peer] != NULL)
+    drop_in(sockets->ins[inbound->peer]);
+  sockets->ins[inbound->peer] = inbound;
 }
 
 /* FALSE when the stream makes no sense. */
 static gboolean
-take_frames(In *in) {
-  guint at = 0;
-  MmNode *node = in->sockets->node;
+take_frames(In *inbound) {
+  guint offset = 0;
+  MmNode *node = inbound->sockets->node;
 
-  while (in->buffer->len - at >= 4) {
+  while (inbound->buffer->len - offset >= 4) {
     guint32 length;
     Mm__Frame *frame;
-    memcpy(&length, in->buffer->data + at, 4);
+    memcpy(&length, inbound->buffer->data + offset, 4);
     length = g_ntohl(length);
     if (length > FRAME_MAX)
       return FALSE;
-    if (in->buffer->len - at - 4 < length)
+    if (inbound->buffer->len - offset - 4 < length)
       break;
-    frame = mm__frame__unpack(NULL, length, in->buffer->data + at + 4);
+    frame = mm__frame__unpack(NULL, length, inbound->buffer->data + offset + 4);
     if (frame == NULL)
       return FALSE;
-    at += 4 + length;
+    offset += 4 + length;
     if (frame->body_case == MM__FRAME__BODY_HELLO)
-      note_hello(in, frame->hello->label);
-    if (in->peer >= 0)
-      mm_links_frame(node->links, (guint)in->peer, frame);
+      note_hello(inbound, frame->hello->label);
+    if (inbound->peer >= 0)
+      mm_links_frame(node->links, (guint)inbound->peer, frame);
     mm__frame__free_unpacked(frame, NULL);
-    if (in->peer < 0)
+    if (inbound->peer < 0)
       return FALSE;
   }
-  g_byte_array_remove_range(in->buffer, 0, at);
+  g_byte_array_remove_range(inbound->buffer, 0, offset);
   return TRUE;
 }
 
 static gboolean
 in_read(GSocket *socket, GIOCondition condition, gpointer data) {
-  In *in = data;
+  In *inbound = data;
   g_autoptr(GError) error = NULL;
-  guint at = in->buffer->len;
-  gssize n;
-
-  g_byte_array_set_size(in->buffer, at + READ_SIZE);
-  n = g_socket_receive(socket, (char *)in->buffer->data + at, READ_SIZE, NULL, &error);
-  g_byte_array_set_size(in->buffer, at + (guint)MAX(n, 0));
-  if (n < 0 && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
+  guint old_length = inbound->buffer->len;
+  gssize n_read;
+
+  g_byte_array_set_size(inbound->buffer, old_length + READ_SIZE);
+  n_read = g_socket_receive(socket, (char *)inbound->buffer->data + old_length, READ_SIZE, NULL,
+                            &error);
+  g_byte_array_set_size(inbound->buffer, old_length + (guint)MAX(n_read, 0));
+  if (n_read < 0 && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
     return G_SOURCE_CONTINUE;
-  if (n > 0 && take_frames(in))
+  if (n_read > 0 && take_frames(inbound))
     return G_SOURCE_CONTINUE;
-  if (n > 0)
+  if (n_read > 0)
     mm_info("a peer's link makes no sense and is closed");
-  drop_in(in);
+  drop_in(inbound);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
 incoming(GSocketService *service, GSocketConnection *connection, GObject *source, gpointer data) {
-  In *in = g_new0(In, 1);
+  In *inbound = g_new0(In, 1);
 
-  in->sockets = data;
-  in->connection = g_object_ref(connection);
-  in->buffer = g_byte_array_new();
-  in->peer = -1;
+  inbound->sockets = data;
+  inbound->connection = g_object_ref(connection);
+  inbound->buffer = g_byte_array_new();
+  inbound->peer = -1;
   prepare_socket(connection);
-  in->readable = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
-  g_source_set_callback(in->readable, G_SOURCE_FUNC(in_read), in, NULL);
-  g_source_attach(in->readable, NULL);
+  inbound->readable
+      = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
+  g_source_set_callback(inbound->readable, G_SOURCE_FUNC(in_read), inbound, NULL);
+  g_source_attach(inbound->readable, NULL);
   return TRUE;
 }
 
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -17,7 +17,7 @@
 MmHttpClient *mm_http_client_new(const MmSettings *settings);
 void mm_http_client_request(MmHttpClient *client, MmTarget target, const char *address,
                             const char *method, const char *path, const json_t *body,
-                            guint timeout_ms, MmAnswered answered, gpointer data);
+                            guint timeout_ms, MmAnswered callback, gpointer data);
 
 MmPeerSockets *mm_peer_sockets_new(const MmSettings *settings);
 gboolean mm_peer_sockets_start(MmPeerSockets *sockets, MmNode *node, GError **error);
--- a/src/upgrade/format.c
+++ b/src/upgrade/format.c
@@ -42,7 +42,7 @@
 void
 mm_format_seen(MmFormat *format, const json_t *value) {
   const json_t *number = mm_json_get(value, FIELD_FORMAT);
-  guint64 before = format->active;
+  guint64 previous = format->active;
 
   if (value == NULL)
     format->active = MM_FORMAT_LOWEST;
@@ -50,7 +50,7 @@
     format->active = (guint64)json_integer_value(number);
   else
     format->active = MM_FORMAT_UNREADABLE;
-  if (format->active != before)
+  if (format->active != previous)
     tell(format);
 }
 
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -46,25 +46,26 @@
 guint
 mm_versions_groups(const MmVersions *versions) {
   const MmSettings *settings = versions->node->settings;
-  guint groups = groups_of(versions, &settings->label);
+  guint group_count = groups_of(versions, &settings->label);
 
   for (guint i = 0; i < settings->peers->len; i++)
-    if (groups_of(versions, &g_array_index(settings->peers, MmPeerSettings, i).label) != groups)
+    if (groups_of(versions, &g_array_index(settings->peers, MmPeerSettings, i).label)
+        != group_count)
       return 0;
-  return groups;
+  return group_count;
 }
 
 void
 mm_versions_seen(MmVersions *versions, const char *label, const json_t *value,
-                 MmKeyVersion version) {
-  guint understood = (guint)MIN(mm_json_count(value, FIELD_VERSION, 0), G_MAXUINT);
+                 MmKeyVersion key_version) {
+  guint node_version = (guint)MIN(mm_json_count(value, FIELD_VERSION, 0), G_MAXUINT);
 
-  guint groups = (guint)MIN(mm_json_count(value, FIELD_GROUPS, 0), G_MAXUINT);
+  guint group_count = (guint)MIN(mm_json_count(value, FIELD_GROUPS, 0), G_MAXUINT);
 
-  g_hash_table_replace(versions->known, g_strdup(label), GUINT_TO_POINTER(understood));
-  g_hash_table_replace(versions->groups, g_strdup(label), GUINT_TO_POINTER(groups));
+  g_hash_table_replace(versions->known, g_strdup(label), GUINT_TO_POINTER(node_version));
+  g_hash_table_replace(versions->groups, g_strdup(label), GUINT_TO_POINTER(group_count));
   if (strcmp(label, versions->node->settings->label.s) == 0)
-    versions->version = version;
+    versions->version = key_version;
 }
 
 static void
@@ -78,11 +79,11 @@
 /* As before, to the byte, where machines are not shared out. */
 static json_t *
 own_value(const MmVersions *versions) {
-  guint groups = (guint)versions->node->operators->groups;
+  guint group_count = (guint)versions->node->operators->groups;
   json_t *value = json_pack("{s:i}", FIELD_VERSION, MM_VERSION_CURRENT);
 
-  if (groups > 0)
-    json_object_set_new(value, FIELD_GROUPS, json_integer(groups));
+  if (group_count > 0)
+    json_object_set_new(value, FIELD_GROUPS, json_integer(group_count));
   return value;
 }
 
@@ -90,29 +91,30 @@
 mm_versions_tick(MmVersions *versions) {
   MmNode *node = versions->node;
   MmTime now = mm_node_now(node);
-  const MmName *own = &node->settings->label;
-  MmTxn txn;
+  const MmName *own_label = &node->settings->label;
+  MmTxn transaction;
 
   if (versions->writing || !node->replica->loaded || mm_time_before(now, versions->next)
       || mm_store_in_trouble(node->store) || node->sharing->conflicting_groups != 0
-      || (version_of(versions, own) >= MM_VERSION_CURRENT && mm_versions_groups_told(versions)))
+      || (version_of(versions, own_label) >= MM_VERSION_CURRENT
+          && mm_versions_groups_told(versions)))
     return;
   versions->next = mm_time_add_ms(now, RETRY_MS);
   versions->writing = TRUE;
-  txn = mm_txn();
-  mm_txn_guard(&txn, MM_KEY_VERSION, own->s, versions->version);
-  mm_txn_put(&txn, MM_KEY_VERSION, own->s, own_value(versions), 0);
-  mm_store_commit(node->store, &txn, written, versions);
+  transaction = mm_txn();
+  mm_txn_guard(&transaction, MM_KEY_VERSION, own_label->s, versions->version);
+  mm_txn_put(&transaction, MM_KEY_VERSION, own_label->s, own_value(versions), 0);
+  mm_store_commit(node->store, &transaction, written, versions);
 }
 
 gboolean
-mm_versions_all(const MmVersions *versions, MmVersion least) {
+mm_versions_all(const MmVersions *versions, MmVersion version) {
   const MmSettings *settings = versions->node->settings;
 
-  if (version_of(versions, &settings->label) < least)
+  if (version_of(versions, &settings->label) < version)
     return FALSE;
   for (guint i = 0; i < settings->peers->len; i++)
-    if (version_of(versions, &g_array_index(settings->peers, MmPeerSettings, i).label) < least)
+    if (version_of(versions, &g_array_index(settings->peers, MmPeerSettings, i).label) < version)
       return FALSE;
   return TRUE;
 }
--- a/src/upgrade/versions.h
+++ b/src/upgrade/versions.h
@@ -28,7 +28,7 @@
 void mm_versions_tick(MmVersions *versions);
 /* A node's key, as the replica shows it. */
 void mm_versions_seen(MmVersions *versions, const char *label, const json_t *value,
-                      MmKeyVersion version);
+                      MmKeyVersion key_version);
 /* Into how many groups every node of the settings has said that it shares the machines out; 0: they
  * don't, or not alike. */
 guint mm_versions_groups(const MmVersions *versions);
@@ -36,4 +36,4 @@
  * on something that it won't keep to, so it answers no worker. */
 gboolean mm_versions_groups_told(const MmVersions *versions);
 /* Whether every node of the settings has said that it understands the version. */
-gboolean mm_versions_all(const MmVersions *versions, MmVersion least);
+gboolean mm_versions_all(const MmVersions *versions, MmVersion version);
--- a/tests/world/broken.c
+++ b/tests/world/broken.c
@@ -8,11 +8,11 @@
 
 /* An owner that is broken on purpose: it takes every machine for heard at once. */
 static void
-forget_unacknowledged(MmOwner *owner) {
+forget_unacknowledged(MmOwner *scheduler) {
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, owner->held);
+  g_hash_table_iter_init(&iter, scheduler->held);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     g_hash_table_remove_all(((MmOwnedShard *)value)->unacknowledged);
     ((MmOwnedShard *)value)->ready = TRUE;
@@ -40,12 +40,12 @@
     machine->unacknowledged = 0;
     g_hash_table_iter_init(&iter, node->owner->held);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-      MmOwnedShard *held = value;
-      if (!machine->heard || machine->lost || machine->token.v >= held->term.v)
+      MmOwnedShard *led_shard = value;
+      if (!machine->heard || machine->lost || machine->token.v >= led_shard->term.v)
         continue;
-      g_hash_table_insert(held->unacknowledged, g_strdup(machine->id.s),
+      g_hash_table_insert(led_shard->unacknowledged, g_strdup(machine->id.s),
                           GSIZE_TO_POINTER(G_MAXSIZE));
-      held->ready = FALSE;
+      led_shard->ready = FALSE;
     }
   }
 }
--- a/tests/world/calls.c
+++ b/tests/world/calls.c
@@ -25,119 +25,124 @@
 
 static void
 call_clear(gpointer data) {
-  Call *call = data;
+  Call *request = data;
 
-  json_decref(call->body);
-  json_decref(call->request);
-  g_free(call->address);
-  g_free(call->method);
-  g_free(call->path);
+  json_decref(request->body);
+  json_decref(request->request);
+  g_free(request->address);
+  g_free(request->method);
+  g_free(request->path);
 }
 
 /* Every event that is to come holds on to the call. */
 static void
-call_at(Call *call, gint64 us, WorldCall what) {
-  world_at(call->world, us, what, g_rc_box_acquire(call));
+call_at(Call *request, gint64 us, WorldCall callback) {
+  world_at(request->world, us, callback, g_rc_box_acquire(request));
 }
 
 static void
-call_release(Call *call) {
-  g_rc_box_release_full(call, call_clear);
+call_release(Call *request) {
+  g_rc_box_release_full(request, call_clear);
 }
 
 /* The one answer; what comes later is dropped. */
 static void
 call_answer(gpointer data) {
-  Call *call = data;
+  Call *request = data;
 
-  if (world_node_stands_still(&call->world->nodes[call->node], call->life, call_answer, call))
+  if (world_node_stands_still(&request->world->nodes[request->node], request->life, call_answer,
+                              request))
     return;
-  if (!call->over) {
-    call->over = TRUE;
-    call->answered(call->data, call->status, call->body);
+  if (!request->over) {
+    request->over = TRUE;
+    request->answered(request->data, request->status, request->body);
   }
-  call_release(call);
+  call_release(request);
 }
 
 static void
 call_timeout(gpointer data) {
-  Call *call = data;
+  Call *request = data;
 
-  if (world_node_stands_still(&call->world->nodes[call->node], call->life, call_timeout, call))
+  if (world_node_stands_still(&request->world->nodes[request->node], request->life, call_timeout,
+                              request))
     return;
-  if (!call->over) {
-    call->over = TRUE;
-    call->answered(call->data, 0, NULL);
+  if (!request->over) {
+    request->over = TRUE;
+    request->answered(request->data, 0, NULL);
   }
-  call_release(call);
+  call_release(request);
 }
 
 static void call_arrives(gpointer data);
 
 static gboolean
-alive(const Call *call) {
-  return call->world->nodes[call->node].node != NULL
-         && call->world->nodes[call->node].life == call->life;
+alive(const Call *request) {
+  return request->world->nodes[request->node].node != NULL
+         && request->world->nodes[request->node].life == request->life;
 }
 
 static void
 watch_answered(gpointer data, int status, json_t *body) {
-  Call *call = data;
+  Call *request = data;
 
-  if (!call->over && call->world->now_us >= call->world->nodes[call->node].cut_until_us
-      && call->world->now_us >= call->world->nodes[call->node].unread_until_us) {
-    call->status = alive(call) ? status : 0;
-    call->body = json_incref(body);
-    call_at(call, call->world->now_us + world_delay(call->world), call_answer);
+  if (!request->over && request->world->now_us >= request->world->nodes[request->node].cut_until_us
+      && request->world->now_us >= request->world->nodes[request->node].unread_until_us) {
+    request->status = alive(request) ? status : 0;
+    request->body = json_incref(body);
+    call_at(request, request->world->now_us + world_delay(request->world), call_answer);
   }
-  call_release(call);
+  call_release(request);
 }
 
 /* Carries the request out at its target; FALSE when no answer follows from here. */
 static gboolean
-carry_out(Call *call) {
-  World *world = call->world;
-  WorldNode *self = &world->nodes[call->node];
-  gboolean refused
-      = world->now_us < world->outage_until_us || world->now_us < self->refused_until_us;
-  gboolean watch = call->target == MM_TARGET_STORE && g_str_has_prefix(call->path, WIRE_WATCH_PATH);
+carry_out(Call *request) {
+  World *world = request->world;
+  WorldNode *world_node = &world->nodes[request->node];
+  gboolean is_refused
+      = world->now_us < world->outage_until_us || world->now_us < world_node->refused_until_us;
+  gboolean is_watch
+      = request->target == MM_TARGET_STORE && g_str_has_prefix(request->path, WIRE_WATCH_PATH);
   WorldMachine *machine;
   gint64 held_until;
 
-  switch (call->target) {
+  switch (request->target) {
   case MM_TARGET_STORE:
-    if (watch && !refused)
-      world_store_add_watch(world, call->node, call->path, watch_answered, g_rc_box_acquire(call));
-    else if (refused)
-      call->status = 503;
+    if (is_watch && !is_refused)
+      world_store_add_watch(world, request->node, request->path, watch_answered,
+                            g_rc_box_acquire(request));
+    else if (is_refused)
+      request->status = 503;
     else
-      call->status
-          = world_store_handle(world, call->method, call->path, call->request, &call->body);
-    return !watch;
+      request->status = world_store_handle(world, request->method, request->path, request->request,
+                                           &request->body);
+    return !is_watch;
   case MM_TARGET_CLOUD:
-    call->status = world_cloud_handle(world, call->method, call->path, call->request, &call->body);
+    request->status = world_cloud_handle(world, request->method, request->path, request->request,
+                                         &request->body);
     return TRUE;
   case MM_TARGET_WORKER:
   default:
-    machine = world_find_machine(world, call->address);
+    machine = world_find_machine(world, request->address);
     if (machine == NULL)
       return FALSE;
-    if (world->now_us < machine->deaf_until_us || world_is_apart(world, call->node, machine))
+    if (world->now_us < machine->deaf_until_us || world_is_apart(world, request->node, machine))
       return FALSE;
     held_until = MAX(machine->cut_until_us, machine->hung_until_us);
     if (world->now_us < held_until) {
       /* Held back, and executed when it arrives at last, whether or not anybody still waits. */
-      call->held = TRUE;
-      call_at(call, held_until + world_delay(world), call_arrives);
+      request->held = TRUE;
+      call_at(request, held_until + world_delay(world), call_arrives);
       return FALSE;
     }
-    world->held += call->held;
+    world->held += request->held;
     machine->heard_mute += world->now_us < machine->mute_until_us;
-    if (strcmp(call->path, WIRE_STATUS_PATH) == 0) {
-      call->status = 200;
-      call->body = world_machine_report(machine);
+    if (strcmp(request->path, WIRE_STATUS_PATH) == 0) {
+      request->status = 200;
+      request->body = world_machine_report(machine);
     } else {
-      call->status = world_machine_direct(machine, call->request, &call->body);
+      request->status = world_machine_direct(machine, request->request, &request->body);
     }
     return TRUE;
   }
@@ -146,44 +151,45 @@
 /* Requests of a node that is cut off are lost, or held until the cut is over and carried out then,
  * whether or not anybody still waits. */
 static gboolean
-stopped_by_cut(Call *call) {
-  WorldNode *self = &call->world->nodes[call->node];
+stopped_by_cut(Call *request) {
+  WorldNode *world_node = &request->world->nodes[request->node];
 
-  if (call->target == MM_TARGET_WORKER || call->world->now_us >= self->cut_until_us)
+  if (request->target == MM_TARGET_WORKER || request->world->now_us >= world_node->cut_until_us)
     return FALSE;
-  if (self->cut_holds && call->target == MM_TARGET_STORE)
-    call_at(call, self->cut_until_us + world_delay(call->world), call_arrives);
+  if (world_node->cut_holds && request->target == MM_TARGET_STORE)
+    call_at(request, world_node->cut_until_us + world_delay(request->world), call_arrives);
   return TRUE;
 }
 
 static void
 call_arrives(gpointer data) {
-  Call *call = data;
+  Call *request = data;
 
-  if (!stopped_by_cut(call) && carry_out(call)) {
-    gint64 at = call->world->now_us + world_delay(call->world);
-    if (call->late) {
-      call->world->late_taken += call->status == 200;
-      call->world->late_void += call->status == 409 || call->status == 400;
+  if (!stopped_by_cut(request) && carry_out(request)) {
+    gint64 at = request->world->now_us + world_delay(request->world);
+    if (request->late) {
+      request->world->late_taken += request->status == 200;
+      request->world->late_void += request->status == 409 || request->status == 400;
     }
-    if (!alive(call))
-      call->status = 0;
-    if (call->target == MM_TARGET_STORE && call->world->now_us < call->world->slow_until_us)
-      at += (gint64)(world_uniform(call->world, 0, call->world->slow_s) * G_USEC_PER_SEC);
-    call_at(call, at, call_answer);
+    if (!alive(request))
+      request->status = 0;
+    if (request->target == MM_TARGET_STORE
+        && request->world->now_us < request->world->slow_until_us)
+      at += (gint64)(world_uniform(request->world, 0, request->world->slow_s) * G_USEC_PER_SEC);
+    call_at(request, at, call_answer);
   }
-  call_release(call);
+  call_release(request);
 }
 
 static gboolean
 is_to_be_late(World *world, const char *path, const json_t *body) {
-  const json_t *apply = mm_json_get(body, WIRE_THEN);
+  const json_t *changes = mm_json_get(body, WIRE_THEN);
   size_t i;
   json_t *item;
 
   if (strcmp(path, WIRE_TXN_PATH) != 0)
     return FALSE;
-  json_array_foreach(apply, i, item) {
+  json_array_foreach(changes, i, item) {
     const char *key = mm_json_string(item, WIRE_PUT);
     if (world->late_takings && key != NULL
         && (g_str_has_prefix(key, MM_KEY_SHARD) || g_str_has_prefix(key, MM_KEY_GROUPS)))
@@ -194,56 +200,56 @@
 
 void
 world_port_request(gpointer data, MmTarget target, const char *address, const char *method,
-                   const char *path, const json_t *body, guint timeout_ms, MmAnswered answered,
-                   gpointer user) {
-  WorldNode *self = data;
-  World *world = self->world;
-  Call *call = g_rc_box_new0(Call);
+                   const char *path, const json_t *body, guint timeout_ms, MmAnswered callback,
+                   gpointer callback_data) {
+  WorldNode *world_node = data;
+  World *world = world_node->world;
+  Call *request = g_rc_box_new0(Call);
 
   if (target == MM_TARGET_STORE && strcmp(path, WIRE_TXN_PATH) == 0)
-    world_check_write(world, self->index);
+    world_check_write(world, world_node->index);
   world->directs += target == MM_TARGET_WORKER && strcmp(method, "POST") == 0;
 
-  call->world = world;
-  call->node = self->index;
-  call->life = self->life;
-  call->answered = answered;
-  call->data = user;
-  call->target = target;
-  call->address = g_strdup(address);
-  call->method = g_strdup(method);
-  call->path = g_strdup(path);
-  call->request = json_deep_copy(body);
-  if (self->old && target == MM_TARGET_STORE)
-    world_as_old_version(world, self->index, call->request);
+  request->world = world;
+  request->node = world_node->index;
+  request->life = world_node->life;
+  request->answered = callback;
+  request->data = callback_data;
+  request->target = target;
+  request->address = g_strdup(address);
+  request->method = g_strdup(method);
+  request->path = g_strdup(path);
+  request->request = json_deep_copy(body);
+  if (world_node->old && target == MM_TARGET_STORE)
+    world_as_old_version(world, world_node->index, request->request);
   /* Now and then a request is lost, or so late that its sender has given up. */
-  if (self->node != NULL || target == MM_TARGET_STORE) {
+  if (world_node->node != NULL || target == MM_TARGET_STORE) {
     gint64 delay = world_delay(world);
     if (world_uniform(world, 0, 1) < 0.002)
       delay += (gint64)timeout_ms * 1000 / 2 + 500000;
     if (is_to_be_late(world, path, body)) {
-      call->late = TRUE;
-      call_at(call, world->now_us + (gint64)(world_uniform(world, 2, 12) * G_USEC_PER_SEC),
+      request->late = TRUE;
+      call_at(request, world->now_us + (gint64)(world_uniform(world, 2, 12) * G_USEC_PER_SEC),
               call_arrives);
     } else if (world_uniform(world, 0, 1) >= 0.001
                && world->now_us + delay < world->now_us + (gint64)timeout_ms * 1000)
-      call_at(call, world->now_us + delay, call_arrives);
+      call_at(request, world->now_us + delay, call_arrives);
   }
   /* A late copy of what changes something; nobody waits for its answer. */
   if (strcmp(method, "GET") != 0 && world_uniform(world, 0, 1) < world->copies) {
-    Call *copy = g_rc_box_new0(Call);
-    copy->world = world;
-    copy->node = self->index;
-    copy->life = self->life;
-    copy->over = TRUE;
-    copy->target = target;
-    copy->address = g_strdup(address);
-    copy->method = g_strdup(method);
-    copy->path = g_strdup(path);
-    copy->request = json_deep_copy(call->request);
-    call_at(copy, world->now_us + world_lateness(world), call_arrives);
-    call_release(copy);
+    Call *duplicate = g_rc_box_new0(Call);
+    duplicate->world = world;
+    duplicate->node = world_node->index;
+    duplicate->life = world_node->life;
+    duplicate->over = TRUE;
+    duplicate->target = target;
+    duplicate->address = g_strdup(address);
+    duplicate->method = g_strdup(method);
+    duplicate->path = g_strdup(path);
+    duplicate->request = json_deep_copy(request->request);
+    call_at(duplicate, world->now_us + world_lateness(world), call_arrives);
+    call_release(duplicate);
   }
-  call_at(call, world->now_us + (gint64)timeout_ms * 1000 + 1000, call_timeout);
-  call_release(call);
+  call_at(request, world->now_us + (gint64)timeout_ms * 1000 + 1000, call_timeout);
+  call_release(request);
 }
--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -72,17 +72,18 @@
 }
 
 static int
-rent(World *world, const json_t *body, json_t **answer) {
-  const char *hire = mm_json_string(body, WIRE_REQUEST), *type = mm_json_string(body, WIRE_TYPE);
+rent(World *world, const json_t *body, json_t **response) {
+  const char *launch_id = mm_json_string(body, WIRE_REQUEST),
+             *type = mm_json_string(body, WIRE_TYPE);
   const char *zone = mm_json_string(body, WIRE_ZONE);
   gboolean spot = mm_json_flag(body, WIRE_SPOT);
-  guint count = (guint)mm_json_count(body, WIRE_COUNT, 0), there = 0;
+  guint count = (guint)mm_json_count(body, WIRE_COUNT, 0), n_existing = 0;
   json_t *names;
   double boot_s = 0;
 
-  g_assert_true(hire != NULL && type != NULL && zone != NULL && count >= 1 && count <= 50);
-  if (g_hash_table_contains(world->hires, hire)) {
-    *answer = json_incref(g_hash_table_lookup(world->hires, hire));
+  g_assert_true(launch_id != NULL && type != NULL && zone != NULL && count >= 1 && count <= 50);
+  if (g_hash_table_contains(world->hires, launch_id)) {
+    *response = json_incref(g_hash_table_lookup(world->hires, launch_id));
     return 200;
   }
   for (guint i = 0; i < G_N_ELEMENTS(types); i++)
@@ -90,26 +91,26 @@
       boot_s = types[i].boot_s;
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    there += !machine->gone && strcmp(machine->type, type) == 0 && strcmp(machine->zone, zone) == 0
-             && machine->spot == spot;
+    n_existing += !machine->gone && strcmp(machine->type, type) == 0
+                  && strcmp(machine->zone, zone) == 0 && machine->spot == spot;
   }
-  if (there >= world->capacity) {
-    *answer = mm_json_error("no capacity");
+  if (n_existing >= world->capacity) {
+    *response = mm_json_error("no capacity");
     return 503;
   }
   names = json_array();
-  for (; count > 0 && there < world->capacity; count--, there++)
+  for (; count > 0 && n_existing < world->capacity; count--, n_existing++)
     json_array_append_new(names,
                           json_string(world_add_machine(world, type, zone, spot,
                                                         boot_s * world_uniform(world, 0.6, 1.5))
                                           ->id));
-  *answer = json_pack("{s:o}", WIRE_MACHINES, names);
-  g_hash_table_insert(world->hires, g_strdup(hire), json_incref(*answer));
+  *response = json_pack("{s:o}", WIRE_MACHINES, names);
+  g_hash_table_insert(world->hires, g_strdup(launch_id), json_incref(*response));
   return 200;
 }
 
 static int
-release(World *world, const json_t *body, json_t **answer) {
+release(World *world, const json_t *body, json_t **response) {
   size_t i;
   json_t *name;
 
@@ -122,7 +123,7 @@
       }
     }
   }
-  *answer = json_object();
+  *response = json_object();
   return 200;
 }
 
@@ -150,19 +151,19 @@
 
 int
 world_cloud_handle(World *world, const char *method, const char *path, const json_t *body,
-                   json_t **answer) {
+                   json_t **response) {
   if (world->now_us < world->cloud_down_until_us) {
-    *answer = mm_json_error("trouble");
+    *response = mm_json_error("trouble");
     return 503;
   }
   if (strcmp(path, WIRE_MACHINE_TYPES_PATH) == 0) {
-    *answer = type_list();
+    *response = type_list();
     return 200;
   }
   if (strcmp(path, WIRE_RELEASE_PATH) == 0)
-    return release(world, body, answer);
+    return release(world, body, response);
   if (strcmp(method, "POST") == 0)
-    return rent(world, body, answer);
-  *answer = machine_list(world);
+    return rent(world, body, response);
+  *response = machine_list(world);
   return 200;
 }
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -28,16 +28,17 @@
 
 void
 world_check_write(const World *world, guint node) {
-  const WorldNode *self = &world->nodes[node];
-  guint64 highest = self->highest_format != 0 ? self->highest_format : MM_FORMAT_HIGHEST;
+  const WorldNode *world_node = &world->nodes[node];
+  guint64 highest
+      = world_node->highest_format != 0 ? world_node->highest_format : MM_FORMAT_HIGHEST;
 
   /* A node that is kept from reading can't know; what it writes meanwhile the guards decide on. */
   if ((world->format >= MM_FORMAT_LOWEST && world->format <= highest)
       || world->now_us < world->format_set_us + SEEN_US || world->format_set_us == 0
-      || world->now_us < self->unread_until_us + SEEN_US
-      || world->now_us < self->cut_until_us + SEEN_US
-      || world->now_us < self->refused_until_us + SEEN_US
-      || world->now_us < self->frozen_until_us + SEEN_US
+      || world->now_us < world_node->unread_until_us + SEEN_US
+      || world->now_us < world_node->cut_until_us + SEEN_US
+      || world->now_us < world_node->refused_until_us + SEEN_US
+      || world->now_us < world_node->frozen_until_us + SEEN_US
       || world->now_us < world->outage_until_us + SEEN_US
       || world->now_us < world->slow_until_us + SEEN_US)
     return;
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -5,15 +5,15 @@
 
 WorldJob *
 world_submit_after(World *world, json_t *overrides, double run_s, WorldJob *const *needs,
-                   guint n_needs) {
+                   guint n_dependencies) {
   json_t *list = json_array();
   WorldJob *job;
 
-  for (guint i = 0; i < n_needs; i++)
+  for (guint i = 0; i < n_dependencies; i++)
     json_array_append_new(list, json_string(needs[i]->id));
   json_object_set_new(overrides, WIRE_NEEDS, list);
   job = world_submit(world, overrides, run_s);
-  for (guint i = 0; i < n_needs; i++)
+  for (guint i = 0; i < n_dependencies; i++)
     g_ptr_array_add(job->needs, needs[i]);
   return job;
 }
@@ -21,8 +21,8 @@
 gboolean
 world_job_is_ready(const WorldJob *job) {
   for (guint i = 0; i < job->needs->len; i++) {
-    const WorldJob *needed = g_ptr_array_index(job->needs, i);
-    if (needed->n_done < needed->spec.tasks)
+    const WorldJob *dependency = g_ptr_array_index(job->needs, i);
+    if (dependency->n_done < dependency->spec.tasks)
       return FALSE;
   }
   return TRUE;
@@ -35,10 +35,10 @@
 
   g_ptr_array_add(all, (gpointer)job);
   for (guint next = 0; next < all->len; next++) {
-    const WorldJob *at = g_ptr_array_index(all, next);
-    for (guint i = 0; i < at->needs->len; i++)
-      if (!g_ptr_array_find(all, g_ptr_array_index(at->needs, i), NULL))
-        g_ptr_array_add(all, g_ptr_array_index(at->needs, i));
+    const WorldJob *current = g_ptr_array_index(all, next);
+    for (guint i = 0; i < current->needs->len; i++)
+      if (!g_ptr_array_find(all, g_ptr_array_index(current->needs, i), NULL))
+        g_ptr_array_add(all, g_ptr_array_index(current->needs, i));
   }
   return all;
 }
--- a/tests/world/rules.c
+++ b/tests/world/rules.c
@@ -10,23 +10,23 @@
 world_check_start(World *world, const WorldMachine *machine, const WorldTask *task) {
   const MmSpec *spec = &task->job->spec;
   MmName type = mm_name(machine->type);
-  guint here = 1;
+  guint n_in_zone = 1;
 
   if (task->job->began_us == 0)
     task->job->began_us = world->now_us;
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *other = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < other->tasks->len; k++) {
-      const WorldTask *there = g_ptr_array_index(other->tasks, k);
-      if (there == task || !world_task_is_on(there))
+      const WorldTask *other_task = g_ptr_array_index(other->tasks, k);
+      if (other_task == task || !world_task_is_on(other_task))
         continue;
-      if (same_task(there, task))
+      if (same_task(other_task, task))
         world_break(world, "ran_twice: %s/%u starts on %s while on %s", task->job->id, task->number,
                     machine->id, other->id);
-      if (there->job != task->job)
+      if (other_task->job != task->job)
         continue;
       /* NOLINTNEXTLINE(clang-analyzer-core.NonNullParamChecker): both are machines of the world */
-      here += strcmp(other->zone, machine->zone) == 0;
+      n_in_zone += strcmp(other->zone, machine->zone) == 0;
       if (spec->one_zone && strcmp(other->zone, machine->zone) != 0)
         world_break(world, "wrong_place: %s in two zones", task->job->id);
     }
@@ -34,8 +34,8 @@
   if (!world_job_is_ready(task->job))
     world_break(world, "too_early: %s/%u starts before all that its job depends on is done",
                 task->job->id, task->number);
-  if (spec->spread && here > mm_spec_zone_limit(spec))
-    world_break(world, "wrong_place: %u tasks of %s in zone %s", here, task->job->id,
+  if (spec->spread && n_in_zone > mm_spec_zone_limit(spec))
+    world_break(world, "wrong_place: %u tasks of %s in zone %s", n_in_zone, task->job->id,
                 machine->zone);
   if (!mm_spec_allows_type(spec, &type) || (machine->spot && !spec->spot)
       || (spec->zone.s[0] != '\0' && strcmp(spec->zone.s, machine->zone) != 0))
@@ -84,28 +84,28 @@
 
 void
 world_assert_all_over(const World *world) {
-  guint over = 0;
+  guint n_over = 0;
 
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    over += job->told >= TOLD_CANCELLED;
+    n_over += job->told >= TOLD_CANCELLED;
     if (job->told < TOLD_CANCELLED)
       g_test_message("%s is not over: %u of %u done, %u needs", job->id, job->n_done,
                      job->spec.tasks, job->needs->len);
   }
-  g_assert_cmpuint(over, ==, world->jobs->len);
+  g_assert_cmpuint(n_over, ==, world->jobs->len);
 }
 
 guint
 world_running(const World *world, const WorldJob *job, const WorldMachine *except) {
-  guint n = 0;
+  guint n_running = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < machine->tasks->len && machine != except; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
-      n += task->job == job && task->state == MM_SEEN_RUNNING;
+      n_running += task->job == job && task->state == MM_SEEN_RUNNING;
     }
   }
-  return n;
+  return n_running;
 }
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -42,28 +42,28 @@
 static void
 check_one_granter(World *world, const WorldMachine *machine) {
   g_autoptr(GString) granting = g_string_new(NULL);
-  gboolean grants[WORLD_NODES] = { FALSE };
+  gboolean may_grant[WORLD_NODES] = { FALSE };
   MmGroupMap *map;
-  guint n = 0;
+  guint n_granting = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = world->nodes[i].node;
     const MmMachine *known
         = node != NULL ? mm_machine_table_find(node->machine_table, machine->id) : NULL;
-    grants[i] = known != NULL && mm_sharing_may_grant(node->sharing, known);
-    n += grants[i];
+    may_grant[i] = known != NULL && mm_sharing_may_grant(node->sharing, known);
+    n_granting += may_grant[i];
   }
-  if (n < 2)
+  if (n_granting < 2)
     return;
   world->double_owners++;
   map = true_map(world);
   for (guint i = 0; i < WORLD_NODES; i++)
-    if (grants[i] && takes_effect(map, i, machine))
+    if (may_grant[i] && takes_effect(map, i, machine))
       g_string_append_printf(granting, " n-%u", i);
     else
-      n -= grants[i];
+      n_granting -= may_grant[i];
   mm_group_map_free(map);
-  if (n > 1)
+  if (n_granting > 1)
     world_break(world, "two owners at %.3f s:%s grant resources of %s",
                 (double)world->now_us / SECOND, granting->str, machine->id);
 }
@@ -116,12 +116,12 @@
 }
 
 static double
-free_cores(World *world, const json_t *report) {
-  double cores = g_strcmp0(mm_json_string(report, WIRE_TYPE), "small") == 0 ? 4 : 16;
+free_cores(World *world, const json_t *heartbeat) {
+  double cores = g_strcmp0(mm_json_string(heartbeat, WIRE_TYPE), "small") == 0 ? 4 : 16;
   size_t i;
   json_t *task;
 
-  json_array_foreach(json_object_get(report, "kits"), i, task) {
+  json_array_foreach(json_object_get(heartbeat, "kits"), i, task) {
     if (g_strcmp0(mm_json_string(task, WIRE_STATE), "ended") != 0)
       cores -= cores_of(world, task);
   }
@@ -129,12 +129,12 @@
 }
 
 static double
-started_cores(World *world, const json_t *answer) {
+started_cores(World *world, const json_t *response) {
   double cores = 0;
   size_t i;
   json_t *command;
 
-  json_array_foreach(json_object_get(answer, WIRE_COMMANDS), i, command) {
+  json_array_foreach(json_object_get(response, WIRE_COMMANDS), i, command) {
     if (g_strcmp0(mm_json_string(command, WIRE_OP), WIRE_START) == 0)
       cores += cores_of(world, command);
   }
@@ -142,26 +142,26 @@
 }
 
 void
-world_check_answer(World *world, guint node, const json_t *report, const json_t *answer) {
-  const MmNode *self = world->nodes[node].node;
-  double cores = started_cores(world, answer);
+world_check_answer(World *world, guint node, const json_t *heartbeat, const json_t *response) {
+  const MmNode *controller = world->nodes[node].node;
+  double cores = started_cores(world, response);
   char *key;
   double *granted;
 
-  if (world->groups == 0 || self == NULL || !self->sharing->active || cores == 0)
+  if (world->groups == 0 || controller == NULL || !controller->sharing->active || cores == 0)
     return;
-  key = g_strdup_printf("%s/%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT,
-                        mm_json_string(report, WIRE_MACHINE),
-                        mm_json_count(report, WIRE_SESSION, 0), mm_json_count(report, WIRE_SEQ, 0));
+  key = g_strdup_printf(
+      "%s/%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT, mm_json_string(heartbeat, WIRE_MACHINE),
+      mm_json_count(heartbeat, WIRE_SESSION, 0), mm_json_count(heartbeat, WIRE_SEQ, 0));
   granted = g_hash_table_lookup(world->granted, key);
   if (granted == NULL) {
     granted = g_new0(double, 1);
     g_hash_table_insert(world->granted, g_strdup(key), granted);
   }
   *granted += cores;
-  if (*granted > free_cores(world, report) + MM_RESOURCES_SLACK)
+  if (*granted > free_cores(world, heartbeat) + MM_RESOURCES_SLACK)
     world_break(world, "granted twice: answers to %s start %g cores, %g were free", key, *granted,
-                free_cores(world, report));
+                free_cores(world, heartbeat));
   g_free(key);
 }
 
@@ -175,11 +175,11 @@
 }
 
 void
-world_move_group(World *world, guint asked, guint group, guint target) {
+world_move_group(World *world, guint via_node, guint group, guint target) {
   g_autofree char *path = g_strdup_printf(MM_ADMIN_GROUPS_PATH "/%u/move", group);
   g_autofree char *label = g_strdup_printf("n-%u", target);
 
-  world_ask_node(world, asked, NULL, "POST", path, json_pack("{s:s}", MM_ADMIN_TO, label),
+  world_ask_node(world, via_node, NULL, "POST", path, json_pack("{s:s}", MM_ADMIN_TO, label),
                  2 * SECOND, move_answered, world);
 }
 
--- a/tests/world/store.c
+++ b/tests/world/store.c
@@ -84,10 +84,10 @@
 }
 
 static void
-put_key(World *world, const char *path, json_t *value, guint64 lease) {
+put_key(World *world, const char *path, json_t *value, guint64 lease_id) {
   WorldKey *key = g_new(WorldKey, 1);
 
-  *key = (WorldKey){ json_incref(value), world->revision, lease };
+  *key = (WorldKey){ json_incref(value), world->revision, lease_id };
   g_tree_replace(world->keys, g_strdup(path), key);
   record(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
 }
@@ -96,7 +96,7 @@
 answer_watches(World *world) {
   for (guint i = 0; i < world->watches->len; i++) {
     Watch *watch = g_ptr_array_index(world->watches, i);
-    g_autoptr(json_t) answer = NULL;
+    g_autoptr(json_t) response = NULL;
     json_t *events;
 
     if (watch->over || world->now_us < world->outage_until_us
@@ -114,10 +114,10 @@
       json_decref(events);
       continue;
     }
-    answer
+    response
         = json_pack("{s:I, s:o}", WIRE_REVISION, (json_int_t)world->revision, WIRE_EVENTS, events);
     watch->over = TRUE;
-    watch->answered(watch->data, 200, answer);
+    watch->answered(watch->data, 200, response);
   }
   for (guint i = world->watches->len; i > 0; i--)
     if (((Watch *)g_ptr_array_index(world->watches, i - 1))->over)
@@ -146,7 +146,7 @@
 }
 
 void
-world_store_add_watch(World *world, guint node, const char *path, MmAnswered answered,
+world_store_add_watch(World *world, guint node, const char *path, MmAnswered callback,
                       gpointer data) {
   Watch *watch = g_new0(Watch, 1);
 
@@ -155,7 +155,7 @@
   watch->since = g_ascii_strtoull(query(path, WIRE_AFTER), NULL, 10);
   watch->until_us
       = world->now_us + (gint64)g_ascii_strtoull(query(path, WIRE_WAIT), NULL, 10) * 1000;
-  watch->answered = answered;
+  watch->answered = callback;
   watch->data = data;
   g_ptr_array_add(world->watches, watch);
   answer_watches(world);
@@ -168,23 +168,23 @@
 
 static gboolean
 collect(gpointer path, gpointer value, gpointer data) {
-  Attached *attached = data;
+  Attached *leased_keys = data;
 
-  if (((WorldKey *)value)->lease == attached->lease)
-    g_ptr_array_add(attached->paths, g_strdup(path));
+  if (((WorldKey *)value)->lease == leased_keys->lease)
+    g_ptr_array_add(leased_keys->paths, g_strdup(path));
   return FALSE;
 }
 
 static void
 end_lease(World *world, guint64 id) {
-  Attached attached = { g_ptr_array_new_with_free_func(g_free), id };
+  Attached leased_keys = { g_ptr_array_new_with_free_func(g_free), id };
 
-  g_tree_foreach(world->keys, collect, &attached);
-  if (attached.paths->len > 0)
+  g_tree_foreach(world->keys, collect, &leased_keys);
+  if (leased_keys.paths->len > 0)
     world->revision++;
-  for (guint i = 0; i < attached.paths->len; i++)
-    delete_key(world, g_ptr_array_index(attached.paths, i));
-  g_ptr_array_unref(attached.paths);
+  for (guint i = 0; i < leased_keys.paths->len; i++)
+    delete_key(world, g_ptr_array_index(leased_keys.paths, i));
+  g_ptr_array_unref(leased_keys.paths);
   g_hash_table_remove(world->leases, &id);
 }
 
@@ -228,51 +228,52 @@
 
 /* Whether the changes are within the rate, with one second's worth of burst. */
 static gboolean
-takes_writes(World *world, gsize changes) {
-  double most = world->write_rps;
+takes_writes(World *world, gsize n_changes) {
+  double max_rps = world->write_rps;
 
-  if (most <= 0)
+  if (max_rps <= 0)
     return TRUE;
   world->write_tokens
-      = MIN(most, world->write_tokens
-                      + most * (double)(world->now_us - world->tokens_us) / G_USEC_PER_SEC);
+      = MIN(max_rps, world->write_tokens
+                         + max_rps * (double)(world->now_us - world->tokens_us) / G_USEC_PER_SEC);
   world->tokens_us = world->now_us;
-  if (world->write_tokens < (double)changes) {
+  if (world->write_tokens < (double)n_changes) {
     world->limited++;
     return FALSE;
   }
-  world->write_tokens -= (double)changes;
+  world->write_tokens -= (double)n_changes;
   return TRUE;
 }
 
 static gboolean
-is_too_large(const World *world, const json_t *guards, const json_t *apply) {
+is_too_large(const World *world, const json_t *guards, const json_t *changes) {
   size_t i;
   json_t *item;
 
-  if (json_array_size(apply) > world->txn_ops || json_array_size(guards) > 4 * world->txn_ops)
+  if (json_array_size(changes) > world->txn_ops || json_array_size(guards) > 4 * world->txn_ops)
     return TRUE;
-  json_array_foreach(apply, i,
+  json_array_foreach(changes, i,
                      item) if (json_dumpb(json_object_get(item, WIRE_VALUE), NULL, 0, JSON_COMPACT)
                                > world->value_bytes) return TRUE;
   return FALSE;
 }
 
 static int
-transact(World *world, const json_t *body, json_t **answer) {
-  const json_t *guards = json_object_get(body, WIRE_IF), *apply = json_object_get(body, WIRE_THEN);
+transact(World *world, const json_t *body, json_t **response) {
+  const json_t *guards = json_object_get(body, WIRE_IF),
+               *changes = json_object_get(body, WIRE_THEN);
   json_t *failed;
   size_t i;
   json_t *item;
 
-  if (world->unannounced && is_too_large(world, guards, apply)) {
+  if (world->unannounced && is_too_large(world, guards, changes)) {
     world->refused++;
-    *answer = mm_json_error("too large");
+    *response = mm_json_error("too large");
     return 400;
   }
-  g_assert_false(is_too_large(world, guards, apply));
-  if (!takes_writes(world, json_array_size(apply))) {
-    *answer = mm_json_error("too many changes");
+  g_assert_false(is_too_large(world, guards, changes));
+  if (!takes_writes(world, json_array_size(changes))) {
+    *response = mm_json_error("too many changes");
     return 429;
   }
   failed = json_array();
@@ -283,22 +284,22 @@
       json_array_append_new(failed, json_string(path));
   }
   if (json_array_size(failed) > 0) {
-    *answer = json_pack("{s:o, s:I}", WIRE_CONFLICT, failed, WIRE_REVISION,
-                        (json_int_t)world->revision);
+    *response = json_pack("{s:o, s:I}", WIRE_CONFLICT, failed, WIRE_REVISION,
+                          (json_int_t)world->revision);
     world->conflicts++;
     return 409;
   }
   json_decref(failed);
-  json_array_foreach(apply, i, item) {
-    guint64 lease = mm_json_count(item, WIRE_LEASE, 0);
-    if (lease != 0 && g_hash_table_lookup(world->leases, &lease) == NULL) {
-      *answer = mm_json_error("no such lease");
+  json_array_foreach(changes, i, item) {
+    guint64 lease_id = mm_json_count(item, WIRE_LEASE, 0);
+    if (lease_id != 0 && g_hash_table_lookup(world->leases, &lease_id) == NULL) {
+      *response = mm_json_error("no such lease");
       return 400;
     }
   }
-  if (json_array_size(apply) > 0)
+  if (json_array_size(changes) > 0)
     world->revision++;
-  json_array_foreach(apply, i, item) {
+  json_array_foreach(changes, i, item) {
     world->writes++;
     if (mm_json_string(item, WIRE_PUT) != NULL)
       put_key(world, mm_json_string(item, WIRE_PUT), json_object_get(item, WIRE_VALUE),
@@ -306,7 +307,7 @@
     else
       delete_key(world, mm_json_string(item, WIRE_DELETE));
   }
-  *answer = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
+  *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
   answer_watches(world);
   return 200;
 }
@@ -321,44 +322,43 @@
 
 static gboolean
 list_key(gpointer path, gpointer value, gpointer data) {
-  Listing *listing = data;
+  Listing *page = data;
   const WorldKey *key = value;
 
-  if (!g_str_has_prefix(path, listing->prefix)
-      || (listing->after != NULL && strcmp(path, listing->after) <= 0))
+  if (!g_str_has_prefix(path, page->prefix)
+      || (page->after != NULL && strcmp(path, page->after) <= 0))
     return FALSE;
-  if (json_array_size(listing->items) >= listing->most) {
-    listing->more = TRUE;
+  if (json_array_size(page->items) >= page->most) {
+    page->more = TRUE;
     return TRUE;
   }
-  json_array_append_new(listing->items,
-                        json_pack("{s:s, s:O, s:I}", WIRE_KEY, path, WIRE_VALUE, key->value,
-                                  WIRE_VERSION, (json_int_t)key->version));
+  json_array_append_new(page->items, json_pack("{s:s, s:O, s:I}", WIRE_KEY, path, WIRE_VALUE,
+                                               key->value, WIRE_VERSION, (json_int_t)key->version));
   return FALSE;
 }
 
 int
 world_store_handle(World *world, const char *method, const char *path, const json_t *body,
-                   json_t **answer) {
+                   json_t **response) {
   if (strcmp(path, WIRE_TXN_PATH) == 0)
-    return transact(world, body, answer);
+    return transact(world, body, response);
   if (g_str_has_prefix(path, WIRE_KEYS_PATH "?")) {
     g_autofree char *prefix = query_text(path, WIRE_PREFIX);
     g_autofree char *after = query_text(path, WIRE_AFTER);
     /* Small pages, so that reading goes on over several. */
-    Listing listing = { prefix, after, 7, json_array(), FALSE };
-    g_tree_foreach(world->keys, list_key, &listing);
-    *answer = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, listing.items, WIRE_MORE, listing.more,
-                        WIRE_REVISION, (json_int_t)world->revision);
+    Listing page = { prefix, after, 7, json_array(), FALSE };
+    g_tree_foreach(world->keys, list_key, &page);
+    *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.more,
+                          WIRE_REVISION, (json_int_t)world->revision);
     return 200;
   }
   if (g_str_has_prefix(path, WIRE_KEYS_PATH "/")) {
     const WorldKey *key = g_tree_lookup(world->keys, path + strlen(WIRE_KEYS_PATH "/"));
     if (key == NULL) {
-      *answer = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
+      *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
       return 404;
     }
-    *answer
+    *response
         = json_pack("{s:O, s:I}", WIRE_VALUE, key->value, WIRE_VERSION, (json_int_t)key->version);
     return 200;
   }
@@ -368,7 +368,7 @@
         = (WorldLease){ ++world->next_lease, (gint64)mm_json_count(body, WIRE_TTL, 0) * 1000, 0 };
     lease->ends_us = world->now_us + lease->ttl_us;
     g_hash_table_insert(world->leases, &lease->id, lease);
-    *answer = json_pack("{s:I}", WIRE_LEASE, (json_int_t)lease->id);
+    *response = json_pack("{s:I}", WIRE_LEASE, (json_int_t)lease->id);
     return 200;
   }
   if (g_str_has_prefix(path, WIRE_LEASES_PATH "/")) {
@@ -377,7 +377,7 @@
     if (lease == NULL)
       return 404;
     lease->ends_us = world->now_us + lease->ttl_us;
-    *answer = json_object();
+    *response = json_object();
     return 200;
   }
   return 400;
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -59,16 +59,16 @@
 
 guint
 world_leader(World *world) {
-  guint leader = G_MAXUINT, most = 0;
+  guint leader = G_MAXUINT, most_led = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmClaims *claims = world->nodes[i].node != NULL ? world->nodes[i].node->claims : NULL;
-    guint held = 0;
+    guint n_led = 0;
     for (guint p = 0; claims != NULL && p < claims->names->len; p++)
-      held += mm_claims_holds(claims, g_ptr_array_index(claims->names, p));
-    if (claims != NULL && (leader == G_MAXUINT || held > most)) {
+      n_led += mm_claims_holds(claims, g_ptr_array_index(claims->names, p));
+    if (claims != NULL && (leader == G_MAXUINT || n_led > most_led)) {
       leader = i;
-      most = held;
+      most_led = n_led;
     }
   }
   g_assert_cmpuint(leader, !=, G_MAXUINT);
@@ -77,16 +77,16 @@
 
 guint
 world_cancelled_tasks(const World *world) {
-  guint n = 0;
+  guint n_cancelled = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
-      n += world_task_is_on(task) && task->job->told == TOLD_CANCELLED;
+      n_cancelled += world_task_is_on(task) && task->job->told == TOLD_CANCELLED;
     }
   }
-  return n;
+  return n_cancelled;
 }
 
 /* ---- odd requests ---- */
@@ -114,18 +114,18 @@
 
 static void
 ask_odd(World *world, const char *method, const char *path, json_t *body, int status,
-        const char *state, const char *what) {
+        const char *state, const char *description) {
   Expected *expected = g_new(Expected, 1);
   guint node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
 
-  *expected = (Expected){ world, status, state, g_strdup(what) };
+  *expected = (Expected){ world, status, state, g_strdup(description) };
   world_ask_node(world, node, NULL, method, path, body, 2 * (gint64)G_USEC_PER_SEC, odd_answered,
                  expected);
 }
 
 static json_t *
-fresh_body(World *world, const WorldJob *like) {
-  json_t *body = json_deep_copy(like->body);
+fresh_body(World *world, const WorldJob *template) {
+  json_t *body = json_deep_copy(template->body);
   g_autofree char *id = g_strdup_printf("run-9%08u", ++world->next_job);
 
   json_object_set_new(body, WIRE_JOB_ID, json_string(id));
@@ -134,18 +134,18 @@
 
 void
 world_odd_requests(World *world) {
-  WorldJob *like = g_ptr_array_index(world->jobs, 0);
-  json_t *body = fresh_body(world, like);
+  WorldJob *template = g_ptr_array_index(world->jobs, 0);
+  json_t *body = fresh_body(world, template);
   const char *field;
   json_t *value;
 
   json_object_set_new(body, WIRE_CORES, json_real(17));
   ask_odd(world, "POST", WIRE_JOBS_PATH, body, 422, NULL, "a job that fits no machine");
-  json_object_foreach(like->body, field, value) {
+  json_object_foreach(template->body, field, value) {
     /* May be null, so absent too. */
     if (strcmp(field, WIRE_ZONE) == 0 || strcmp(field, WIRE_NEEDS) == 0)
       continue;
-    body = fresh_body(world, like);
+    body = fresh_body(world, template);
     json_object_del(body, field);
     ask_odd(world, "POST", WIRE_JOBS_PATH, body, 400, NULL, field);
   }
@@ -167,14 +167,14 @@
 static MmResources
 free_room(const WorldMachine *machine) {
   double cores = strcmp(machine->type, "small") == 0 ? 4 : 16;
-  MmResources room = { cores, 0, cores * 4 };
+  MmResources resources = { cores, 0, cores * 4 };
 
   for (guint k = 0; k < machine->tasks->len; k++) {
     const WorldTask *task = g_ptr_array_index(machine->tasks, k);
     if (task->state != MM_SEEN_ENDED)
-      room = mm_resources_sub(room, task->job->spec.need);
+      resources = mm_resources_sub(resources, task->job->spec.need);
   }
-  return room;
+  return resources;
 }
 
 static gboolean
@@ -196,18 +196,18 @@
 /* Cores that the team's tasks take, images being fetched included, and how many of the job's tasks
  * are given to machines. */
 static double
-team_cores(const World *world, const WorldJob *of, guint *given) {
+team_cores(const World *world, const WorldJob *target_job, guint *n_given) {
   double cores = 0;
 
-  *given = 0;
+  *n_given = 0;
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
       if (task->state == MM_SEEN_ENDED)
         continue;
-      *given += task->job == of;
-      if (mm_name_equal(&task->job->spec.team, &of->spec.team))
+      *n_given += task->job == target_job;
+      if (mm_name_equal(&task->job->spec.team, &target_job->spec.team))
         cores += task->job->spec.need.cores;
     }
   }
@@ -218,13 +218,13 @@
 waits_needlessly(const World *world, const WorldJob *job) {
   const MmSpec *spec = &job->spec;
   double cores;
-  guint given;
+  guint n_given;
 
   if (job->told != ACCEPTED || world_job_may_be_cancelled(job) || !world_job_is_ready(job)
       || spec->one_zone || spec->spread || (spec->kind == MM_KIND_GANG && spec->tasks > 1))
     return FALSE;
-  cores = team_cores(world, job, &given);
-  return spec->tasks > job->n_done + given && cores + spec->need.cores <= world->team_cores + 1e-6
+  cores = team_cores(world, job, &n_given);
+  return spec->tasks > job->n_done + n_given && cores + spec->need.cores <= world->team_cores + 1e-6
          && fits_somewhere(world, spec);
 }
 
@@ -253,12 +253,13 @@
 } Share;
 
 static void
-count(World *world, Share *share, const char *what, const WorldJob *job) {
+count(World *world, Share *served_count, const char *description, const WorldJob *job) {
   if (job != NULL) {
-    share->all++;
-    share->served += job->began_us != 0;
-  } else if (share->served * 2 < share->all) {
-    world_break(world, "served: %u of %u jobs of %s", share->served, share->all, what);
+    served_count->all++;
+    served_count->served += job->began_us != 0;
+  } else if (served_count->served * 2 < served_count->all) {
+    world_break(world, "served: %u of %u jobs of %s", served_count->served, served_count->all,
+                description);
   }
 }
 
@@ -266,12 +267,12 @@
 world_check_served(World *world) {
   static const char *const kinds[] = { "arrays", "gangs", "services" };
   Share teams[4] = { 0 }, of_kind[3] = { 0 }, largest = { 0 };
-  guint most = 0;
+  guint most_tasks = 0;
 
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
     if (!world_job_may_be_cancelled(job))
-      most = MAX(most, job->spec.tasks);
+      most_tasks = MAX(most_tasks, job->spec.tasks);
   }
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
@@ -279,7 +280,7 @@
       continue;
     count(world, &teams[job->spec.team.s[5] - '0'], NULL, job);
     count(world, &of_kind[job->spec.kind], NULL, job);
-    if (job->spec.tasks < most)
+    if (job->spec.tasks < most_tasks)
       continue;
     count(world, &largest, NULL, job);
     if (job->began_us - job->ready_us > LARGEST_BEGIN_US)
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -7,16 +7,16 @@
 
 void
 world_as_old_version(const World *world, guint node, json_t *request) {
-  json_t *apply = json_object_get(request, WIRE_THEN);
+  json_t *changes = json_object_get(request, WIRE_THEN);
   size_t i;
   json_t *item;
 
-  for (i = json_array_size(apply); i > 0; i--) {
-    const char *key = mm_json_string(json_array_get(apply, i - 1), WIRE_PUT);
+  for (i = json_array_size(changes); i > 0; i--) {
+    const char *key = mm_json_string(json_array_get(changes, i - 1), WIRE_PUT);
     if (key != NULL && g_str_has_prefix(key, MM_KEY_VERSION))
-      json_array_remove(apply, i - 1);
+      json_array_remove(changes, i - 1);
   }
-  json_array_foreach(apply, i, item) {
+  json_array_foreach(changes, i, item) {
     const char *key = mm_json_string(item, WIRE_PUT);
     json_t *value = json_object_get(item, WIRE_VALUE);
     if (key == NULL)
@@ -32,14 +32,14 @@
 
 void
 world_upgrade_node(World *world, guint index, double down_s) {
-  WorldNode *self = &world->nodes[index];
+  WorldNode *world_node = &world->nodes[index];
 
   world_kill_node(world, index, down_s);
-  self->old = FALSE;
-  self->operators.groups = world->groups;
+  world_node->old = FALSE;
+  world_node->operators.groups = world->groups;
   /* Its last life may still read the old ones. */
-  g_ptr_array_add(world->settings_kept, self->settings);
-  self->settings = world_node_settings(world, index);
+  g_ptr_array_add(world->settings_kept, world_node->settings);
+  world_node->settings = world_node_settings(world, index);
 }
 
 void
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -38,28 +38,28 @@
 
 static Ask *
 ask_new(WorldJob *job) {
-  Ask *ask = g_new(Ask, 1);
+  Ask *question = g_new(Ask, 1);
 
-  *ask = (Ask){ job, job->told, job->ever_accepted };
-  return ask;
+  *question = (Ask){ job, job->told, job->ever_accepted };
+  return question;
 }
 
 static void
 check_orphaned(const WorldJob *job, const char *state) {
   World *world = job->world;
-  gint64 since_us = world_job_orphaned_us(job);
+  gint64 cancelled_us = world_job_orphaned_us(job);
 
-  if (since_us != 0
-      && (double)(world->now_us - since_us) > (world->cancel_s + ANSWER_S) * G_USEC_PER_SEC)
+  if (cancelled_us != 0
+      && (double)(world->now_us - cancelled_us) > (world->cancel_s + ANSWER_S) * G_USEC_PER_SEC)
     world_break(world,
                 "orphaned: %s is still called %s %.1f s after its user or that of one before it"
                 " was told",
-                job->id, state, (double)(world->now_us - since_us) / G_USEC_PER_SEC);
+                job->id, state, (double)(world->now_us - cancelled_us) / G_USEC_PER_SEC);
 }
 
 static void
-told(const Ask *ask, const json_t *body) {
-  WorldJob *job = ask->job;
+told(const Ask *question, const json_t *body) {
+  WorldJob *job = question->job;
   World *world = job->world;
   const char *state = mm_json_string(body, WIRE_STATE);
 
@@ -78,7 +78,7 @@
       job->told_us = world->now_us;
     job->told = TOLD_CANCELLED;
   } else {
-    if (ask->told == TOLD_DONE || ask->told == TOLD_CANCELLED)
+    if (question->told == TOLD_DONE || question->told == TOLD_CANCELLED)
       world_break(world, "went_back: %s is %s after it was over", job->id, state);
     check_orphaned(job, state);
     job->told = MAX(job->told, ACCEPTED);
@@ -87,17 +87,17 @@
 
 static void
 submitted(gpointer data, int status, json_t *body) {
-  g_autofree Ask *ask = data;
-  WorldJob *job = ask->job;
+  g_autofree Ask *question = data;
+  WorldJob *job = question->job;
   World *world = job->world;
 
   if (status == 200 || status == 201) {
-    told(ask, body);
+    told(question, body);
     job->ever_accepted = TRUE;
     world_at(world, world->now_us + G_USEC_PER_SEC, poll, job);
     return;
   }
-  if (ask->accepted && (status == 400 || status == 422 || status == 404))
+  if (question->accepted && (status == 400 || status == 422 || status == 404))
     world_break(world, "forgotten: %s gets %d", job->id, status);
   g_assert_true(status == 0 || status == 503 || status == 429);
   world_at(world, world->now_us + G_USEC_PER_SEC, submit, job);
@@ -115,23 +115,23 @@
 
 static void
 ignore_submitted(gpointer data, int status, json_t *body) {
-  g_autofree Ask *ask = data;
-  WorldJob *job = ask->job;
+  g_autofree Ask *question = data;
+  WorldJob *job = question->job;
 
   if (status == 200 || status == 201)
-    told(ask, body);
+    told(question, body);
   else if (status == 400 || status == 422 || status == 404)
     world_break(job->world, "forgotten: a repeated submission of %s gets %d", job->id, status);
 }
 
 static void
 polled(gpointer data, int status, json_t *body) {
-  g_autofree Ask *ask = data;
-  WorldJob *job = ask->job;
+  g_autofree Ask *question = data;
+  WorldJob *job = question->job;
   World *world = job->world;
 
   if (status == 200)
-    told(ask, body);
+    told(question, body);
   else if (status == 404)
     world_break(world, "forgotten: %s gets 404", job->id);
   /* Those that are over are asked for again, more rarely, and now and then submitted again. */
@@ -154,11 +154,11 @@
 
 static void
 cancel_answered(gpointer data, int status, json_t *body) {
-  g_autofree Ask *ask = data;
-  WorldJob *job = ask->job;
+  g_autofree Ask *question = data;
+  WorldJob *job = question->job;
 
   if (status == 200)
-    told(ask, body);
+    told(question, body);
   else
     world_at(job->world, job->world->now_us + G_USEC_PER_SEC, cancel, job);
 }
@@ -225,12 +225,12 @@
   guint kind = (guint)g_rand_int_range(world->rand, 0, 4);
   g_autofree char *team = g_strdup_printf("team-%d", g_rand_int_range(world->rand, 0, 4));
   g_autofree char *image = g_strdup_printf("img-%d", g_rand_int_range(world->rand, 0, 5));
-  gint most = kind < 2 ? 9 : 5;
+  gint max_tasks = kind < 2 ? 9 : 5;
   json_t *job = json_pack(
       "{s:s, s:s, s:s, s:s, s:i, s:b, s:b, s:b}", WIRE_TEAM, team, WIRE_KIND, kinds[kind],
       WIRE_IMAGE, image, WIRE_PRIORITY, priorities[g_rand_int_range(world->rand, 0, 4)], WIRE_TASKS,
-      g_rand_int_range(world->rand, 1, most), WIRE_SPOT, g_rand_boolean(world->rand), WIRE_SPREAD,
-      kind == 2, WIRE_ONE_ZONE, kind == 3 && g_rand_boolean(world->rand));
+      g_rand_int_range(world->rand, 1, max_tasks), WIRE_SPOT, g_rand_boolean(world->rand),
+      WIRE_SPREAD, kind == 2, WIRE_ONE_ZONE, kind == 3 && g_rand_boolean(world->rand));
 
   if (world_uniform(world, 0, 1) < 0.2)
     json_object_set_new(job, WIRE_ZONE, json_string("b"));
--- a/tests/world/visits.c
+++ b/tests/world/visits.c
@@ -23,87 +23,88 @@
 
 static void
 visit_clear(gpointer data) {
-  Visit *visit = data;
+  Visit *request = data;
 
-  json_decref(visit->body);
-  json_decref(visit->request);
-  g_free(visit->method);
-  g_free(visit->path);
+  json_decref(request->body);
+  json_decref(request->request);
+  g_free(request->method);
+  g_free(request->path);
 }
 
 /* Every event that is to come, and the node while it owes an answer, holds on to the visit. */
 static void
-visit_at(Visit *visit, gint64 us, WorldCall what) {
-  world_at(visit->world, us, what, g_rc_box_acquire(visit));
+visit_at(Visit *request, gint64 us, WorldCall callback) {
+  world_at(request->world, us, callback, g_rc_box_acquire(request));
 }
 
 static void
-visit_release(Visit *visit) {
-  g_rc_box_release_full(visit, visit_clear);
+visit_release(Visit *request) {
+  g_rc_box_release_full(request, visit_clear);
 }
 
 static void
-visit_over(Visit *visit, int status, json_t *body) {
-  if (!visit->over)
-    visit->answered(visit->data, status, body);
-  visit->over = TRUE;
-  visit_release(visit);
+visit_over(Visit *request, int status, json_t *body) {
+  if (!request->over)
+    request->answered(request->data, status, body);
+  request->over = TRUE;
+  visit_release(request);
 }
 
 static void
 visit_back(gpointer data) {
-  Visit *visit = data;
+  Visit *request = data;
 
-  visit_over(visit, visit->status, visit->body);
+  visit_over(request, request->status, request->body);
 }
 
 static void
 visit_answer(MmExchange *exchange, int status, json_t *body, guint retry_after_s) {
-  Visit *visit = (Visit *)exchange;
-  World *world = visit->world;
+  Visit *request = (Visit *)exchange;
+  World *world = request->world;
   gint64 at = world->now_us + world_delay(world);
 
-  g_assert_true(visit->pending);
-  visit->pending = FALSE;
-  if (status == 200 && strcmp(visit->path, WIRE_REPORT_PATH) == 0)
-    world_check_answer(world, visit->node, visit->request, body);
-  visit->status = status;
-  visit->body = body;
+  g_assert_true(request->pending);
+  request->pending = FALSE;
+  if (status == 200 && strcmp(request->path, WIRE_REPORT_PATH) == 0)
+    world_check_answer(world, request->node, request->request, body);
+  request->status = status;
+  request->body = body;
   /* An answer to a machine that is cut off is held back; the worker drops what comes after 4 s. */
-  if (visit->from != NULL && world->now_us < visit->from->cut_until_us)
-    at = visit->from->cut_until_us + world_delay(world);
+  if (request->from != NULL && world->now_us < request->from->cut_until_us)
+    at = request->from->cut_until_us + world_delay(world);
   /* It had judged that it may answer, and stood still before the answer went out. */
   if (world->stalls > 0 && world_uniform(world, 0, 1) < world->stalls)
     at += (gint64)(world_uniform(world, 0.1, 3.9) * G_USEC_PER_SEC);
-  if (world->nodes[visit->node].life != visit->life)
-    visit->status = 0;
-  if (visit->from == NULL
-      || (world->now_us >= visit->from->deaf_until_us
-          && !world_is_apart(world, visit->node, visit->from)))
-    visit_at(visit, at, visit_back);
-  visit_release(visit);
+  if (world->nodes[request->node].life != request->life)
+    request->status = 0;
+  if (request->from == NULL
+      || (world->now_us >= request->from->deaf_until_us
+          && !world_is_apart(world, request->node, request->from)))
+    visit_at(request, at, visit_back);
+  visit_release(request);
 }
 
 static void
 visit_arrives(gpointer data) {
-  Visit *visit = data;
-  WorldNode *node = &visit->world->nodes[visit->node];
-  gboolean user_at_cut_zone = visit->from == NULL && visit->node == visit->world->cut_zone
-                              && visit->world->now_us < visit->world->zone_cut_until_us;
+  Visit *request = data;
+  WorldNode *world_node = &request->world->nodes[request->node];
+  gboolean is_user_at_cut_zone = request->from == NULL && request->node == request->world->cut_zone
+                                 && request->world->now_us < request->world->zone_cut_until_us;
 
-  if (world_node_stands_still(node, node->life, visit_arrives, visit))
+  if (world_node_stands_still(world_node, world_node->life, visit_arrives, request))
     return;
-  if (node->node == NULL || user_at_cut_zone
-      || (visit->from != NULL && world_is_apart(visit->world, visit->node, visit->from))) {
-    visit_release(visit);
+  if (world_node->node == NULL || is_user_at_cut_zone
+      || (request->from != NULL && world_is_apart(request->world, request->node, request->from))) {
+    visit_release(request);
     return;
   }
-  visit->life = node->life;
-  visit->pending = TRUE;
-  if (visit->copy_of != NULL)
-    visit->world->old_sessions
-        += mm_json_count(visit->request, WIRE_SESSION, 0) < visit->copy_of->session;
-  mm_node_handle(node->node, visit->method, visit->path, visit->request, &visit->exchange);
+  request->life = world_node->life;
+  request->pending = TRUE;
+  if (request->copy_of != NULL)
+    request->world->old_sessions
+        += mm_json_count(request->request, WIRE_SESSION, 0) < request->copy_of->session;
+  mm_node_handle(world_node->node, request->method, request->path, request->request,
+                 &request->exchange);
 }
 
 static void
@@ -117,56 +118,57 @@
 
 /* A late copy of a request, whose answer nobody waits for. */
 static void
-visit_again(World *world, guint index, const Visit *visit, gint64 at) {
-  Visit *copy = g_rc_box_new0(Visit);
-
-  copy->exchange.answer = visit_answer;
-  copy->world = world;
-  copy->node = index;
-  copy->copy_of = visit->from;
-  copy->method = g_strdup(visit->method);
-  copy->path = g_strdup(visit->path);
-  copy->request = json_deep_copy(visit->request);
-  copy->answered = nobody_waits;
-  copy->over = TRUE;
-  visit_at(copy, at, visit_arrives);
-  visit_release(copy);
+visit_again(World *world, guint index, const Visit *request, gint64 at) {
+  Visit *duplicate = g_rc_box_new0(Visit);
+
+  duplicate->exchange.answer = visit_answer;
+  duplicate->world = world;
+  duplicate->node = index;
+  duplicate->copy_of = request->from;
+  duplicate->method = g_strdup(request->method);
+  duplicate->path = g_strdup(request->path);
+  duplicate->request = json_deep_copy(request->request);
+  duplicate->answered = nobody_waits;
+  duplicate->over = TRUE;
+  visit_at(duplicate, at, visit_arrives);
+  visit_release(duplicate);
 }
 
 void
-world_ask_node(World *world, guint index, WorldMachine *from, const char *method, const char *path,
-               json_t *body, gint64 timeout_us, MmAnswered answered, gpointer data) {
-  Visit *visit;
+world_ask_node(World *world, guint index, WorldMachine *sender, const char *method,
+               const char *path, json_t *body, gint64 timeout_us, MmAnswered callback,
+               gpointer data) {
+  Visit *request;
   gint64 at = world->now_us + world_delay(world);
 
   if (world->ask != NULL) {
-    world->ask(world, index, method, path, body, timeout_us, answered, data);
+    world->ask(world, index, method, path, body, timeout_us, callback, data);
     return;
   }
-  visit = g_rc_box_new0(Visit);
-  visit->exchange.answer = visit_answer;
-  visit->world = world;
-  visit->node = index;
-  visit->from = from;
-  visit->method = g_strdup(method);
-  visit->path = g_strdup(path);
-  visit->request = body;
-  visit->answered = answered;
-  visit->data = data;
-  if (from != NULL && world->now_us < from->cut_until_us)
-    at = from->cut_until_us + world_delay(world);
-  if (from != NULL && world->slow_links_s > 0)
+  request = g_rc_box_new0(Visit);
+  request->exchange.answer = visit_answer;
+  request->world = world;
+  request->node = index;
+  request->from = sender;
+  request->method = g_strdup(method);
+  request->path = g_strdup(path);
+  request->request = body;
+  request->answered = callback;
+  request->data = data;
+  if (sender != NULL && world->now_us < sender->cut_until_us)
+    at = sender->cut_until_us + world_delay(world);
+  if (sender != NULL && world->slow_links_s > 0)
     at += (gint64)(world_uniform(world, 0, world->slow_links_s) * G_USEC_PER_SEC);
-  visit_at(visit, at, visit_arrives);
-  visit_at(visit, world->now_us + timeout_us, visit_timeout);
+  visit_at(request, at, visit_arrives);
+  visit_at(request, world->now_us + timeout_us, visit_timeout);
   /* It may reach any node. */
   if (strcmp(method, "GET") != 0 && world_uniform(world, 0, 1) < world->copies) {
     guint to = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
-    visit_again(world, to, visit, world->now_us + world_lateness(world));
+    visit_again(world, to, request, world->now_us + world_lateness(world));
   }
-  if (from != NULL && from->copy_at_us != 0) {
-    visit_again(world, from->copy_to, visit, from->copy_at_us);
-    from->copy_at_us = 0;
+  if (sender != NULL && sender->copy_at_us != 0) {
+    visit_again(world, sender->copy_to, request, sender->copy_at_us);
+    sender->copy_at_us = 0;
   }
-  visit_release(visit);
+  visit_release(request);
 }
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -41,7 +41,7 @@
 world_machine_report(WorldMachine *machine) {
   World *world = machine->world;
   json_t *tasks = json_array();
-  json_t *report;
+  json_t *heartbeat;
 
   machine->seq++;
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -53,22 +53,23 @@
       json_object_set_new(item, WIRE_CAUSE, json_string(causes[task->cause]));
     json_array_append_new(tasks, item);
   }
-  report
+  heartbeat
       = json_pack("{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:o}", WIRE_MACHINE, machine->id,
                   WIRE_ADDR, machine->addr, WIRE_TYPE, machine->type, WIRE_ZONE, machine->zone,
                   WIRE_SPOT, machine->spot, WIRE_SESSION, (json_int_t)machine->session, WIRE_SEQ,
                   (json_int_t)machine->seq, WIRE_TOKEN, (json_int_t)machine->token, "kits", tasks);
   if (machine->warned_us != 0)
-    json_object_set_new(report, WIRE_NOTICE,
+    json_object_set_new(heartbeat, WIRE_NOTICE,
                         json_real((double)(machine->taken_us - world->now_us) / G_USEC_PER_SEC));
-  return report;
+  return heartbeat;
 }
 
 static WorldTask *
-find(WorldMachine *machine, const WorldJob *job, guint number, guint64 attempt, gboolean any) {
+find(WorldMachine *machine, const WorldJob *job, guint number, guint64 attempt,
+     gboolean any_attempt) {
   for (guint i = 0; i < machine->tasks->len; i++) {
     WorldTask *task = g_ptr_array_index(machine->tasks, i);
-    if (task->job == job && task->number == number && (any || task->attempt == attempt))
+    if (task->job == job && task->number == number && (any_attempt || task->attempt == attempt))
       return task;
   }
   return NULL;
@@ -84,7 +85,7 @@
 
 static void
 end_task(WorldMachine *machine, WorldTask *task, guint8 cause) {
-  gboolean running = task->state == MM_SEEN_RUNNING;
+  gboolean was_running = task->state == MM_SEEN_RUNNING;
   gboolean was_on = world_task_is_on(task);
 
   mm_debug("world: %s/%u ends on %s: %s", task->job->id, task->number, machine->id, causes[cause]);
@@ -99,11 +100,11 @@
       task->job->n_done += !task->job->done[i];
       task->job->done[i] = TRUE;
     }
-  if (cause == MM_CAUSE_DONE && task->job->n_done == task->job->spec.tasks && running
+  if (cause == MM_CAUSE_DONE && task->job->n_done == task->job->spec.tasks && was_running
       && !task->job->asked_cancel
       && world_uniform(machine->world, 0, 1) < machine->world->cancelled_at_end)
     world_cancel(task->job);
-  if (running)
+  if (was_running)
     end_peers(machine->world, task, cause == MM_CAUSE_DONE ? MM_CAUSE_DONE : MM_CAUSE_PEERS);
 }
 
@@ -214,8 +215,8 @@
 }
 
 int
-world_machine_direct(WorldMachine *machine, const json_t *body, json_t **answer) {
-  guint64 token = mm_json_count(body, WIRE_TOKEN, 0);
+world_machine_direct(WorldMachine *machine, const json_t *body, json_t **response) {
+  guint64 fencing_token = mm_json_count(body, WIRE_TOKEN, 0);
   size_t i;
   json_t *item;
 
@@ -223,14 +224,14 @@
   json_array_foreach(json_object_get(body, WIRE_COMMANDS), i,
                      item) if (g_strcmp0(mm_json_string(item, WIRE_OP), WIRE_START) == 0)
       world_break(machine->world, "a start was sent as a direct command to %s", machine->id);
-  if (token < machine->token || mm_json_count(body, WIRE_SESSION, 0) != machine->session) {
-    *answer = world_machine_report(machine);
+  if (fencing_token < machine->token || mm_json_count(body, WIRE_SESSION, 0) != machine->session) {
+    *response = world_machine_report(machine);
     return 409;
   }
-  machine->changed = machine->changed || token > machine->token;
-  machine->token = token;
+  machine->changed = machine->changed || fencing_token > machine->token;
+  machine->token = fencing_token;
   carry_out(machine, json_object_get(body, WIRE_COMMANDS));
-  *answer = world_machine_report(machine);
+  *response = world_machine_report(machine);
   return 200;
 }
 
@@ -245,29 +246,30 @@
 
 static void
 report_answered(gpointer data, int status, json_t *body) {
-  Flight *flight = data;
-  WorldMachine *machine = flight->machine;
+  Flight *request = data;
+  WorldMachine *machine = request->machine;
   World *world = machine->world;
-  guint64 token = mm_json_count(body, WIRE_TOKEN, 0);
-  const char *other = mm_json_string(body, WIRE_REPORT_TO);
+  guint64 fencing_token = mm_json_count(body, WIRE_TOKEN, 0);
+  const char *redirect_label = mm_json_string(body, WIRE_REPORT_TO);
 
-  if (machine->up && machine->flight == flight->flight) {
+  if (machine->up && machine->flight == request->flight) {
     machine->in_flight = FALSE;
     if (status == 200) {
-      if (machine->session == flight->session && token != 0 && token >= machine->token) {
-        machine->token = token;
-        machine->lease_from_us = flight->sent_us;
+      if (machine->session == request->session && fencing_token != 0
+          && fencing_token >= machine->token) {
+        machine->token = fencing_token;
+        machine->lease_from_us = request->sent_us;
         carry_out(machine, json_object_get(body, WIRE_COMMANDS));
       }
-    } else if (status == 421 && other != NULL) {
-      machine->node = (guint)atoi(other + 2);
+    } else if (status == 421 && redirect_label != NULL) {
+      machine->node = (guint)atoi(redirect_label + 2);
       machine->next_report_us = world->now_us + 100000;
     } else {
       machine->node = (machine->node + 1) % WORLD_NODES;
       machine->next_report_us = world->now_us + G_USEC_PER_SEC;
     }
   }
-  g_free(flight);
+  g_free(request);
 }
 
 static void
@@ -278,9 +280,9 @@
 static void
 send_report(WorldMachine *machine) {
   World *world = machine->world;
-  Flight *flight = g_new(Flight, 1);
+  Flight *request = g_new(Flight, 1);
 
-  *flight = (Flight){ machine, ++machine->flight, machine->session, world->now_us };
+  *request = (Flight){ machine, ++machine->flight, machine->session, world->now_us };
   world->reports++;
   machine->in_flight = TRUE;
   machine->changed = FALSE;
@@ -289,27 +291,27 @@
       = world->now_us
         + (gint64)(world->report_s * world_uniform(world, 0.75, 1.25) * G_USEC_PER_SEC);
   if (world->now_us < machine->mute_until_us)
-    world_at(world, world->now_us + 500000, unconnected, flight);
+    world_at(world, world->now_us + 500000, unconnected, request);
   else
     world_ask_node(world, machine->node, machine, "POST", WIRE_REPORT_PATH,
-                   world_machine_report(machine), TIMEOUT_US, report_answered, flight);
+                   world_machine_report(machine), TIMEOUT_US, report_answered, request);
 }
 
 /* ---- running ---- */
 
 static gboolean
 gang_complete(World *world, const WorldTask *task) {
-  guint there = 0;
+  guint n_present = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *peer = g_ptr_array_index(machine->tasks, k);
-      there += peer->job == task->job && peer->attempt == task->attempt
-               && (peer->state == MM_SEEN_WAITING || peer->state == MM_SEEN_RUNNING);
+      n_present += peer->job == task->job && peer->attempt == task->attempt
+                   && (peer->state == MM_SEEN_WAITING || peer->state == MM_SEEN_RUNNING);
     }
   }
-  return there == task->job->spec.tasks;
+  return n_present == task->job->spec.tasks;
 }
 
 static void
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -27,10 +27,10 @@
 }
 
 void
-world_at(World *world, gint64 us, WorldCall call, gpointer data) {
+world_at(World *world, gint64 us, WorldCall callback, gpointer data) {
   Event *event = g_new(Event, 1);
 
-  *event = (Event){ MAX(us, world->now_us), ++world->n_events, call, data };
+  *event = (Event){ MAX(us, world->now_us), ++world->n_events, callback, data };
   g_sequence_insert_sorted(world->events, event, earlier_first, NULL);
 }
 
@@ -83,10 +83,12 @@
 /* What comes to a node that stands still waits until it goes on, in the order in which it came.
  */
 gboolean
-world_node_stands_still(const WorldNode *self, guint life, WorldCall call, gpointer data) {
-  if (self->node == NULL || self->life != life || self->world->now_us >= self->frozen_until_us)
+world_node_stands_still(const WorldNode *world_node, guint generation, WorldCall callback,
+                        gpointer data) {
+  if (world_node->node == NULL || world_node->life != generation
+      || world_node->world->now_us >= world_node->frozen_until_us)
     return FALSE;
-  world_at(self->world, self->frozen_until_us, call, data);
+  world_at(world_node->world, world_node->frozen_until_us, callback, data);
   return TRUE;
 }
 
@@ -98,16 +100,16 @@
 
 static MmTime
 port_now(gpointer data) {
-  WorldNode *self = data;
+  WorldNode *world_node = data;
 
-  return (MmTime){ (gint64)((double)self->world->now_us * self->clock_rate) };
+  return (MmTime){ (gint64)((double)world_node->world->now_us * world_node->clock_rate) };
 }
 
 static gint64
 port_wall_ms(gpointer data) {
-  WorldNode *self = data;
+  WorldNode *world_node = data;
 
-  return 1700000000000 + self->world->now_us / 1000 + (gint64)self->index * 37 - 40;
+  return 1700000000000 + world_node->world->now_us / 1000 + (gint64)world_node->index * 37 - 40;
 }
 
 typedef struct {
@@ -122,59 +124,59 @@
 
 /* Index of node `of` among the peers of node `at`. */
 static guint
-peer_index(guint at, guint of) {
-  return of < at ? of : of - 1;
+peer_index(guint node, guint other) {
+  return other < node ? other : other - 1;
 }
 
 static void
 parcel_arrives(gpointer data) {
-  Parcel *parcel = data;
-  WorldNode *from = &parcel->world->nodes[parcel->from];
-  WorldNode *to = &parcel->world->nodes[parcel->to];
+  Parcel *message = data;
+  WorldNode *from = &message->world->nodes[message->from];
+  WorldNode *to = &message->world->nodes[message->to];
 
-  if (world_node_stands_still(to, parcel->to_life, parcel_arrives, parcel))
+  if (world_node_stands_still(to, message->to_life, parcel_arrives, message))
     return;
-  if (to->node != NULL && to->life == parcel->to_life && from->life == parcel->from_life) {
+  if (to->node != NULL && to->life == message->to_life && from->life == message->from_life) {
     Mm__Frame *frame;
-    frame = mm__frame__unpack(NULL, parcel->length, parcel->bytes);
-    mm_links_frame(to->node->links, peer_index(parcel->to, parcel->from), frame);
+    frame = mm__frame__unpack(NULL, message->length, message->bytes);
+    mm_links_frame(to->node->links, peer_index(message->to, message->from), frame);
     mm__frame__free_unpacked(frame, NULL);
   }
-  g_free(parcel->bytes);
-  g_free(parcel);
+  g_free(message->bytes);
+  g_free(message);
 }
 
 /* Index of the node that is peer `peer` of node `at`. */
 static guint
-node_index(guint at, guint peer) {
-  return peer < at ? peer : peer + 1;
+node_index(guint node, guint peer) {
+  return peer < node ? peer : peer + 1;
 }
 
 static void
 port_send(gpointer data, guint peer, const Mm__Frame *frame) {
-  WorldNode *self = data;
-  World *world = self->world;
-  guint to = node_index(self->index, peer);
-  Parcel *parcel;
+  WorldNode *world_node = data;
+  World *world = world_node->world;
+  guint to = node_index(world_node->index, peer);
+  Parcel *message;
 
-  if (self->node == NULL || world->nodes[to].node == NULL || self->half_open[to]
-      || world->now_us < self->cut_until_us || world->now_us < world->nodes[to].cut_until_us
+  if (world_node->node == NULL || world->nodes[to].node == NULL || world_node->half_open[to]
+      || world->now_us < world_node->cut_until_us || world->now_us < world->nodes[to].cut_until_us
       || world->now_us < world->links_refused_until_us)
     return;
   world->frames++;
-  parcel = g_new(Parcel, 1);
-  *parcel = (Parcel){ world,
-                      self->index,
-                      to,
-                      self->life,
-                      world->nodes[to].life,
-                      NULL,
-                      mm__frame__get_packed_size(frame) };
-  world->frame_bytes += parcel->length;
-  parcel->bytes = g_malloc(MAX(parcel->length, 1));
-  mm__frame__pack(frame, parcel->bytes);
+  message = g_new(Parcel, 1);
+  *message = (Parcel){ world,
+                       world_node->index,
+                       to,
+                       world_node->life,
+                       world->nodes[to].life,
+                       NULL,
+                       mm__frame__get_packed_size(frame) };
+  world->frame_bytes += message->length;
+  message->bytes = g_malloc(MAX(message->length, 1));
+  mm__frame__pack(frame, message->bytes);
   /* In order: the same way always takes the same time. */
-  world_at(world, world->now_us + 1500, parcel_arrives, parcel);
+  world_at(world, world->now_us + 1500, parcel_arrives, message);
 }
 
 typedef struct {
@@ -186,112 +188,113 @@
 
 static void
 later_due(gpointer data) {
-  Later *later = data;
+  Later *timer = data;
 
-  if (world_node_stands_still(later->self, later->life, later_due, later))
+  if (world_node_stands_still(timer->self, timer->life, later_due, timer))
     return;
-  if (later->self->node != NULL && later->self->life == later->life)
-    later->call(later->data);
-  g_free(later);
+  if (timer->self->node != NULL && timer->self->life == timer->life)
+    timer->call(timer->data);
+  g_free(timer);
 }
 
 static void
-port_later(gpointer data, guint ms, void (*call)(gpointer data), gpointer user) {
-  WorldNode *self = data;
-  Later *later;
+port_later(gpointer data, guint ms, void (*callback)(gpointer data), gpointer callback_data) {
+  WorldNode *world_node = data;
+  Later *timer;
 
-  if (self->node == NULL)
+  if (world_node->node == NULL)
     return;
-  later = g_new(Later, 1);
-  *later = (Later){ self, self->life, call, user };
-  world_at(self->world, self->world->now_us + (gint64)ms * 1000, later_due, later);
+  timer = g_new(Later, 1);
+  *timer = (Later){ world_node, world_node->life, callback, callback_data };
+  world_at(world_node->world, world_node->world->now_us + (gint64)ms * 1000, later_due, timer);
 }
 
 /* ---- the nodes' lives ---- */
 
 static void
 tick(gpointer data) {
-  Later *later = data;
+  Later *timer = data;
 
-  if (later->self->node == NULL || later->self->life != later->life) {
-    g_free(later);
+  if (timer->self->node == NULL || timer->self->life != timer->life) {
+    g_free(timer);
     return;
   }
-  if (world_node_stands_still(later->self, later->life, tick, later))
+  if (world_node_stands_still(timer->self, timer->life, tick, timer))
     return;
-  world_break_node(later->self->world, later->self->node, port_now(later->self));
-  mm_node_tick(later->self->node);
-  world_at(later->self->world, later->self->world->now_us + MM_NODE_TICK_MS * 1000, tick, later);
+  world_break_node(timer->self->world, timer->self->node, port_now(timer->self));
+  mm_node_tick(timer->self->node);
+  world_at(timer->self->world, timer->self->world->now_us + MM_NODE_TICK_MS * 1000, tick, timer);
 }
 
 static void
 link_up(gpointer data) {
-  Parcel *parcel = data;
-  WorldNode *from = &parcel->world->nodes[parcel->from], *to = &parcel->world->nodes[parcel->to];
+  Parcel *message = data;
+  WorldNode *from = &message->world->nodes[message->from],
+            *to = &message->world->nodes[message->to];
 
-  if (world_node_stands_still(from, parcel->from_life, link_up, parcel))
+  if (world_node_stands_still(from, message->from_life, link_up, message))
     return;
-  if (from->node != NULL && to->node != NULL && from->life == parcel->from_life
-      && to->life == parcel->to_life && !from->half_open[parcel->to]
-      && parcel->world->now_us >= from->cut_until_us && parcel->world->now_us >= to->cut_until_us
-      && parcel->world->now_us >= parcel->world->links_refused_until_us)
-    mm_links_connected(from->node->links, peer_index(parcel->from, parcel->to));
-  g_free(parcel);
+  if (from->node != NULL && to->node != NULL && from->life == message->from_life
+      && to->life == message->to_life && !from->half_open[message->to]
+      && message->world->now_us >= from->cut_until_us && message->world->now_us >= to->cut_until_us
+      && message->world->now_us >= message->world->links_refused_until_us)
+    mm_links_connected(from->node->links, peer_index(message->from, message->to));
+  g_free(message);
 }
 
 static void
 link_nodes(World *world, guint from, guint to) {
-  Parcel *parcel = g_new0(Parcel, 1);
+  Parcel *message = g_new0(Parcel, 1);
 
-  *parcel = (Parcel){ world, from, to, world->nodes[from].life, world->nodes[to].life, NULL, 0 };
+  *message = (Parcel){ world, from, to, world->nodes[from].life, world->nodes[to].life, NULL, 0 };
   /* Which side comes first is left to chance. */
-  world_at(world, world->now_us + 100000 + world_delay(world) * 20, link_up, parcel);
+  world_at(world, world->now_us + 100000 + world_delay(world) * 20, link_up, message);
 }
 
 static void
 port_reconnect(gpointer data, guint peer) {
-  WorldNode *self = data;
-  guint to = node_index(self->index, peer);
+  WorldNode *world_node = data;
+  guint to = node_index(world_node->index, peer);
 
-  self->world->reopened++;
-  self->half_open[to] = FALSE;
-  mm_links_down(self->node->links, peer);
-  link_nodes(self->world, self->index, to);
+  world_node->world->reopened++;
+  world_node->half_open[to] = FALSE;
+  mm_links_down(world_node->node->links, peer);
+  link_nodes(world_node->world, world_node->index, to);
 }
 
 /* Both ways with every other node that is there. */
 static void
-link_with_others(const WorldNode *self) {
-  World *world = self->world;
+link_with_others(const WorldNode *world_node) {
+  World *world = world_node->world;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
-    if (i == self->index || world->nodes[i].node == NULL || self->node == NULL)
+    if (i == world_node->index || world->nodes[i].node == NULL || world_node->node == NULL)
       continue;
-    link_nodes(world, self->index, i);
-    link_nodes(world, i, self->index);
+    link_nodes(world, world_node->index, i);
+    link_nodes(world, i, world_node->index);
   }
 }
 
 static void
 boot_node(gpointer data) {
-  WorldNode *self = data;
-  World *world = self->world;
-  MmPort port
-      = { self, port_now, port_wall_ms, world_port_request, port_send, port_reconnect, port_later };
-  Later *ticking;
+  WorldNode *world_node = data;
+  World *world = world_node->world;
+  MmPort platform = { world_node, port_now,       port_wall_ms, world_port_request,
+                      port_send,  port_reconnect, port_later };
+  Later *tick_timer;
 
   if (world->closing)
     return;
-  ticking = g_new(Later, 1);
-  self->clock_rate = world_uniform(world, 1.0, 1.0005);
-  self->node
-      = mm_node_new(self->settings, &self->operators, &port, (guint32)g_rand_int(world->rand));
-  if (self->highest_format != 0)
-    self->node->format->highest = self->highest_format;
-  mm_node_start(self->node);
-  *ticking = (Later){ self, self->life, NULL, NULL };
-  world_at(world, world->now_us + MM_NODE_TICK_MS * 1000, tick, ticking);
-  link_with_others(self);
+  tick_timer = g_new(Later, 1);
+  world_node->clock_rate = world_uniform(world, 1.0, 1.0005);
+  world_node->node = mm_node_new(world_node->settings, &world_node->operators, &platform,
+                                 (guint32)g_rand_int(world->rand));
+  if (world_node->highest_format != 0)
+    world_node->node->format->highest = world_node->highest_format;
+  mm_node_start(world_node->node);
+  *tick_timer = (Later){ world_node, world_node->life, NULL, NULL };
+  world_at(world, world->now_us + MM_NODE_TICK_MS * 1000, tick, tick_timer);
+  link_with_others(world_node);
 }
 
 static void
@@ -300,21 +303,21 @@
 }
 
 void
-world_cut_node(World *world, guint index, double seconds, gboolean holds) {
-  WorldNode *self = &world->nodes[index];
+world_cut_node(World *world, guint index, double seconds, gboolean delays_messages) {
+  WorldNode *world_node = &world->nodes[index];
 
-  if (self->node == NULL || world->now_us < self->cut_until_us)
+  if (world_node->node == NULL || world->now_us < world_node->cut_until_us)
     return;
-  self->cut_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
-  self->cut_holds = holds;
+  world_node->cut_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
+  world_node->cut_holds = delays_messages;
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (i == index || world->nodes[i].node == NULL)
       continue;
     mm_links_down(world->nodes[i].node->links, peer_index(i, index));
-    mm_links_down(self->node->links, peer_index(index, i));
-    world->nodes[i].half_open[index] = self->half_open[i] = FALSE;
+    mm_links_down(world_node->node->links, peer_index(index, i));
+    world->nodes[i].half_open[index] = world_node->half_open[i] = FALSE;
   }
-  world_at(world, self->cut_until_us + 1000, cut_over, self);
+  world_at(world, world_node->cut_until_us + 1000, cut_over, world_node);
 }
 
 static void
@@ -342,10 +345,10 @@
 
 void
 world_freeze_node(World *world, guint index, double seconds) {
-  WorldNode *self = &world->nodes[index];
+  WorldNode *world_node = &world->nodes[index];
 
-  if (self->node != NULL && world->now_us >= self->frozen_until_us)
-    self->frozen_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
+  if (world_node->node != NULL && world->now_us >= world_node->frozen_until_us)
+    world_node->frozen_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
 }
 
 static const char *const zone_names[] = { "a", "b", "c" };
@@ -359,27 +362,27 @@
 }
 
 void
-world_cut_zone(World *world, guint index, double seconds, gboolean holds) {
+world_cut_zone(World *world, guint index, double seconds, gboolean delays_messages) {
   if (world->now_us < world->zone_cut_until_us)
     return;
   world->cut_zone = index;
   world->zone_cut_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
-  world_cut_node(world, index, seconds, holds);
+  world_cut_node(world, index, seconds, delays_messages);
 }
 
 void
 world_kill_node(World *world, guint index, double down_s) {
-  WorldNode *self = &world->nodes[index];
+  WorldNode *world_node = &world->nodes[index];
 
-  if (self->node == NULL)
+  if (world_node->node == NULL)
     return;
   /* What it had asked still comes back to it, so it is kept until the end; it can do nothing more.
    */
-  g_ptr_array_add(world->zombies, self->node);
-  self->node = NULL;
-  self->life++;
-  self->frozen_until_us = 0;
-  memset(self->half_open, 0, sizeof self->half_open);
+  g_ptr_array_add(world->zombies, world_node->node);
+  world_node->node = NULL;
+  world_node->life++;
+  world_node->frozen_until_us = 0;
+  memset(world_node->half_open, 0, sizeof world_node->half_open);
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (i == index || world->nodes[i].node == NULL)
       continue;
@@ -389,7 +392,7 @@
     else
       mm_links_down(world->nodes[i].node->links, peer_index(i, index));
   }
-  world_at(world, world->now_us + (gint64)(down_s * G_USEC_PER_SEC), boot_node, self);
+  world_at(world, world->now_us + (gint64)(down_s * G_USEC_PER_SEC), boot_node, world_node);
 }
 
 void
@@ -401,7 +404,7 @@
 
 MmSettings *
 world_node_settings(World *world, guint index) {
-  MmSettings *s;
+  MmSettings *settings;
   g_autofree char *reason = NULL;
   g_autofree char *label = g_strdup_printf("n-%u", index);
   g_autoptr(json_t) root = json_pack(
@@ -435,10 +438,10 @@
     json_object_set_new(json_object_get(json_object_get(root, "settings"), "state"), "next",
                         json_pack("{s:f, s:f, s:i}", "write_rps", WORLD_NEXT_WRITE_RPS, "value_kb",
                                   WORLD_NEXT_VALUE_BYTES / 1024.0, "txn_ops", WORLD_NEXT_TXN_OPS));
-  s = mm_settings_from_json("world", root, &reason);
-  if (s == NULL)
+  settings = mm_settings_from_json("world", root, &reason);
+  if (settings == NULL)
     g_error("%s", reason);
-  return s;
+  return settings;
 }
 
 static void
@@ -481,14 +484,14 @@
 void
 world_start(World *world) {
   for (guint i = 0; i < WORLD_NODES; i++) {
-    WorldNode *self = &world->nodes[i];
-    self->world = world;
-    self->index = i;
-    self->settings = world_node_settings(world, i);
-    self->operators = mm_operators_defaults();
-    self->operators.groups = self->old ? 0 : world->groups;
-    self->operators.group_hold_s = world->group_hold_s;
-    world_at(world, world->now_us + (gint64)i * 30000, boot_node, self);
+    WorldNode *world_node = &world->nodes[i];
+    world_node->world = world;
+    world_node->index = i;
+    world_node->settings = world_node_settings(world, i);
+    world_node->operators = mm_operators_defaults();
+    world_node->operators.groups = world_node->old ? 0 : world->groups;
+    world_node->operators.group_hold_s = world->group_hold_s;
+    world_at(world, world->now_us + (gint64)i * 30000, boot_node, world_node);
   }
   check_now_and_then(world);
 }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -242,14 +242,14 @@
 void world_start(World *world);
 void world_free(World *world);
 void world_run(World *world, double seconds);
-void world_at(World *world, gint64 us, WorldCall call, gpointer data);
+void world_at(World *world, gint64 us, WorldCall callback, gpointer data);
 gint64 world_delay(World *world);
 double world_uniform(World *world, double from, double to);
 
 /* A node loses the state service, the cloud and the other nodes, but not its workers. */
-void world_cut_node(World *world, guint index, double seconds, gboolean holds);
+void world_cut_node(World *world, guint index, double seconds, gboolean delays_messages);
 /* The node's zone is cut off from everything; inside, the node and the zone's workers go on. */
-void world_cut_zone(World *world, guint index, double seconds, gboolean holds);
+void world_cut_zone(World *world, guint index, double seconds, gboolean delays_messages);
 /* Whether a cut lies between the node and the machine. */
 gboolean world_is_apart(const World *world, guint index, const WorldMachine *machine);
 /* The links between all nodes end, and new ones are refused. */
@@ -260,8 +260,8 @@
 void world_break(World *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
 /* A request to a node as workers and users make it; `answered` gets status 0 when none came. */
-void world_ask_node(World *world, guint index, WorldMachine *from, const char *method,
-                    const char *path, json_t *body, gint64 timeout_us, MmAnswered answered,
+void world_ask_node(World *world, guint index, WorldMachine *sender, const char *method,
+                    const char *path, json_t *body, gint64 timeout_us, MmAnswered callback,
                     gpointer data);
 
 /* For requests of which only the status matters: `data` is an int. */
@@ -271,9 +271,9 @@
 void world_store_init(World *world);
 void world_store_free(World *world);
 int world_store_handle(World *world, const char *method, const char *path, const json_t *body,
-                       json_t **answer);
+                       json_t **response);
 void world_store_outage(World *world, double seconds);
-void world_store_add_watch(World *world, guint node, const char *path, MmAnswered answered,
+void world_store_add_watch(World *world, guint node, const char *path, MmAnswered callback,
                            gpointer data);
 
 /* broken.c */
@@ -309,7 +309,7 @@
 /* pipelines.c */
 /* Submits a job that depends on others, each accepted before. */
 WorldJob *world_submit_after(World *world, json_t *overrides, double run_s, WorldJob *const *needs,
-                             guint n_needs);
+                             guint n_dependencies);
 /* Whether all that it depends on is done, in truth. */
 gboolean world_job_is_ready(const WorldJob *job);
 /* Whether its user, or that of a job that it depends on, directly or not, asked for its end. */
@@ -336,10 +336,10 @@
 void world_check_sharing(World *world);
 /* A node answers a report with these commands: all starts in answers to one report, copies of it
  * included, fit what the machine had free when it reported. */
-void world_check_answer(World *world, guint node, const json_t *report, const json_t *answer);
+void world_check_answer(World *world, guint node, const json_t *heartbeat, const json_t *response);
 /* An administrator asks some node to give a group to some node. */
 void world_random_move(World *world);
-void world_move_group(World *world, guint asked, guint group, guint target);
+void world_move_group(World *world, guint via_node, guint group, guint target);
 /* The index of the node that owns the group, as the node knows; WORLD_NODES: nobody does. */
 guint world_group_owner(const World *world, guint node, guint group);
 /* The group of a machine. */
@@ -354,7 +354,7 @@
 
 /* cloud.c */
 int world_cloud_handle(World *world, const char *method, const char *path, const json_t *body,
-                       json_t **answer);
+                       json_t **response);
 WorldMachine *world_add_machine(World *world, const char *type, const char *zone, gboolean spot,
                                 double boot_s);
 /* Its worker ends and is back shortly, under the same name, with a new session and nothing on it.
@@ -365,7 +365,7 @@
 /* worker.c */
 void world_machine_up(gpointer data);
 json_t *world_machine_report(WorldMachine *machine);
-int world_machine_direct(WorldMachine *machine, const json_t *body, json_t **answer);
+int world_machine_direct(WorldMachine *machine, const json_t *body, json_t **response);
 WorldMachine *world_find_machine(World *world, const char *addr);
 void world_machine_wipe(WorldMachine *machine);
 
