--- a/src/base/log.c
+++ b/src/base/log.c
@@ -6,7 +6,7 @@
 MmLogLevel mm_log_level = MM_LOG_ERROR;
 
 gboolean
-mm_log_setup(void) {
+mm_log_read_level(void) {
   const char *level_name = g_getenv("LOG_LEVEL");
 
   mm_log_level = MM_LOG_INFO;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -8,7 +8,7 @@
 extern MmLogLevel mm_log_level;
 
 /* Reads LOG_LEVEL; FALSE when it names no level (then `info` holds). */
-gboolean mm_log_setup(void);
+gboolean mm_log_read_level(void);
 void mm_log_write(MmLogLevel level, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
 #define mm_error(...) mm_log_write(MM_LOG_ERROR, __VA_ARGS__)
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -26,9 +26,9 @@
 
 /* Where a worker's message stands among its others: the larger is the newer. */
 typedef struct {
-  guint64 session;
-  guint64 seq;
-} MmStamp;
+  guint64 incarnation;
+  guint64 sequence;
+} MmHeartbeatId;
 
 /* An id of a job, machine, node, team, zone, image or machine type. */
 #define MM_NAME_MAX 63
@@ -80,8 +80,8 @@
 }
 
 static inline gboolean
-mm_stamp_newer(MmStamp a, MmStamp b) {
-  return a.session != b.session ? a.session > b.session : a.seq > b.seq;
+mm_heartbeat_id_is_newer(MmHeartbeatId a, MmHeartbeatId b) {
+  return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.sequence > b.sequence;
 }
 
 /* Room on a machine, or what a task takes of it. */
--- a/src/checkin/checkin.c
+++ b/src/checkin/checkin.c
@@ -105,7 +105,7 @@
 
 static void
 watch_parts(MmCheckin *server) {
-  if (!mm_claims_unsettled(server->node->claims))
+  if (!mm_shard_ownership_is_unsettled(server->node->node_lease))
     server->unsettled_since.us = 0;
   else if (server->unsettled_since.us == 0)
     server->unsettled_since = mm_node_now(server->node);
@@ -143,7 +143,8 @@
   MmNode *node = server->node;
   gint peer;
 
-  if (!mm_claims_may_answer(node->claims) || !mm_versions_groups_told(node->versions)) {
+  if (!mm_node_lease_may_answer_workers(node->node_lease)
+      || !mm_versions_own_groups_announced(node->versions)) {
     redirect(server, exchange, mm_links_other(node->links));
     return TRUE;
   }
@@ -254,7 +255,7 @@
 count_hosted(MmCheckin *server) {
   MmNode *node = server->node;
   MmTime now = mm_node_now(node);
-  gint64 recent_ms = (gint64)(node->settings->report_s * 3000);
+  gint64 recent_ms = (gint64)(node->settings->heartbeat_interval_s * 3000);
 
   if (mm_time_ms_since(now, server->counted) < 500)
     return;
@@ -272,7 +273,7 @@
   MmTime now = mm_node_now(server->node);
 
   count_hosted(server);
-  if (server->unsettled_since.us != 0 && !mm_claims_unsettled(server->node->claims))
+  if (server->unsettled_since.us != 0 && !mm_shard_ownership_is_unsettled(server->node->node_lease))
     mm_checkin_replica_changed(server);
   while (!g_queue_is_empty(server->deferred)) {
     Deferred *deferred = g_queue_peek_head(server->deferred);
--- a/src/checkin/health.c
+++ b/src/checkin/health.c
@@ -96,7 +96,7 @@
 
 static gint64
 lease_ms(const MmMachineTable *machine_table) {
-  return (gint64)(machine_table->node->settings->lease_s * 1000);
+  return (gint64)(machine_table->node->settings->worker_lease_s * 1000);
 }
 
 void
@@ -129,7 +129,8 @@
 
 gboolean
 mm_health_is_deaf(const MmMachineTable *machine_table, const MmMachine *machine) {
-  gint64 periods_ms = (gint64)(machine_table->node->settings->report_s * 1000 * DEAF_PERIODS);
+  gint64 periods_ms
+      = (gint64)(machine_table->node->settings->heartbeat_interval_s * 1000 * DEAF_PERIODS);
   gint64 patience_ms = MAX(DEAF_LEAST_MS, periods_ms);
 
   return machine->unacknowledged_since.us != 0 && machine->unacknowledged >= DEAF_ANSWERS
--- a/src/checkin/machine-table.c
+++ b/src/checkin/machine-table.c
@@ -166,7 +166,7 @@
 static gboolean
 shows_the_same(const MmMachine *machine, const MmReport *heartbeat, gint serving_node) {
   if (!machine->heard || machine->lost || (!heartbeat->direct && machine->host != serving_node)
-      || heartbeat->stamp.session != machine->stamp.session
+      || heartbeat->stamp.incarnation != machine->stamp.incarnation
       || heartbeat->token.v != machine->token.v || heartbeat->warned != machine->warned
       || heartbeat->tasks->len != machine->tasks->len
       || (heartbeat->addr[0] != '\0' && strcmp(heartbeat->addr, machine->addr) != 0))
@@ -192,7 +192,7 @@
 /* Of those heard of or registered. */
 static guint64
 newest_session(const MmMachine *machine) {
-  return MAX(machine->heard ? machine->stamp.session : 0, machine->registered_session);
+  return MAX(machine->heard ? machine->stamp.incarnation : 0, machine->registered_session);
 }
 
 /* So that a late copy does not bring it back once its entry here is gone. */
@@ -215,14 +215,15 @@
 mm_machine_table_is_late(const MmMachineTable *machine_table, const MmReport *heartbeat) {
   const MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine.s);
 
-  if (is_past(machine_table, heartbeat->machine.s, heartbeat->stamp.session))
+  if (is_past(machine_table, heartbeat->machine.s, heartbeat->stamp.incarnation))
     return TRUE;
   if (machine == NULL)
     return FALSE;
-  return machine->gone || !mm_stamp_newer(heartbeat->stamp, machine->report_stamp)
-         || (machine->registered && heartbeat->stamp.session < machine->registered_session)
-         || (machine->heard && heartbeat->stamp.session < machine->stamp.session)
-         || (machine->heard && machine->lost && heartbeat->stamp.session == machine->stamp.session);
+  return machine->gone || !mm_heartbeat_id_is_newer(heartbeat->stamp, machine->report_stamp)
+         || (machine->registered && heartbeat->stamp.incarnation < machine->registered_session)
+         || (machine->heard && heartbeat->stamp.incarnation < machine->stamp.incarnation)
+         || (machine->heard && machine->lost
+             && heartbeat->stamp.incarnation == machine->stamp.incarnation);
 }
 
 gboolean
@@ -231,8 +232,8 @@
 
   return !heartbeat->direct && (machine == NULL || !machine->heard)
          && !(machine != NULL && machine->registered
-              && machine->registered_session >= heartbeat->stamp.session)
-         && heartbeat->token.v < machine_table->node->replica->first_term.v;
+              && machine->registered_session >= heartbeat->stamp.incarnation)
+         && heartbeat->token.v < machine_table->node->replica->term_at_start.v;
 }
 
 MmMachine *
@@ -270,15 +271,15 @@
 static void
 take_session(MmMachineTable *machine_table, MmMachine *machine, const MmReport *heartbeat,
              MmTime received_at) {
-  if (machine->heard && heartbeat->stamp.session != machine->stamp.session) {
+  if (machine->heard && heartbeat->stamp.incarnation != machine->stamp.incarnation) {
     g_array_set_size(machine->images, 0);
     mm_health_note_session(machine_table, machine);
   }
-  if (heartbeat->stamp.session > newest_session(machine))
+  if (heartbeat->stamp.incarnation > newest_session(machine))
     note_new_session(machine, received_at);
   if (machine->lost)
     mm_info("machine %s reports again, session %" G_GUINT64_FORMAT, machine->id.s,
-            heartbeat->stamp.session);
+            heartbeat->stamp.incarnation);
   machine->heard = TRUE;
   machine->lost = FALSE;
 }
@@ -326,9 +327,10 @@
 /* A session whose lease has certainly run out is over: such a report was held back on its way, and
  * what it shows is gone. */
 static gboolean
-is_over(const MmMachine *machine, MmStamp heartbeat_id) {
+is_over(const MmMachine *machine, MmHeartbeatId heartbeat_id) {
   return machine->gone
-         || (machine->heard && machine->lost && heartbeat_id.session <= machine->stamp.session);
+         || (machine->heard && machine->lost
+             && heartbeat_id.incarnation <= machine->stamp.incarnation);
 }
 
 /* A direct answer has overtaken the report, whose answer may still be waited for. */
@@ -347,7 +349,7 @@
 
   if (serving_node == MM_HOST_SELF || serving_node == MM_HOST_NONE)
     machine_table->heard_here = mm_node_now(machine_table->node);
-  if (is_past(machine_table, heartbeat->machine.s, heartbeat->stamp.session))
+  if (is_past(machine_table, heartbeat->machine.s, heartbeat->stamp.incarnation))
     return NULL;
   machine = find_or_add(machine_table, heartbeat->machine.s);
   if (is_over(machine, heartbeat->stamp))
@@ -355,13 +357,13 @@
   /* One that is not newer than the newest report is a copy: an answer to it reaches nobody, and the
    * lease of that report counts from when it was first sent. */
   is_newest_heartbeat
-      = !heartbeat->direct && mm_stamp_newer(heartbeat->stamp, machine->report_stamp);
+      = !heartbeat->direct && mm_heartbeat_id_is_newer(heartbeat->stamp, machine->report_stamp);
   if (is_newest_heartbeat) {
     machine->report_stamp = heartbeat->stamp;
     if (!heartbeat->unanswered)
       mm_health_note_answer(machine_table, machine, received_at);
   }
-  if (machine->heard && !mm_stamp_newer(heartbeat->stamp, machine->stamp)) {
+  if (machine->heard && !mm_heartbeat_id_is_newer(heartbeat->stamp, machine->stamp)) {
     if (is_newest_heartbeat)
       take_overtaken(machine, received_at, serving_node);
     return NULL;
@@ -390,19 +392,19 @@
 }
 
 void
-mm_machine_table_beat(MmMachineTable *machine_table, const char *machine_id, MmStamp heartbeat_id,
-                      MmTime received_at, gint serving_node) {
+mm_machine_table_beat(MmMachineTable *machine_table, const char *machine_id,
+                      MmHeartbeatId heartbeat_id, MmTime received_at, gint serving_node) {
   MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
   MmReport heartbeat = { .stamp = heartbeat_id };
 
   if (machine == NULL || is_over(machine, heartbeat_id)
-      || !mm_stamp_newer(heartbeat_id, machine->report_stamp))
+      || !mm_heartbeat_id_is_newer(heartbeat_id, machine->report_stamp))
     return;
   machine->report_stamp = heartbeat_id;
   mm_health_note_answer(machine_table, machine, received_at);
   if (!machine->heard || machine->lost || machine->host != serving_node
-      || heartbeat_id.session != machine->stamp.session
-      || !mm_stamp_newer(heartbeat_id, machine->stamp))
+      || heartbeat_id.incarnation != machine->stamp.incarnation
+      || !mm_heartbeat_id_is_newer(heartbeat_id, machine->stamp))
     return;
   machine->stamp = heartbeat_id;
   machine->seen = mm_time_max(machine->seen, received_at);
@@ -441,7 +443,7 @@
   if (machine == NULL)
     return;
   machine->registered = FALSE;
-  if (machine->heard && !machine->gone && machine->stamp.session > machine->registered_session)
+  if (machine->heard && !machine->gone && machine->stamp.incarnation > machine->registered_session)
     /* It is back with a new session, which nothing has been started in: that needs a registration
      * of its own. What was placed on it belongs to the old one. */
     note_gone(machine_table, machine);
@@ -476,11 +478,12 @@
 find_lost(MmMachineTable *machine_table) {
   MmNode *node = machine_table->node;
   MmTime responses_known_until = mm_links_settled(node->links);
-  gint64 lease_ms = (gint64)(node->settings->lease_s * 1000 * (1 + DRIFT)) + LOST_MARGIN_MS;
+  gint64 lease_ms = (gint64)(node->settings->worker_lease_s * 1000 * (1 + DRIFT)) + LOST_MARGIN_MS;
 
   for (guint i = 0; i < machine_table->order->len; i++) {
     MmMachine *machine = g_ptr_array_index(machine_table->order, i);
-    MmTime last_possible_response_at = mm_time_max(machine->answered, node->replica->node_gone);
+    MmTime last_possible_response_at
+        = mm_time_max(machine->answered, node->replica->node_last_gone_at);
     if (machine->lost
         || mm_time_ms_since(responses_known_until, last_possible_response_at) < lease_ms)
       continue;
@@ -504,7 +507,7 @@
 gboolean
 mm_machine_table_all_heard(const MmMachineTable *machine_table) {
   MmTime now = mm_node_now(machine_table->node);
-  gint64 recent_ms = (gint64)(machine_table->node->settings->report_s * 2000);
+  gint64 recent_ms = (gint64)(machine_table->node->settings->heartbeat_interval_s * 2000);
 
   for (guint i = 0; i < machine_table->order->len; i++) {
     const MmMachine *machine = g_ptr_array_index(machine_table->order, i);
--- a/src/checkin/machine-table.h
+++ b/src/checkin/machine-table.h
@@ -29,8 +29,8 @@
   MmName zone;
   gboolean spot;
   gboolean heard; /* a report has been seen; otherwise known from the register only */
-  MmStamp stamp;
-  MmStamp report_stamp; /* newest report made to a node; `stamp` may be of a direct answer */
+  MmHeartbeatId stamp;
+  MmHeartbeatId report_stamp; /* newest report made to a node; `stamp` may be of a direct answer */
   MmTerm token;
   /* Answers that carried a term which no later report has shown: */
   MmTime unacknowledged_since; /* the first of them; 0: none */
@@ -119,7 +119,7 @@
                                  MmTime received_at, gint serving_node);
 /* A peer answered a report that showed nothing new since the last one it told of. */
 void mm_machine_table_beat(MmMachineTable *machine_table, const char *machine_id,
-                           MmStamp heartbeat_id, MmTime received_at, gint serving_node);
+                           MmHeartbeatId heartbeat_id, MmTime received_at, gint serving_node);
 /* Somebody answered the machine, and nothing else is known of it. */
 void mm_machine_table_answered(MmMachineTable *machine_table, const char *machine_id,
                                MmTime responded_at);
--- a/src/checkin/machine.c
+++ b/src/checkin/machine.c
@@ -57,7 +57,7 @@
 
 gboolean
 mm_machine_is_registered(const MmMachine *machine) {
-  return machine->registered && machine->registered_session >= machine->stamp.session;
+  return machine->registered && machine->registered_session >= machine->stamp.incarnation;
 }
 
 MmResources
--- a/src/checkin/pending-answer.c
+++ b/src/checkin/pending-answer.c
@@ -41,12 +41,12 @@
 
   if (g_hash_table_size(server->confirming) >= CONFIRMING_MAX
       || g_hash_table_contains(server->confirming, job_id->s)
-      || mm_store_in_trouble(server->node->store))
+      || mm_kv_client_is_refused(server->node->store))
     return;
   g_hash_table_add(server->confirming, g_strdup(job_id->s));
   confirmation = g_new(Confirm, 1);
   *confirmation = (Confirm){ server, *job_id };
-  mm_store_get(server->node->store, MM_KEY_FINAL, job_id->s, confirmed, confirmation);
+  mm_kv_client_get(server->node->store, MM_KEY_TERMINAL_RECORD, job_id->s, confirmed, confirmation);
 }
 
 /* What of these tasks has to go, whoever holds their parts. That a job is cancelled needs no judge:
@@ -103,13 +103,13 @@
   json_t *commands;
 
   /* Without the machine's entry nothing is known of what must stop there. */
-  if (!mm_claims_may_answer(node->claims) || machine == NULL) {
+  if (!mm_node_lease_may_answer_workers(node->node_lease) || machine == NULL) {
     mm_exchange_answer(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
     pending_answer_free(response);
     return;
   }
   commands = json_array();
-  if (machine->queued_session == response->stamp.session)
+  if (machine->queued_session == response->stamp.incarnation)
     for (guint i = 0; i < machine->queued->len; i++)
       json_array_append_new(commands,
                             mm_command_to_json(&g_array_index(machine->queued, MmCommand, i)));
@@ -161,8 +161,8 @@
   g_hash_table_insert(server->asks, &response->ask, response);
   request.id = response->ask;
   request.machine = response->machine.s;
-  request.session = response->stamp.session;
-  request.seq = response->stamp.seq;
+  request.session = response->stamp.incarnation;
+  request.seq = response->stamp.sequence;
   request.cores = response->room.cores;
   request.accelerators = response->room.accelerators;
   request.memory_gb = response->room.memory_gb;
@@ -206,8 +206,8 @@
   }
   request.id = response->ask;
   request.machine = response->machine.s;
-  request.session = response->stamp.session;
-  request.seq = response->stamp.seq;
+  request.session = response->stamp.incarnation;
+  request.seq = response->stamp.sequence;
   request.term = response->grant_term.v;
   request.starts = list;
   request.n_starts = n_starts;
@@ -271,7 +271,7 @@
     MmApproval approval;
     MmAsk request;
 
-    if (machine == NULL || mm_stamp_newer(machine->stamp, response->stamp)
+    if (machine == NULL || mm_heartbeat_id_is_newer(machine->stamp, response->stamp)
         || !mm_machine_usable(node->machine_table, machine))
       break;
     response->asked
--- a/src/checkin/pending-answer.h
+++ b/src/checkin/pending-answer.h
@@ -22,7 +22,7 @@
   MmCheckin *checkin;
   MmExchange *exchange;
   MmName machine;
-  MmStamp stamp;
+  MmHeartbeatId stamp;
   MmResources room;
   GArray *starts; /* Start */
   GArray *tried;  /* MmTaskRef */
--- a/src/checkin/registry.c
+++ b/src/checkin/registry.c
@@ -67,7 +67,7 @@
 /* What the entries of one pack may take. */
 static gsize
 pack_limit(const MmRegistry *registry) {
-  return MIN(mm_store_value_bytes(registry->node->store), PACK_BYTES) - PACK_FRAME_BYTES;
+  return MIN(mm_kv_client_max_value_bytes(registry->node->store), PACK_BYTES) - PACK_FRAME_BYTES;
 }
 
 static GArray *
@@ -231,7 +231,7 @@
                       .type = machine->type_name,
                       .zone = machine->zone,
                       .spot = machine->spot,
-                      .session = machine->stamp.session };
+                      .session = machine->stamp.incarnation };
     memcpy(entry.addr, machine->addr, sizeof entry.addr);
     if (bytes + entry_bytes(&entry) > limit)
       break;
@@ -248,18 +248,19 @@
   MmNode *node = registry->node;
   MmTime now = mm_node_now(node);
   g_autoptr(GPtrArray) unregistered = NULL;
-  MmTxn transaction;
+  MmTransaction transaction;
 
-  if (registry->writing || mm_time_before(now, registry->next) || mm_store_in_trouble(node->store)
-      || !node->replica->loaded)
+  if (registry->writing || mm_time_before(now, registry->next)
+      || mm_kv_client_is_refused(node->store) || !node->replica->is_loaded)
     return;
   registry->next = mm_time_add_ms(now, EVERY_MS);
   unregistered = to_enter(registry);
   if (unregistered->len == 0)
     return;
-  transaction = mm_txn();
+  transaction = mm_transaction_begin();
   for (guint pack_number = 0;
-       unregistered->len > 0 && transaction.puts < mm_store_txn_ops(node->store); pack_number++) {
+       unregistered->len > 0 && transaction.n_operations < mm_kv_client_max_operations(node->store);
+       pack_number++) {
     g_autofree char *pack_name = g_strdup_printf("%s/%u", node->settings->label.s, pack_number);
     const MmPack *pack = g_hash_table_lookup(registry->packs, pack_name);
     guint n_before = unregistered->len;
@@ -267,14 +268,14 @@
 
     if (unregistered->len == n_before)
       continue;
-    if (!mm_store_may_write(node->store, 1))
+    if (!mm_kv_client_try_spend_writes(node->store, 1))
       break;
-    mm_txn_guard(&transaction, MM_KEY_PACK, pack_name,
-                 pack != NULL ? pack->version : (MmKeyVersion){ 0 });
-    mm_txn_put(&transaction, MM_KEY_PACK, pack_name, pack_json(entries), 0);
+    mm_transaction_require_version(&transaction, MM_KEY_REGISTRY_PACK, pack_name,
+                                   pack != NULL ? pack->version : (MmKeyVersion){ 0 });
+    mm_transaction_put(&transaction, MM_KEY_REGISTRY_PACK, pack_name, pack_json(entries), 0);
   }
-  registry->writing = transaction.puts > 0;
-  mm_store_commit_any(node->store, &transaction, entered, registry);
+  registry->writing = transaction.n_operations > 0;
+  mm_kv_client_commit_unless_empty(node->store, &transaction, entered, registry);
 }
 
 /* ---- taking off ---- */
@@ -287,9 +288,9 @@
 /* A machine is in one session at a time: hearing a newer one ends the older. */
 static gboolean
 is_over(const MmMachine *machine, const MmEntry *entry) {
-  if (machine->gone || (machine->heard && entry->session < machine->stamp.session))
+  if (machine->gone || (machine->heard && entry->session < machine->stamp.incarnation))
     return TRUE;
-  return machine->lost && (!machine->heard || entry->session == machine->stamp.session);
+  return machine->lost && (!machine->heard || entry->session == machine->stamp.incarnation);
 }
 
 /* The pack other than this one that holds the same session of the machine, or NULL. */
@@ -313,12 +314,12 @@
 }
 
 static gboolean
-is_guarded(const MmTxn *transaction, const char *pack_name) {
-  g_autofree char *key = g_strconcat(MM_KEY_PACK, pack_name, NULL);
+is_guarded(const MmTransaction *transaction, const char *pack_name) {
+  g_autofree char *key = g_strconcat(MM_KEY_REGISTRY_PACK, pack_name, NULL);
   size_t i;
   json_t *guard;
 
-  json_array_foreach(transaction->guards, i,
+  json_array_foreach(transaction->conditions, i,
                      guard) if (g_strcmp0(mm_json_string(guard, WIRE_KEY), key) == 0) return TRUE;
   return FALSE;
 }
@@ -327,7 +328,7 @@
  * limits, without what has been copied to another pack. That pack must then stay as it is until
  * this one is written: of two copies one has to remain. */
 static GArray *
-entries_kept(MmRegistry *registry, const MmPack *pack, MmTxn *guards) {
+entries_kept(MmRegistry *registry, const MmPack *pack, MmTransaction *guards) {
   GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmEntry));
   gboolean too_large = entries_bytes(pack->entries) > pack_limit(registry);
 
@@ -344,7 +345,7 @@
     if (copied_to == NULL)
       g_array_append_val(remaining, *entry);
     else if (!is_guarded(guards, copied_to))
-      mm_txn_guard(guards, MM_KEY_PACK, copied_to, version);
+      mm_transaction_require_version(guards, MM_KEY_REGISTRY_PACK, copied_to, version);
   }
   return remaining;
 }
@@ -364,7 +365,7 @@
  * neither. */
 static void
 copy_overflow(MmRegistry *registry, const char *pack_name, const MmPack *pack,
-              const GArray *remaining, MmTxn *transaction) {
+              const GArray *remaining, MmTransaction *transaction) {
   g_autoptr(GArray) copied = g_array_new(FALSE, TRUE, sizeof(MmEntry));
   g_autofree char *new_pack_name = unused_pack_name(registry);
   gsize limit = pack_limit(registry), bytes_left = entries_bytes(remaining), bytes_copied = 0;
@@ -377,41 +378,44 @@
     bytes_left -= entry_bytes(entry);
     g_array_append_val(copied, *entry);
   }
-  mm_txn_guard(transaction, MM_KEY_PACK, pack_name, pack->version);
-  mm_txn_guard(transaction, MM_KEY_PACK, new_pack_name, (MmKeyVersion){ 0 });
-  mm_txn_put(transaction, MM_KEY_PACK, new_pack_name, pack_json(copied), 0);
+  mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack->version);
+  mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, new_pack_name,
+                                 (MmKeyVersion){ 0 });
+  mm_transaction_put(transaction, MM_KEY_REGISTRY_PACK, new_pack_name, pack_json(copied), 0);
 }
 
 static void
-write_kept(const char *pack_name, const MmPack *pack, const GArray *remaining, MmTxn *transaction) {
-  mm_txn_guard(transaction, MM_KEY_PACK, pack_name, pack->version);
+write_kept(const char *pack_name, const MmPack *pack, const GArray *remaining,
+           MmTransaction *transaction) {
+  mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack->version);
   if (remaining->len > 0)
-    mm_txn_put(transaction, MM_KEY_PACK, pack_name, pack_json(remaining), 0);
+    mm_transaction_put(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack_json(remaining), 0);
   else
-    mm_txn_delete(transaction, MM_KEY_PACK, pack_name);
+    mm_transaction_delete(transaction, MM_KEY_REGISTRY_PACK, pack_name);
 }
 
 /* One pack a transaction where guards for copies are needed. */
 static void
 drop_from_pack(MmRegistry *registry, const char *pack_name, const MmPack *pack,
-               MmTxn *transaction) {
-  MmTxn guards = mm_txn();
+               MmTransaction *transaction) {
+  MmTransaction guards = mm_transaction_begin();
   g_autoptr(GArray) remaining = entries_kept(registry, pack, &guards);
-  guint guards_limit = 4 * mm_store_txn_ops(registry->node->store);
+  guint guards_limit = 4 * mm_kv_client_max_operations(registry->node->store);
   gboolean too_large = entries_bytes(remaining) > pack_limit(registry);
-  gboolean needs_own_transaction = too_large || json_array_size(guards.guards) > 0;
+  gboolean needs_own_transaction = too_large || json_array_size(guards.conditions) > 0;
 
-  if (remaining->len < pack->entries->len && !(needs_own_transaction && transaction->puts > 0)
-      && json_array_size(guards.guards) < guards_limit
-      && mm_store_may_write(registry->node->store, 1)) {
-    json_array_extend(transaction->guards, guards.guards);
+  if (remaining->len < pack->entries->len
+      && !(needs_own_transaction && transaction->n_operations > 0)
+      && json_array_size(guards.conditions) < guards_limit
+      && mm_kv_client_try_spend_writes(registry->node->store, 1)) {
+    json_array_extend(transaction->conditions, guards.conditions);
     if (too_large)
       copy_overflow(registry, pack_name, pack, remaining, transaction);
     else
       write_kept(pack_name, pack, remaining, transaction);
   }
-  json_decref(guards.guards);
-  json_decref(guards.apply);
+  json_decref(guards.conditions);
+  json_decref(guards.operations);
 }
 
 void
@@ -419,16 +423,16 @@
   MmNode *node = registry->node;
   GHashTableIter iter;
   gpointer pack_name, value;
-  MmTxn transaction;
+  MmTransaction transaction;
 
-  if (registry->dropping || mm_store_in_trouble(node->store))
+  if (registry->dropping || mm_kv_client_is_refused(node->store))
     return;
-  transaction = mm_txn();
+  transaction = mm_transaction_begin();
   g_hash_table_iter_init(&iter, registry->packs);
-  while (transaction.puts < mm_store_txn_ops(node->store)
-         && json_array_size(transaction.guards) <= mm_store_txn_ops(node->store)
+  while (transaction.n_operations < mm_kv_client_max_operations(node->store)
+         && json_array_size(transaction.conditions) <= mm_kv_client_max_operations(node->store)
          && g_hash_table_iter_next(&iter, &pack_name, &value))
     drop_from_pack(registry, pack_name, value, &transaction);
-  registry->dropping = transaction.puts > 0;
-  mm_store_commit_any(node->store, &transaction, dropped, registry);
+  registry->dropping = transaction.n_operations > 0;
+  mm_kv_client_commit_unless_empty(node->store, &transaction, dropped, registry);
 }
--- a/src/checkin/report.c
+++ b/src/checkin/report.c
@@ -60,8 +60,8 @@
   heartbeat->type = mm_name(mm_json_string(body, WIRE_TYPE));
   heartbeat->zone = mm_name(mm_json_string(body, WIRE_ZONE));
   heartbeat->spot = mm_json_flag(body, WIRE_SPOT);
-  heartbeat->stamp.session = mm_json_count(body, WIRE_SESSION, 0);
-  heartbeat->stamp.seq = mm_json_count(body, WIRE_SEQ, 0);
+  heartbeat->stamp.incarnation = mm_json_count(body, WIRE_SESSION, 0);
+  heartbeat->stamp.sequence = mm_json_count(body, WIRE_SEQ, 0);
   heartbeat->token.v = mm_json_count(body, WIRE_TOKEN, 0);
   heartbeat->warned = mm_json_get(body, WIRE_NOTICE) != NULL;
   heartbeat->notice_s = mm_json_number(body, WIRE_NOTICE, 0);
--- a/src/checkin/report.h
+++ b/src/checkin/report.h
@@ -39,7 +39,7 @@
   MmName type;
   MmName zone;
   gboolean spot;
-  MmStamp stamp;
+  MmHeartbeatId stamp;
   MmTerm token;
   gboolean warned;
   double notice_s;
--- a/src/config/operators.c
+++ b/src/config/operators.c
@@ -6,7 +6,7 @@
 #include "sharing/group-set.h"
 
 #define WEIGHT_ELEMENT "group-weight"
-#define WEIGHT_MOST 1000.0
+#define MAX_GROUP_WEIGHT 1000.0
 
 #define SETTING(field, unit, fallback, least, most, meaning)                                       \
   { #field, unit, meaning, G_STRUCT_OFFSET(MmOperators, field), fallback, least, most }
@@ -45,11 +45,11 @@
 typedef struct {
   MmOperators *operators;
   const char *path;
-  const MmOperatorSetting *open; /* the setting whose element is open */
-  MmNodeWeight *weight;          /* or the node's weight */
-  gboolean inside;
-  gboolean valued;
-} Parse;
+  const MmOperatorSetting *open_setting; /* the setting whose element is open */
+  MmNodeWeight *open_weight;             /* or the node's weight */
+  gboolean is_inside_root;
+  gboolean has_value;
+} ParseState;
 
 MmOperators
 mm_operators_defaults(void) {
@@ -57,13 +57,14 @@
 
   memset(&operators, 0, sizeof operators);
   for (const MmOperatorSetting *setting = mm_operator_settings; setting->name != NULL; setting++)
-    G_STRUCT_MEMBER(double, &operators, setting->offset) = setting->fallback;
+    G_STRUCT_MEMBER(double, &operators, setting->offset) = setting->default_value;
   return operators;
 }
 
 /* <group-weight node="NAME">. */
 static void
-start_weight(Parse *parse, const char **attributes, const char **values, GError **error) {
+start_weight_element(ParseState *parse, const char **attributes, const char **values,
+                     GError **error) {
   MmOperators *operators = parse->operators;
   const char *node = NULL;
 
@@ -86,47 +87,47 @@
                 "<" WEIGHT_ELEMENT ">: stands more than %d times", MM_NODE_WEIGHTS_MAX);
     return;
   }
-  parse->weight = &operators->group_weights[operators->n_group_weights++];
-  *parse->weight = (MmNodeWeight){ mm_name(node), 1 };
+  parse->open_weight = &operators->group_weights[operators->n_group_weights++];
+  *parse->open_weight = (MmNodeWeight){ mm_name(node), 1 };
 }
 
 static void
 start_element(GMarkupParseContext *context, const char *name, const char **attributes,
               const char **values, gpointer data, GError **error) {
-  Parse *parse = data;
+  ParseState *parse = data;
   g_autofree char *field = g_strdelimit(g_strdup(name), "-", '_');
 
-  if (!parse->inside) {
+  if (!parse->is_inside_root) {
     if (strcmp(name, "martenmount") != 0)
       g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_UNKNOWN_ELEMENT,
                   "the outermost element must be <martenmount>, not <%s>", name);
-    parse->inside = TRUE;
+    parse->is_inside_root = TRUE;
     return;
   }
-  if (parse->open != NULL || parse->weight != NULL) {
+  if (parse->open_setting != NULL || parse->open_weight != NULL) {
     g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT,
                 "<%s> stands inside another setting", name);
     return;
   }
   for (const MmOperatorSetting *setting = mm_operator_settings; setting->name != NULL; setting++)
     if (strcmp(field, setting->name) == 0)
-      parse->open = setting;
-  parse->valued = FALSE;
+      parse->open_setting = setting;
+  parse->has_value = FALSE;
   if (strcmp(name, WEIGHT_ELEMENT) == 0)
-    start_weight(parse, attributes, values, error);
-  else if (parse->open == NULL)
+    start_weight_element(parse, attributes, values, error);
+  else if (parse->open_setting == NULL)
     g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_UNKNOWN_ELEMENT, "<%s>: unknown setting",
                 name);
 }
 
 static void
 end_element(GMarkupParseContext *context, const char *name, gpointer data, GError **error) {
-  Parse *parse = data;
+  ParseState *parse = data;
 
-  if ((parse->open != NULL || parse->weight != NULL) && !parse->valued)
+  if ((parse->open_setting != NULL || parse->open_weight != NULL) && !parse->has_value)
     g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_EMPTY, "<%s>: has no value", name);
-  parse->open = NULL;
-  parse->weight = NULL;
+  parse->open_setting = NULL;
+  parse->open_weight = NULL;
 }
 
 /* A number that is one, within the bounds. */
@@ -141,16 +142,17 @@
 static void
 element_text(GMarkupParseContext *context, const char *text, gsize length, gpointer data,
              GError **error) {
-  Parse *parse = data;
+  ParseState *parse = data;
   g_autofree char *value = g_strstrip(g_strndup(text, length));
-  const char *unit = parse->open != NULL ? parse->open->unit : "times the share of others";
-  double min = parse->open != NULL ? parse->open->least : 0;
-  double max = parse->open != NULL ? parse->open->most : WEIGHT_MOST;
+  const char *unit
+      = parse->open_setting != NULL ? parse->open_setting->unit : "times the share of others";
+  double min = parse->open_setting != NULL ? parse->open_setting->min : 0;
+  double max = parse->open_setting != NULL ? parse->open_setting->max : MAX_GROUP_WEIGHT;
   double number;
 
   if (value[0] == '\0')
     return;
-  if (parse->open == NULL && parse->weight == NULL) {
+  if (parse->open_setting == NULL && parse->open_weight == NULL) {
     g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT, "stray text \"%s\"", value);
     return;
   }
@@ -160,11 +162,11 @@
                 g_markup_parse_context_get_element(context), value, min, max, unit);
     return;
   }
-  if (parse->weight != NULL)
-    parse->weight->weight = number;
+  if (parse->open_weight != NULL)
+    parse->open_weight->weight = number;
   else
-    G_STRUCT_MEMBER(double, parse->operators, parse->open->offset) = number;
-  parse->valued = TRUE;
+    G_STRUCT_MEMBER(double, parse->operators, parse->open_setting->offset) = number;
+  parse->has_value = TRUE;
 }
 
 gboolean
@@ -172,7 +174,7 @@
                    char **reason) {
   static const GMarkupParser parser
       = { .start_element = start_element, .end_element = end_element, .text = element_text };
-  Parse parse = { .operators = operators, .path = path };
+  ParseState parse = { .operators = operators, .path = path };
   GMarkupParseContext *context = g_markup_parse_context_new(&parser, 0, &parse, NULL);
   g_autoptr(GError) error = NULL;
   gboolean is_valid = g_markup_parse_context_parse(context, xml, length, &error)
@@ -204,8 +206,8 @@
 }
 
 gboolean
-mm_operators_check(const MmOperators *operators, const MmSettings *settings, const char *path,
-                   char **reason) {
+mm_operators_check_against_settings(const MmOperators *operators, const MmSettings *settings,
+                                    const char *path, char **reason) {
   double total_weight = mm_operators_group_weight(operators, settings->label.s);
 
   if (operators->groups != floor(operators->groups)) {
--- a/src/config/operators.h
+++ b/src/config/operators.h
@@ -39,9 +39,9 @@
   const char *unit;
   const char *meaning;
   gsize offset;
-  double fallback;
-  double least;
-  double most;
+  double default_value;
+  double min;
+  double max;
 } MmOperatorSetting;
 
 extern const MmOperatorSetting mm_operator_settings[];
@@ -51,7 +51,8 @@
 gboolean mm_operators_parse(MmOperators *operators, const char *path, const char *xml,
                             gssize length, char **reason);
 /* Whether what is said of nodes fits the platform's settings; FALSE with a one-line reason. */
-gboolean mm_operators_check(const MmOperators *operators, const MmSettings *settings,
-                            const char *path, char **reason);
+gboolean mm_operators_check_against_settings(const MmOperators *operators,
+                                             const MmSettings *settings, const char *path,
+                                             char **reason);
 double mm_operators_group_weight(const MmOperators *operators, const char *node);
 gboolean mm_operators_read(MmOperators *operators, const char *path, char **reason);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -9,31 +9,31 @@
 typedef struct {
   const char *path;
   char *reason;
-} Check;
+} Validation;
 
 static void
-complain(Check *validation, const char *field, const char *problem) {
+record_error(Validation *validation, const char *field, const char *problem) {
   if (validation->reason == NULL)
     validation->reason = g_strdup_printf("%s: %s: %s", validation->path, field, problem);
 }
 
 static const char *
-text(Check *validation, const json_t *object, const char *prefix, const char *key) {
+read_text(Validation *validation, const json_t *object, const char *prefix, const char *key) {
   const char *value = mm_json_string(object, key);
   g_autofree char *field = g_strconcat(prefix, key, NULL);
 
   if (mm_json_get(object, key) == NULL)
-    complain(validation, field, "is missing");
+    record_error(validation, field, "is missing");
   else if (value == NULL)
-    complain(validation, field, "must be text");
+    record_error(validation, field, "must be text");
   else if (value[0] == '\0' || strlen(value) > MM_NAME_MAX)
-    complain(validation, field, "must have 1 to 63 characters");
+    record_error(validation, field, "must have 1 to 63 characters");
   return value != NULL ? value : "";
 }
 
 static char *
-address(Check *validation, const json_t *object, const char *prefix, const char *key) {
-  const char *value = text(validation, object, prefix, key);
+read_address(Validation *validation, const json_t *object, const char *prefix, const char *key) {
+  const char *value = read_text(validation, object, prefix, key);
   const char *colon = strrchr(value, ':');
   char *end = NULL;
 
@@ -41,107 +41,107 @@
     guint64 port = colon != NULL ? g_ascii_strtoull(colon + 1, &end, 10) : 0;
     if (colon == NULL || colon == value || *end != '\0' || port == 0 || port > 65535) {
       g_autofree char *field = g_strconcat(prefix, key, NULL);
-      complain(validation, field, "must be an address with a port, such as 10.0.0.1:8080");
+      record_error(validation, field, "must be an address with a port, such as 10.0.0.1:8080");
     }
   }
   return g_strdup(value);
 }
 
 static double
-number(Check *validation, const json_t *object, const char *prefix, const char *key, double min,
-       double max) {
+read_number(Validation *validation, const json_t *object, const char *prefix, const char *key,
+            double min, double max) {
   const json_t *value = mm_json_get(object, key);
   g_autofree char *field = g_strconcat(prefix, key, NULL);
   double parsed = json_number_value(value);
 
   if (value == NULL)
-    complain(validation, field, "is missing");
+    record_error(validation, field, "is missing");
   else if (!json_is_number(value) || !isfinite(parsed))
-    complain(validation, field, "must be a number");
+    record_error(validation, field, "must be a number");
   else if (parsed < min || parsed > max) {
     g_autofree char *problem = g_strdup_printf("must lie between %g and %g", min, max);
-    complain(validation, field, problem);
+    record_error(validation, field, problem);
   }
   return parsed;
 }
 
 static const json_t *
-table(Check *validation, const json_t *object, const char *key, const char *field) {
+read_table(Validation *validation, const json_t *object, const char *key, const char *field) {
   const json_t *value = mm_json_get(object, key);
 
   if (!json_is_object(value))
-    complain(validation, field, value == NULL ? "is missing" : "must be a table");
+    record_error(validation, field, value == NULL ? "is missing" : "must be a table");
   return value;
 }
 
 static void
-read_peers(Check *validation, MmSettings *settings, const json_t *root) {
+read_peers(Validation *validation, MmSettings *settings, const json_t *root) {
   const json_t *list = mm_json_get(root, "others");
   size_t i;
   json_t *item;
 
   if (list != NULL && !json_is_array(list))
-    complain(validation, "others", "must be a list of tables");
+    record_error(validation, "others", "must be a list of tables");
   if (json_array_size(list) > MM_PEERS_MAX)
-    complain(validation, "others", "must not be longer than 31");
+    record_error(validation, "others", "must not be longer than 31");
   json_array_foreach(list, i, item) {
-    MmPeerSettings peer = { .label = mm_name(text(validation, item, "others.", "label")),
+    MmPeerSettings peer = { .label = mm_name(read_text(validation, item, "others.", "label")),
                             .zone = mm_name(mm_json_string(item, "zone")),
-                            .endpoint = address(validation, item, "others.", "endpoint") };
+                            .endpoint = read_address(validation, item, "others.", "endpoint") };
     if (mm_name_equal(&peer.label, &settings->label))
-      complain(validation, "others.label", "must not be this node's own label");
+      record_error(validation, "others.label", "must not be this node's own label");
     g_array_append_val(settings->peers, peer);
   }
 }
 
 static void
-read_teams(Check *validation, MmSettings *settings, const json_t *settings_table) {
+read_teams(Validation *validation, MmSettings *settings, const json_t *settings_table) {
   const json_t *list = mm_json_get(settings_table, "teams");
   size_t i;
   json_t *item;
 
   if (!json_is_array(list) || json_array_size(list) == 0)
-    complain(validation, "settings.teams", "must be a list of at least one table");
+    record_error(validation, "settings.teams", "must be a list of at least one table");
   json_array_foreach(list, i, item) {
     MmTeamSettings team = {
-      .name = mm_name(text(validation, item, "settings.teams.", "name")),
-      .guaranteed = { number(validation, item, "settings.teams.", "cpus", 0, 1e9),
-                      number(validation, item, "settings.teams.", "gpus", 0, 1e9), 0 },
-      .limit = { number(validation, item, "settings.teams.", "cpus_max", 0, 1e9),
-                 number(validation, item, "settings.teams.", "gpus_max", 0, 1e9), 0 },
+      .name = mm_name(read_text(validation, item, "settings.teams.", "name")),
+      .quota = { read_number(validation, item, "settings.teams.", "cpus", 0, 1e9),
+                 read_number(validation, item, "settings.teams.", "gpus", 0, 1e9), 0 },
+      .limit = { read_number(validation, item, "settings.teams.", "cpus_max", 0, 1e9),
+                 read_number(validation, item, "settings.teams.", "gpus_max", 0, 1e9), 0 },
     };
     if (mm_settings_team(settings, &team.name) != NULL)
-      complain(validation, "settings.teams.name", "names a team twice");
-    if (team.limit.cores > 0 && team.guaranteed.cores > team.limit.cores)
-      complain(validation, "settings.teams.cpus", "must not exceed cpus_max");
-    if (team.limit.accelerators > 0 && team.guaranteed.accelerators > team.limit.accelerators)
-      complain(validation, "settings.teams.gpus", "must not exceed gpus_max");
+      record_error(validation, "settings.teams.name", "names a team twice");
+    if (team.limit.cores > 0 && team.quota.cores > team.limit.cores)
+      record_error(validation, "settings.teams.cpus", "must not exceed cpus_max");
+    if (team.limit.accelerators > 0 && team.quota.accelerators > team.limit.accelerators)
+      record_error(validation, "settings.teams.gpus", "must not exceed gpus_max");
     g_array_append_val(settings->teams, team);
   }
 }
 
 static void
-read_aims(MmSettings *settings, const json_t *settings_table) {
+read_objectives(MmSettings *settings, const json_t *settings_table) {
   const json_t *list = mm_json_get(settings_table, "objectives");
   size_t i;
   json_t *item;
 
   json_array_foreach(list, i, item) {
     const char *kind = mm_json_string(item, "kind");
-    MmAim objective = { .kind = MM_AIM_OTHER,
-                        .job_class = mm_name(mm_json_string(item, "class")),
-                        .within_s = mm_json_number(item, "within_s", 0),
-                        .times = mm_json_number(item, "times", 1),
-                        .share = mm_json_number(item, "share", 0) };
+    MmObjective objective = { .kind = MM_OBJECTIVE_OTHER,
+                              .job_class = mm_name(mm_json_string(item, "class")),
+                              .within_s = mm_json_number(item, "within_s", 0),
+                              .deadline_factor = mm_json_number(item, "times", 1),
+                              .required_share = mm_json_number(item, "share", 0) };
     if (g_strcmp0(kind, "wait") == 0)
-      objective.kind = MM_AIM_WAIT;
+      objective.kind = MM_OBJECTIVE_WAIT;
     else if (g_strcmp0(kind, "finished") == 0)
-      objective.kind = MM_AIM_FINISHED;
+      objective.kind = MM_OBJECTIVE_FINISHED;
     else if (g_strcmp0(kind, "deadline") == 0)
-      objective.kind = MM_AIM_DEADLINE;
+      objective.kind = MM_OBJECTIVE_DEADLINE;
     else if (g_strcmp0(kind, "guarantee") == 0)
-      objective.kind = MM_AIM_GUARANTEE;
-    g_array_append_val(settings->aims, objective);
+      objective.kind = MM_OBJECTIVE_QUOTA;
+    g_array_append_val(settings->objectives, objective);
   }
 }
 
@@ -151,94 +151,101 @@
 }
 
 static void
-read_workers(Check *validation, MmSettings *settings, const json_t *settings_table) {
-  const json_t *section = table(validation, settings_table, "workers", "settings.workers");
-
-  settings->report_s = number(validation, section, "settings.workers.", "report_s", 0.05, 3600);
-  settings->lease_s = number(validation, section, "settings.workers.", "lease_s", 0.1, 86400);
-  settings->gang_wait_s = number(validation, section, "settings.workers.", "gang_wait_s", 0, 86400);
-  settings->gang_peer_s = number(validation, section, "settings.workers.", "gang_peer_s", 0, 86400);
-  settings->cancel_s = number(validation, section, "settings.workers.", "cancel_s", 0, 86400);
-  if (settings->lease_s <= settings->report_s)
-    complain(validation, "settings.workers.lease_s", "must exceed report_s");
+read_workers(Validation *validation, MmSettings *settings, const json_t *settings_table) {
+  const json_t *section = read_table(validation, settings_table, "workers", "settings.workers");
+
+  settings->heartbeat_interval_s
+      = read_number(validation, section, "settings.workers.", "report_s", 0.05, 3600);
+  settings->worker_lease_s
+      = read_number(validation, section, "settings.workers.", "lease_s", 0.1, 86400);
+  settings->gang_wait_s
+      = read_number(validation, section, "settings.workers.", "gang_wait_s", 0, 86400);
+  settings->gang_peer_s
+      = read_number(validation, section, "settings.workers.", "gang_peer_s", 0, 86400);
+  settings->cancel_s = read_number(validation, section, "settings.workers.", "cancel_s", 0, 86400);
+  if (settings->worker_lease_s <= settings->heartbeat_interval_s)
+    record_error(validation, "settings.workers.lease_s", "must exceed report_s");
 }
 
 /* A limit of the state service: the smaller of what holds now and what is announced, from the start
  * on, since the change comes without notice. */
 static double
-state_limit(Check *validation, const json_t *section, const char *key, double min, double max) {
+read_kv_limit(Validation *validation, const json_t *section, const char *key, double min,
+              double max) {
   const json_t *announced = mm_json_get(section, "next");
-  double limit = number(validation, section, "settings.state.", key, min, max);
+  double limit = read_number(validation, section, "settings.state.", key, min, max);
 
   if (mm_json_get(announced, key) == NULL)
     return limit;
-  return MIN(limit, number(validation, announced, "settings.state.next.", key, min, max));
+  return MIN(limit, read_number(validation, announced, "settings.state.next.", key, min, max));
 }
 
 static void
-read_state_service(Check *validation, MmSettings *settings, const json_t *settings_table) {
-  const json_t *section = table(validation, settings_table, "state", "settings.state");
+read_kv_store(Validation *validation, MmSettings *settings, const json_t *settings_table) {
+  const json_t *section = read_table(validation, settings_table, "state", "settings.state");
 
   if (mm_json_get(section, "next") != NULL)
-    table(validation, section, "next", "settings.state.next");
-  settings->state_rps = state_limit(validation, section, "rps", 1, 1e9);
-  settings->state_write_rps = state_limit(validation, section, "write_rps", 1, 1e9);
-  settings->state_value_bytes
-      = (guint)(state_limit(validation, section, "value_kb", 1, 1e6) * 1024);
-  settings->state_txn_ops = (guint)state_limit(validation, section, "txn_ops", 2, 1e6);
+    read_table(validation, section, "next", "settings.state.next");
+  settings->kv_requests_per_s = read_kv_limit(validation, section, "rps", 1, 1e9);
+  settings->kv_writes_per_s = read_kv_limit(validation, section, "write_rps", 1, 1e9);
+  settings->kv_max_value_bytes
+      = (guint)(read_kv_limit(validation, section, "value_kb", 1, 1e6) * 1024);
+  settings->kv_max_operations = (guint)read_kv_limit(validation, section, "txn_ops", 2, 1e6);
 }
 
 static void
-read_cloud(Check *validation, MmSettings *settings, const json_t *settings_table) {
-  const json_t *section = table(validation, settings_table, "cloud", "settings.cloud");
+read_cloud(Validation *validation, MmSettings *settings, const json_t *settings_table) {
+  const json_t *section = read_table(validation, settings_table, "cloud", "settings.cloud");
 
-  settings->cloud_rps = number(validation, section, "settings.cloud.", "rps", 0.01, 1e9);
-  settings->cloud_list_lag_s
-      = number(validation, section, "settings.cloud.", "list_lag_s", 0, 86400);
+  settings->cloud_requests_per_s
+      = read_number(validation, section, "settings.cloud.", "rps", 0.01, 1e9);
+  settings->cloud_list_delay_s
+      = read_number(validation, section, "settings.cloud.", "list_lag_s", 0, 86400);
 }
 
 static void
-read_resources(Check *validation, MmSettings *settings, const json_t *settings_table) {
+read_resources(Validation *validation, MmSettings *settings, const json_t *settings_table) {
   const json_t *section = mm_json_get(settings_table, "resources");
 
   settings->cpu_share = mm_json_number(section, "cpu", 1);
   settings->memory_mb = mm_json_number(section, "ram_mb", 512);
   settings->max_sockets = (guint)mm_json_number(section, "max_sockets", 1000);
   if (settings->cpu_share <= 0)
-    complain(validation, "settings.resources.cpu", "must be above 0");
+    record_error(validation, "settings.resources.cpu", "must be above 0");
   if (settings->memory_mb < 1)
-    complain(validation, "settings.resources.ram_mb", "must be at least 1");
+    record_error(validation, "settings.resources.ram_mb", "must be at least 1");
   if (settings->max_sockets < 16)
-    complain(validation, "settings.resources.max_sockets", "must be at least 16");
+    record_error(validation, "settings.resources.max_sockets", "must be at least 16");
 }
 
 MmSettings *
 mm_settings_from_json(const char *path, const void *data, char **reason) {
   const json_t *root = data;
-  Check validation = { .path = path };
+  Validation validation = { .path = path };
   MmSettings *settings = g_new0(MmSettings, 1);
   const json_t *external_table, *settings_table;
 
   settings->peers = g_array_new(FALSE, TRUE, sizeof(MmPeerSettings));
   g_array_set_clear_func(settings->peers, peer_clear);
   settings->teams = g_array_new(FALSE, TRUE, sizeof(MmTeamSettings));
-  settings->aims = g_array_new(FALSE, TRUE, sizeof(MmAim));
+  settings->objectives = g_array_new(FALSE, TRUE, sizeof(MmObjective));
 
-  settings->label = mm_name(text(&validation, root, "", "label"));
-  settings->zone = mm_name(text(&validation, root, "", "zone"));
-  settings->front = address(&validation, root, "", "front");
-  settings->cluster_listen = address(&validation, root, "", "cluster_listen");
+  settings->label = mm_name(read_text(&validation, root, "", "label"));
+  settings->zone = mm_name(read_text(&validation, root, "", "zone"));
+  settings->front_address = read_address(&validation, root, "", "front");
+  settings->peer_listen_address = read_address(&validation, root, "", "cluster_listen");
   read_peers(&validation, settings, root);
-  external_table = table(&validation, root, "external", "external");
-  settings->cloud = address(&validation, external_table, "external.", "cloud");
-  settings->state = address(&validation, external_table, "external.", "state");
-  settings_table = table(&validation, root, "settings", "settings");
-  settings->node_count = (guint)number(&validation, settings_table, "settings.", "count", 1, 1000);
+  external_table = read_table(&validation, root, "external", "external");
+  settings->cloud_address = read_address(&validation, external_table, "external.", "cloud");
+  settings->kv_address = read_address(&validation, external_table, "external.", "state");
+  settings_table = read_table(&validation, root, "settings", "settings");
+  settings->node_count
+      = (guint)read_number(&validation, settings_table, "settings.", "count", 1, 1000);
   read_teams(&validation, settings, settings_table);
-  read_aims(settings, settings_table);
+  read_objectives(settings, settings_table);
 
   read_workers(&validation, settings, settings_table);
-  read_state_service(&validation, settings, settings_table);
+  read_kv_store(&validation, settings, settings_table);
   read_cloud(&validation, settings, settings_table);
   read_resources(&validation, settings, settings_table);
 
@@ -278,13 +285,13 @@
 mm_settings_free(MmSettings *settings) {
   if (settings == NULL)
     return;
-  g_free(settings->front);
-  g_free(settings->cluster_listen);
-  g_free(settings->cloud);
-  g_free(settings->state);
+  g_free(settings->front_address);
+  g_free(settings->peer_listen_address);
+  g_free(settings->cloud_address);
+  g_free(settings->kv_address);
   g_array_unref(settings->peers);
   g_array_unref(settings->teams);
-  g_array_unref(settings->aims);
+  g_array_unref(settings->objectives);
   g_free(settings);
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -13,49 +13,49 @@
 
 typedef struct {
   MmName name;
-  MmResources guaranteed; /* memory is never set: the settings speak of cores and accelerators */
-  MmResources limit;      /* 0: none */
+  MmResources quota; /* memory is never set: the settings speak of cores and accelerators */
+  MmResources limit; /* 0: none */
 } MmTeamSettings;
 
 typedef enum {
-  MM_AIM_WAIT,
-  MM_AIM_FINISHED,
-  MM_AIM_DEADLINE,
-  MM_AIM_GUARANTEE,
-  MM_AIM_OTHER
-} MmAimKind;
+  MM_OBJECTIVE_WAIT,
+  MM_OBJECTIVE_FINISHED,
+  MM_OBJECTIVE_DEADLINE,
+  MM_OBJECTIVE_QUOTA,
+  MM_OBJECTIVE_OTHER
+} MmObjectiveKind;
 
 typedef struct {
-  MmAimKind kind;
+  MmObjectiveKind kind;
   MmName job_class;
   double within_s;
-  double times; /* of a deadline */
-  double share;
-} MmAim;
+  double deadline_factor; /* of a deadline */
+  double required_share;
+} MmObjective;
 
 typedef struct {
   MmName label;
   MmName zone;
-  char *front;
-  char *cluster_listen;
-  char *cloud;
-  char *state;
-  GArray *peers; /* MmPeerSettings */
-  GArray *teams; /* MmTeamSettings */
-  GArray *aims;  /* MmAim */
+  char *front_address;
+  char *peer_listen_address;
+  char *cloud_address;
+  char *kv_address;
+  GArray *peers;      /* MmPeerSettings */
+  GArray *teams;      /* MmTeamSettings */
+  GArray *objectives; /* MmObjective */
   guint node_count;
-  double report_s;
-  double lease_s;
+  double heartbeat_interval_s;
+  double worker_lease_s;
   double gang_wait_s;
   double gang_peer_s;
   double cancel_s;
   /* Limits of the state service: the smaller of those that hold and those that are announced. */
-  double state_rps;
-  double state_write_rps;
-  guint state_value_bytes;
-  guint state_txn_ops;
-  double cloud_rps;
-  double cloud_list_lag_s;
+  double kv_requests_per_s;
+  double kv_writes_per_s;
+  guint kv_max_value_bytes;
+  guint kv_max_operations;
+  double cloud_requests_per_s;
+  double cloud_list_delay_s;
   double cpu_share;
   double memory_mb;
   guint max_sockets;
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -149,7 +149,8 @@
   *lookup = (Lookup){ dependencies, vertex->job };
   vertex->looking_up = TRUE;
   dependencies->lookups++;
-  mm_store_get(dependencies->node->store, MM_KEY_FINAL, vertex->job.s, looked_up, lookup);
+  mm_kv_client_get(dependencies->node->store, MM_KEY_TERMINAL_RECORD, vertex->job.s, looked_up,
+                   lookup);
 }
 
 void
@@ -157,9 +158,9 @@
   MmNode *node = dependencies->node;
   const GPtrArray *unknown = dependencies->graph->unknown;
   MmTime now = mm_node_now(node);
-  gint64 lookup_interval_ms = (gint64)(1000 / (node->settings->state_rps * LOOKUP_SHARE));
+  gint64 lookup_interval_ms = (gint64)(1000 / (node->settings->kv_requests_per_s * LOOKUP_SHARE));
 
-  if (unknown->len == 0 || mm_store_in_trouble(node->store)
+  if (unknown->len == 0 || mm_kv_client_is_refused(node->store)
       || mm_time_before(now, dependencies->next_lookup))
     return;
   for (guint i = 0; i < unknown->len && dependencies->lookups < LOOKUPS_MAX; i++) {
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -78,7 +78,7 @@
   MmFleet *autoscaler = data;
   const json_t *items = mm_json_get(body, WIRE_MACHINES);
   MmTime now = mm_node_now(autoscaler->node);
-  double list_lag_s = MAX(autoscaler->node->settings->cloud_list_lag_s, 1);
+  double list_lag_s = MAX(autoscaler->node->settings->cloud_list_delay_s, 1);
   size_t i;
   json_t *item;
   const char *last_id = NULL;
@@ -115,8 +115,8 @@
 mm_fleet_tick(MmFleet *autoscaler) {
   MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
-  gboolean is_active
-      = mm_claims_valid(node->claims) && mm_claims_holds(node->claims, MM_SHARD_FLEET);
+  gboolean is_active = mm_node_lease_is_valid(node->node_lease)
+                       && mm_shard_ownership_leads(node->node_lease, MM_SHARD_AUTOSCALER);
 
   if (is_active != autoscaler->active) {
     autoscaler->active = is_active;
--- a/src/fleet/renting.c
+++ b/src/fleet/renting.c
@@ -49,7 +49,7 @@
   /* Never used twice, not by another node nor by another life of this one. */
   g_autofree char *request_id
       = g_strdup_printf("%s-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, node->settings->label.s,
-                        node->claims->claim, ++autoscaler->requests);
+                        node->node_lease->lease_id, ++autoscaler->requests);
   g_autoptr(json_t) body = json_pack("{s:s, s:s, s:s, s:b, s:I}", WIRE_REQUEST, request_id,
                                      WIRE_TYPE, type->name.s, WIRE_ZONE, zone->s, WIRE_SPOT,
                                      is_spot, WIRE_COUNT, (json_int_t)MIN(count, RENT_MAX));
@@ -92,7 +92,7 @@
   for (guint i = 0; i < autoscaler->offers->len; i++) {
     MmOffer *offer = &g_array_index(autoscaler->offers, MmOffer, i);
     if (mm_time_ms_since(now, offer->asked_at)
-        > (gint64)(3000 * MAX(autoscaler->node->settings->cloud_list_lag_s, 1)))
+        > (gint64)(3000 * MAX(autoscaler->node->settings->cloud_list_delay_s, 1)))
       offer->asked = 0;
     offer->coming = offer->asked;
   }
--- a/src/fleet/returns.c
+++ b/src/fleet/returns.c
@@ -110,7 +110,8 @@
   return (gint64)(1000
                   * (silent_release_s > 0
                          ? silent_release_s / 2
-                         : MAX(node->settings->report_s * OVERDUE_PERIODS, OVERDUE_LEAST_S)));
+                         : MAX(node->settings->heartbeat_interval_s * OVERDUE_PERIODS,
+                               OVERDUE_LEAST_S)));
 }
 
 static gint64
@@ -257,13 +258,13 @@
     /* Never came up, or is up and never reported. */
     return cloud_machine->age_s > patience_s
            && (!cloud_machine->running
-               || listed_for_ms > 1000 * (gint64)node->settings->lease_s
+               || listed_for_ms > 1000 * (gint64)node->settings->worker_lease_s
                                       * (mm_fleet_zone_is_cut(autoscaler, &cloud_machine->zone)
                                              ? CUT_LEASES
                                              : MUTE_LEASES));
   if (machine->lost)
     return mm_time_ms_since(now, machine->seen)
-           > 1000 * (gint64)node->settings->lease_s
+           > 1000 * (gint64)node->settings->worker_lease_s
                  * (mm_fleet_zone_is_cut(autoscaler, &machine->zone) ? CUT_LEASES : LOST_LEASES);
   if (silent(autoscaler, machine))
     return TRUE;
--- a/src/fleet/types.c
+++ b/src/fleet/types.c
@@ -137,18 +137,20 @@
 store(MmTypes *instance_types, const json_t *list) {
   MmNode *node = instance_types->node;
   g_autofree char *text = lasting_text(list);
-  MmTxn transaction;
+  MmTransaction transaction;
 
-  if (g_strcmp0(text, instance_types->stored) == 0 || !mm_claims_may_answer(node->claims)
-      || strlen(text) + 512 > node->settings->state_value_bytes
-      || !mm_store_may_write(node->store, 1))
+  if (g_strcmp0(text, instance_types->stored) == 0
+      || !mm_node_lease_may_answer_workers(node->node_lease)
+      || strlen(text) + 512 > node->settings->kv_max_value_bytes
+      || !mm_kv_client_try_spend_writes(node->store, 1))
     return;
-  transaction = mm_txn();
+  transaction = mm_transaction_begin();
   /* One that is carried out late must not bring back what the cloud has changed since. */
-  mm_txn_guard(&transaction, MM_KEY_TYPES, "", instance_types->version);
-  mm_txn_put(&transaction, MM_KEY_TYPES, "", json_pack("{s:O}", WIRE_TYPES, list), 0);
+  mm_transaction_require_version(&transaction, MM_KEY_INSTANCE_TYPES, "", instance_types->version);
+  mm_transaction_put(&transaction, MM_KEY_INSTANCE_TYPES, "", json_pack("{s:O}", WIRE_TYPES, list),
+                     0);
   /* Should it fail, the cloud's next answer is stored. */
-  mm_store_commit(node->store, &transaction, NULL, NULL);
+  mm_kv_client_commit(node->store, &transaction, NULL, NULL);
 }
 
 static void
--- a/src/jobs/api.c
+++ b/src/jobs/api.c
@@ -43,15 +43,15 @@
 
 gboolean
 mm_call_is_refused_now(const MmNode *node) {
-  return mm_store_is_silent(node->store)
-         || (mm_store_in_trouble(node->store)
-             && mm_time_ms_since(mm_node_now(node), node->store->last_refused) < REFUSED_MS);
+  return mm_kv_client_is_silent(node->store)
+         || (mm_kv_client_is_refused(node->store)
+             && mm_time_ms_since(mm_node_now(node), node->store->last_refused_at) < REFUSED_MS);
 }
 
 void
 mm_call_give_up(MmCall *request) {
   mm_call_finish(request, 503, mm_json_error("the state service does not answer"),
-                 mm_store_in_trouble(request->node->store) ? 2 : 1);
+                 mm_kv_client_is_refused(request->node->store) ? 2 : 1);
 }
 
 void
@@ -96,7 +96,7 @@
   const MmNode *node = request->node;
   const MmJob *job = mm_job_table_find(node->job_table, request->id.s);
 
-  if (!node->replica->loaded)
+  if (!node->replica->is_loaded)
     return FALSE;
   /* Finished as cancelled: its tasks were all gone. */
   if (job == NULL)
@@ -106,10 +106,11 @@
     return TRUE;
   if (job->cancel_version.v == 0 || node->replica->revision < job->cancel_version.v)
     return FALSE;
-  if (node->store->served_us - job->cancel_served_us >= mm_claims_staleness_bound(node->claims) * 2)
+  if (node->store->available_us - job->cancel_served_us
+      >= mm_node_lease_max_staleness_us(node->node_lease) * 2)
     return TRUE;
   for (guint i = 0; i < node->links->n_peers; i++)
-    if (g_hash_table_contains(node->replica->nodes, node->links->peers[i].label.s)
+    if (g_hash_table_contains(node->replica->live_nodes, node->links->peers[i].label.s)
         && (job->cancel_acks & (G_GUINT64_CONSTANT(1) << i)) == 0)
       return FALSE;
   return TRUE;
@@ -289,7 +290,7 @@
   }
   /* The watch may be behind, or stop here. */
   revision = mm_json_count(body, WIRE_REVISION, 0);
-  if (revision > request->node->replica->revision && request->node->replica->loaded)
+  if (revision > request->node->replica->revision && request->node->replica->is_loaded)
     mm_job_table_put(request->node->job_table, request->id.s, request->record,
                      (MmKeyVersion){ revision });
   mm_owner_cancelled(request->node->owner, request->id.s);
@@ -298,16 +299,16 @@
 
 static void
 write_cancel(MmCall *request, MmKeyVersion version) {
-  MmTxn transaction = mm_txn();
+  MmTransaction transaction = mm_transaction_begin();
 
   json_object_set_new(request->record, "c", json_integer(1));
   /* Written under larger limits: which of its tasks are done matters no more. */
   if (json_dumpb(request->record, NULL, 0, JSON_COMPACT)
-      > mm_store_value_bytes(request->node->store))
+      > mm_kv_client_max_value_bytes(request->node->store))
     json_object_del(request->record, "d");
-  mm_txn_guard(&transaction, MM_KEY_JOB, request->id.s, version);
-  mm_txn_put(&transaction, MM_KEY_JOB, request->id.s, json_incref(request->record), 0);
-  mm_store_commit(request->node->store, &transaction, cancel_written, request);
+  mm_transaction_require_version(&transaction, MM_KEY_JOB, request->id.s, version);
+  mm_transaction_put(&transaction, MM_KEY_JOB, request->id.s, json_incref(request->record), 0);
+  mm_kv_client_commit(request->node->store, &transaction, cancel_written, request);
 }
 
 static void
@@ -316,7 +317,8 @@
 
   if (status == 404) {
     /* Finished jobs move from the one key to the other, so this order cannot miss one. */
-    mm_store_get(request->node->store, MM_KEY_FINAL, request->id.s, final_read, request);
+    mm_kv_client_get(request->node->store, MM_KEY_TERMINAL_RECORD, request->id.s, final_read,
+                     request);
     return;
   }
   if (status != 200 || !json_is_object(mm_json_get(body, WIRE_VALUE))) {
@@ -342,7 +344,7 @@
   else if (request->tries == 0 && mm_call_is_refused_now(request->node))
     mm_call_give_up(request);
   else
-    mm_store_get(request->node->store, MM_KEY_JOB, request->id.s, record_read, request);
+    mm_kv_client_get(request->node->store, MM_KEY_JOB, request->id.s, record_read, request);
 }
 
 static void
@@ -367,7 +369,8 @@
   else if (!is_current)
     mm_call_give_up(request);
   else if (job == NULL)
-    mm_store_get(request->node->store, MM_KEY_FINAL, request->id.s, final_read, request);
+    mm_kv_client_get(request->node->store, MM_KEY_TERMINAL_RECORD, request->id.s, final_read,
+                     request);
   else if (!job->cancelled && mm_dependencies_undecided(request->node->dependencies, job))
     wait_until_decided(request);
   else
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -84,7 +84,7 @@
     job->submitted_ms = (gint64)mm_json_count(json, "at", 0);
     job->waits_from_ms = job->submitted_ms;
     job->priority = job->spec.priority;
-    job->part = mm_claims_shard_of_team(&job->spec.team);
+    job->part = mm_shard_ownership_shard_of_team(&job->spec.team);
     job->team = mm_settings_team_index(job_table->node->settings, &job->spec.team);
     mm_done_set_init(&job->recorded, job->spec.tasks);
     g_hash_table_insert(job_table->jobs, job->spec.id.s, job);
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -28,13 +28,13 @@
   gboolean stopping; /* we told it to stop */
   MmMachine *machine;
   MmAttempt attempt;
-  MmStamp issued;    /* the report whose answer carries the start */
-  MmTime since;      /* when the state began; for idle tasks, when the wait began */
-  MmTime not_before; /* retry pause */
-  MmTime claimed;    /* until when room is being cleared for it, */
-  MmName claimed_on; /* and where */
-  MmTime told;       /* when it was last told to stop */
-  MmName avoid;      /* the machine that failed it last */
+  MmHeartbeatId issued; /* the report whose answer carries the start */
+  MmTime since;         /* when the state began; for idle tasks, when the wait began */
+  MmTime not_before;    /* retry pause */
+  MmTime claimed;       /* until when room is being cleared for it, */
+  MmName claimed_on;    /* and where */
+  MmTime told;          /* when it was last told to stop */
+  MmName avoid;         /* the machine that failed it last */
 } MmTask;
 
 /* Where one more task of the job could run, as last looked at: looking at all machines for each
@@ -59,7 +59,8 @@
   MmPriority priority; /* its own, or that of a job that depends on it where this is higher */
   guint64 cancel_acks; /* the peers that have taken note of that, a bit each */
   MmKeyVersion cancel_version; /* of the record that showed it; 0 while it is known by word only */
-  gint64 cancel_served_us; /* the state service's time of service, see mm_store_tick, when it was */
+  gint64 cancel_served_us; /* the state service's time of service, see mm_kv_client_tick, when it
+                              was */
   MmKeyVersion version;
   char *part;
   MmDoneSet recorded; /* what the state service holds */
--- a/src/jobs/submit.c
+++ b/src/jobs/submit.c
@@ -61,20 +61,21 @@
 write_job(MmCall *request) {
   MmNode *node = request->node;
   json_t *record = mm_job_record(&request->spec, mm_node_wall_ms(node), FALSE, NULL);
-  guint value_max_bytes = node->settings->state_value_bytes;
+  guint value_max_bytes = node->settings->kv_max_value_bytes;
   guint reserved_bytes = MIN(RECORD_RESERVE_BYTES, value_max_bytes / RECORD_RESERVE_SHARE);
-  MmTxn transaction;
+  MmTransaction transaction;
 
   if (json_dumpb(record, NULL, 0, JSON_COMPACT) + reserved_bytes > value_max_bytes) {
     json_decref(record);
     mm_call_finish(request, 400, mm_json_error("the job's description is too long"), 0);
     return;
   }
-  transaction = mm_txn();
-  mm_txn_guard(&transaction, MM_KEY_JOB, request->id.s, (MmKeyVersion){ 0 });
-  mm_txn_guard(&transaction, MM_KEY_FINAL, request->id.s, (MmKeyVersion){ 0 });
-  mm_txn_put(&transaction, MM_KEY_JOB, request->id.s, record, 0);
-  mm_store_commit(node->store, &transaction, submit_written, request);
+  transaction = mm_transaction_begin();
+  mm_transaction_require_version(&transaction, MM_KEY_JOB, request->id.s, (MmKeyVersion){ 0 });
+  mm_transaction_require_version(&transaction, MM_KEY_TERMINAL_RECORD, request->id.s,
+                                 (MmKeyVersion){ 0 });
+  mm_transaction_put(&transaction, MM_KEY_JOB, request->id.s, record, 0);
+  mm_kv_client_commit(node->store, &transaction, submit_written, request);
 }
 
 /* ---- the jobs that it depends on ---- */
@@ -134,8 +135,8 @@
   if (request->next_need == request->spec.n_needs)
     write_job(request);
   else
-    mm_store_get(request->node->store, MM_KEY_FINAL, request->spec.needs[request->next_need].s,
-                 need_read, request);
+    mm_kv_client_get(request->node->store, MM_KEY_TERMINAL_RECORD,
+                     request->spec.needs[request->next_need].s, need_read, request);
 }
 
 static void
@@ -160,7 +161,7 @@
       return;
     }
   }
-  if (!mm_versions_all(request->node->versions, MM_VERSION_DEPENDENCIES)) {
+  if (!mm_versions_all_support(request->node->versions, MM_VERSION_DEPENDENCIES)) {
     mm_call_finish(request, 503, mm_json_error("not every node understands dependencies yet"),
                    UPGRADE_RETRY_S);
     return;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -38,9 +38,9 @@
   node->port = *platform;
   node->rand = g_rand_new_with_seed(seed);
   node->started = mm_node_now(node);
-  node->store = mm_store_new(node);
+  node->store = mm_kv_client_new(node);
   node->replica = mm_replica_new(node);
-  node->claims = mm_claims_new(node);
+  node->node_lease = mm_node_lease_new(node);
   node->job_table = mm_job_table_new(node);
   node->api = mm_api_new(node);
   node->dependencies = mm_dependencies_new(node);
@@ -60,8 +60,8 @@
 
 void
 mm_node_free(MmNode *node) {
-  while (node->store->refusals->len > 0)
-    mm_store_answer_refused(node->store);
+  while (node->store->unsent_transactions->len > 0)
+    mm_kv_client_fail_unsent(node->store);
   mm_checkin_free(node->checkin);
   mm_api_free(node->api);
   mm_replica_free(node->replica); /* answers those who wait for it */
@@ -77,8 +77,8 @@
   mm_dependencies_free(node->dependencies);
   mm_versions_free(node->versions);
   mm_format_free(node->format);
-  mm_claims_free(node->claims);
-  mm_store_free(node->store);
+  mm_node_lease_free(node->node_lease);
+  mm_kv_client_free(node->store);
   g_rand_free(node->rand);
   g_free(node);
 }
@@ -113,8 +113,8 @@
 void
 mm_node_tick(MmNode *node) {
   measure_lag(node);
-  mm_store_tick(node->store);
-  mm_claims_tick(node->claims);
+  mm_kv_client_tick(node->store);
+  mm_node_lease_tick(node->node_lease);
   mm_replica_tick(node->replica);
   mm_versions_tick(node->versions);
   mm_dependencies_tick(node->dependencies);
@@ -136,12 +136,13 @@
 healthy(const MmNode *node) {
   MmTime now = mm_node_now(node);
 
-  if (!node->replica->loaded || !mm_types_known(node->types) || !mm_format_allows(node->format))
+  if (!node->replica->is_loaded || !mm_types_known(node->types)
+      || !mm_format_is_supported(node->format))
     return FALSE;
-  if (mm_store_is_silent(node->store))
+  if (mm_kv_client_is_silent(node->store))
     return FALSE;
-  return !mm_store_in_trouble(node->store)
-         || mm_time_ms_since(now, node->store->last_served) < TROUBLE_ALONE_MS
+  return !mm_kv_client_is_refused(node->store)
+         || mm_time_ms_since(now, node->store->last_served_at) < TROUBLE_ALONE_MS
          || mm_time_ms_since(now, mm_links_last_refused(node->links)) < TROUBLE_ALONE_MS
          || mm_links_other(node->links) < 0;
 }
@@ -174,7 +175,7 @@
 /* Before anything has been read nothing is fenced yet: there is nothing to misread. */
 static gboolean
 is_fenced(const MmNode *node) {
-  return node->format->known && !mm_format_allows(node->format);
+  return node->format->is_known && !mm_format_is_supported(node->format);
 }
 
 void
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -9,9 +9,9 @@
 #include "node/port.h"
 
 typedef struct MmNode MmNode;
-typedef struct MmStore MmStore;
+typedef struct MmKvClient MmKvClient;
 typedef struct MmReplica MmReplica;
-typedef struct MmClaims MmClaims;
+typedef struct MmNodeLease MmNodeLease;
 typedef struct MmJobTable MmJobTable;
 typedef struct MmApi MmApi;
 typedef struct MmDependencies MmDependencies;
@@ -36,9 +36,9 @@
   MmTime ticked;
   gint64 lag_ms; /* how late ticks are, the worst of late: what waits to be done */
 
-  MmStore *store;
+  MmKvClient *store;
   MmReplica *replica;
-  MmClaims *claims;
+  MmNodeLease *node_lease;
   MmJobTable *job_table;
   MmApi *api;
   MmDependencies *dependencies;
--- a/src/owner/approve.c
+++ b/src/owner/approve.c
@@ -215,7 +215,8 @@
       estimate->next_s = delay_s;
     }
     if (job->spec.kind == MM_KIND_SERVICE
-        && delay_s <= job->spec.image_gb / machine->type->fetch_gb_per_s + node->settings->report_s)
+        && delay_s <= job->spec.image_gb / machine->type->fetch_gb_per_s
+                          + node->settings->heartbeat_interval_s)
       estimate->least_crowd = MIN(estimate->least_crowd, mm_owner_crowd(owner, job, machine));
   }
   return estimate;
@@ -229,7 +230,7 @@
 static gboolean
 better_elsewhere(MmOwner *owner, MmJob *job, const MmTask *task, const MmMachine *here) {
   MmNode *node = owner->node;
-  double period_s = node->settings->report_s;
+  double period_s = node->settings->heartbeat_interval_s;
   double fetch_s = mm_owner_fetch_s(job, here);
   double waited_s = (double)mm_time_ms_since(mm_node_now(node), task->since) / 1000.0;
   gboolean spread_out = job->spec.kind == MM_KIND_SERVICE && waited_s < period_s * SPREAD_PERIODS;
@@ -413,9 +414,9 @@
   g_autoptr(GPtrArray) jobs = NULL;
   const GPtrArray *by_urgency;
 
-  if (!mm_claims_valid(owner->node->claims)
+  if (!mm_node_lease_is_valid(owner->node->node_lease)
       || !mm_machine_usable(owner->node->machine_table, request->machine)
-      || mm_stamp_newer(request->machine->stamp, request->stamp)
+      || mm_heartbeat_id_is_newer(request->machine->stamp, request->stamp)
       || mm_time_before(mm_node_now(owner->node), request->machine->full_until))
     return FALSE;
   if (mm_owner_reserved(owner, request, approval))
--- a/src/owner/command.c
+++ b/src/owner/command.c
@@ -66,7 +66,7 @@
   if (job->cancelled)
     return TRUE;
   job->cancelled = TRUE;
-  job->cancel_served_us = owner->node->store->served_us;
+  job->cancel_served_us = owner->node->store->available_us;
   for (guint i = 0; job->tasks != NULL && i < job->spec.tasks; i++) {
     if (job->tasks[i].state == MM_TASK_RESERVED)
       mm_owner_unplace(owner, job, i);
@@ -108,9 +108,9 @@
   MmNode *node = owner->node;
   g_autoptr(json_t) body
       = json_pack("{s:I, s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v, WIRE_SESSION,
-                  (json_int_t)MAX(machine->stamp.session, 1), WIRE_COMMANDS, commands);
+                  (json_int_t)MAX(machine->stamp.incarnation, 1), WIRE_COMMANDS, commands);
 
-  if (machine->addr[0] == '\0' || !mm_claims_may_answer(node->claims))
+  if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
     return;
   node->port.request(node->port.self, MM_TARGET_WORKER, machine->addr, "POST", WIRE_DIRECT_PATH,
                      body, 2000, direct_answered, owner);
@@ -131,10 +131,10 @@
 newest_taking(const MmNode *node) {
   MmTerm newest = { 0 };
 
-  for (guint i = 0; i < node->claims->names->len; i++) {
-    const char *name = g_ptr_array_index(node->claims->names, i);
+  for (guint i = 0; i < node->node_lease->shard_names->len; i++) {
+    const char *name = g_ptr_array_index(node->node_lease->shard_names, i);
     const MmShard *shard = mm_replica_shard(node->replica, name);
-    if (shard != NULL && !mm_claims_is_duty(name))
+    if (shard != NULL && !mm_shard_ownership_is_duty(name))
       newest.v = MAX(newest.v, shard->term.v);
   }
   return newest;
@@ -164,7 +164,7 @@
     return FALSE;
   if (machine->unacknowledged_since.us != 0)
     return mm_time_ms_since(now, machine->unacknowledged_since) > TAKEN_IN_MS;
-  return reported_ms < (gint64)(node->settings->report_s * 1000 * SOON_PERIODS);
+  return reported_ms < (gint64)(node->settings->heartbeat_interval_s * 1000 * SOON_PERIODS);
 }
 
 /* An empty command spreads the term, and its answer is an acknowledgement. A few are asked at a
@@ -174,7 +174,7 @@
 mm_owner_ask_acknowledgements(MmOwner *owner) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
-  gint64 silent_ms = (gint64)(node->settings->report_s * 1500);
+  gint64 silent_ms = (gint64)(node->settings->heartbeat_interval_s * 1500);
   MmTerm newest = newest_taking(node);
   guint requests_left
       = (guint)CLAMP(node->settings->cpu_share * ASKS_A_CORE, ASKS_LEAST, ASKS_MOST);
--- a/src/owner/gang.c
+++ b/src/owner/gang.c
@@ -42,7 +42,7 @@
   MmMachineTable *machine_table = owner->node->machine_table;
   GArray *places = g_array_new(FALSE, FALSE, sizeof(Place));
   MmTime now = mm_node_now(owner->node);
-  gint64 recent_ms = (gint64)(owner->node->settings->report_s * 2500);
+  gint64 recent_ms = (gint64)(owner->node->settings->heartbeat_interval_s * 2500);
 
   for (guint i = 0; i < machine_table->order->len; i++) {
     Place place = { g_ptr_array_index(machine_table->order, i), { 0 } };
@@ -118,7 +118,7 @@
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
   g_autoptr(GPtrArray) jobs = g_ptr_array_new();
-  gint64 reservation_ms = (gint64)(node->settings->report_s * 1000 * RESERVED_PERIODS);
+  gint64 reservation_ms = (gint64)(node->settings->heartbeat_interval_s * 1000 * RESERVED_PERIODS);
 
   for (guint i = 0; i < node->job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->order, i);
--- a/src/owner/guarantee.c
+++ b/src/owner/guarantee.c
@@ -29,9 +29,10 @@
   if (mm_time_before(now, owner->next_guarantees))
     return;
   owner->next_guarantees = mm_time_add_ms(now, EVERY_MS);
-  for (guint i = 0; i < node->settings->aims->len; i++)
-    has_guarantee_aim = has_guarantee_aim
-                        || g_array_index(node->settings->aims, MmAim, i).kind == MM_AIM_GUARANTEE;
+  for (guint i = 0; i < node->settings->objectives->len; i++)
+    has_guarantee_aim
+        = has_guarantee_aim
+          || g_array_index(node->settings->objectives, MmObjective, i).kind == MM_OBJECTIVE_QUOTA;
   team_sums = g_new0(MmResources, teams->len);
   memset(owner->team_used, 0, teams->len * sizeof *owner->team_used);
   for (guint i = 0; i < node->job_table->order->len; i++) {
@@ -43,7 +44,7 @@
     team = &g_array_index(teams, MmTeamSettings, job->team);
     team_sums[job->team].cores += job->spec.tasks * job->spec.need.cores;
     team_sums[job->team].accelerators += job->spec.tasks * job->spec.need.accelerators;
-    job->within = fits(&team->guaranteed, &team_sums[job->team], &job->spec);
+    job->within = fits(&team->quota, &team_sums[job->team], &job->spec);
     job->favoured = job->within && !has_guarantee_aim;
   }
   for (guint i = 0; i < node->machine_table->order->len; i++) {
@@ -69,6 +70,6 @@
     return FALSE;
   team = &g_array_index(owner->node->settings->teams, MmTeamSettings, victim->team);
   team_use_after = mm_resources_sub(owner->team_used[victim->team], victim->spec.need);
-  return team_use_after.cores >= team->guaranteed.cores - MM_RESOURCES_SLACK
-         && team_use_after.accelerators >= team->guaranteed.accelerators - MM_RESOURCES_SLACK;
+  return team_use_after.cores >= team->quota.cores - MM_RESOURCES_SLACK
+         && team_use_after.accelerators >= team->quota.accelerators - MM_RESOURCES_SLACK;
 }
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -237,9 +237,9 @@
 
   for (guint i = 0; i < node->settings->teams->len; i++) {
     const MmTeamSettings *team = &g_array_index(node->settings->teams, MmTeamSettings, i);
-    g_autofree char *name = mm_claims_shard_of_team(&team->name);
+    g_autofree char *name = mm_shard_ownership_shard_of_team(&team->name);
     MmOwnedShard *held = g_hash_table_lookup(owner->held, name);
-    gboolean is_leader = mm_claims_holds(node->claims, name);
+    gboolean is_leader = mm_shard_ownership_leads(node->node_lease, name);
     const MmShard *shard_record = mm_replica_shard(node->replica, name);
 
     if (held != NULL && (!is_leader || shard_record->term.v != held->term.v)) {
@@ -261,7 +261,7 @@
     adopt_job(owner, held, job);
     /* The watch shows changes in order: this job came after the part was taken, so no earlier
      * holder can have started any of it. */
-    job->known_after_claim = job->version.v > held->version.v && owner->node->replica->loaded;
+    job->known_after_claim = job->version.v > held->version.v && owner->node->replica->is_loaded;
   }
   if (job->tasks != NULL && job->cancelled)
     mm_rank_changed(owner->node->rank);
@@ -444,7 +444,7 @@
 mm_owner_tick(MmOwner *owner) {
   MmTime now = mm_node_now(owner->node);
 
-  if (!mm_claims_valid(owner->node->claims))
+  if (!mm_node_lease_is_valid(owner->node->node_lease))
     return;
   mm_owner_write_jobs(owner);
   if (mm_time_before(now, owner->next_slow))
--- a/src/owner/owner.h
+++ b/src/owner/owner.h
@@ -62,7 +62,7 @@
 
 typedef struct {
   MmMachine *machine;
-  MmStamp stamp;
+  MmHeartbeatId stamp;
   MmResources room; /* free for this request; */
   gboolean own; /* asked by the owner's node itself, which has taken off what it keeps for gangs */
   gboolean pull;
--- a/src/owner/preempt.c
+++ b/src/owner/preempt.c
@@ -87,7 +87,7 @@
          gint *n_victims) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
-  gint64 period_ms = (gint64)(node->settings->report_s * 1000);
+  gint64 period_ms = (gint64)(node->settings->heartbeat_interval_s * 1000);
   gint64 silent_ms = mm_time_ms_since(now, machine->reported);
   MmResources free_resources;
 
@@ -147,7 +147,7 @@
 static void
 promise(MmOwner *owner, const MmJob *job, MmTask *task, MmMachine *machine) {
   MmTime now = mm_node_now(owner->node);
-  gint64 period_ms = (gint64)(owner->node->settings->report_s * 1000);
+  gint64 period_ms = (gint64)(owner->node->settings->heartbeat_interval_s * 1000);
 
   if (!mm_time_before(now, machine->clearing))
     machine->promised = (MmResources){ 0 };
@@ -166,7 +166,8 @@
 
   if (mm_time_before(now, job->tasks[0].claimed))
     return;
-  job->tasks[0].claimed = mm_time_add_ms(now, (gint64)(owner->node->settings->report_s * 1000));
+  job->tasks[0].claimed
+      = mm_time_add_ms(now, (gint64)(owner->node->settings->heartbeat_interval_s * 1000));
   for (guint i = 0; i < order->len && machines > 0; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
     if (delay_on(owner, job, machine, victims, &n_victims) < 0 || n_victims == 0)
@@ -217,7 +218,8 @@
     if (machine == current || mm_owner_fetch_s(job, machine) > max_fetch_s)
       continue;
     delay_s = mm_owner_delay_on(owner, job, machine);
-    if (delay_s >= 0 && delay_s <= owner->node->settings->report_s + STOP_S + max_fetch_s)
+    if (delay_s >= 0
+        && delay_s <= owner->node->settings->heartbeat_interval_s + STOP_S + max_fetch_s)
       return machine;
   }
   return NULL;
--- a/src/owner/record.c
+++ b/src/owner/record.c
@@ -69,18 +69,18 @@
 record_text(const MmOwner *owner, const MmJob *job) {
   g_autoptr(json_t) bare_record = mm_job_record(&job->spec, job->submitted_ms, FALSE, NULL);
   gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + 64;
-  gsize max_bytes = mm_store_value_bytes(owner->node->store);
+  gsize max_bytes = mm_kv_client_max_value_bytes(owner->node->store);
 
   return mm_done_set_text(&job->done, max_bytes > record_bytes ? max_bytes - record_bytes : 0);
 }
 
 static void
-add_to_write(MmOwner *owner, MmTxn *transaction, Write *write, MmOwnedShard *held, MmJob *job,
-             gboolean is_terminal) {
+add_to_write(MmOwner *owner, MmTransaction *transaction, Write *write, MmOwnedShard *held,
+             MmJob *job, gboolean is_terminal) {
   Written written_job = { .id = job->spec.id };
 
-  mm_txn_guard(transaction, MM_KEY_JOB, job->spec.id.s, job->version);
-  mm_txn_guard(transaction, MM_KEY_SHARD, held->name, held->version);
+  mm_transaction_require_version(transaction, MM_KEY_JOB, job->spec.id.s, job->version);
+  mm_transaction_require_version(transaction, MM_KEY_SHARD, held->name, held->version);
   if (is_terminal) {
     mm_info("%s (%s, %u tasks, guess %.0f s) is %s after %.1f s, due %.0f s, runs seen %.0f s",
             job->spec.id.s, job->spec.job_class.s, job->spec.tasks, job->spec.estimate_s,
@@ -88,12 +88,14 @@
             job->spec.deadline_s, job->seen_n > 0 ? job->seen_s / job->seen_n : 0);
     written_job.final = mm_final_record(
         &(MmFinalState){ job->cancelled, job->done.count, mm_node_wall_ms(owner->node) });
-    mm_txn_put(transaction, MM_KEY_FINAL, job->spec.id.s, json_incref(written_job.final), 0);
-    mm_txn_delete(transaction, MM_KEY_JOB, job->spec.id.s);
+    mm_transaction_put(transaction, MM_KEY_TERMINAL_RECORD, job->spec.id.s,
+                       json_incref(written_job.final), 0);
+    mm_transaction_delete(transaction, MM_KEY_JOB, job->spec.id.s);
   } else {
     written_job.text = record_text(owner, job);
-    mm_txn_put(transaction, MM_KEY_JOB, job->spec.id.s,
-               mm_job_record(&job->spec, job->submitted_ms, job->cancelled, written_job.text), 0);
+    mm_transaction_put(
+        transaction, MM_KEY_JOB, job->spec.id.s,
+        mm_job_record(&job->spec, job->submitted_ms, job->cancelled, written_job.text), 0);
   }
   job->writing = TRUE;
   job->dirty.us = 0;
@@ -105,14 +107,14 @@
 mm_owner_write_jobs(MmOwner *owner) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
-  guint max_ops = mm_store_txn_ops(node->store);
+  guint max_ops = mm_kv_client_max_operations(node->store);
   guint max_guards = 4 * max_ops;
-  MmTxn transaction;
+  MmTransaction transaction;
   Write *write;
 
-  if (owner->writing || mm_store_in_trouble(node->store))
+  if (owner->writing || mm_kv_client_is_refused(node->store))
     return;
-  transaction = mm_txn();
+  transaction = mm_transaction_begin();
   write = g_new(Write, 1);
   *write = (Write){ owner, g_array_new(FALSE, TRUE, sizeof(Written)) };
   g_array_set_clear_func(write->jobs, written_clear);
@@ -124,30 +126,32 @@
     if (held == NULL || job->writing)
       continue;
     is_terminal = wants_final(owner, job);
-    if (transaction.puts + 2 > max_ops || json_array_size(transaction.guards) + 2 > max_guards
-        || (owner->solo > 0 && transaction.puts > 0))
+    if (transaction.n_operations + 2 > max_ops
+        || json_array_size(transaction.conditions) + 2 > max_guards
+        || (owner->solo > 0 && transaction.n_operations > 0))
       break;
     /* Dependents of a cancelled job show as cancelled without a record that says so: there may be
      * thousands, and their records can wait. */
-    if (is_terminal && mm_job_needs_cancelled(job) && !mm_store_may_write(node->store, 2))
+    if (is_terminal && mm_job_needs_cancelled(job)
+        && !mm_kv_client_try_spend_writes(node->store, 2))
       continue;
     if (is_terminal && mm_time_ms_since(now, job->wrote) > 100) {
       add_to_write(owner, &transaction, write, held, job, TRUE);
     } else if (!is_terminal && !job->cancelled && job->dirty.us != 0
                && mm_time_ms_since(now, job->dirty) >= WRITE_DELAY_MS
                && mm_time_ms_since(now, job->wrote) >= WRITE_EVERY_MS
-               && mm_store_may_write(node->store, 1)) {
+               && mm_kv_client_try_spend_writes(node->store, 1)) {
       add_to_write(owner, &transaction, write, held, job, FALSE);
     }
   }
-  if (transaction.puts > 0) {
+  if (transaction.n_operations > 0) {
     owner->writing = TRUE;
     owner->solo -= owner->solo > 0;
-    mm_store_commit(node->store, &transaction, jobs_written, write);
+    mm_kv_client_commit(node->store, &transaction, jobs_written, write);
     return;
   }
-  json_decref(transaction.guards);
-  json_decref(transaction.apply);
+  json_decref(transaction.conditions);
+  json_decref(transaction.operations);
   g_array_unref(write->jobs);
   g_free(write);
 }
--- a/src/owner/reports.c
+++ b/src/owner/reports.c
@@ -61,7 +61,8 @@
     break;
   case MM_CAUSE_NO_ROOM:
     /* Our idea of its room was wrong; the next report but one shows better. */
-    machine->full_until = mm_time_add_ms(now, (gint64)(owner->node->settings->report_s * 1000));
+    machine->full_until
+        = mm_time_add_ms(now, (gint64)(owner->node->settings->heartbeat_interval_s * 1000));
     break;
   case MM_CAUSE_UNKNOWN:
     /* The user has not uploaded it yet, or never does. */
@@ -152,12 +153,12 @@
       continue;
     if (task->state == MM_TASK_ISSUED) {
       gboolean is_start_refused
-          = heartbeat->stamp.session > task->issued.session
-            || (!heartbeat->direct && mm_stamp_newer(heartbeat->stamp, task->issued));
+          = heartbeat->stamp.incarnation > task->issued.incarnation
+            || (!heartbeat->direct && mm_heartbeat_id_is_newer(heartbeat->stamp, task->issued));
       if (!is_start_refused)
         continue;
       mm_debug("start of %s/%u on %s was not carried out", job->spec.id.s, number, machine->id.s);
-      if (heartbeat->stamp.session == task->issued.session)
+      if (heartbeat->stamp.incarnation == task->issued.incarnation)
         mm_health_note_refused_start(owner->node->machine_table, machine);
     }
     mm_owner_unplace(owner, job, number);
@@ -204,7 +205,7 @@
     return;
   if (machine->host == MM_HOST_SELF)
     for (guint i = 0; i < commands->len; i++)
-      mm_machine_queue(machine, machine->stamp.session, &g_array_index(commands, MmCommand, i));
+      mm_machine_queue(machine, machine->stamp.incarnation, &g_array_index(commands, MmCommand, i));
   else if (machine->host >= 0)
     mm_links_tell_commands(owner->node->links, (guint)machine->host, machine, commands);
 }
@@ -219,7 +220,7 @@
   return machine->token.v >= held->term.v
          || (g_hash_table_lookup_extended(held->unacknowledged, machine->id.s, NULL,
                                           &registered_incarnation)
-             && machine->stamp.session > GPOINTER_TO_SIZE(registered_incarnation));
+             && machine->stamp.incarnation > GPOINTER_TO_SIZE(registered_incarnation));
 }
 
 void
--- a/src/owner/urgency.c
+++ b/src/owner/urgency.c
@@ -27,15 +27,15 @@
 
 /* When the last task must have started for the aim, in seconds from the job's submission. */
 static double
-aim_at(const MmJob *job, const MmAim *aim, double run_s) {
+aim_at(const MmJob *job, const MmObjective *aim, double run_s) {
   switch (aim->kind) {
-  case MM_AIM_WAIT:
-  case MM_AIM_GUARANTEE:
+  case MM_OBJECTIVE_WAIT:
+  case MM_OBJECTIVE_QUOTA:
     return aim->within_s;
-  case MM_AIM_FINISHED:
+  case MM_OBJECTIVE_FINISHED:
     return aim->within_s - run_s;
-  case MM_AIM_DEADLINE:
-    return job->spec.deadline_s >= 0 ? job->spec.deadline_s * aim->times - run_s : -1;
+  case MM_OBJECTIVE_DEADLINE:
+    return job->spec.deadline_s >= 0 ? job->spec.deadline_s * aim->deadline_factor - run_s : -1;
   default:
     return -1;
   }
@@ -78,17 +78,17 @@
   gint64 due_ms = NO_DUE_MS;
   gboolean has_own_aim = FALSE;
 
-  for (guint i = 0; i < settings->aims->len; i++) {
-    const MmAim *aim = &g_array_index(settings->aims, MmAim, i);
+  for (guint i = 0; i < settings->objectives->len; i++) {
+    const MmObjective *aim = &g_array_index(settings->objectives, MmObjective, i);
     double start_s;
     gint64 counted_from_ms, start_ms;
-    if (aim->kind == MM_AIM_GUARANTEE ? !job->within
-                                      : !mm_name_equal(&aim->job_class, &job->spec.job_class))
+    if (aim->kind == MM_OBJECTIVE_QUOTA ? !job->within
+                                        : !mm_name_equal(&aim->job_class, &job->spec.job_class))
       continue;
     start_s = aim_at(job, aim, run_s);
-    counted_from_ms = aim->kind == MM_AIM_DEADLINE ? job->submitted_ms : job->waits_from_ms;
+    counted_from_ms = aim->kind == MM_OBJECTIVE_DEADLINE ? job->submitted_ms : job->waits_from_ms;
     start_ms = counted_from_ms + (gint64)(start_s * 1000);
-    has_own_aim = has_own_aim || (start_s >= 0 && aim->kind != MM_AIM_GUARANTEE);
+    has_own_aim = has_own_aim || (start_s >= 0 && aim->kind != MM_OBJECTIVE_QUOTA);
     if (start_s >= 0 && start_ms >= now_ms && start_ms < due_ms)
       due_ms = start_ms;
   }
--- a/src/parts/claims.c
+++ b/src/parts/claims.c
@@ -8,114 +8,115 @@
 #include "upgrade/format.h"
 
 /* Steady clocks diverge by at most 0.05%; twice that, against two clocks, and a little more. */
-#define DRIFT 0.002
+#define CLOCK_DRIFT 0.002
 /* A part that its rightful taker leaves lying this long goes to anyone. */
-#define FREE_PATIENCE_MS 1500
+#define LEADERLESS_PATIENCE_MS 1500
 /* At the start all nodes should take part in the sharing out. */
 #define START_PATIENCE_MS 1000
 #define UNEVEN_PATIENCE_MS 10000
-#define PARTS_EVERY_MS 100
-#define CONFLICT_MS 2000
-#define OUTAGE_MS 1000
-#define STALE_TTLS 2
+#define CHECK_INTERVAL_MS 100
+#define CONFLICT_PAUSE_MS 2000
+#define OUTAGE_PROOF_MAX_AGE_MS 1000
+#define MAX_STALENESS_TTLS 2
 
-MmClaims *
-mm_claims_new(MmNode *node) {
-  MmClaims *claims = g_new0(MmClaims, 1);
+MmNodeLease *
+mm_node_lease_new(MmNode *node) {
+  MmNodeLease *claims = g_new0(MmNodeLease, 1);
 
   claims->node = node;
-  claims->names = g_ptr_array_new_with_free_func(g_free);
-  claims->free_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  g_ptr_array_add(claims->names, g_strdup(MM_SHARD_FLEET));
+  claims->shard_names = g_ptr_array_new_with_free_func(g_free);
+  claims->leaderless_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  g_ptr_array_add(claims->shard_names, g_strdup(MM_SHARD_AUTOSCALER));
   if (node->operators->groups > 0)
-    g_ptr_array_add(claims->names, g_strdup(MM_SHARD_SHARING));
+    g_ptr_array_add(claims->shard_names, g_strdup(MM_SHARD_SHARING));
   for (guint i = 0; i < node->settings->teams->len; i++)
-    g_ptr_array_add(
-        claims->names,
-        mm_claims_shard_of_team(&g_array_index(node->settings->teams, MmTeamSettings, i).name));
+    g_ptr_array_add(claims->shard_names,
+                    mm_shard_ownership_shard_of_team(
+                        &g_array_index(node->settings->teams, MmTeamSettings, i).name));
   return claims;
 }
 
 void
-mm_claims_free(MmClaims *claims) {
-  g_ptr_array_unref(claims->names);
-  g_hash_table_unref(claims->free_since);
+mm_node_lease_free(MmNodeLease *claims) {
+  g_ptr_array_unref(claims->shard_names);
+  g_hash_table_unref(claims->leaderless_since);
   g_free(claims);
 }
 
 char *
-mm_claims_shard_of_team(const MmName *team) {
+mm_shard_ownership_shard_of_team(const MmName *team) {
   return g_uri_escape_string(team->s, NULL, FALSE);
 }
 
 gboolean
-mm_claims_is_duty(const char *shard_name) {
-  return shard_name[0] == MM_SHARD_FLEET[0];
+mm_shard_ownership_is_duty(const char *shard_name) {
+  return shard_name[0] == MM_SHARD_AUTOSCALER[0];
 }
 
 static gint64
-ttl_ms(const MmClaims *lease) {
+lease_ttl_ms(const MmNodeLease *lease) {
   return (gint64)(lease->node->operators->claim_ttl_s * 1000);
 }
 
 static MmTime
-valid_from(const MmClaims *lease, MmTime sent_at) {
-  return mm_time_add_ms(sent_at, (gint64)((double)ttl_ms(lease) * (1 - DRIFT)) - 20);
+lease_valid_until(const MmNodeLease *lease, MmTime sent_at) {
+  return mm_time_add_ms(sent_at, (gint64)((double)lease_ttl_ms(lease) * (1 - CLOCK_DRIFT)) - 20);
 }
 
 gboolean
-mm_claims_valid(const MmClaims *lease) {
-  return lease->claim != 0 && mm_format_allows(lease->node->format)
-         && mm_time_before(mm_node_now(lease->node), lease->valid);
+mm_node_lease_is_valid(const MmNodeLease *lease) {
+  return lease->lease_id != 0 && mm_format_is_supported(lease->node->format)
+         && mm_time_before(mm_node_now(lease->node), lease->valid_until);
 }
 
 gboolean
-mm_claims_may_answer(const MmClaims *lease) {
+mm_node_lease_may_answer_workers(const MmNodeLease *lease) {
   const MmReplica *replica = lease->node->replica;
-  const MmNodeClaim *own_node;
+  const MmLiveNode *own_node;
 
-  if (!mm_claims_valid(lease) || !replica->loaded || replica->term.v == 0
-      || mm_replica_staleness_us(replica) > mm_claims_staleness_bound(lease))
+  if (!mm_node_lease_is_valid(lease) || !replica->is_loaded || replica->term.v == 0
+      || mm_replica_staleness_us(replica) > mm_node_lease_max_staleness_us(lease))
     return FALSE;
-  own_node = g_hash_table_lookup(replica->nodes, lease->node->settings->label.s);
-  return own_node != NULL && own_node->claim == lease->claim;
+  own_node = g_hash_table_lookup(replica->live_nodes, lease->node->settings->label.s);
+  return own_node != NULL && own_node->lease_id == lease->lease_id;
 }
 
 gboolean
-mm_claims_outage(const MmClaims *lease) {
-  return lease->proved.us != 0
-         && mm_time_ms_since(mm_node_now(lease->node), lease->proved) <= OUTAGE_MS;
+mm_node_lease_has_proved_outage(const MmNodeLease *lease) {
+  return lease->outage_proved_at.us != 0
+         && mm_time_ms_since(mm_node_now(lease->node), lease->outage_proved_at)
+                <= OUTAGE_PROOF_MAX_AGE_MS;
 }
 
 gint64
-mm_claims_staleness_bound(const MmClaims *lease) {
-  return ttl_ms(lease) * 1000 * STALE_TTLS;
+mm_node_lease_max_staleness_us(const MmNodeLease *lease) {
+  return lease_ttl_ms(lease) * 1000 * MAX_STALENESS_TTLS;
 }
 
 gboolean
-mm_claims_holds(const MmClaims *ownership, const char *shard_name) {
+mm_shard_ownership_leads(const MmNodeLease *ownership, const char *shard_name) {
   const MmShard *shard = mm_replica_shard(ownership->node->replica, shard_name);
 
-  return shard != NULL && ownership->claim != 0 && shard->claim == ownership->claim
-         && mm_name_equal(&shard->holder, &ownership->node->settings->label);
+  return shard != NULL && ownership->lease_id != 0 && shard->lease_id == ownership->lease_id
+         && mm_name_equal(&shard->leader, &ownership->node->settings->label);
 }
 
 gboolean
-mm_claims_unsettled(const MmClaims *ownership) {
+mm_shard_ownership_is_unsettled(const MmNodeLease *ownership) {
   const MmReplica *replica = ownership->node->replica;
   const MmLinks *peer_links = ownership->node->links;
 
-  for (guint i = 0; i < ownership->names->len; i++) {
-    const MmShard *shard = mm_replica_shard(replica, g_ptr_array_index(ownership->names, i));
-    const MmNodeClaim *leader
-        = shard != NULL ? g_hash_table_lookup(replica->nodes, shard->holder.s) : NULL;
-    if (leader == NULL || leader->claim != shard->claim)
+  for (guint i = 0; i < ownership->shard_names->len; i++) {
+    const MmShard *shard = mm_replica_shard(replica, g_ptr_array_index(ownership->shard_names, i));
+    const MmLiveNode *leader
+        = shard != NULL ? g_hash_table_lookup(replica->live_nodes, shard->leader.s) : NULL;
+    if (leader == NULL || leader->lease_id != shard->lease_id)
       return TRUE;
   }
   for (guint i = 0; i < peer_links->n_peers; i++) {
-    const MmNodeClaim *peer_node
-        = g_hash_table_lookup(replica->nodes, peer_links->peers[i].label.s);
-    if (peer_node != NULL && peer_node->claim != peer_links->peers[i].claim)
+    const MmLiveNode *peer_node
+        = g_hash_table_lookup(replica->live_nodes, peer_links->peers[i].label.s);
+    if (peer_node != NULL && peer_node->lease_id != peer_links->peers[i].claim)
       return TRUE;
   }
   return FALSE;
@@ -124,94 +125,96 @@
 /* ---- the claim itself ---- */
 
 typedef struct {
-  MmClaims *claims;
-  MmTime sent;
-  guint64 claim;
-} Call;
+  MmNodeLease *lease;
+  MmTime sent_at;
+  guint64 lease_id;
+} LeaseRequest;
 
-static Call *
-call_new(MmClaims *lease, guint64 lease_id) {
-  Call *request = g_new(Call, 1);
+static LeaseRequest *
+lease_request_new(MmNodeLease *lease, guint64 lease_id) {
+  LeaseRequest *request = g_new(LeaseRequest, 1);
 
-  *request = (Call){ lease, mm_node_now(lease->node), lease_id };
+  *request = (LeaseRequest){ lease, mm_node_now(lease->node), lease_id };
   return request;
 }
 
 static void
-announced(gpointer data, int status, json_t *body) {
-  Call *request = data;
-  MmClaims *lease = request->claims;
+on_lease_announced(gpointer data, int status, json_t *body) {
+  LeaseRequest *request = data;
+  MmNodeLease *lease = request->lease;
 
-  lease->asking = FALSE;
+  lease->is_request_pending = FALSE;
   if (status == 200) {
-    lease->claim = request->claim;
-    lease->announced.v = mm_json_count(body, WIRE_REVISION, 0);
-    lease->valid = valid_from(lease, request->sent);
-    lease->next = mm_node_now(lease->node);
-    mm_info("claim %" G_GUINT64_FORMAT " taken", request->claim);
+    lease->lease_id = request->lease_id;
+    lease->announced_version.v = mm_json_count(body, WIRE_REVISION, 0);
+    lease->valid_until = lease_valid_until(lease, request->sent_at);
+    lease->next_request_at = mm_node_now(lease->node);
+    mm_info("claim %" G_GUINT64_FORMAT " taken", request->lease_id);
   } else {
-    lease->next = mm_time_add_ms(mm_node_now(lease->node), 150);
+    lease->next_request_at = mm_time_add_ms(mm_node_now(lease->node), 150);
   }
   g_free(request);
 }
 
 static void
-granted(gpointer data, int status, json_t *body) {
-  Call *request = data;
-  MmClaims *lease = request->claims;
+on_lease_granted(gpointer data, int status, json_t *body) {
+  LeaseRequest *request = data;
+  MmNodeLease *lease = request->lease;
   guint64 lease_id = mm_json_count(body, WIRE_LEASE, 0);
 
   if (status == 200 && lease_id != 0) {
-    MmTxn transaction = mm_txn();
-    request->claim = lease_id;
+    MmTransaction transaction = mm_transaction_begin();
+    request->lease_id = lease_id;
     /* Without the guard an announcement that got no answer, carried out after a newer one, hung the
      * key on the older claim; it went with that, and the others counted this node as gone while it
      * answered on. */
-    mm_txn_guard(&transaction, MM_KEY_NODE, lease->node->settings->label.s, lease->key);
-    mm_txn_put(&transaction, MM_KEY_NODE, lease->node->settings->label.s,
-               json_pack("{s:I}", "c", (json_int_t)lease_id), lease_id);
+    mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
+                                   lease->node_key_version);
+    mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
+                       json_pack("{s:I}", "c", (json_int_t)lease_id), lease_id);
     /* `sent` stays the grant's: the lease has been running since then. */
-    mm_store_commit(lease->node->store, &transaction, announced, request);
+    mm_kv_client_commit(lease->node->store, &transaction, on_lease_announced, request);
     return;
   }
-  lease->asking = FALSE;
-  lease->next = mm_time_add_ms(mm_node_now(lease->node), 150);
+  lease->is_request_pending = FALSE;
+  lease->next_request_at = mm_time_add_ms(mm_node_now(lease->node), 150);
   g_free(request);
 }
 
 static void
-key_read(gpointer data, int status, json_t *body) {
-  MmClaims *lease = data;
+on_node_key_read(gpointer data, int status, json_t *body) {
+  MmNodeLease *lease = data;
   g_autoptr(json_t) grant_request = NULL;
 
   if (status != 200 && status != 404) {
-    lease->asking = FALSE;
-    lease->next = mm_time_add_ms(mm_node_now(lease->node), 150);
+    lease->is_request_pending = FALSE;
+    lease->next_request_at = mm_time_add_ms(mm_node_now(lease->node), 150);
     return;
   }
-  lease->key.v = status == 200 ? mm_json_count(body, WIRE_VERSION, 0) : 0;
-  grant_request = json_pack("{s:I}", WIRE_TTL, (json_int_t)ttl_ms(lease));
-  mm_store_request(lease->node->store, "POST", WIRE_LEASES_PATH, grant_request, 1000, granted,
-                   call_new(lease, 0));
+  lease->node_key_version.v = status == 200 ? mm_json_count(body, WIRE_VERSION, 0) : 0;
+  grant_request = json_pack("{s:I}", WIRE_TTL, (json_int_t)lease_ttl_ms(lease));
+  mm_kv_client_request(lease->node->store, "POST", WIRE_LEASES_PATH, grant_request, 1000,
+                       on_lease_granted, lease_request_new(lease, 0));
 }
 
 static void
-renewed(gpointer data, int status, json_t *body) {
-  Call *request = data;
-  MmClaims *lease = request->claims;
+on_lease_renewed(gpointer data, int status, json_t *body) {
+  LeaseRequest *request = data;
+  MmNodeLease *lease = request->lease;
   MmTime now = mm_node_now(lease->node);
   gint64 renew_interval_ms = (gint64)(lease->node->operators->claim_renew_s * 1000);
 
-  lease->asking = FALSE;
+  lease->is_request_pending = FALSE;
   if (status == 200) {
-    lease->valid = mm_time_max(lease->valid, valid_from(lease, request->sent));
-    lease->next = mm_time_add_ms(request->sent, renew_interval_ms);
+    lease->valid_until
+        = mm_time_max(lease->valid_until, lease_valid_until(lease, request->sent_at));
+    lease->next_request_at = mm_time_add_ms(request->sent_at, renew_interval_ms);
   } else if (status == 404) {
-    mm_info("claim %" G_GUINT64_FORMAT " has ended", lease->claim);
-    lease->claim = 0;
-    lease->next = now;
+    mm_info("claim %" G_GUINT64_FORMAT " has ended", lease->lease_id);
+    lease->lease_id = 0;
+    lease->next_request_at = now;
   } else {
-    lease->next = mm_time_add_ms(now, MIN(renew_interval_ms / 2, 300));
+    lease->next_request_at = mm_time_add_ms(now, MIN(renew_interval_ms / 2, 300));
   }
   g_free(request);
 }
@@ -220,205 +223,210 @@
  * run out and after which each has its full time again. The proof is as old as the older refusal;
  * the claim must not have ended before it. */
 static void
-extend_in_outage(MmClaims *lease) {
+extend_lease_in_outage(MmNodeLease *lease) {
   MmTime now = mm_node_now(lease->node);
-  MmTime own_refusal_at = lease->node->store->last_refused;
+  MmTime own_refusal_at = lease->node->store->last_refused_at;
   MmTime peer_refusal_at = mm_links_last_refused(lease->node->links);
   MmTime proved_at = mm_time_min(own_refusal_at, peer_refusal_at);
 
-  if (proved_at.us == 0 || mm_time_ms_since(now, proved_at) > OUTAGE_MS
-      || !mm_time_before(proved_at, lease->valid))
+  if (proved_at.us == 0 || mm_time_ms_since(now, proved_at) > OUTAGE_PROOF_MAX_AGE_MS
+      || !mm_time_before(proved_at, lease->valid_until))
     return;
   /* Whoever is served meanwhile shows that the others are refused alone, and their claims run out.
    */
-  if (!mm_time_before(lease->node->store->last_served, proved_at)
+  if (!mm_time_before(lease->node->store->last_served_at, proved_at)
       || !mm_time_before(mm_links_last_served(lease->node->links),
                          lease->node->store->refused_since))
     return;
-  lease->proved = proved_at;
-  lease->valid = mm_time_max(lease->valid, valid_from(lease, proved_at));
+  lease->outage_proved_at = proved_at;
+  lease->valid_until = mm_time_max(lease->valid_until, lease_valid_until(lease, proved_at));
 }
 
 /* Whether the node's key shows another claim than its own, or none, though it has announced it:
  * nobody renews what is not seen, and the node would never be entitled to anything again. */
 static gboolean
-is_overwritten(const MmClaims *lease) {
+node_key_is_overwritten(const MmNodeLease *lease) {
   const MmReplica *replica = lease->node->replica;
-  const MmNodeClaim *own_node = g_hash_table_lookup(replica->nodes, lease->node->settings->label.s);
+  const MmLiveNode *own_node
+      = g_hash_table_lookup(replica->live_nodes, lease->node->settings->label.s);
 
-  return lease->claim != 0 && replica->loaded && replica->revision >= lease->announced.v
-         && (own_node == NULL || own_node->claim != lease->claim);
+  return lease->lease_id != 0 && replica->is_loaded
+         && replica->revision >= lease->announced_version.v
+         && (own_node == NULL || own_node->lease_id != lease->lease_id);
 }
 
 static void
-tend_claim(MmClaims *lease) {
+renew_or_acquire_lease(MmNodeLease *lease) {
   MmTime now = mm_node_now(lease->node);
 
   /* A node that does not know the active format lets its lease end. */
-  if (lease->asking || mm_time_before(now, lease->next) || !mm_format_allows(lease->node->format))
+  if (lease->is_request_pending || mm_time_before(now, lease->next_request_at)
+      || !mm_format_is_supported(lease->node->format))
     return;
-  if (is_overwritten(lease)) {
-    mm_info("claim %" G_GUINT64_FORMAT " shows no more", lease->claim);
-    lease->claim = 0;
+  if (node_key_is_overwritten(lease)) {
+    mm_info("claim %" G_GUINT64_FORMAT " shows no more", lease->lease_id);
+    lease->lease_id = 0;
   }
-  lease->asking = TRUE;
-  if (lease->claim == 0) {
-    mm_store_get(lease->node->store, MM_KEY_NODE, lease->node->settings->label.s, key_read, lease);
+  lease->is_request_pending = TRUE;
+  if (lease->lease_id == 0) {
+    mm_kv_client_get(lease->node->store, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
+                     on_node_key_read, lease);
   } else {
     g_autofree char *path
-        = g_strdup_printf(WIRE_LEASES_PATH "/%" G_GUINT64_FORMAT "/renew", lease->claim);
-    mm_store_request(lease->node->store, "POST", path, NULL, 1000, renewed,
-                     call_new(lease, lease->claim));
+        = g_strdup_printf(WIRE_LEASES_PATH "/%" G_GUINT64_FORMAT "/renew", lease->lease_id);
+    mm_kv_client_request(lease->node->store, "POST", path, NULL, 1000, on_lease_renewed,
+                         lease_request_new(lease, lease->lease_id));
   }
 }
 
 static void
-parts_moved(gpointer data, int status, json_t *body) {
-  MmClaims *ownership = data;
+on_shards_committed(gpointer data, int status, json_t *body) {
+  MmNodeLease *ownership = data;
 
-  ownership->moving = FALSE;
+  ownership->is_commit_pending = FALSE;
   if (status != 200)
-    ownership->next_parts = mm_time_add_ms(mm_node_now(ownership->node), 200);
+    ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), 200);
   if (status == 409) {
     /* Each try costs writes that others need: first the watch must show what has changed. */
     mm_debug("the part map had changed meanwhile");
-    ownership->stale_revision = ownership->node->replica->revision;
-    ownership->next_parts = mm_time_add_ms(mm_node_now(ownership->node), CONFLICT_MS);
+    ownership->conflict_revision = ownership->node->replica->revision;
+    ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), CONFLICT_PAUSE_MS);
   }
 }
 
 /* Whose the part is to take: a life of the holder that has ended, or nobody's. */
 static gboolean
-is_free(const MmClaims *ownership, const MmShard *shard) {
+may_be_acquired(const MmNodeLease *ownership, const MmShard *shard) {
   return shard == NULL
-         || (mm_name_equal(&shard->holder, &ownership->node->settings->label)
-             && shard->claim != ownership->claim);
+         || (mm_name_equal(&shard->leader, &ownership->node->settings->label)
+             && shard->lease_id != ownership->lease_id);
 }
 
 static gint64
-free_for_ms(MmClaims *ownership, const char *shard_name, gboolean is_leaderless) {
+leaderless_for_ms(MmNodeLease *ownership, const char *shard_name, gboolean is_leaderless) {
   MmTime now = mm_node_now(ownership->node);
-  MmTime *since = g_hash_table_lookup(ownership->free_since, shard_name);
+  MmTime *since = g_hash_table_lookup(ownership->leaderless_since, shard_name);
 
   if (!is_leaderless) {
-    g_hash_table_remove(ownership->free_since, shard_name);
+    g_hash_table_remove(ownership->leaderless_since, shard_name);
     return 0;
   }
   if (since == NULL) {
     since = g_new(MmTime, 1);
     *since = now;
-    g_hash_table_insert(ownership->free_since, g_strdup(shard_name), since);
+    g_hash_table_insert(ownership->leaderless_since, g_strdup(shard_name), since);
   }
   return mm_time_ms_since(now, *since);
 }
 
 static void
-take(MmClaims *ownership, GPtrArray *wanted) {
+acquire_shards(MmNodeLease *ownership, GPtrArray *wanted) {
   const MmReplica *replica = ownership->node->replica;
-  guint n_acquired = MIN(wanted->len, mm_store_txn_ops(ownership->node->store) - 1);
+  guint n_acquired = MIN(wanted->len, mm_kv_client_max_operations(ownership->node->store) - 1);
   guint64 term = replica->term.v + 1;
-  MmTxn transaction = mm_txn();
+  MmTransaction transaction = mm_transaction_begin();
 
-  mm_txn_guard(&transaction, MM_KEY_TERM, "", replica->term_version);
-  mm_txn_put(&transaction, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term), 0);
+  mm_transaction_require_version(&transaction, MM_KEY_TERM, "", replica->term_version);
+  mm_transaction_put(&transaction, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term), 0);
   for (guint i = 0; i < n_acquired; i++) {
     const char *name = g_ptr_array_index(wanted, i);
     const MmShard *shard = mm_replica_shard(replica, name);
-    mm_txn_guard(&transaction, MM_KEY_SHARD, name,
-                 shard != NULL ? shard->version : (MmKeyVersion){ 0 });
-    mm_txn_put(&transaction, MM_KEY_SHARD, name,
-               json_pack("{s:s, s:I, s:I}", "n", ownership->node->settings->label.s, "c",
-                         (json_int_t)ownership->claim, "t", (json_int_t)term),
-               ownership->claim);
+    mm_transaction_require_version(&transaction, MM_KEY_SHARD, name,
+                                   shard != NULL ? shard->version : (MmKeyVersion){ 0 });
+    mm_transaction_put(&transaction, MM_KEY_SHARD, name,
+                       json_pack("{s:s, s:I, s:I}", "n", ownership->node->settings->label.s, "c",
+                                 (json_int_t)ownership->lease_id, "t", (json_int_t)term),
+                       ownership->lease_id);
   }
   mm_info("taking %u part(s) with term %" G_GUINT64_FORMAT, n_acquired, term);
-  ownership->moving = TRUE;
-  mm_store_commit(ownership->node->store, &transaction, parts_moved, ownership);
+  ownership->is_commit_pending = TRUE;
+  mm_kv_client_commit(ownership->node->store, &transaction, on_shards_committed, ownership);
 }
 
 /* Gives up parts for which another node has room, all at once: each move costs a new term. */
 static void
-give_up(MmClaims *ownership, guint surplus) {
-  MmTxn transaction = mm_txn();
+release_shards(MmNodeLease *ownership, guint surplus) {
+  MmTransaction transaction = mm_transaction_begin();
 
-  for (guint i = ownership->names->len; i > 0 && surplus > 0; i--) {
-    const char *name = g_ptr_array_index(ownership->names, i - 1);
-    if (!mm_claims_holds(ownership, name))
+  for (guint i = ownership->shard_names->len; i > 0 && surplus > 0; i--) {
+    const char *name = g_ptr_array_index(ownership->shard_names, i - 1);
+    if (!mm_shard_ownership_leads(ownership, name))
       continue;
-    mm_txn_guard(&transaction, MM_KEY_SHARD, name,
-                 mm_replica_shard(ownership->node->replica, name)->version);
-    mm_txn_delete(&transaction, MM_KEY_SHARD, name);
-    if (transaction.puts >= mm_store_txn_ops(ownership->node->store))
+    mm_transaction_require_version(&transaction, MM_KEY_SHARD, name,
+                                   mm_replica_shard(ownership->node->replica, name)->version);
+    mm_transaction_delete(&transaction, MM_KEY_SHARD, name);
+    if (transaction.n_operations >= mm_kv_client_max_operations(ownership->node->store))
       break;
     surplus--;
   }
-  mm_info("giving up %u part(s)", transaction.puts);
-  ownership->moving = TRUE;
-  mm_store_commit(ownership->node->store, &transaction, parts_moved, ownership);
+  mm_info("giving up %u part(s)", transaction.n_operations);
+  ownership->is_commit_pending = TRUE;
+  mm_kv_client_commit(ownership->node->store, &transaction, on_shards_committed, ownership);
 }
 
 /* Where the parts are, as every node sees it alike. */
 typedef struct {
-  GPtrArray *live; /* labels of the nodes that have a claim, in order */
-  guint *held;     /* how many parts each of them holds */
-  guint me;        /* this node's place among them; G_MAXUINT: none */
-} Shares;
+  GPtrArray *live_labels; /* labels of the nodes that have a claim, in order */
+  guint *n_led;           /* how many parts each of them holds */
+  guint own_index;        /* this node's place among them; G_MAXUINT: none */
+} ShardDistribution;
 
 static void
-shares_count(const MmClaims *ownership, Shares *distribution) {
+distribution_init(const MmNodeLease *ownership, ShardDistribution *distribution) {
   const MmReplica *replica = ownership->node->replica;
 
-  distribution->live = mm_replica_live(replica);
-  distribution->held = g_new0(guint, distribution->live->len);
-  distribution->me = G_MAXUINT;
-  for (guint n = 0; n < distribution->live->len; n++) {
-    const char *label = g_ptr_array_index(distribution->live, n);
+  distribution->live_labels = mm_replica_live_labels(replica);
+  distribution->n_led = g_new0(guint, distribution->live_labels->len);
+  distribution->own_index = G_MAXUINT;
+  for (guint n = 0; n < distribution->live_labels->len; n++) {
+    const char *label = g_ptr_array_index(distribution->live_labels, n);
     if (strcmp(label, ownership->node->settings->label.s) == 0)
-      distribution->me = n;
-    for (guint i = 0; i < ownership->names->len; i++) {
-      const MmShard *shard = mm_replica_shard(replica, g_ptr_array_index(ownership->names, i));
-      distribution->held[n] += shard != NULL && strcmp(label, shard->holder.s) == 0;
+      distribution->own_index = n;
+    for (guint i = 0; i < ownership->shard_names->len; i++) {
+      const MmShard *shard
+          = mm_replica_shard(replica, g_ptr_array_index(ownership->shard_names, i));
+      distribution->n_led[n] += shard != NULL && strcmp(label, shard->leader.s) == 0;
     }
   }
 }
 
 static void
-shares_clear(Shares *distribution) {
-  g_ptr_array_unref(distribution->live);
-  g_free(distribution->held);
+distribution_clear(ShardDistribution *distribution) {
+  g_ptr_array_unref(distribution->live_labels);
+  g_free(distribution->n_led);
 }
 
 static guint
-shares_least(const Shares *distribution) {
+node_with_fewest_shards(const ShardDistribution *distribution) {
   guint fewest = 0;
 
-  for (guint n = 1; n < distribution->live->len; n++)
-    if (distribution->held[n] < distribution->held[fewest])
+  for (guint n = 1; n < distribution->live_labels->len; n++)
+    if (distribution->n_led[n] < distribution->n_led[fewest])
       fewest = n;
   return fewest;
 }
 
 /* The free parts that are this node's to take: each goes to the node that holds fewest. */
 static GPtrArray *
-parts_to_take(MmClaims *ownership, Shares *distribution) {
+shards_to_acquire(MmNodeLease *ownership, ShardDistribution *distribution) {
   GPtrArray *wanted = g_ptr_array_new();
 
-  for (guint i = 0; i < ownership->names->len; i++) {
-    const char *name = g_ptr_array_index(ownership->names, i);
+  for (guint i = 0; i < ownership->shard_names->len; i++) {
+    const char *name = g_ptr_array_index(ownership->shard_names, i);
     const MmShard *shard = mm_replica_shard(ownership->node->replica, name);
-    gboolean is_leaderless = is_free(ownership, shard);
-    gint64 leaderless_ms = free_for_ms(ownership, name, is_leaderless);
+    gboolean is_leaderless = may_be_acquired(ownership, shard);
+    gint64 leaderless_ms = leaderless_for_ms(ownership, name, is_leaderless);
     guint target_node;
 
     if (!is_leaderless)
       continue;
-    if (shard != NULL || leaderless_ms > FREE_PATIENCE_MS) {
+    if (shard != NULL || leaderless_ms > LEADERLESS_PATIENCE_MS) {
       g_ptr_array_add(wanted, (gpointer)name);
       continue;
     }
-    target_node = shares_least(distribution);
-    distribution->held[target_node]++;
-    if (target_node == distribution->me)
+    target_node = node_with_fewest_shards(distribution);
+    distribution->n_led[target_node]++;
+    if (target_node == distribution->own_index)
       g_ptr_array_add(wanted, (gpointer)name);
   }
   return wanted;
@@ -427,73 +435,75 @@
 /* The taker must hear every machine: while one is silent, a move would stop the team's starts until
  * that machine is proved lost. */
 static void
-even_out(MmClaims *ownership, const Shares *distribution) {
+rebalance_shards(MmNodeLease *ownership, const ShardDistribution *distribution) {
   MmTime now = mm_node_now(ownership->node);
-  guint n_led = distribution->held[distribution->me];
-  guint n_fewest = distribution->held[shares_least(distribution)];
+  guint n_led = distribution->n_led[distribution->own_index];
+  guint n_fewest = distribution->n_led[node_with_fewest_shards(distribution)];
 
   if (n_led < n_fewest + 2 || !mm_machine_table_all_heard(ownership->node->machine_table)) {
-    ownership->uneven.us = 0;
-  } else if (ownership->uneven.us == 0) {
-    ownership->uneven = now;
-  } else if (mm_time_ms_since(now, ownership->uneven) > UNEVEN_PATIENCE_MS) {
-    ownership->uneven.us = 0;
-    give_up(ownership, (n_led - n_fewest) / 2);
+    ownership->uneven_since.us = 0;
+  } else if (ownership->uneven_since.us == 0) {
+    ownership->uneven_since = now;
+  } else if (mm_time_ms_since(now, ownership->uneven_since) > UNEVEN_PATIENCE_MS) {
+    ownership->uneven_since.us = 0;
+    release_shards(ownership, (n_led - n_fewest) / 2);
   }
 }
 
 /* At the start of all nodes, the others may be about to show. */
 static gboolean
-waits_for_others(const MmClaims *ownership, const Shares *distribution) {
+waits_for_other_nodes(const MmNodeLease *ownership, const ShardDistribution *distribution) {
   const MmReplica *replica = ownership->node->replica;
-  const MmNodeClaim *own_node
-      = g_hash_table_lookup(replica->nodes, ownership->node->settings->label.s);
+  const MmLiveNode *own_node
+      = g_hash_table_lookup(replica->live_nodes, ownership->node->settings->label.s);
 
-  return distribution->live->len < ownership->node->settings->node_count && replica->term.v == 0
-         && mm_time_ms_since(mm_node_now(ownership->node), own_node->since) < START_PATIENCE_MS;
+  return distribution->live_labels->len < ownership->node->settings->node_count
+         && replica->term.v == 0
+         && mm_time_ms_since(mm_node_now(ownership->node), own_node->seen_since)
+                < START_PATIENCE_MS;
 }
 
 static void
-share_out(MmClaims *ownership, Shares *distribution) {
+acquire_or_rebalance(MmNodeLease *ownership, ShardDistribution *distribution) {
   g_autoptr(GPtrArray) wanted = NULL;
 
-  if (distribution->me == G_MAXUINT || waits_for_others(ownership, distribution))
+  if (distribution->own_index == G_MAXUINT || waits_for_other_nodes(ownership, distribution))
     return;
-  wanted = parts_to_take(ownership, distribution);
+  wanted = shards_to_acquire(ownership, distribution);
   if (wanted->len > 0)
-    take(ownership, wanted);
+    acquire_shards(ownership, wanted);
   else
-    even_out(ownership, distribution);
+    rebalance_shards(ownership, distribution);
 }
 
 static gboolean
-parts_are_due(const MmClaims *ownership) {
+check_is_due(const MmNodeLease *ownership) {
   const MmReplica *replica = ownership->node->replica;
   gboolean replica_moved_on
-      = ownership->stale_revision != 0 && replica->revision > ownership->stale_revision;
+      = ownership->conflict_revision != 0 && replica->revision > ownership->conflict_revision;
 
-  return !ownership->moving && !mm_store_in_trouble(ownership->node->store)
+  return !ownership->is_commit_pending && !mm_kv_client_is_refused(ownership->node->store)
          && (replica_moved_on
-             || !mm_time_before(mm_node_now(ownership->node), ownership->next_parts));
+             || !mm_time_before(mm_node_now(ownership->node), ownership->next_check_at));
 }
 
 static void
-tend_parts(MmClaims *ownership) {
-  Shares distribution;
+maintain_shards(MmNodeLease *ownership) {
+  ShardDistribution distribution;
 
-  if (!parts_are_due(ownership))
+  if (!check_is_due(ownership))
     return;
-  ownership->next_parts = mm_time_add_ms(mm_node_now(ownership->node), PARTS_EVERY_MS);
-  ownership->stale_revision = 0;
-  shares_count(ownership, &distribution);
-  share_out(ownership, &distribution);
-  shares_clear(&distribution);
+  ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), CHECK_INTERVAL_MS);
+  ownership->conflict_revision = 0;
+  distribution_init(ownership, &distribution);
+  acquire_or_rebalance(ownership, &distribution);
+  distribution_clear(&distribution);
 }
 
 void
-mm_claims_tick(MmClaims *claims) {
-  extend_in_outage(claims);
-  tend_claim(claims);
-  if (mm_claims_valid(claims) && claims->node->replica->loaded)
-    tend_parts(claims);
+mm_node_lease_tick(MmNodeLease *claims) {
+  extend_lease_in_outage(claims);
+  renew_or_acquire_lease(claims);
+  if (mm_node_lease_is_valid(claims) && claims->node->replica->is_loaded)
+    maintain_shards(claims);
 }
--- a/src/peers/links.c
+++ b/src/peers/links.c
@@ -81,7 +81,7 @@
   Mm__Hello hello = MM__HELLO__INIT;
 
   hello.label = (char *)links->node->settings->label.s;
-  hello.claim = links->node->claims->claim;
+  hello.claim = links->node->node_lease->lease_id;
   frame.body_case = MM__FRAME__BODY_HELLO;
   frame.hello = &hello;
   send_at_once(links, peer, &frame);
@@ -94,7 +94,7 @@
   Mm__Ping ping = MM__PING__INIT;
 
   ping.at_us = (guint64)now.us;
-  ping.served_ms = age_ms(links, links->node->store->last_served);
+  ping.served_ms = age_ms(links, links->node->store->last_served_at);
   frame.body_case = MM__FRAME__BODY_PING;
   frame.ping = &ping;
   send_at_once(links, peer, &frame);
@@ -138,15 +138,15 @@
 MmTime
 mm_links_settled(const MmLinks *links) {
   const MmReplica *replica = links->node->replica;
-  MmTime known_until = replica->fresh;
+  MmTime known_until = replica->fresh_until;
 
   for (guint i = 0; i < links->n_peers; i++) {
     const MmPeer *peer = &links->peers[i];
-    const MmNodeClaim *live_node = g_hash_table_lookup(replica->nodes, peer->label.s);
+    const MmLiveNode *live_node = g_hash_table_lookup(replica->live_nodes, peer->label.s);
     if (live_node == NULL)
       continue;
     /* A pong of another life says nothing of this one; a silent peer counts as answering. */
-    if (live_node->claim != peer->claim)
+    if (live_node->lease_id != peer->claim)
       return (MmTime){ 0 };
     known_until = mm_time_min(known_until, peer->settled);
   }
@@ -258,7 +258,7 @@
   if (repeats->n_sessions != repeats->n_machines || repeats->n_seqs != repeats->n_machines)
     return;
   for (size_t i = 0; i < repeats->n_machines; i++) {
-    MmStamp heartbeat_id = { repeats->sessions[i], repeats->seqs[i] };
+    MmHeartbeatId heartbeat_id = { repeats->sessions[i], repeats->seqs[i] };
     MmMachine *machine = mm_machine_table_find(links->node->machine_table, repeats->machines[i]);
     mm_machine_table_beat(links->node->machine_table, repeats->machines[i], heartbeat_id, now,
                           (gint)peer);
@@ -274,7 +274,7 @@
   MmMachine *machine = mm_machine_table_find(links->node->machine_table, message->machine);
 
   if (machine == NULL || machine->host != MM_HOST_SELF
-      || machine->stamp.session != message->session)
+      || machine->stamp.incarnation != message->session)
     return;
   for (size_t i = 0; i < message->n_commands; i++) {
     const Mm__Command *item = message->commands[i];
@@ -297,10 +297,10 @@
   /* The pong says that all answers given before the ping are known: so they are told first. */
   mm_links_tell_beats(links);
   pong.at_us = ping->at_us;
-  pong.outage_ms = age_ms(links, links->node->store->last_refused);
-  pong.served_ms = age_ms(links, links->node->store->last_served);
-  pong.claim = links->node->claims->claim;
-  pong.answering = mm_claims_may_answer(links->node->claims);
+  pong.outage_ms = age_ms(links, links->node->store->last_refused_at);
+  pong.served_ms = age_ms(links, links->node->store->last_served_at);
+  pong.claim = links->node->node_lease->lease_id;
+  pong.answering = mm_node_lease_may_answer_workers(links->node->node_lease);
   pong.machines = mm_checkin_hosted(links->node->checkin);
   frame.body_case = MM__FRAME__BODY_PONG;
   frame.pong = &pong;
--- a/src/peers/links.h
+++ b/src/peers/links.h
@@ -22,7 +22,7 @@
 
 typedef struct {
   MmName machine;
-  MmStamp stamp;
+  MmHeartbeatId stamp;
 } MmBeat;
 
 struct MmLinks {
--- a/src/peers/telling.c
+++ b/src/peers/telling.c
@@ -31,8 +31,8 @@
   heartbeat.unanswered = kind != ANSWERED;
   heartbeat.direct = kind == DIRECT;
   heartbeat.term = kind == ANSWERED ? links->node->replica->term.v : 0;
-  heartbeat.session = machine->stamp.session;
-  heartbeat.seq = machine->stamp.seq;
+  heartbeat.session = machine->stamp.incarnation;
+  heartbeat.seq = machine->stamp.sequence;
   heartbeat.token = machine->token.v;
   heartbeat.warned = machine->warned;
   heartbeat.notice_s = machine->warned ? (double)mm_time_ms_since(machine->taken, now) / 1000.0 : 0;
@@ -73,8 +73,8 @@
   for (guint i = 0; i < n; i++) {
     MmBeat *repeat = &g_array_index(links->beats, MmBeat, i);
     machines[i] = repeat->machine.s;
-    incarnations[i] = repeat->stamp.session;
-    sequences[i] = repeat->stamp.seq;
+    incarnations[i] = repeat->stamp.incarnation;
+    sequences[i] = repeat->stamp.sequence;
   }
   for (guint i = 0; i < links->unproved->len; i++)
     unverified[i] = g_array_index(links->unproved, MmName, i).s;
@@ -182,7 +182,7 @@
     list[i] = &items[i];
   }
   message.machine = (char *)machine->id.s;
-  message.session = machine->stamp.session;
+  message.session = machine->stamp.incarnation;
   message.commands = list;
   message.n_commands = commands->len;
   frame.body_case = MM__FRAME__BODY_COMMANDS;
@@ -195,7 +195,7 @@
  * (day 29 of tests/test-world). */
 static gboolean
 is_known_by_direct_answer(const MmMachine *machine) {
-  return mm_stamp_newer(machine->stamp, machine->report_stamp);
+  return mm_heartbeat_id_is_newer(machine->stamp, machine->report_stamp);
 }
 
 /* Everything this node has answered within two leases comes before its first pong on a link: what
@@ -208,7 +208,7 @@
   MmNode *node = links->node;
   const GPtrArray *machines = node->machine_table->order;
   MmTime now = mm_node_now(node);
-  gint64 recent_ms = (gint64)(node->settings->lease_s * 2000);
+  gint64 recent_ms = (gint64)(node->settings->worker_lease_s * 2000);
   g_autoptr(GPtrArray) hosted_elsewhere = g_ptr_array_new();
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Beats repeats = MM__BEATS__INIT;
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -27,7 +27,7 @@
   MmSharePlan *plan = g_new0(MmSharePlan, 1);
   guint n;
 
-  plan->live = mm_replica_live(node->replica);
+  plan->live = mm_replica_live_labels(node->replica);
   n = plan->live->len;
   plan->shares = g_new0(MmShare, MAX(n, 1));
   plan->targets = g_new0(guint, MAX(n, 1));
@@ -65,8 +65,8 @@
 
 static gboolean
 has_duty(const MmSharing *sharing) {
-  return mm_claims_valid(sharing->node->claims)
-         && mm_claims_holds(sharing->node->claims, MM_SHARD_SHARING);
+  return mm_node_lease_is_valid(sharing->node->node_lease)
+         && mm_shard_ownership_leads(sharing->node->node_lease, MM_SHARD_SHARING);
 }
 
 static guint
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -104,7 +104,7 @@
 
   if (is_outstanding(list, grant))
     return TRUE;
-  if (job == NULL || mm_stamp_newer(machine->stamp, grant->stamp)
+  if (job == NULL || mm_heartbeat_id_is_newer(machine->stamp, grant->stamp)
       || !mm_resources_fits(job->spec.need, mm_grants_left(grants, machine))) {
     grants->refused++;
     return FALSE;
@@ -120,13 +120,13 @@
 
 /* A direct answer of the same session may have been made before the answer with the start came. */
 static gboolean
-is_denied(const MmGrant *grant, MmStamp heartbeat_id, gboolean is_direct_reply) {
-  return heartbeat_id.session > grant->stamp.session
-         || (!is_direct_reply && mm_stamp_newer(heartbeat_id, grant->stamp));
+is_denied(const MmGrant *grant, MmHeartbeatId heartbeat_id, gboolean is_direct_reply) {
+  return heartbeat_id.incarnation > grant->stamp.incarnation
+         || (!is_direct_reply && mm_heartbeat_id_is_newer(heartbeat_id, grant->stamp));
 }
 
 void
-mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmStamp heartbeat_id,
+mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmHeartbeatId heartbeat_id,
                    gboolean is_direct_reply) {
   GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
 
--- a/src/sharing/grants.h
+++ b/src/sharing/grants.h
@@ -10,7 +10,7 @@
   MmName job;
   guint number;
   MmAttempt attempt;
-  MmStamp stamp; /* of the report whose answer carries the start */
+  MmHeartbeatId stamp; /* of the report whose answer carries the start */
 } MmGrant;
 
 typedef struct {
@@ -30,7 +30,7 @@
 /* A report of the machine was taken in: starts that it shows are accounted for, and those whose
  * answer it was sent after without showing them were not carried out. `direct`: the answer to a
  * direct command, which says nothing of starts under way in the same session. */
-void mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmStamp heartbeat_id,
+void mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmHeartbeatId heartbeat_id,
                         gboolean is_direct_reply);
 /* Nothing is on the machine any more and no start can reach it. */
 void mm_grants_machine_gone(MmGrants *grants, const char *machine);
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -42,7 +42,7 @@
     return MM_MOVE_SAME_NODE;
   if (owned->moving)
     return MM_MOVE_UNDER_WAY;
-  if (g_hash_table_lookup(node->replica->nodes, target) == NULL)
+  if (g_hash_table_lookup(node->replica->live_nodes, target) == NULL)
     return MM_MOVE_TARGET_AWAY;
   owned_ms = mm_time_ms_since(mm_node_now(node), owned->acquired);
   if (!by_hand && owned_ms < (gint64)(node->operators->group_hold_s * 1000))
@@ -78,7 +78,7 @@
 
   if (!order->by_hand
       && (balancer_shard == NULL || balancer_shard->term.v != order->term
-          || !mm_name_equal(&balancer_shard->holder, sender))) {
+          || !mm_name_equal(&balancer_shard->leader, sender))) {
     mm_info("%s ordered a move without having the duty", sender->s);
     return;
   }
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -50,15 +50,15 @@
   const MmNode *node = sharing->node;
   MmGroupOwner owner = mm_group_map_owner(sharing->map, group);
 
-  return owner.holding != NULL && node->claims->claim != 0
-         && owner.holding->lease == node->claims->claim
+  return owner.holding != NULL && node->node_lease->lease_id != 0
+         && owner.holding->lease == node->node_lease->lease_id
          && mm_name_equal(&owner.holding->node, &node->settings->label);
 }
 
 gboolean
 mm_sharing_owns(const MmSharing *sharing, guint group) {
   return group < sharing->groups && sharing->owned[group] != NULL
-         && mm_claims_valid(sharing->node->claims) && is_shown_here(sharing, group);
+         && mm_node_lease_is_valid(sharing->node->node_lease) && is_shown_here(sharing, group);
 }
 
 static void
@@ -150,7 +150,7 @@
 
 static void
 check_active(MmSharing *sharing) {
-  gboolean is_active = mm_versions_groups(sharing->node->versions) == sharing->groups;
+  gboolean is_active = mm_versions_common_group_count(sharing->node->versions) == sharing->groups;
 
   if (is_active != sharing->active)
     mm_info("machines are %s", is_active ? "shared out: every node takes part"
@@ -181,7 +181,8 @@
 
 void
 mm_sharing_tick(MmSharing *sharing) {
-  if (sharing->groups == 0 || !sharing->node->replica->loaded || sharing->conflicting_groups != 0)
+  if (sharing->groups == 0 || !sharing->node->replica->is_loaded
+      || sharing->conflicting_groups != 0)
     return;
   mm_sharing_write(sharing);
   if (sharing->active)
@@ -194,11 +195,11 @@
  * when the group was acquired; what was started in the old one is gone. */
 static gboolean
 acknowledges(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
-  return machine->token.v >= owned->term.v || machine->stamp.session > incarnation;
+  return machine->token.v >= owned->term.v || machine->stamp.incarnation > incarnation;
 }
 
 void
-mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmStamp heartbeat_id,
+mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmHeartbeatId heartbeat_id,
                     gboolean is_direct_reply) {
   MmOwnedGroup *owned;
   gpointer incarnation;
@@ -267,7 +268,7 @@
    * the group change hands, the next owner would not know to wait for it. */
   return owned != NULL && !owned->moving && mm_sharing_owns(sharing, group)
          && mm_machine_usable(sharing->node->machine_table, machine)
-         && mm_claims_may_answer(sharing->node->claims)
+         && mm_node_lease_may_answer_workers(sharing->node->node_lease)
          && !g_hash_table_contains(owned->unacknowledged, machine->id.s);
 }
 
@@ -346,7 +347,8 @@
   /* A worker that comes back so soon can't reach the owner: it is served here. */
   if (peer < 0 || !mm_links_peer_answers(node->links, (guint)peer)
       || (machine->redirected.us != 0
-          && mm_time_ms_since(now, machine->redirected) < (gint64)(node->settings->lease_s * 1000)))
+          && mm_time_ms_since(now, machine->redirected)
+                 < (gint64)(node->settings->worker_lease_s * 1000)))
     return -1;
   machine->redirected = now;
   return peer;
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -92,7 +92,7 @@
                             MmKeyVersion version);
 
 /* From the machine table. */
-void mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmStamp heartbeat_id,
+void mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmHeartbeatId heartbeat_id,
                          gboolean is_direct_reply);
 void mm_sharing_machine_gone(MmSharing *sharing, const MmMachine *machine);
 
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -23,7 +23,7 @@
   const MmGroupHolding *holding
       = mm_group_map_holding(sharing->map, sharing->node->settings->label.s);
 
-  return holding != NULL && holding->lease == sharing->node->claims->claim ? holding : NULL;
+  return holding != NULL && holding->lease == sharing->node->node_lease->lease_id ? holding : NULL;
 }
 
 static MmKeyVersion
@@ -78,34 +78,35 @@
 }
 
 static void
-commit(MmSharing *sharing, MmTxn *txn, MmGroupWrite kind) {
+commit(MmSharing *sharing, MmTransaction *txn, MmGroupWrite kind) {
   sharing->writing = kind;
-  mm_store_commit(sharing->node->store, txn, written, sharing);
+  mm_kv_client_commit(sharing->node->store, txn, written, sharing);
 }
 
 /* Raises the global term; the new one. */
 static MmTerm
-raise_term(const MmSharing *sharing, MmTxn *txn) {
+raise_term(const MmSharing *sharing, MmTransaction *txn) {
   const MmReplica *replica = sharing->node->replica;
   MmTerm term = { replica->term.v + 1 };
 
-  mm_txn_guard(txn, MM_KEY_TERM, "", replica->term_version);
-  mm_txn_put(txn, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term.v), 0);
+  mm_transaction_require_version(txn, MM_KEY_TERM, "", replica->term_version);
+  mm_transaction_put(txn, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term.v), 0);
   return term;
 }
 
 static void
-put_value(const MmSharing *sharing, MmTxn *txn, const char *label, const MmGroupValue *value,
-          guint64 lease_id) {
-  mm_txn_guard(txn, MM_KEY_GROUPS, label, key_version(sharing, label));
-  mm_txn_put(txn, MM_KEY_GROUPS, label, mm_group_value_to_json(value), lease_id);
+put_value(const MmSharing *sharing, MmTransaction *txn, const char *label,
+          const MmGroupValue *value, guint64 lease_id) {
+  mm_transaction_require_version(txn, MM_KEY_MACHINE_GROUPS, label, key_version(sharing, label));
+  mm_transaction_put(txn, MM_KEY_MACHINE_GROUPS, label, mm_group_value_to_json(value), lease_id);
 }
 
 static gboolean
 fits(const MmSharing *sharing, const MmGroupValue *value) {
   g_autoptr(json_t) json = mm_group_value_to_json(value);
 
-  return json_dumpb(json, NULL, 0, JSON_COMPACT) <= mm_store_value_bytes(sharing->node->store);
+  return json_dumpb(json, NULL, 0, JSON_COMPACT)
+         <= mm_kv_client_max_value_bytes(sharing->node->store);
 }
 
 /* The holding's groups but `without`, and `added` under the term. Where that many terms do not fit
@@ -136,7 +137,7 @@
 
   return holding == NULL
          || (mm_name_equal(&holding->node, &node->settings->label)
-             && holding->lease != node->claims->claim);
+             && holding->lease != node->node_lease->lease_id);
 }
 
 static gboolean
@@ -150,12 +151,13 @@
 static gboolean
 waits_for_others(const MmSharing *sharing) {
   const MmNode *node = sharing->node;
-  const MmNodeClaim *own_node = g_hash_table_lookup(node->replica->nodes, node->settings->label.s);
+  const MmLiveNode *own_node
+      = g_hash_table_lookup(node->replica->live_nodes, node->settings->label.s);
 
   return own_node == NULL
-         || (g_hash_table_size(node->replica->nodes) < node->settings->node_count
+         || (g_hash_table_size(node->replica->live_nodes) < node->settings->node_count
              && sharing->map->newest.v == 0
-             && mm_time_ms_since(mm_node_now(node), own_node->since) < START_PATIENCE_MS);
+             && mm_time_ms_since(mm_node_now(node), own_node->seen_since) < START_PATIENCE_MS);
 }
 
 static MmGroupSet *
@@ -180,7 +182,7 @@
   MmNode *node = sharing->node;
   g_autoptr(MmGroupSet) wanted = NULL;
   g_autoptr(MmGroupValue) value = NULL;
-  MmTxn txn;
+  MmTransaction txn;
   MmTerm term;
 
   /* What an unreadable key holds is not known to be free. Its node writes it anew. */
@@ -191,10 +193,10 @@
   wanted = groups_to_acquire(sharing);
   if (roaring_bitmap_is_empty(wanted))
     return FALSE;
-  txn = mm_txn();
+  txn = mm_transaction_begin();
   term = raise_term(sharing, &txn);
-  value = value_with(sharing, own_holding(sharing), node->claims->claim, NULL, wanted, term);
-  put_value(sharing, &txn, node->settings->label.s, value, node->claims->claim);
+  value = value_with(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, wanted, term);
+  put_value(sharing, &txn, node->settings->label.s, value, node->node_lease->lease_id);
   mm_info("acquiring %u machine groups with term %" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(wanted), term.v);
   commit(sharing, &txn, MM_GROUP_WRITE_ACQUIRE);
@@ -216,9 +218,9 @@
   const MmNode *node = sharing->node;
   gint64 since_ms = mm_time_ms_since(mm_node_now(node), owned->moving_since);
 
-  if (g_hash_table_lookup(node->replica->nodes, owned->target.s) == NULL)
+  if (g_hash_table_lookup(node->replica->live_nodes, owned->target.s) == NULL)
     return "the other node has ended";
-  if (since_ms > (gint64)(node->settings->lease_s * 1000))
+  if (since_ms > (gint64)(node->settings->worker_lease_s * 1000))
     return "starts are under way for too long";
   return NULL;
 }
@@ -264,27 +266,28 @@
   g_autoptr(MmGroupSet) moved = NULL;
   g_autoptr(MmGroupValue) own_value = NULL, targets_value = NULL;
   const MmGroupHolding *holding;
-  const MmNodeClaim *live_target;
+  const MmLiveNode *live_target;
   MmName target;
-  MmTxn txn;
+  MmTransaction txn;
   MmTerm term;
 
   abort_hopeless(sharing);
-  if (sharing->n_moving == 0 || mm_store_txn_ops(node->store) < MOVE_PUTS)
+  if (sharing->n_moving == 0 || mm_kv_client_max_operations(node->store) < MOVE_PUTS)
     return FALSE;
   moved = groups_to_give(sharing, &target);
   if (roaring_bitmap_is_empty(moved) || own_holding(sharing) == NULL)
     return FALSE;
-  live_target = g_hash_table_lookup(node->replica->nodes, target.s);
+  live_target = g_hash_table_lookup(node->replica->live_nodes, target.s);
   holding = mm_group_map_holding(sharing->map, target.s);
-  if (holding != NULL && holding->lease != live_target->claim)
+  if (holding != NULL && holding->lease != live_target->lease_id)
     return FALSE; /* its new life takes up what the old one had first */
-  txn = mm_txn();
+  txn = mm_transaction_begin();
   term = raise_term(sharing, &txn);
-  own_value = value_with(sharing, own_holding(sharing), node->claims->claim, moved, NULL, term);
-  targets_value = value_with(sharing, holding, live_target->claim, NULL, moved, term);
-  put_value(sharing, &txn, node->settings->label.s, own_value, node->claims->claim);
-  put_value(sharing, &txn, target.s, targets_value, live_target->claim);
+  own_value
+      = value_with(sharing, own_holding(sharing), node->node_lease->lease_id, moved, NULL, term);
+  targets_value = value_with(sharing, holding, live_target->lease_id, NULL, moved, term);
+  put_value(sharing, &txn, node->settings->label.s, own_value, node->node_lease->lease_id);
+  put_value(sharing, &txn, target.s, targets_value, live_target->lease_id);
   mm_info("giving %u machine groups to %s with term %" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(moved), target.s, term.v);
   commit(sharing, &txn, MM_GROUP_WRITE_MOVE);
@@ -297,10 +300,11 @@
 confirm(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupValue) value = NULL;
-  MmTxn txn = mm_txn();
+  MmTransaction txn = mm_transaction_begin();
 
-  value = value_with(sharing, own_holding(sharing), node->claims->claim, NULL, NULL, (MmTerm){ 0 });
-  put_value(sharing, &txn, node->settings->label.s, value, node->claims->claim);
+  value = value_with(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, NULL,
+                     (MmTerm){ 0 });
+  put_value(sharing, &txn, node->settings->label.s, value, node->node_lease->lease_id);
   commit(sharing, &txn, MM_GROUP_WRITE_CONFIRM);
 }
 
@@ -311,13 +315,13 @@
 static gboolean
 release(MmSharing *sharing) {
   const char *label = sharing->node->settings->label.s;
-  MmTxn txn;
+  MmTransaction txn;
 
   if (key_version(sharing, label).v == 0)
     return FALSE;
-  txn = mm_txn();
-  mm_txn_guard(&txn, MM_KEY_GROUPS, label, key_version(sharing, label));
-  mm_txn_delete(&txn, MM_KEY_GROUPS, label);
+  txn = mm_transaction_begin();
+  mm_transaction_require_version(&txn, MM_KEY_MACHINE_GROUPS, label, key_version(sharing, label));
+  mm_transaction_delete(&txn, MM_KEY_MACHINE_GROUPS, label);
   commit(sharing, &txn, MM_GROUP_WRITE_RELEASE);
   return TRUE;
 }
@@ -326,8 +330,9 @@
 mm_sharing_write(MmSharing *sharing) {
   MmNode *node = sharing->node;
 
-  if (sharing->writing != MM_GROUP_WRITE_NONE || !mm_claims_valid(node->claims)
-      || mm_store_in_trouble(node->store) || mm_time_before(mm_node_now(node), sharing->next_write)
+  if (sharing->writing != MM_GROUP_WRITE_NONE || !mm_node_lease_is_valid(node->node_lease)
+      || mm_kv_client_is_refused(node->store)
+      || mm_time_before(mm_node_now(node), sharing->next_write)
       || node->replica->revision < sharing->shown_at)
     return;
   sharing->next_write = mm_time_add_ms(mm_node_now(node), WRITE_EVERY_MS);
--- a/src/transport/http-client.c
+++ b/src/transport/http-client.c
@@ -54,8 +54,8 @@
   client->settings = settings;
   for (guint i = 0; i < G_N_ELEMENTS(client->sessions); i++)
     client->sessions[i] = new_session(settings, (MmTarget)i);
-  client->bases[MM_TARGET_STORE] = g_strconcat("http://", settings->state, NULL);
-  client->bases[MM_TARGET_CLOUD] = g_strconcat("http://", settings->cloud, NULL);
+  client->bases[MM_TARGET_STORE] = g_strconcat("http://", settings->kv_address, NULL);
+  client->bases[MM_TARGET_CLOUD] = g_strconcat("http://", settings->cloud_address, NULL);
   return client;
 }
 
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -88,11 +88,11 @@
   g_autoptr(GError) error = NULL;
 
   if (!mm_peer_sockets_start(transport.peers, node, &error)
-      || mm_http_server_new(node, settings->front, &error) == NULL) {
+      || mm_http_server_new(node, settings->front_address, &error) == NULL) {
     mm_error("cannot listen: %s", error->message);
     return EXIT_FAILURE;
   }
-  mm_info("%s serves %s in zone %s", settings->label.s, settings->front, settings->zone.s);
+  mm_info("%s serves %s in zone %s", settings->label.s, settings->front_address, settings->zone.s);
   g_timeout_add_full(G_PRIORITY_HIGH, MM_NODE_TICK_MS, tick, node, NULL);
   mm_node_start(node);
   g_main_loop_run(loop); /* until the process is killed */
@@ -136,7 +136,7 @@
     puts("martenmount " MM_VERSION);
     return EXIT_SUCCESS;
   }
-  if (!mm_log_setup())
+  if (!mm_log_read_level())
     fprintf(stderr, "martenmount: LOG_LEVEL is none of error, info, debug: info holds\n");
   if (settings_path == NULL) {
     fprintf(stderr, "martenmount: --config FILE is required\n");
@@ -146,7 +146,8 @@
   if (settings == NULL
       || (operators_path != NULL
           && (!mm_operators_read(&operators, operators_path, &reason)
-              || !mm_operators_check(&operators, settings, operators_path, &reason)))) {
+              || !mm_operators_check_against_settings(&operators, settings, operators_path,
+                                                      &reason)))) {
     fprintf(stderr, "martenmount: %s\n", reason);
     return EXIT_USAGE;
   }
--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -333,14 +333,14 @@
 
 gboolean
 mm_peer_sockets_start(MmPeerSockets *sockets, MmNode *node, GError **error) {
-  g_autoptr(GSocketAddress) address = mm_transport_address(sockets->settings->cluster_listen);
+  g_autoptr(GSocketAddress) address = mm_transport_address(sockets->settings->peer_listen_address);
 
   sockets->node = node;
   sockets->service = g_socket_service_new();
   g_signal_connect(sockets->service, "incoming", G_CALLBACK(incoming), sockets);
   if (address == NULL) {
     g_set_error(error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an address",
-                sockets->settings->cluster_listen);
+                sockets->settings->peer_listen_address);
     return FALSE;
   }
   if (!g_socket_listener_add_address(G_SOCKET_LISTENER(sockets->service), address,
--- a/src/upgrade/format.c
+++ b/src/upgrade/format.c
@@ -10,8 +10,8 @@
   MmFormat *format = g_new0(MmFormat, 1);
 
   format->node = node;
-  format->lowest = MM_FORMAT_LOWEST;
-  format->highest = MM_FORMAT_HIGHEST;
+  format->lowest_supported = MM_FORMAT_LOWEST;
+  format->highest_supported = MM_FORMAT_HIGHEST;
   format->active = MM_FORMAT_LOWEST;
   return format;
 }
@@ -22,25 +22,25 @@
 }
 
 static gboolean
-can_handle(const MmFormat *format) {
-  return format->active >= format->lowest && format->active <= format->highest;
+supports_active(const MmFormat *format) {
+  return format->active >= format->lowest_supported && format->active <= format->highest_supported;
 }
 
 /* Each change in one line. */
 static void
-tell(const MmFormat *format) {
-  if (can_handle(format))
+log_active_format(const MmFormat *format) {
+  if (supports_active(format))
     mm_info("the active format is %" G_GUINT64_FORMAT, format->active);
   else if (format->active == MM_FORMAT_UNREADABLE)
     mm_error("the key of the active format is not readable: this node does nothing");
   else
     mm_error("the active format is %" G_GUINT64_FORMAT ", this program knows %" G_GUINT64_FORMAT
              " to %" G_GUINT64_FORMAT ": this node does nothing",
-             format->active, format->lowest, format->highest);
+             format->active, format->lowest_supported, format->highest_supported);
 }
 
 void
-mm_format_seen(MmFormat *format, const json_t *value) {
+mm_format_key_changed(MmFormat *format, const json_t *value) {
   const json_t *number = mm_json_get(value, FIELD_FORMAT);
   guint64 previous = format->active;
 
@@ -51,15 +51,15 @@
   else
     format->active = MM_FORMAT_UNREADABLE;
   if (format->active != previous)
-    tell(format);
+    log_active_format(format);
 }
 
 void
-mm_format_loaded(MmFormat *format) {
-  format->known = TRUE;
+mm_format_key_loaded(MmFormat *format) {
+  format->is_known = TRUE;
 }
 
 gboolean
-mm_format_allows(const MmFormat *format) {
-  return format->known && can_handle(format);
+mm_format_is_supported(const MmFormat *format) {
+  return format->is_known && supports_active(format);
 }
--- a/src/upgrade/format.h
+++ b/src/upgrade/format.h
@@ -18,17 +18,17 @@
 
 struct MmFormat {
   MmNode *node;
-  guint64 lowest; /* as above; tests set others */
-  guint64 highest;
+  guint64 lowest_supported; /* as above; tests set others */
+  guint64 highest_supported;
   guint64 active;
-  gboolean known; /* the state service has been read as far as the key */
+  gboolean is_known; /* the state service has been read as far as the key */
 };
 
 MmFormat *mm_format_new(MmNode *node);
 void mm_format_free(MmFormat *format);
 /* The key, as the replica shows it; NULL: it is gone. */
-void mm_format_seen(MmFormat *format, const json_t *value);
+void mm_format_key_changed(MmFormat *format, const json_t *value);
 /* All keys up to the format's have been read once. */
-void mm_format_loaded(MmFormat *format);
+void mm_format_key_loaded(MmFormat *format);
 /* Whether the node may do anything at all: it knows the active format, and can handle it. */
-gboolean mm_format_allows(const MmFormat *format);
+gboolean mm_format_is_supported(const MmFormat *format);
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -4,7 +4,7 @@
 #include "store/replica.h"
 #include "store/store.h"
 
-#define RETRY_MS 500
+#define RETRY_AFTER_MS 500
 /* The names in a node's key. */
 #define FIELD_VERSION "v"
 #define FIELD_GROUPS "g"
@@ -14,71 +14,71 @@
   MmVersions *versions = g_new0(MmVersions, 1);
 
   versions->node = node;
-  versions->known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  versions->groups = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  versions->node_versions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  versions->node_group_counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   return versions;
 }
 
 void
 mm_versions_free(MmVersions *versions) {
-  g_hash_table_unref(versions->known);
-  g_hash_table_unref(versions->groups);
+  g_hash_table_unref(versions->node_versions);
+  g_hash_table_unref(versions->node_group_counts);
   g_free(versions);
 }
 
 static MmVersion
 version_of(const MmVersions *versions, const MmName *label) {
-  return (MmVersion)GPOINTER_TO_UINT(g_hash_table_lookup(versions->known, label->s));
+  return (MmVersion)GPOINTER_TO_UINT(g_hash_table_lookup(versions->node_versions, label->s));
 }
 
 static guint
-groups_of(const MmVersions *versions, const MmName *label) {
-  return GPOINTER_TO_UINT(g_hash_table_lookup(versions->groups, label->s));
+group_count_of(const MmVersions *versions, const MmName *label) {
+  return GPOINTER_TO_UINT(g_hash_table_lookup(versions->node_group_counts, label->s));
 }
 
 gboolean
-mm_versions_groups_told(const MmVersions *versions) {
+mm_versions_own_groups_announced(const MmVersions *versions) {
   const MmNode *node = versions->node;
 
-  return groups_of(versions, &node->settings->label) == (guint)node->operators->groups;
+  return group_count_of(versions, &node->settings->label) == (guint)node->operators->groups;
 }
 
 guint
-mm_versions_groups(const MmVersions *versions) {
+mm_versions_common_group_count(const MmVersions *versions) {
   const MmSettings *settings = versions->node->settings;
-  guint group_count = groups_of(versions, &settings->label);
+  guint group_count = group_count_of(versions, &settings->label);
 
   for (guint i = 0; i < settings->peers->len; i++)
-    if (groups_of(versions, &g_array_index(settings->peers, MmPeerSettings, i).label)
+    if (group_count_of(versions, &g_array_index(settings->peers, MmPeerSettings, i).label)
         != group_count)
       return 0;
   return group_count;
 }
 
 void
-mm_versions_seen(MmVersions *versions, const char *label, const json_t *value,
-                 MmKeyVersion key_version) {
+mm_versions_key_changed(MmVersions *versions, const char *label, const json_t *value,
+                        MmKeyVersion key_version) {
   guint node_version = (guint)MIN(mm_json_count(value, FIELD_VERSION, 0), G_MAXUINT);
 
   guint group_count = (guint)MIN(mm_json_count(value, FIELD_GROUPS, 0), G_MAXUINT);
 
-  g_hash_table_replace(versions->known, g_strdup(label), GUINT_TO_POINTER(node_version));
-  g_hash_table_replace(versions->groups, g_strdup(label), GUINT_TO_POINTER(group_count));
+  g_hash_table_replace(versions->node_versions, g_strdup(label), GUINT_TO_POINTER(node_version));
+  g_hash_table_replace(versions->node_group_counts, g_strdup(label), GUINT_TO_POINTER(group_count));
   if (strcmp(label, versions->node->settings->label.s) == 0)
-    versions->version = key_version;
+    versions->own_key_version = key_version;
 }
 
 static void
-written(gpointer data, int status, json_t *body) {
+on_key_written(gpointer data, int status, json_t *body) {
   MmVersions *versions = data;
 
   /* Whether it is there is for the replica to show. */
-  versions->writing = FALSE;
+  versions->is_writing = FALSE;
 }
 
 /* As before, to the byte, where machines are not shared out. */
 static json_t *
-own_value(const MmVersions *versions) {
+own_key_value(const MmVersions *versions) {
   guint group_count = (guint)versions->node->operators->groups;
   json_t *value = json_pack("{s:i}", FIELD_VERSION, MM_VERSION_CURRENT);
 
@@ -92,23 +92,25 @@
   MmNode *node = versions->node;
   MmTime now = mm_node_now(node);
   const MmName *own_label = &node->settings->label;
-  MmTxn transaction;
+  MmTransaction transaction;
 
-  if (versions->writing || !node->replica->loaded || mm_time_before(now, versions->next)
-      || mm_store_in_trouble(node->store) || node->sharing->conflicting_groups != 0
+  if (versions->is_writing || !node->replica->is_loaded
+      || mm_time_before(now, versions->next_write_at) || mm_kv_client_is_refused(node->store)
+      || node->sharing->conflicting_groups != 0
       || (version_of(versions, own_label) >= MM_VERSION_CURRENT
-          && mm_versions_groups_told(versions)))
+          && mm_versions_own_groups_announced(versions)))
     return;
-  versions->next = mm_time_add_ms(now, RETRY_MS);
-  versions->writing = TRUE;
-  transaction = mm_txn();
-  mm_txn_guard(&transaction, MM_KEY_VERSION, own_label->s, versions->version);
-  mm_txn_put(&transaction, MM_KEY_VERSION, own_label->s, own_value(versions), 0);
-  mm_store_commit(node->store, &transaction, written, versions);
+  versions->next_write_at = mm_time_add_ms(now, RETRY_AFTER_MS);
+  versions->is_writing = TRUE;
+  transaction = mm_transaction_begin();
+  mm_transaction_require_version(&transaction, MM_KEY_NODE_VERSION, own_label->s,
+                                 versions->own_key_version);
+  mm_transaction_put(&transaction, MM_KEY_NODE_VERSION, own_label->s, own_key_value(versions), 0);
+  mm_kv_client_commit(node->store, &transaction, on_key_written, versions);
 }
 
 gboolean
-mm_versions_all(const MmVersions *versions, MmVersion version) {
+mm_versions_all_support(const MmVersions *versions, MmVersion version) {
   const MmSettings *settings = versions->node->settings;
 
   if (version_of(versions, &settings->label) < version)
--- a/tests/test-broken.c
+++ b/tests/test-broken.c
@@ -182,7 +182,7 @@
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   g_test_add_func("/broken/sound", test_sound);
   g_test_add_func("/broken/ignores-acknowledgements", test_ignores_acknowledgements);
   g_test_add_func("/broken/too-hasty", test_too_hasty);
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -163,7 +163,7 @@
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   g_test_add_func("/fleet/six-thousand", test_six_thousand);
   return g_test_run();
 }
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -60,7 +60,7 @@
     g_assert_cmpint(ask(world, i, "GET", "/healthz", NULL), ==, 503);
     g_assert_cmpint(ask(world, i, "GET", path, NULL), ==, 503);
     g_assert_cmpint(ask(world, i, "POST", WIRE_JOBS_PATH, json_deep_copy(first->body)), ==, 503);
-    g_assert_false(mm_claims_may_answer(world->nodes[i].node->claims));
+    g_assert_false(mm_node_lease_may_answer_workers(world->nodes[i].node->node_lease));
   }
   world_kill_node(world, 1, 0.2);
   world_run(world, 10);
@@ -127,7 +127,7 @@
 
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   for (guint i = 0; i < G_N_ELEMENTS(values); i++) {
     g_autofree char *path = g_strdup_printf("/format/nobody-knows-%u", i);
     g_test_add_data_func(path, values[i], nobody_knows);
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -105,7 +105,7 @@
   World *world = world_of(keys);
 
   for (guint i = 0; i < WORLD_NODES; i++) {
-    g_assert_true(world->nodes[i].node->replica->loaded);
+    g_assert_true(world->nodes[i].node->replica->is_loaded);
     g_assert_cmpuint(world->nodes[i].node->replica->term.v, >=, term);
   }
   world_free(world);
@@ -126,16 +126,16 @@
     counts->jobs++;
     counts->cancelled += mm_json_get(value, "c") != NULL;
     counts->partly_done += mm_json_get(value, "d") != NULL;
-  } else if (after_prefix(path, MM_KEY_PACK, &rest)) {
+  } else if (after_prefix(path, MM_KEY_REGISTRY_PACK, &rest)) {
     mm_registry_put(node->registry, rest, value, version);
     check_pack(node, value);
     counts->packs++;
-  } else if (after_prefix(path, MM_KEY_FINAL, &rest)) {
+  } else if (after_prefix(path, MM_KEY_TERMINAL_RECORD, &rest)) {
     check_final(value);
     counts->finals++;
   }
   /* Nothing tells what the nodes understand. */
-  g_assert_false(after_prefix(path, MM_KEY_VERSION, &rest));
+  g_assert_false(after_prefix(path, MM_KEY_NODE_VERSION, &rest));
 }
 
 /* Jobs, machines and final states are read as they were meant, and written as they were. */
--- a/tests/test-health.c
+++ b/tests/test-health.c
@@ -43,7 +43,7 @@
   MmReport report = { .machine = m->id,
                       .type = m->type_name,
                       .zone = m->zone,
-                      .stamp = { session, m->stamp.seq + 1 },
+                      .stamp = { session, m->stamp.sequence + 1 },
                       .token = m->token,
                       .tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask)) };
 
@@ -62,7 +62,7 @@
                       .state = MM_SEEN_ENDED,
                       .cause = (guint8)cause };
 
-  take_report(s, machine, s->machines[machine]->stamp.session, &task);
+  take_report(s, machine, s->machines[machine]->stamp.incarnation, &task);
 }
 
 static gboolean
@@ -105,7 +105,7 @@
 test_lost_leases(void) {
   Setting s = set_up();
   gint64 second = G_USEC_PER_SEC;
-  guint64 session = s.machines[0]->stamp.session;
+  guint64 session = s.machines[0]->stamp.incarnation;
 
   for (guint lease = 0; lease < 3; lease++) {
     for (guint i = 0; i < 15; i++) {
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -173,7 +173,7 @@
 
   load(world, 210, 15);
   world_kill_node(world, 0, 30);
-  while (g_hash_table_size(world->nodes[1].node->replica->nodes) == WORLD_NODES)
+  while (g_hash_table_size(world->nodes[1].node->replica->live_nodes) == WORLD_NODES)
     world_run(world, 0.1);
   first = world->directs;
   for (; tenths < 70 && (tenths < 3 || !all_ready(world)); tenths++) {
@@ -252,7 +252,7 @@
                      0);
   world_run(world, 6);
   for (gint i = 0; i < WORLD_NODES; i++)
-    if (mm_claims_holds(world->nodes[i].node->claims, "team-0"))
+    if (mm_shard_ownership_leads(world->nodes[i].node->node_lease, "team-0"))
       owner = i;
   g_assert_cmpint(owner, >=, 0);
   world_cut_node(world, (guint)owner, 20, FALSE);
@@ -260,7 +260,7 @@
   for (guint i = 0; i < 200 && job->told != TOLD_CANCELLED; i++)
     world_run(world, 0.1);
   g_assert_cmpint(job->told, ==, TOLD_CANCELLED);
-  g_assert_false(mm_claims_valid(world->nodes[owner].node->claims));
+  g_assert_false(mm_node_lease_is_valid(world->nodes[owner].node->node_lease));
   world_run(world, 45);
   world_assert_rules(world);
   world_free(world);
@@ -413,7 +413,7 @@
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   g_test_add_func("/large/work-per-report", test_work_per_report);
   g_test_add_func("/large/zone-cut", test_zone_cut);
   g_test_add_func("/large/few-are-asked", test_few_are_asked);
--- a/tests/test-links.c
+++ b/tests/test-links.c
@@ -32,7 +32,7 @@
   return (MmReport){ .machine = machine->id,
                      .type = machine->type_name,
                      .zone = machine->zone,
-                     .stamp = { machine->stamp.session, machine->stamp.seq + 100 },
+                     .stamp = { machine->stamp.incarnation, machine->stamp.sequence + 100 },
                      .token = machine->token,
                      .direct = direct,
                      .tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask)) };
@@ -106,11 +106,11 @@
 
   world->nodes[0].refused_until_us = world->now_us + G_USEC_PER_SEC;
   world_run(world, 0.9);
-  mm_store_get(node->store, MM_KEY_NONE, "", NULL, NULL);
+  mm_kv_client_get(node->store, MM_KEY_NEVER_WRITTEN, "", NULL, NULL);
   world_freeze_node(world, 0, 5);
   world_run(world, 5.02);
-  g_assert_cmpint(node->store->last_refused.us, >, 0);
-  g_assert_cmpint(mm_time_ms_since(mm_node_now(node), node->store->last_refused), >=, 4900);
+  g_assert_cmpint(node->store->last_refused_at.us, >, 0);
+  g_assert_cmpint(mm_time_ms_since(mm_node_now(node), node->store->last_refused_at), >=, 4900);
   world_free(world);
 }
 
@@ -131,14 +131,14 @@
   world->now_us += 2 * (gint64)G_USEC_PER_SEC;
   mm_machine_table_take(direct->machine_table, &report, mm_node_now(direct), MM_HOST_NONE);
   g_assert_cmpint(machine->answered.us, ==, before.us);
-  report.stamp.session++;
+  report.stamp.incarnation++;
   mm_machine_table_take(direct->machine_table, &report, mm_node_now(direct), MM_HOST_NONE);
   g_assert_cmpint(machine->answered.us, ==, mm_node_now(direct).us);
   mm_report_clear(&report);
 
   machine = mm_machine_table_find(registered->machine_table, id);
   before = machine->answered;
-  entry = (MmEntry){ .machine = machine->id, .session = machine->stamp.session };
+  entry = (MmEntry){ .machine = machine->id, .session = machine->stamp.incarnation };
   mm_machine_table_registered(registered->machine_table, &entry);
   g_assert_cmpint(machine->answered.us, ==, before.us);
   entry.session++;
@@ -169,8 +169,8 @@
   for (guint i = 0; i < WORLD_NODES - 1; i++)
     node->port.reconnect(node->port.self, i);
   world_run(world, 1.5);
-  g_assert_cmpuint(there->stamp.seq, ==, report.stamp.seq);
-  g_assert_true(mm_stamp_newer(report.stamp, there->report_stamp));
+  g_assert_cmpuint(there->stamp.sequence, ==, report.stamp.sequence);
+  g_assert_true(mm_heartbeat_id_is_newer(report.stamp, there->report_stamp));
   g_assert_cmpint(mm_time_ms_since(mm_node_now(world->nodes[other].node), there->answered), <,
                   2500);
   mm_report_clear(&report);
--- a/tests/test-meetings.c
+++ b/tests/test-meetings.c
@@ -227,7 +227,7 @@
     world_run(world, 0.15);
     world->late_writes = 0;
     world_run(world, 20);
-    g_assert_true(mm_claims_may_answer(world->nodes[node].node->claims));
+    g_assert_true(mm_node_lease_may_answer_workers(world->nodes[node].node->node_lease));
   }
   return world->late_void - before;
 }
@@ -349,7 +349,7 @@
   world_run(world, 8);
   leader = world_leader(world);
   other = world->nodes[(leader + 1) % WORLD_NODES].node;
-  key = g_strconcat(MM_KEY_NODE, world->nodes[leader].settings->label.s, NULL);
+  key = g_strconcat(MM_KEY_LIVE_NODE, world->nodes[leader].settings->label.s, NULL);
   refuse(world, leader, 14);
   for (guint i = 0; i < 500 && g_tree_lookup(world->keys, key) != NULL; i++)
     world_run(world, 0.01);
@@ -361,7 +361,7 @@
   world_store_outage(world, world->cancel_s + 12);
   world_run(world, 0.5);
   for (guint i = 0; i < world->jobs->len; i++) {
-    g_autofree char *part = mm_claims_shard_of_team(&job_at(world, i)->spec.team);
+    g_autofree char *part = mm_shard_ownership_shard_of_team(&job_at(world, i)->spec.team);
     met += job_at(world, i)->told == TOLD_CANCELLED
            && mm_replica_shard(other->replica, part) == NULL;
   }
@@ -694,7 +694,7 @@
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   for (guint i = 0; i < G_N_ELEMENTS(meetings); i++) {
     g_autofree char *path = g_strconcat("/meetings/", meetings[i].name, NULL);
     g_test_add_data_func(path, &meetings[i], test_meeting);
--- a/tests/test-operators.c
+++ b/tests/test-operators.c
@@ -74,7 +74,7 @@
   for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
     g_autofree char *why = NULL;
     g_assert_true(parse(&operators, faults[i].xml, &why));
-    g_assert_false(mm_operators_check(&operators, settings, "ops.xml", &why));
+    g_assert_false(mm_operators_check_against_settings(&operators, settings, "ops.xml", &why));
     g_assert_nonnull(strstr(why, "ops.xml"));
     g_assert_nonnull(strstr(why, faults[i].about));
   }
@@ -82,7 +82,7 @@
                       "<martenmount><groups>256</groups>"
                       "<group-weight node=\"node-0\">2.5</group-weight></martenmount>",
                       &reason));
-  g_assert_true(mm_operators_check(&operators, settings, "ops.xml", &reason));
+  g_assert_true(mm_operators_check_against_settings(&operators, settings, "ops.xml", &reason));
   g_assert_cmpfloat(mm_operators_group_weight(&operators, "node-0"), ==, 2.5);
   g_assert_cmpfloat(mm_operators_group_weight(&operators, "node-9"), ==, 1);
 }
@@ -98,7 +98,7 @@
   for (const MmOperatorSetting *s = mm_operator_settings; s->name != NULL; s++) {
     g_autofree char *element = g_strdelimit(g_strdup(s->name), "_", '-');
     g_autofree char *row = g_strdup_printf("| `%s` | %s | %g | %g to %g | %s |", element, s->unit,
-                                           s->fallback, s->least, s->most, s->meaning);
+                                           s->default_value, s->min, s->max, s->meaning);
     if (strstr(page, row) == NULL)
       g_test_message("docs/operators.md lacks: %s", row);
     g_assert_nonnull(strstr(page, row));
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -129,9 +129,9 @@
 static void
 test_old_ask(void) {
   Setting s = set_up(2);
-  MmStamp now = s.machines[0]->stamp;
+  MmHeartbeatId now = s.machines[0]->stamp;
 
-  s.machines[0]->stamp.seq++;
+  s.machines[0]->stamp.sequence++;
   {
     MmAsk old = { .machine = s.machines[0], .stamp = now, .room = { 16, 2, 64 }, .pull = TRUE };
     MmApproval approval;
@@ -174,7 +174,7 @@
 test_newer_attempt_stands(void) {
   for (guint newer_first = 0; newer_first < 2; newer_first++) {
     Setting s = set_up(2);
-    guint64 seq = MAX(s.machines[0]->stamp.seq, s.machines[1]->stamp.seq) + 1;
+    guint64 seq = MAX(s.machines[0]->stamp.sequence, s.machines[1]->stamp.sequence) + 1;
     guint first = newer_first ? 1 : 0;
 
     take(&s, report_with(&s, first, 1, seq, first == 1 ? 200 : 100));
@@ -247,7 +247,7 @@
 test_late_copies(void) {
   Setting s = set_up(2);
   MmMachine *machine = s.machines[0];
-  guint64 seq = machine->stamp.seq + 10;
+  guint64 seq = machine->stamp.sequence + 10;
   MmTime answered;
 
   take(&s, report_with(&s, 0, 1, seq, 100));
@@ -262,7 +262,7 @@
   g_assert_cmpint(machine->answered.us, ==, answered.us);
   g_assert_true(s.job->tasks[0].machine == machine);
   /* A report that a direct answer has overtaken is none. */
-  machine->stamp.seq = seq + 5;
+  machine->stamp.sequence = seq + 5;
   g_assert_false(is_late(&s, report_with(&s, 0, 1, seq + 2, 0)));
   /* Nothing brings back what has been proved gone. */
   mm_machine_table_gone(s.owner->node->machine_table, machine->id.s);
@@ -278,15 +278,15 @@
   const MmMachineTable *machine_table = s.owner->node->machine_table;
   MmReport report = report_with(&s, 0, 3, 70, 100);
 
-  s.owner->node->replica->first_term.v = 7; /* as if it had started among others */
+  s.owner->node->replica->term_at_start.v = 7; /* as if it had started among others */
   report.machine = mm_name("m-000999");
-  report.token.v = s.owner->node->replica->first_term.v - 1;
+  report.token.v = s.owner->node->replica->term_at_start.v - 1;
   g_assert_true(mm_machine_table_is_unproved(machine_table, &report));
-  report.token = s.owner->node->replica->first_term;
+  report.token = s.owner->node->replica->term_at_start;
   g_assert_false(mm_machine_table_is_unproved(machine_table, &report));
   /* One on the register may hold tasks: whatever it shows counts. */
   report.machine = s.machines[0]->id;
-  report.stamp.session = s.machines[0]->registered_session;
+  report.stamp.incarnation = s.machines[0]->registered_session;
   report.token.v = 0;
   s.machines[0]->heard = FALSE;
   g_assert_false(mm_machine_table_is_unproved(machine_table, &report));
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -523,7 +523,7 @@
 
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   /* More days than CI plays: MM_PIPELINE_DAYS=100 tests/test-pipelines */
   if (g_getenv("MM_PIPELINE_DAYS") != NULL)
     days = (guint)g_ascii_strtoull(g_getenv("MM_PIPELINE_DAYS"), NULL, 10);
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -21,9 +21,9 @@
 
   g_assert_nonnull(settings);
   g_assert_cmpuint(settings->peers->len, ==, 1);
-  g_assert_cmpuint(settings->state_value_bytes, ==, 4096);
+  g_assert_cmpuint(settings->kv_max_value_bytes, ==, 4096);
   g_assert_cmpfloat(mm_settings_team(settings, &red)->limit.cores, ==, 8);
-  g_assert_cmpfloat(settings->lease_s, ==, 10);
+  g_assert_cmpfloat(settings->worker_lease_s, ==, 10);
 }
 
 /* One line that names the file, the field and what is wrong with it. */
@@ -97,9 +97,9 @@
     g_autofree char *reason = NULL;
     g_autoptr(MmSettings) settings = read_with_next(good[i].next, &reason);
     g_assert_cmpstr(reason, ==, NULL);
-    g_assert_cmpfloat(settings->state_write_rps, ==, good[i].write_rps);
-    g_assert_cmpuint(settings->state_value_bytes, ==, good[i].value_bytes);
-    g_assert_cmpuint(settings->state_txn_ops, ==, good[i].txn_ops);
+    g_assert_cmpfloat(settings->kv_writes_per_s, ==, good[i].write_rps);
+    g_assert_cmpuint(settings->kv_max_value_bytes, ==, good[i].value_bytes);
+    g_assert_cmpuint(settings->kv_max_operations, ==, good[i].txn_ops);
   }
   for (guint i = 0; i < G_N_ELEMENTS(bad); i++) {
     g_autofree char *reason = NULL;
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -156,7 +156,7 @@
 duty_holder_ends(Move *move) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = move->world->nodes[i].node;
-    if (node != NULL && mm_claims_holds(node->claims, MM_SHARD_SHARING))
+    if (node != NULL && mm_shard_ownership_leads(node->node_lease, MM_SHARD_SHARING))
       world_kill_node(move->world, i, 0.2);
   }
 }
@@ -558,7 +558,7 @@
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   /* `-m slow`: some hundred days, which take minutes. */
   for (guint seed = 1; seed <= (g_test_slow() ? SLOW_DAYS : DAYS); seed++) {
     g_autofree char *path = g_strdup_printf("/sharing-world/day-%u", seed);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -32,7 +32,7 @@
 
   for (guint i = 0; i < WORLD_NODES; i++)
     n += world->nodes[i].node != NULL
-         && mm_versions_all(world->nodes[i].node->versions, MM_VERSION_DEPENDENCIES);
+         && mm_versions_all_support(world->nodes[i].node->versions, MM_VERSION_DEPENDENCIES);
   return n;
 }
 
@@ -88,10 +88,10 @@
   gsize most = 0;
   guint i;
 
-  g_assert_true(replica->loaded);
+  g_assert_true(replica->is_loaded);
   for (i = 0; i < WORLD_NODES; i++)
     for (guint k = 0; k < 16; k++) {
-      g_autofree char *path = g_strdup_printf(MM_KEY_PACK "n-%u/%u", i, k);
+      g_autofree char *path = g_strdup_printf(MM_KEY_REGISTRY_PACK "n-%u/%u", i, k);
       const WorldKey *key = g_tree_lookup(world->keys, path);
       if (key != NULL)
         most = MAX(most, json_dumpb(key->value, NULL, 0, JSON_COMPACT));
@@ -223,7 +223,7 @@
 
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   /* More days than CI plays: MM_UPGRADE_DAYS=100 tests/test-upgrade */
   if (g_getenv("MM_UPGRADE_DAYS") != NULL)
     days = (guint)g_ascii_strtoull(g_getenv("MM_UPGRADE_DAYS"), NULL, 10);
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -294,12 +294,12 @@
   world->nodes[0].refused_until_us = world->nodes[1].refused_until_us = world->now_us + 30 * second;
   world_run(world, 8);
   world_assert_rules(world);
-  g_assert_false(mm_claims_may_answer(world->nodes[0].node->claims));
-  g_assert_false(mm_claims_may_answer(world->nodes[1].node->claims));
-  g_assert_true(mm_claims_may_answer(world->nodes[2].node->claims));
+  g_assert_false(mm_node_lease_may_answer_workers(world->nodes[0].node->node_lease));
+  g_assert_false(mm_node_lease_may_answer_workers(world->nodes[1].node->node_lease));
+  g_assert_true(mm_node_lease_may_answer_workers(world->nodes[2].node->node_lease));
   world_run(world, 40);
   world_assert_rules(world);
-  g_assert_true(mm_claims_may_answer(world->nodes[0].node->claims));
+  g_assert_true(mm_node_lease_may_answer_workers(world->nodes[0].node->node_lease));
   world_free(world);
 }
 
@@ -353,7 +353,7 @@
   json_object_set_new(body, WIRE_JOB_ID, json_string("run-000001"));
   world_cut_node(world, 1, 20, FALSE);
   world_run(world, 4);
-  g_assert_false(mm_claims_may_answer(world->nodes[1].node->claims));
+  g_assert_false(mm_node_lease_may_answer_workers(world->nodes[1].node->node_lease));
   world_ask_node(world, 1, NULL, "POST", WIRE_JOBS_PATH, body, 100000, world_note_status,
                  &submitted);
   world_ask_node(world, 1, NULL, "GET", WIRE_JOBS_PATH "/run-000001", NULL, 100000,
@@ -364,7 +364,7 @@
   g_assert_cmpint(polled, ==, 503);
   g_assert_cmpint(health, ==, 503);
   world_run(world, 25);
-  g_assert_true(mm_claims_may_answer(world->nodes[1].node->claims));
+  g_assert_true(mm_node_lease_may_answer_workers(world->nodes[1].node->node_lease));
   world_assert_rules(world);
   world_free(world);
 }
@@ -414,7 +414,7 @@
   for (guint i = 0; i < 24; i++) {
     world_run(world, 1);
     for (guint n = 0; n < WORLD_NODES; n++)
-      g_assert_true(mm_claims_may_answer(world->nodes[n].node->claims));
+      g_assert_true(mm_node_lease_may_answer_workers(world->nodes[n].node->node_lease));
   }
   world_run(world, 10);
   world_assert_rules(world);
@@ -427,7 +427,7 @@
 
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_setup();
+    mm_log_read_level();
   /* More days than CI plays: MM_WORLD_DAYS=100 tests/test-world */
   if (g_getenv("MM_WORLD_DAYS") != NULL)
     days = rough = (guint)g_ascii_strtoull(g_getenv("MM_WORLD_DAYS"), NULL, 10);
--- a/tests/world/broken.c
+++ b/tests/world/broken.c
@@ -24,7 +24,7 @@
 forget_stamps(MmMachineTable *machine_table) {
   for (guint i = 0; i < machine_table->order->len; i++) {
     MmMachine *machine = g_ptr_array_index(machine_table->order, i);
-    machine->stamp.seq = machine->report_stamp.seq = 0;
+    machine->stamp.sequence = machine->report_stamp.sequence = 0;
   }
 }
 
@@ -82,14 +82,14 @@
 /* One for which what it has read does not grow old. */
 static void
 forget_staleness(const MmNode *node, MmTime now) {
-  node->replica->stale_us = 0;
-  node->replica->ticked = now;
+  node->replica->staleness_us = 0;
+  node->replica->staleness_at = now;
 }
 
 /* And one that goes on as if its claim could not end either. */
 static void
 forget_claim_ends(const MmNode *node, MmTime now) {
-  node->claims->valid = mm_time_add_ms(now, 60000);
+  node->node_lease->valid_until = mm_time_add_ms(now, 60000);
   forget_staleness(node, now);
 }
 
@@ -112,7 +112,7 @@
     forget_stamps(node->machine_table);
   if (world->answer_deaf)
     forget_deafness(node);
-  if (world->claim_for_ever && node->claims->claim != 0)
+  if (world->claim_for_ever && node->node_lease->lease_id != 0)
     forget_claim_ends(node, now);
   if (world->never_stale)
     forget_staleness(node, now);
--- a/tests/world/calls.c
+++ b/tests/world/calls.c
@@ -192,7 +192,7 @@
   json_array_foreach(changes, i, item) {
     const char *key = mm_json_string(item, WIRE_PUT);
     if (world->late_takings && key != NULL
-        && (g_str_has_prefix(key, MM_KEY_SHARD) || g_str_has_prefix(key, MM_KEY_GROUPS)))
+        && (g_str_has_prefix(key, MM_KEY_SHARD) || g_str_has_prefix(key, MM_KEY_MACHINE_GROUPS)))
       return TRUE;
   }
   return world->late_writes > 0 && world_uniform(world, 0, 1) < world->late_writes;
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -18,7 +18,7 @@
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     g_autofree char *label = g_strdup_printf("n-%u", i);
-    g_autofree char *path = g_strconcat(MM_KEY_GROUPS, label, NULL);
+    g_autofree char *path = g_strconcat(MM_KEY_MACHINE_GROUPS, label, NULL);
     const WorldKey *key = g_tree_lookup(world->keys, path);
     if (key != NULL)
       mm_group_map_put(map, label, key->value, (MmKeyVersion){ key->version });
@@ -72,7 +72,7 @@
 some_group_is_unowned(const World *world) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = world->nodes[i].node;
-    if (node != NULL && node->replica->loaded && node->sharing->active
+    if (node != NULL && node->replica->is_loaded && node->sharing->active
         && node->sharing->unowned_since.us != 0)
       return TRUE;
   }
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -62,10 +62,11 @@
   guint leader = G_MAXUINT, most_led = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
-    const MmClaims *claims = world->nodes[i].node != NULL ? world->nodes[i].node->claims : NULL;
+    const MmNodeLease *claims
+        = world->nodes[i].node != NULL ? world->nodes[i].node->node_lease : NULL;
     guint n_led = 0;
-    for (guint p = 0; claims != NULL && p < claims->names->len; p++)
-      n_led += mm_claims_holds(claims, g_ptr_array_index(claims->names, p));
+    for (guint p = 0; claims != NULL && p < claims->shard_names->len; p++)
+      n_led += mm_shard_ownership_leads(claims, g_ptr_array_index(claims->shard_names, p));
     if (claims != NULL && (leader == G_MAXUINT || n_led > most_led)) {
       leader = i;
       most_led = n_led;
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -13,7 +13,7 @@
 
   for (i = json_array_size(changes); i > 0; i--) {
     const char *key = mm_json_string(json_array_get(changes, i - 1), WIRE_PUT);
-    if (key != NULL && g_str_has_prefix(key, MM_KEY_VERSION))
+    if (key != NULL && g_str_has_prefix(key, MM_KEY_NODE_VERSION))
       json_array_remove(changes, i - 1);
   }
   json_array_foreach(changes, i, item) {
@@ -21,7 +21,7 @@
     json_t *value = json_object_get(item, WIRE_VALUE);
     if (key == NULL)
       continue;
-    if (g_str_has_prefix(key, MM_KEY_FINAL))
+    if (g_str_has_prefix(key, MM_KEY_TERMINAL_RECORD))
       json_object_del(value, "t");
     /* It would drop what it does not know of. */
     if (g_str_has_prefix(key, MM_KEY_JOB) && mm_json_get(value, "w") != NULL)
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -290,7 +290,7 @@
   world_node->node = mm_node_new(world_node->settings, &world_node->operators, &platform,
                                  (guint32)g_rand_int(world->rand));
   if (world_node->highest_format != 0)
-    world_node->node->format->highest = world_node->highest_format;
+    world_node->node->format->highest_supported = world_node->highest_format;
   mm_node_start(world_node->node);
   *tick_timer = (Later){ world_node, world_node->life, NULL, NULL };
   world_at(world, world->now_us + MM_NODE_TICK_MS * 1000, tick, tick_timer);
