--- a/src/checkin/checkin.c
+++ b/src/checkin/checkin.c
@@ -11,47 +11,47 @@
 #include "store/replica.h"
 #include "upgrade/versions.h"
 
-#define DEFER_MS 800
-#define DEFERRED_LEAST 256
-#define REDIRECT_EVERY_MS 400
+#define DEFER_MAX_MS 800
+#define DEFERRED_HEARTBEATS_MIN 256
+#define REDIRECT_INTERVAL_MS 400
 
 typedef struct {
   json_t *body;
   MmExchange *exchange;
-  MmTime since;
-} Deferred;
+  MmTime received_at;
+} DeferredHeartbeat;
 
-MmCheckin *
-mm_checkin_new(MmNode *node) {
-  MmCheckin *server = g_new0(MmCheckin, 1);
+MmHeartbeatServer *
+mm_heartbeat_server_new(MmNode *node) {
+  MmHeartbeatServer *server = g_new0(MmHeartbeatServer, 1);
 
   server->node = node;
-  server->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
-  server->deferred = g_queue_new();
-  server->confirming = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  server->pending_responses = g_hash_table_new(g_int64_hash, g_int64_equal);
+  server->deferred_heartbeats = g_queue_new();
+  server->jobs_being_confirmed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   return server;
 }
 
 void
-mm_checkin_free(MmCheckin *server) {
-  Deferred *deferred;
+mm_heartbeat_server_free(MmHeartbeatServer *server) {
+  DeferredHeartbeat *deferred;
 
-  mm_pending_answers_refuse(server);
-  while ((deferred = g_queue_pop_head(server->deferred)) != NULL) {
+  mm_pending_responses_refuse_all(server);
+  while ((deferred = g_queue_pop_head(server->deferred_heartbeats)) != NULL) {
     mm_exchange_answer(deferred->exchange, 503, NULL, 0);
     json_decref(deferred->body);
     g_free(deferred);
   }
-  g_queue_free(server->deferred);
-  g_hash_table_unref(server->asks);
-  g_hash_table_unref(server->confirming);
+  g_queue_free(server->deferred_heartbeats);
+  g_hash_table_unref(server->pending_responses);
+  g_hash_table_unref(server->jobs_being_confirmed);
   g_free(server);
 }
 
 /* ---- reports ---- */
 
 static void
-redirect(MmCheckin *server, MmExchange *exchange, gint peer) {
+redirect_worker(MmHeartbeatServer *server, MmExchange *exchange, gint peer) {
   if (peer >= 0)
     mm_exchange_answer(exchange, 421,
                        json_pack("{s:s}", WIRE_REPORT_TO, server->node->links->peers[peer].label.s),
@@ -62,17 +62,17 @@
 
 /* Machines are spread over the nodes by moving one now and then. */
 static gint
-lighter_peer(MmCheckin *server) {
+less_loaded_peer(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
   gint peer;
 
-  if (mm_time_ms_since(now, server->redirected) < REDIRECT_EVERY_MS)
+  if (mm_time_ms_since(now, server->last_redirect_at) < REDIRECT_INTERVAL_MS)
     return -1;
   peer = mm_links_other(server->node->links);
-  if (peer < 0 || server->hosted < server->node->links->peers[peer].machines + 4)
+  if (peer < 0 || server->served_machines < server->node->links->peers[peer].machines + 4)
     return -1;
-  server->redirected = now;
-  server->hosted--;
+  server->last_redirect_at = now;
+  server->served_machines--;
   server->node->links->peers[peer].machines++;
   return peer;
 }
@@ -80,16 +80,17 @@
 /* Each machine has one report under way, so the machine table bounds them; FALSE when it waits
  * already as long as it may. */
 static gboolean
-defer(MmCheckin *server, const json_t *body, MmExchange *exchange, MmTime received_at) {
-  guint limit = MAX(DEFERRED_LEAST, server->node->machine_table->order->len);
-  Deferred *deferred;
+defer_heartbeat(MmHeartbeatServer *server, const json_t *body, MmExchange *exchange,
+                MmTime received_at) {
+  guint limit = MAX(DEFERRED_HEARTBEATS_MIN, server->node->machine_table->sorted_machines->len);
+  DeferredHeartbeat *deferred;
 
-  if (mm_time_ms_since(mm_node_now(server->node), received_at) >= DEFER_MS
-      || g_queue_get_length(server->deferred) >= limit)
+  if (mm_time_ms_since(mm_node_now(server->node), received_at) >= DEFER_MAX_MS
+      || g_queue_get_length(server->deferred_heartbeats) >= limit)
     return FALSE;
-  deferred = g_new(Deferred, 1);
-  *deferred = (Deferred){ json_incref((json_t *)body), exchange, received_at };
-  g_queue_push_tail(server->deferred, deferred);
+  deferred = g_new(DeferredHeartbeat, 1);
+  *deferred = (DeferredHeartbeat){ json_incref((json_t *)body), exchange, received_at };
+  g_queue_push_tail(server->deferred_heartbeats, deferred);
   return TRUE;
 }
 
@@ -98,77 +99,79 @@
  * parts then waited two report periods for their acknowledgements. So reports wait a moment for the
  * last of the terms. Not for ever, should nobody take a part. */
 gboolean
-mm_checkin_is_settling(const MmCheckin *server) {
-  return server->unsettled_since.us != 0
-         && mm_time_ms_since(mm_node_now(server->node), server->unsettled_since) < DEFER_MS;
+mm_heartbeat_server_is_settling(const MmHeartbeatServer *server) {
+  return server->ownership_unsettled_since.us != 0
+         && mm_time_ms_since(mm_node_now(server->node), server->ownership_unsettled_since)
+                < DEFER_MAX_MS;
 }
 
 static void
-watch_parts(MmCheckin *server) {
+track_ownership_changes(MmHeartbeatServer *server) {
   if (!mm_shard_ownership_is_unsettled(server->node->node_lease))
-    server->unsettled_since.us = 0;
-  else if (server->unsettled_since.us == 0)
-    server->unsettled_since = mm_node_now(server->node);
+    server->ownership_unsettled_since.us = 0;
+  else if (server->ownership_unsettled_since.us == 0)
+    server->ownership_unsettled_since = mm_node_now(server->node);
 }
 
 static void
-refuse_report(MmExchange *exchange, const char *reason) {
+refuse_heartbeat(MmExchange *exchange, const char *reason) {
   mm_exchange_answer(exchange, 503, mm_json_error(reason), 0);
 }
 
 /* It gets the term to show, and stops, which are always good; not for ever, should it show nothing.
  */
 static void
-answer_unproved(MmCheckin *server, const MmReport *heartbeat, MmExchange *exchange) {
+respond_unverified(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmExchange *exchange) {
   MmNode *node = server->node;
-  MmMachine *machine = mm_machine_table_note_unproved(node->machine_table, heartbeat);
+  MmMachine *machine = mm_machine_table_add_unverified(node->machine_table, heartbeat);
   json_t *commands;
 
-  if (mm_health_is_deaf(node->machine_table, machine)) {
-    refuse_report(exchange, "earlier answers were not taken");
+  if (mm_machine_health_ignores_responses(node->machine_table, machine)) {
+    refuse_heartbeat(exchange, "earlier answers were not taken");
     return;
   }
-  mm_health_note_answer(node->machine_table, machine, mm_node_now(node));
-  mm_health_count_own_answer(node->machine_table, machine);
+  mm_machine_health_record_response(node->machine_table, machine, mm_node_now(node));
+  mm_machine_health_count_own_response(node->machine_table, machine);
   mm_links_tell_unproved(node->links, &machine->id);
   commands = json_array();
-  mm_checkin_clear_away(server, heartbeat->tasks, commands);
-  mm_checkin_send_commands(node, exchange, commands);
+  mm_heartbeat_server_add_cleanup_commands(server, heartbeat->tasks, commands);
+  mm_heartbeat_server_send_commands(node, exchange, commands);
 }
 
 /* Reports that this node may not answer, or not yet; TRUE when the exchange is dealt with. */
 static gboolean
-turn_away(MmCheckin *server, const MmReport *heartbeat, const json_t *body, MmExchange *exchange,
-          MmTime received_at) {
+reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, const json_t *body,
+                MmExchange *exchange, MmTime received_at) {
   MmNode *node = server->node;
   gint peer;
 
   if (!mm_node_lease_may_answer_workers(node->node_lease)
       || !mm_versions_own_groups_announced(node->versions)) {
-    redirect(server, exchange, mm_links_other(node->links));
+    redirect_worker(server, exchange, mm_links_other(node->links));
     return TRUE;
   }
-  if (heartbeat->token.v > node->replica->term.v) {
+  if (heartbeat->fencing_token.v > node->replica->term.v) {
     /* A 200 with our term would be dropped and would hold the worker here: the watch must show the
      * newer term, with the part map, first. */
-    if (!defer(server, body, exchange, received_at))
-      refuse_report(exchange, "the term is not known here yet");
+    if (!defer_heartbeat(server, body, exchange, received_at))
+      refuse_heartbeat(exchange, "the term is not known here yet");
     return TRUE;
   }
-  if (mm_checkin_is_settling(server) && defer(server, body, exchange, received_at))
+  if (mm_heartbeat_server_is_settling(server)
+      && defer_heartbeat(server, body, exchange, received_at))
     return TRUE;
-  peer = node->sharing->active ? mm_sharing_redirect(node->sharing, heartbeat->machine.s)
-                               : lighter_peer(server);
+  peer = node->sharing->active ? mm_sharing_redirect(node->sharing, heartbeat->machine_id.s)
+                               : less_loaded_peer(server);
   if (peer >= 0) {
-    redirect(server, exchange, peer);
+    redirect_worker(server, exchange, peer);
     return TRUE;
   }
-  if (mm_machine_table_is_late(node->machine_table, heartbeat)) {
-    refuse_report(exchange, "a newer report has come");
+  if (mm_machine_table_is_stale_heartbeat(node->machine_table, heartbeat)) {
+    refuse_heartbeat(exchange, "a newer report has come");
     return TRUE;
   }
-  if (mm_machine_table_is_unproved(node->machine_table, heartbeat)) {
-    answer_unproved(server, heartbeat, exchange);
+  if (mm_machine_table_is_unverified(node->machine_table, heartbeat)) {
+    respond_unverified(server, heartbeat, exchange);
     return TRUE;
   }
   return FALSE;
@@ -176,19 +179,19 @@
 
 /* Takes the report into the machine table and tells the peers, before it is answered. */
 static MmMachine *
-take_and_tell(MmCheckin *server, const MmReport *heartbeat) {
+record_and_broadcast(MmHeartbeatServer *server, const MmHeartbeat *heartbeat) {
   MmNode *node = server->node;
-  MmMachine *machine
-      = mm_machine_table_take(node->machine_table, heartbeat, mm_node_now(node), MM_HOST_SELF);
+  MmMachine *machine = mm_machine_table_record_heartbeat(node->machine_table, heartbeat,
+                                                         mm_node_now(node), MM_SERVING_NODE_SELF);
 
   if (machine != NULL) {
-    mm_links_tell_report(node->links, machine, !heartbeat->unanswered);
+    mm_links_tell_report(node->links, machine, !heartbeat->is_unanswered);
     return machine;
   }
   /* Overtaken by a direct answer: it renews the lease if the worker still waits, so the peers must
    * know of it, whatever stamp they know. */
-  machine = mm_machine_table_find(node->machine_table, heartbeat->machine.s);
-  if (!heartbeat->unanswered)
+  machine = mm_machine_table_find(node->machine_table, heartbeat->machine_id.s);
+  if (!heartbeat->is_unanswered)
     mm_links_tell_unproved(node->links, &machine->id);
   return machine;
 }
@@ -197,89 +200,93 @@
  * ever prove its lease over, and parts that were taken meanwhile would wait for its acknowledgement
  * without end. */
 static void
-answer_report(MmCheckin *server, MmReport *heartbeat, MmExchange *exchange) {
+respond_to_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmExchange *exchange) {
   MmMachineTable *machine_table = server->node->machine_table;
-  MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine.s);
-
-  heartbeat->unanswered = machine != NULL && mm_health_is_deaf(machine_table, machine)
-                          && heartbeat->token.v <= machine->token.v;
-  if (!heartbeat->unanswered || !machine->lost)
-    machine = take_and_tell(server, heartbeat);
-  if (heartbeat->unanswered) {
-    refuse_report(exchange, "earlier answers were not taken");
+  MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine_id.s);
+
+  heartbeat->is_unanswered = machine != NULL
+                             && mm_machine_health_ignores_responses(machine_table, machine)
+                             && heartbeat->fencing_token.v <= machine->acknowledged_term.v;
+  if (!heartbeat->is_unanswered || !machine->lease_has_expired)
+    machine = record_and_broadcast(server, heartbeat);
+  if (heartbeat->is_unanswered) {
+    refuse_heartbeat(exchange, "earlier answers were not taken");
     return;
   }
-  mm_health_count_own_answer(machine_table, machine);
-  mm_pending_answer_start(server, heartbeat, machine, exchange);
+  mm_machine_health_count_own_response(machine_table, machine);
+  mm_pending_response_begin(server, heartbeat, machine, exchange);
 }
 
 static void
-take_in(MmCheckin *server, const json_t *body, MmExchange *exchange, MmTime received_at) {
+process_heartbeat(MmHeartbeatServer *server, const json_t *body, MmExchange *exchange,
+                  MmTime received_at) {
   const char *reason = NULL;
-  MmReport heartbeat;
+  MmHeartbeat heartbeat;
 
-  if (!mm_report_parse(&heartbeat, body, &reason))
+  if (!mm_heartbeat_parse(&heartbeat, body, &reason))
     mm_exchange_answer(exchange, 400, mm_json_error(reason), 0);
-  else if (!turn_away(server, &heartbeat, body, exchange, received_at))
-    answer_report(server, &heartbeat, exchange);
-  mm_report_clear(&heartbeat);
+  else if (!reject_or_defer(server, &heartbeat, body, exchange, received_at))
+    respond_to_heartbeat(server, &heartbeat, exchange);
+  mm_heartbeat_clear(&heartbeat);
 }
 
 void
-mm_checkin_report(MmCheckin *server, const json_t *body, MmExchange *exchange) {
-  take_in(server, body, exchange, mm_node_now(server->node));
+mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body, MmExchange *exchange) {
+  process_heartbeat(server, body, exchange, mm_node_now(server->node));
 }
 
 static void
-again(MmCheckin *server, Deferred *deferred) {
-  take_in(server, deferred->body, deferred->exchange, deferred->since);
+retry_deferred(MmHeartbeatServer *server, DeferredHeartbeat *deferred) {
+  process_heartbeat(server, deferred->body, deferred->exchange, deferred->received_at);
   json_decref(deferred->body);
   g_free(deferred);
 }
 
 void
-mm_checkin_replica_changed(MmCheckin *server) {
-  guint n_deferred = g_queue_get_length(server->deferred);
+mm_heartbeat_server_replica_changed(MmHeartbeatServer *server) {
+  guint n_deferred = g_queue_get_length(server->deferred_heartbeats);
 
-  watch_parts(server);
+  track_ownership_changes(server);
   while (n_deferred-- > 0)
-    again(server, g_queue_pop_head(server->deferred));
+    retry_deferred(server, g_queue_pop_head(server->deferred_heartbeats));
 }
 
 guint
-mm_checkin_hosted(const MmCheckin *server) {
-  return server->hosted;
+mm_heartbeat_server_served_machines(const MmHeartbeatServer *server) {
+  return server->served_machines;
 }
 
 static void
-count_hosted(MmCheckin *server) {
+count_served_machines(MmHeartbeatServer *server) {
   MmNode *node = server->node;
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->heartbeat_interval_s * 3000);
 
-  if (mm_time_ms_since(now, server->counted) < 500)
+  if (mm_time_ms_since(now, server->machines_counted_at) < 500)
     return;
-  server->counted = now;
-  server->hosted = 0;
-  for (guint i = 0; i < node->machine_table->order->len; i++) {
-    const MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
-    server->hosted += machine->host == MM_HOST_SELF && machine->heard
-                      && mm_time_ms_since(now, machine->reported) < recent_ms;
+  server->machines_counted_at = now;
+  server->served_machines = 0;
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+    server->served_machines += machine->serving_node == MM_SERVING_NODE_SELF
+                               && machine->has_reported
+                               && mm_time_ms_since(now, machine->last_heartbeat_at) < recent_ms;
   }
 }
 
 void
-mm_checkin_tick(MmCheckin *server) {
+mm_heartbeat_server_tick(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
 
-  count_hosted(server);
-  if (server->unsettled_since.us != 0 && !mm_shard_ownership_is_unsettled(server->node->node_lease))
-    mm_checkin_replica_changed(server);
-  while (!g_queue_is_empty(server->deferred)) {
-    Deferred *deferred = g_queue_peek_head(server->deferred);
-    if (mm_time_ms_since(now, deferred->since) < DEFER_MS)
+  count_served_machines(server);
+  if (server->ownership_unsettled_since.us != 0
+      && !mm_shard_ownership_is_unsettled(server->node->node_lease))
+    mm_heartbeat_server_replica_changed(server);
+  while (!g_queue_is_empty(server->deferred_heartbeats)) {
+    DeferredHeartbeat *deferred = g_queue_peek_head(server->deferred_heartbeats);
+    if (mm_time_ms_since(now, deferred->received_at) < DEFER_MAX_MS)
       break;
-    again(server, g_queue_pop_head(server->deferred));
+    retry_deferred(server, g_queue_pop_head(server->deferred_heartbeats));
   }
-  mm_pending_answers_expire(server);
+  mm_pending_responses_expire(server);
 }
--- a/src/checkin/checkin.h
+++ b/src/checkin/checkin.h
@@ -4,27 +4,30 @@
 #include "node/node.h"
 #include "peers.pb-c.h"
 
-struct MmCheckin {
+struct MmHeartbeatServer {
   MmNode *node;
-  GHashTable *asks; /* id of the request to a peer -> MmPendingAnswer */
-  guint64 next_ask;
+  GHashTable *pending_responses; /* id of the request to a peer -> MmPendingResponse */
+  guint64 last_request_id;
   /* Reports that show a newer term than the replica does, or came while parts changed hands: */
-  GQueue *deferred;
-  MmTime unsettled_since; /* since when parts are about to change hands; 0: they are not */
-  MmTime redirected;
-  MmTime counted;
-  guint hosted;
-  GHashTable *confirming; /* jobs whose final state is being read */
+  GQueue *deferred_heartbeats;
+  MmTime
+      ownership_unsettled_since; /* since when parts are about to change hands; 0: they are not */
+  MmTime last_redirect_at;
+  MmTime machines_counted_at;
+  guint served_machines;
+  GHashTable *jobs_being_confirmed; /* jobs whose final state is being read */
 };
 
-MmCheckin *mm_checkin_new(MmNode *node);
-void mm_checkin_free(MmCheckin *server);
-void mm_checkin_tick(MmCheckin *server);
-void mm_checkin_report(MmCheckin *server, const json_t *body, MmExchange *exchange);
-void mm_checkin_replica_changed(MmCheckin *server);
+MmHeartbeatServer *mm_heartbeat_server_new(MmNode *node);
+void mm_heartbeat_server_free(MmHeartbeatServer *server);
+void mm_heartbeat_server_tick(MmHeartbeatServer *server);
+void mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body,
+                                 MmExchange *exchange);
+void mm_heartbeat_server_replica_changed(MmHeartbeatServer *server);
 /* A peer's answer to a request for approval. */
-void mm_checkin_answered(MmCheckin *server, guint peer, const Mm__Answer *reply);
+void mm_pending_response_start_answered(MmHeartbeatServer *server, guint peer,
+                                        const Mm__Answer *reply);
 /* Parts are changing hands at the moment: what is told of terms now would soon be old. */
-gboolean mm_checkin_is_settling(const MmCheckin *server);
+gboolean mm_heartbeat_server_is_settling(const MmHeartbeatServer *server);
 /* Machines that report to this node. */
-guint mm_checkin_hosted(const MmCheckin *server);
+guint mm_heartbeat_server_served_machines(const MmHeartbeatServer *server);
--- a/src/checkin/pending-answer.c
+++ b/src/checkin/pending-answer.c
@@ -7,46 +7,47 @@
 #include "store/replica.h"
 #include "store/store.h"
 
-#define FAILS_MAX 4
-#define CONFIRMING_MAX 16
+#define FAILED_REQUESTS_MAX 4
+#define CONFIRMATIONS_MAX 16
 
 static void
-pending_answer_free(MmPendingAnswer *response) {
-  g_array_unref(response->starts);
-  g_array_unref(response->tried);
+pending_response_free(MmPendingResponse *response) {
+  g_array_unref(response->approved_starts);
+  g_array_unref(response->tried_tasks);
   g_free(response);
 }
 
 /* ---- jobs that the replica does not know ---- */
 
 typedef struct {
-  MmCheckin *checkin;
-  MmName job;
-} Confirm;
+  MmHeartbeatServer *server;
+  MmName job_id;
+} TerminalConfirmation;
 
 static void
-confirmed(gpointer data, int status, json_t *body) {
-  Confirm *confirmation = data;
+terminal_state_received(gpointer data, int status, json_t *body) {
+  TerminalConfirmation *confirmation = data;
 
   if (status == 200)
-    mm_job_table_keep_final(confirmation->checkin->node->job_table, confirmation->job.s,
+    mm_job_table_keep_final(confirmation->server->node->job_table, confirmation->job_id.s,
                             mm_json_get(body, WIRE_VALUE));
-  g_hash_table_remove(confirmation->checkin->confirming, confirmation->job.s);
+  g_hash_table_remove(confirmation->server->jobs_being_confirmed, confirmation->job_id.s);
   g_free(confirmation);
 }
 
 static void
-confirm_over(MmCheckin *server, const MmName *job_id) {
-  Confirm *confirmation;
+confirm_job_is_terminal(MmHeartbeatServer *server, const MmName *job_id) {
+  TerminalConfirmation *confirmation;
 
-  if (g_hash_table_size(server->confirming) >= CONFIRMING_MAX
-      || g_hash_table_contains(server->confirming, job_id->s)
+  if (g_hash_table_size(server->jobs_being_confirmed) >= CONFIRMATIONS_MAX
+      || g_hash_table_contains(server->jobs_being_confirmed, job_id->s)
       || mm_kv_client_is_refused(server->node->store))
     return;
-  g_hash_table_add(server->confirming, g_strdup(job_id->s));
-  confirmation = g_new(Confirm, 1);
-  *confirmation = (Confirm){ server, *job_id };
-  mm_kv_client_get(server->node->store, MM_KEY_TERMINAL_RECORD, job_id->s, confirmed, confirmation);
+  g_hash_table_add(server->jobs_being_confirmed, g_strdup(job_id->s));
+  confirmation = g_new(TerminalConfirmation, 1);
+  *confirmation = (TerminalConfirmation){ server, *job_id };
+  mm_kv_client_get(server->node->store, MM_KEY_TERMINAL_RECORD, job_id->s, terminal_state_received,
+                   confirmation);
 }
 
 /* What of these tasks has to go, whoever holds their parts. That a job is cancelled needs no judge:
@@ -55,40 +56,41 @@
  * without a record is over, unless the replica lags: only a final state that has been seen allows
  * its tasks to be cleared away. */
 void
-mm_checkin_clear_away(MmCheckin *server, const GArray *tasks, json_t *commands) {
+mm_heartbeat_server_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
+                                         json_t *commands) {
   MmJobTable *job_table = server->node->job_table;
 
   for (guint i = 0; i < tasks->len; i++) {
-    const MmSeenTask *reported = &g_array_index(tasks, MmSeenTask, i);
+    const MmReportedTask *reported = &g_array_index(tasks, MmReportedTask, i);
     const MmJob *job = mm_job_table_find(job_table, reported->job.s);
-    MmCommand command = { reported->state == MM_SEEN_ENDED ? MM_OP_FORGET : MM_OP_STOP,
+    MmCommand command = { reported->state == MM_REPORTED_ENDED ? MM_OP_FORGET : MM_OP_STOP,
                           reported->job, reported->number, reported->attempt, 0 };
-    if (job != NULL ? job->cancelled && reported->state != MM_SEEN_ENDED
+    if (job != NULL ? job->cancelled && reported->state != MM_REPORTED_ENDED
                     : mm_job_table_is_over(job_table, reported->job.s))
       json_array_append_new(commands, mm_command_to_json(&command));
     else if (job == NULL)
-      confirm_over(server, &reported->job);
+      confirm_job_is_terminal(server, &reported->job);
   }
 }
 
 /* ---- answers ---- */
 
 static gboolean
-start_is_good(const MmPendingAnswer *response, const MmApprovedStart *start) {
-  const MmCheckin *server = response->checkin;
-  const MmShard *shard = mm_replica_shard(server->node->replica, start->part.s);
-  const MmJob *job = mm_job_table_find(server->node->job_table, start->start.job.s);
+start_is_still_valid(const MmPendingResponse *response, const MmApprovedStart *start) {
+  const MmHeartbeatServer *server = response->server;
+  const MmShard *shard = mm_replica_shard(server->node->replica, start->shard.s);
+  const MmJob *job = mm_job_table_find(server->node->job_table, start->command.job.s);
 
   /* Adopting a term drops the approvals and the grants of superseded owners. */
-  return mm_sharing_grant_is_current(server->node->sharing, response->machine.s,
+  return mm_sharing_grant_is_current(server->node->sharing, response->machine_id.s,
                                      response->grant_term)
-         && shard != NULL && shard->term.v == start->term.v
+         && shard != NULL && shard->term.v == start->shard_term.v
          && (job != NULL ? !job->cancelled
-                         : !mm_job_table_is_over(server->node->job_table, start->start.job.s));
+                         : !mm_job_table_is_over(server->node->job_table, start->command.job.s));
 }
 
 void
-mm_checkin_send_commands(const MmNode *node, MmExchange *exchange, json_t *commands) {
+mm_heartbeat_server_send_commands(const MmNode *node, MmExchange *exchange, json_t *commands) {
   mm_exchange_answer(exchange, 200,
                      json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v,
                                WIRE_COMMANDS, commands),
@@ -96,118 +98,118 @@
 }
 
 static void
-finish(MmPendingAnswer *response) {
-  MmCheckin *server = response->checkin;
+send_response(MmPendingResponse *response) {
+  MmHeartbeatServer *server = response->server;
   MmNode *node = server->node;
-  MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine.s);
+  MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
   json_t *commands;
 
   /* Without the machine's entry nothing is known of what must stop there. */
   if (!mm_node_lease_may_answer_workers(node->node_lease) || machine == NULL) {
     mm_exchange_answer(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
-    pending_answer_free(response);
+    pending_response_free(response);
     return;
   }
   commands = json_array();
-  if (machine->queued_session == response->stamp.incarnation)
-    for (guint i = 0; i < machine->queued->len; i++)
-      json_array_append_new(commands,
-                            mm_command_to_json(&g_array_index(machine->queued, MmCommand, i)));
-  g_array_set_size(machine->queued, 0);
-  mm_checkin_clear_away(server, machine->tasks, commands);
-  for (guint i = 0; i < response->starts->len; i++) {
-    const MmApprovedStart *start = &g_array_index(response->starts, MmApprovedStart, i);
-    if (start_is_good(response, start))
-      json_array_append_new(commands, mm_command_to_json(&start->start));
+  if (machine->queued_incarnation == response->heartbeat_id.incarnation)
+    for (guint i = 0; i < machine->queued_commands->len; i++)
+      json_array_append_new(
+          commands, mm_command_to_json(&g_array_index(machine->queued_commands, MmCommand, i)));
+  g_array_set_size(machine->queued_commands, 0);
+  mm_heartbeat_server_add_cleanup_commands(server, machine->reported_tasks, commands);
+  for (guint i = 0; i < response->approved_starts->len; i++) {
+    const MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
+    if (start_is_still_valid(response, start))
+      json_array_append_new(commands, mm_command_to_json(&start->command));
   }
-  mm_checkin_send_commands(node, response->exchange, commands);
-  pending_answer_free(response);
+  mm_heartbeat_server_send_commands(node, response->exchange, commands);
+  pending_response_free(response);
 }
 
 static void
-take_approval(MmPendingAnswer *response, const MmApproval *approval) {
-  MmCheckin *server = response->checkin;
+add_approved_start(MmPendingResponse *response, const MmApproval *approval) {
+  MmHeartbeatServer *server = response->server;
   const MmJob *job = mm_job_table_find(server->node->job_table, approval->job.s);
   MmApprovedStart start = { { MM_OP_START, approval->job, approval->number, approval->attempt, 0 },
                             approval->part,
                             approval->term };
 
-  g_array_append_val(response->starts, start);
+  g_array_append_val(response->approved_starts, start);
   if (job == NULL)
-    response->room = (MmResources){ 0 };
+    response->available = (MmResources){ 0 };
   else if (!approval->reserved)
-    response->room = mm_resources_sub(response->room, job->spec.need);
-  mm_rank_strike(server->node->rank, (guint)response->asked.view, approval->job.s,
+    response->available = mm_resources_sub(response->available, job->spec.need);
+  mm_rank_strike(server->node->rank, (guint)response->choice.view, approval->job.s,
                  approval->number);
 }
 
 static void
-take_refusal(MmPendingAnswer *response) {
-  response->fails++;
-  if (response->asked.n == 0)
-    response->dry |= 1u << response->asked.view;
-  g_array_append_vals(response->tried, response->asked.tasks, response->asked.n);
+record_refusal(MmPendingResponse *response) {
+  response->failed_requests++;
+  if (response->choice.n == 0)
+    response->exhausted_views |= 1u << response->choice.view;
+  g_array_append_vals(response->tried_tasks, response->choice.tasks, response->choice.n);
 }
 
 static void
-send_ask(MmPendingAnswer *response) {
-  MmCheckin *server = response->checkin;
+send_start_request(MmPendingResponse *response) {
+  MmHeartbeatServer *server = response->server;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Ask request = MM__ASK__INIT;
   Mm__TaskRef task_refs[MM_RANK_CANDIDATES_MAX];
   Mm__TaskRef *ref_pointers[MM_RANK_CANDIDATES_MAX];
 
-  response->ask = ++server->next_ask;
-  g_hash_table_insert(server->asks, &response->ask, response);
-  request.id = response->ask;
-  request.machine = response->machine.s;
-  request.session = response->stamp.incarnation;
-  request.seq = response->stamp.sequence;
-  request.cores = response->room.cores;
-  request.accelerators = response->room.accelerators;
-  request.memory_gb = response->room.memory_gb;
-  request.pull = response->asked.pull;
-  for (guint i = 0; i < response->asked.n; i++) {
+  response->request_id = ++server->last_request_id;
+  g_hash_table_insert(server->pending_responses, &response->request_id, response);
+  request.id = response->request_id;
+  request.machine = response->machine_id.s;
+  request.session = response->heartbeat_id.incarnation;
+  request.seq = response->heartbeat_id.sequence;
+  request.cores = response->available.cores;
+  request.accelerators = response->available.accelerators;
+  request.memory_gb = response->available.memory_gb;
+  request.pull = response->choice.pull;
+  for (guint i = 0; i < response->choice.n; i++) {
     mm__task_ref__init(&task_refs[i]);
-    task_refs[i].job = response->asked.tasks[i].job.s;
-    task_refs[i].number = response->asked.tasks[i].number;
+    task_refs[i].job = response->choice.tasks[i].job.s;
+    task_refs[i].number = response->choice.tasks[i].number;
     ref_pointers[i] = &task_refs[i];
   }
   request.candidates = ref_pointers;
-  request.n_candidates = response->asked.n;
+  request.n_candidates = response->choice.n;
   frame.body_case = MM__FRAME__BODY_ASK;
   frame.ask = &request;
-  mm_links_send(server->node->links, (guint)response->asked.view - 1, &frame);
+  mm_links_send(server->node->links, (guint)response->choice.view - 1, &frame);
 }
 
 /* ---- grants of the machine's resources ---- */
 
 static void
-ask_for_grants(MmPendingAnswer *response) {
-  MmCheckin *server = response->checkin;
-  guint n_starts = response->starts->len;
+request_grants(MmPendingResponse *response) {
+  MmHeartbeatServer *server = response->server;
+  guint n_starts = response->approved_starts->len;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__GrantAsk request = MM__GRANT_ASK__INIT;
   g_autofree Mm__GrantStart *items = g_new(Mm__GrantStart, n_starts);
   g_autofree Mm__GrantStart **list = g_new(Mm__GrantStart *, n_starts);
 
-  response->granting = TRUE;
-  response->ask = ++server->next_ask;
+  response->awaits_grants = TRUE;
+  response->request_id = ++server->last_request_id;
   response->deadline
       = mm_time_add_ms(mm_node_now(server->node), (gint64)server->node->operators->ask_timeout_ms);
-  g_hash_table_insert(server->asks, &response->ask, response);
+  g_hash_table_insert(server->pending_responses, &response->request_id, response);
   for (guint i = 0; i < n_starts; i++) {
-    MmApprovedStart *start = &g_array_index(response->starts, MmApprovedStart, i);
+    MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
     mm__grant_start__init(&items[i]);
-    items[i].job = start->start.job.s;
-    items[i].number = start->start.number;
-    items[i].attempt = start->start.attempt.v;
+    items[i].job = start->command.job.s;
+    items[i].number = start->command.number;
+    items[i].attempt = start->command.attempt.v;
     list[i] = &items[i];
   }
-  request.id = response->ask;
-  request.machine = response->machine.s;
-  request.session = response->stamp.incarnation;
-  request.seq = response->stamp.sequence;
+  request.id = response->request_id;
+  request.machine = response->machine_id.s;
+  request.session = response->heartbeat_id.incarnation;
+  request.seq = response->heartbeat_id.sequence;
   request.term = response->grant_term.v;
   request.starts = list;
   request.n_starts = n_starts;
@@ -217,174 +219,177 @@
 }
 
 static void
-grant_here(MmPendingAnswer *response) {
-  MmSharing *sharing = response->checkin->node->sharing;
+grant_locally(MmPendingResponse *response) {
+  MmSharing *sharing = response->server->node->sharing;
   MmMachine *machine
-      = mm_machine_table_find(response->checkin->node->machine_table, response->machine.s);
+      = mm_machine_table_find(response->server->node->machine_table, response->machine_id.s);
 
-  for (guint i = response->starts->len; i > 0; i--) {
-    const MmCommand *start = &g_array_index(response->starts, MmApprovedStart, i - 1).start;
-    MmGrant grant = { start->job, start->number, start->attempt, response->stamp };
+  for (guint i = response->approved_starts->len; i > 0; i--) {
+    const MmCommand *start
+        = &g_array_index(response->approved_starts, MmApprovedStart, i - 1).command;
+    MmGrant grant = { start->job, start->number, start->attempt, response->heartbeat_id };
     if (machine == NULL || !mm_sharing_may_grant(sharing, machine)
         || !mm_grants_give(sharing->grants, machine, &grant))
-      g_array_remove_index(response->starts, i - 1);
+      g_array_remove_index(response->approved_starts, i - 1);
   }
 }
 
 /* The approved starts need their resources granted by whoever owns the machine's group. */
 static void
-get_grants(MmPendingAnswer *response) {
-  if (response->starts->len > 0 && response->grants == MM_GRANTS_AT_PEER) {
-    ask_for_grants(response);
+obtain_grants(MmPendingResponse *response) {
+  if (response->approved_starts->len > 0 && response->grant_source == MM_GRANTS_AT_PEER) {
+    request_grants(response);
     return;
   }
-  if (response->grants == MM_GRANTS_HERE)
-    grant_here(response);
-  finish(response);
+  if (response->grant_source == MM_GRANTS_HERE)
+    grant_locally(response);
+  send_response(response);
 }
 
 void
-mm_pending_answer_granted(MmCheckin *server, guint peer, const Mm__GrantAnswer *reply) {
+mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
+                                    const Mm__GrantAnswer *reply) {
   guint64 request_id = reply->id;
-  MmPendingAnswer *response = g_hash_table_lookup(server->asks, &request_id);
+  MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
-  if (response == NULL || !response->granting || response->grant_peer != peer
-      || reply->n_granted != response->starts->len)
+  if (response == NULL || !response->awaits_grants || response->grant_peer != peer
+      || reply->n_granted != response->approved_starts->len)
     return;
-  g_hash_table_remove(server->asks, &request_id);
-  for (guint i = response->starts->len; i > 0; i--)
+  g_hash_table_remove(server->pending_responses, &request_id);
+  for (guint i = response->approved_starts->len; i > 0; i--)
     if (!reply->granted[i - 1])
-      g_array_remove_index(response->starts, i - 1);
-  finish(response);
+      g_array_remove_index(response->approved_starts, i - 1);
+  send_response(response);
 }
 
 /* One request after another until the room is used, nothing fits or time is up. */
 static void
-go_on(MmPendingAnswer *response) {
-  MmCheckin *server = response->checkin;
+request_next_start(MmPendingResponse *response) {
+  MmHeartbeatServer *server = response->server;
   MmNode *node = server->node;
   guint limit = (guint)node->operators->starts_per_answer;
 
-  while (response->starts->len < limit && response->fails < FAILS_MAX
+  while (response->approved_starts->len < limit && response->failed_requests < FAILED_REQUESTS_MAX
          && mm_time_before(mm_node_now(node), response->deadline)) {
-    MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine.s);
+    MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
     MmApproval approval;
     MmAsk request;
 
-    if (machine == NULL || mm_heartbeat_id_is_newer(machine->stamp, response->stamp)
-        || !mm_machine_usable(node->machine_table, machine))
+    if (machine == NULL
+        || mm_heartbeat_id_is_newer(machine->latest_message_id, response->heartbeat_id)
+        || !mm_machine_is_usable(node->machine_table, machine))
       break;
-    response->asked
-        = mm_rank_choose(node->rank, machine, response->room, response->tried, response->dry);
-    if (response->asked.view < 0)
+    response->choice = mm_rank_choose(node->rank, machine, response->available,
+                                      response->tried_tasks, response->exhausted_views);
+    if (response->choice.view < 0)
       break;
-    if (response->asked.view > 0) {
-      if (!node->links->peers[response->asked.view - 1].up) {
-        take_refusal(response);
-        response->dry |= 1u << response->asked.view;
+    if (response->choice.view > 0) {
+      if (!node->links->peers[response->choice.view - 1].up) {
+        record_refusal(response);
+        response->exhausted_views |= 1u << response->choice.view;
         continue;
       }
-      send_ask(response);
+      send_start_request(response);
       return;
     }
     request = (MmAsk){ .machine = machine,
-                       .stamp = response->stamp,
-                       .room = response->room,
+                       .stamp = response->heartbeat_id,
+                       .room = response->available,
                        .own = TRUE,
-                       .pull = response->asked.pull,
-                       .n = response->asked.n };
-    memcpy(request.tasks, response->asked.tasks, sizeof request.tasks);
+                       .pull = response->choice.pull,
+                       .n = response->choice.n };
+    memcpy(request.tasks, response->choice.tasks, sizeof request.tasks);
     if (mm_owner_ask(node->owner, &request, &approval))
-      take_approval(response, &approval);
+      add_approved_start(response, &approval);
     else
-      take_refusal(response);
+      record_refusal(response);
   }
-  get_grants(response);
+  obtain_grants(response);
 }
 
 void
-mm_checkin_answered(MmCheckin *server, guint peer, const Mm__Answer *reply) {
+mm_pending_response_start_answered(MmHeartbeatServer *server, guint peer, const Mm__Answer *reply) {
   guint64 request_id = reply->id;
-  MmPendingAnswer *response = g_hash_table_lookup(server->asks, &request_id);
+  MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
   /* Too late: its answer has gone out without it, and the machine's next report denies it. */
-  if (response == NULL || response->granting || response->asked.view != (gint)peer + 1)
+  if (response == NULL || response->awaits_grants || response->choice.view != (gint)peer + 1)
     return;
-  g_hash_table_remove(server->asks, &request_id);
+  g_hash_table_remove(server->pending_responses, &request_id);
   server->node->rank->views[peer + 1].unfinished = reply->unfinished;
   if (reply->approval != NULL) {
     MmApproval approval
         = { mm_name(reply->approval->job),  reply->approval->number,   { reply->approval->attempt },
             mm_name(reply->approval->team), { reply->approval->term }, FALSE };
-    take_approval(response, &approval);
+    add_approved_start(response, &approval);
   } else {
-    take_refusal(response);
+    record_refusal(response);
   }
-  go_on(response);
+  request_next_start(response);
 }
 
-static MmPendingAnswer *
-pending_answer_new(MmCheckin *server, const MmReport *heartbeat, MmMachine *machine,
-                   MmExchange *exchange) {
+static MmPendingResponse *
+pending_response_new(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmMachine *machine,
+                     MmExchange *exchange) {
   MmNode *node = server->node;
-  MmPendingAnswer *response = g_new0(MmPendingAnswer, 1);
+  MmPendingResponse *response = g_new0(MmPendingResponse, 1);
 
-  response->checkin = server;
+  response->server = server;
   response->exchange = exchange;
-  response->machine = heartbeat->machine;
-  response->stamp = heartbeat->stamp;
-  response->starts = g_array_new(FALSE, TRUE, sizeof(MmApprovedStart));
-  response->tried = g_array_new(FALSE, TRUE, sizeof(MmTaskRef));
-  response->room = mm_machine_free(node->machine_table, machine);
-  response->grants = mm_sharing_grant_source(node->sharing, machine, &response->grant_peer,
-                                             &response->grant_term);
+  response->machine_id = heartbeat->machine_id;
+  response->heartbeat_id = heartbeat->heartbeat_id;
+  response->approved_starts = g_array_new(FALSE, TRUE, sizeof(MmApprovedStart));
+  response->tried_tasks = g_array_new(FALSE, TRUE, sizeof(MmTaskRef));
+  response->available = mm_machine_available_resources(node->machine_table, machine);
+  response->grant_source = mm_sharing_grant_source(node->sharing, machine, &response->grant_peer,
+                                                   &response->grant_term);
   response->deadline = mm_time_add_ms(mm_node_now(node), (gint64)node->operators->ask_timeout_ms);
   return response;
 }
 
 void
-mm_pending_answer_start(MmCheckin *server, const MmReport *heartbeat, MmMachine *machine,
-                        MmExchange *exchange) {
-  MmPendingAnswer *response = pending_answer_new(server, heartbeat, machine, exchange);
+mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
+                          MmMachine *machine, MmExchange *exchange) {
+  MmPendingResponse *response = pending_response_new(server, heartbeat, machine, exchange);
 
   /* Where nobody can grant resources, nothing is asked for: it would only be denied later. */
-  if (response->grants == MM_GRANTS_NOWHERE)
-    finish(response);
+  if (response->grant_source == MM_GRANTS_NOWHERE)
+    send_response(response);
   else
-    go_on(response);
+    request_next_start(response);
 }
 
 void
-mm_pending_answers_expire(MmCheckin *server) {
+mm_pending_responses_expire(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
   g_autoptr(GPtrArray) expired = g_ptr_array_new();
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, server->asks);
+  g_hash_table_iter_init(&iter, server->pending_responses);
   while (g_hash_table_iter_next(&iter, NULL, &value))
-    if (!mm_time_before(now, ((MmPendingAnswer *)value)->deadline))
+    if (!mm_time_before(now, ((MmPendingResponse *)value)->deadline))
       g_ptr_array_add(expired, value);
   for (guint i = 0; i < expired->len; i++) {
-    MmPendingAnswer *response = g_ptr_array_index(expired, i);
-    g_hash_table_remove(server->asks, &response->ask);
-    if (response->granting)
-      g_array_set_size(response->starts, 0);
-    if (response->granting || response->grants == MM_GRANTS_NOT_NEEDED)
-      finish(response);
+    MmPendingResponse *response = g_ptr_array_index(expired, i);
+    g_hash_table_remove(server->pending_responses, &response->request_id);
+    if (response->awaits_grants)
+      g_array_set_size(response->approved_starts, 0);
+    if (response->awaits_grants || response->grant_source == MM_GRANTS_NOT_NEEDED)
+      send_response(response);
     else
-      get_grants(response);
+      obtain_grants(response);
   }
 }
 
 void
-mm_pending_answers_refuse(MmCheckin *server) {
+mm_pending_responses_refuse_all(MmHeartbeatServer *server) {
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, server->asks);
+  g_hash_table_iter_init(&iter, server->pending_responses);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    mm_exchange_answer(((MmPendingAnswer *)value)->exchange, 503, NULL, 0);
-    pending_answer_free(value);
+    mm_exchange_answer(((MmPendingResponse *)value)->exchange, 503, NULL, 0);
+    pending_response_free(value);
   }
 }
--- a/src/checkin/pending-answer.h
+++ b/src/checkin/pending-answer.h
@@ -13,41 +13,43 @@
 
 /* A start that its owner has approved. */
 typedef struct {
-  MmCommand start;
-  MmName part;
-  MmTerm term;
+  MmCommand command;
+  MmName shard;
+  MmTerm shard_term;
 } MmApprovedStart;
 
 typedef struct {
-  MmCheckin *checkin;
+  MmHeartbeatServer *server;
   MmExchange *exchange;
-  MmName machine;
-  MmHeartbeatId stamp;
-  MmResources room;
-  GArray *starts; /* Start */
-  GArray *tried;  /* MmTaskRef */
-  MmChoice asked;
-  guint dry;
-  guint fails;
-  guint64 ask;
+  MmName machine_id;
+  MmHeartbeatId heartbeat_id;
+  MmResources available;
+  GArray *approved_starts; /* Start */
+  GArray *tried_tasks;     /* MmTaskRef */
+  MmChoice choice;
+  guint exhausted_views;
+  guint failed_requests;
+  guint64 request_id;
   MmTime deadline;
-  MmGrantSource grants; /* who grants the machine's resources, */
-  guint grant_peer;     /* which peer that is, */
-  MmTerm grant_term;    /* and under which term it owns the machine's group */
-  gboolean granting;    /* the approved starts are being asked for there */
-} MmPendingAnswer;
+  MmGrantSource grant_source; /* who grants the machine's resources, */
+  guint grant_peer;           /* which peer that is, */
+  MmTerm grant_term;          /* and under which term it owns the machine's group */
+  gboolean awaits_grants;     /* the approved starts are being asked for there */
+} MmPendingResponse;
 
 /* Begins the answer to a report that was taken in; the exchange is answered once, now or later. */
-void mm_pending_answer_start(MmCheckin *server, const MmReport *heartbeat, MmMachine *machine,
-                             MmExchange *exchange);
+void mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
+                               MmMachine *machine, MmExchange *exchange);
 /* The group's owner has said which of the approved starts may have their resources. */
-void mm_pending_answer_granted(MmCheckin *server, guint peer, const Mm__GrantAnswer *reply);
+void mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
+                                         const Mm__GrantAnswer *reply);
 /* Sends what there is to all whose time is up. */
-void mm_pending_answers_expire(MmCheckin *server);
+void mm_pending_responses_expire(MmHeartbeatServer *server);
 /* Answers all 503: the node ends. */
-void mm_pending_answers_refuse(MmCheckin *server);
+void mm_pending_responses_refuse_all(MmHeartbeatServer *server);
 
 /* Adds commands for those of the tasks that have to go, whoever owns their shards. */
-void mm_checkin_clear_away(MmCheckin *server, const GArray *tasks, json_t *commands);
+void mm_heartbeat_server_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
+                                              json_t *commands);
 /* Answers 200 with the replica's term. Takes the commands. */
-void mm_checkin_send_commands(const MmNode *node, MmExchange *exchange, json_t *commands);
+void mm_heartbeat_server_send_commands(const MmNode *node, MmExchange *exchange, json_t *commands);
--- a/src/checkin/registry.c
+++ b/src/checkin/registry.c
@@ -6,14 +6,14 @@
 #include "store/replica.h"
 #include "store/store.h"
 
-#define EVERY_MS 250
+#define WRITE_INTERVAL_MS 250
 /* All nodes read a pack anew whenever it changes: a few dozen machines each. */
-#define PACK_BYTES 4096
-#define PACK_FRAME_BYTES 64
+#define PACK_MAX_BYTES 4096
+#define PACK_OVERHEAD_BYTES 64
 
 static void
 pack_free(gpointer data) {
-  MmPack *pack = data;
+  MmRegistryPack *pack = data;
 
   g_array_unref(pack->entries);
   g_free(pack);
@@ -37,21 +37,21 @@
 /* ---- packs as JSON ---- */
 
 static json_t *
-pack_json(const GArray *entries) {
+pack_to_json(const GArray *entries) {
   json_t *list = json_array();
 
   for (guint i = 0; i < entries->len; i++) {
-    const MmEntry *entry = &g_array_index(entries, MmEntry, i);
-    json_array_append_new(list, json_pack("[s, s, s, s, i, I]", entry->machine.s, entry->addr,
-                                          entry->type.s, entry->zone.s, entry->spot ? 1 : 0,
-                                          (json_int_t)entry->session));
+    const MmRegistryEntry *entry = &g_array_index(entries, MmRegistryEntry, i);
+    json_array_append_new(list, json_pack("[s, s, s, s, i, I]", entry->machine_id.s, entry->addr,
+                                          entry->type.s, entry->zone.s, entry->is_spot ? 1 : 0,
+                                          (json_int_t)entry->incarnation));
   }
   return json_pack("{s:o}", "v", list);
 }
 
 static gsize
-entry_bytes(const MmEntry *entry) {
-  return strlen(entry->machine.s) + strlen(entry->addr) + strlen(entry->type.s)
+entry_bytes(const MmRegistryEntry *entry) {
+  return strlen(entry->machine_id.s) + strlen(entry->addr) + strlen(entry->type.s)
          + strlen(entry->zone.s) + 40;
 }
 
@@ -60,30 +60,31 @@
   gsize bytes = 0;
 
   for (guint i = 0; i < entries->len; i++)
-    bytes += entry_bytes(&g_array_index(entries, MmEntry, i));
+    bytes += entry_bytes(&g_array_index(entries, MmRegistryEntry, i));
   return bytes;
 }
 
 /* What the entries of one pack may take. */
 static gsize
-pack_limit(const MmRegistry *registry) {
-  return MIN(mm_kv_client_max_value_bytes(registry->node->store), PACK_BYTES) - PACK_FRAME_BYTES;
+pack_limit_bytes(const MmRegistry *registry) {
+  return MIN(mm_kv_client_max_value_bytes(registry->node->store), PACK_MAX_BYTES)
+         - PACK_OVERHEAD_BYTES;
 }
 
 static GArray *
-read_pack(const json_t *value) {
-  GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmEntry));
+pack_from_json(const json_t *value) {
+  GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
   size_t i;
   json_t *item;
 
   json_array_foreach(mm_json_get(value, "v"), i, item) {
-    MmEntry entry = { .machine = mm_name(json_string_value(json_array_get(item, 0))),
-                      .type = mm_name(json_string_value(json_array_get(item, 2))),
-                      .zone = mm_name(json_string_value(json_array_get(item, 3))),
-                      .spot = json_integer_value(json_array_get(item, 4)) != 0,
-                      .session = (guint64)json_integer_value(json_array_get(item, 5)) };
+    MmRegistryEntry entry = { .machine_id = mm_name(json_string_value(json_array_get(item, 0))),
+                              .type = mm_name(json_string_value(json_array_get(item, 2))),
+                              .zone = mm_name(json_string_value(json_array_get(item, 3))),
+                              .is_spot = json_integer_value(json_array_get(item, 4)) != 0,
+                              .incarnation = (guint64)json_integer_value(json_array_get(item, 5)) };
     const char *addr = json_string_value(json_array_get(item, 1));
-    if (mm_name_is_empty(&entry.machine))
+    if (mm_name_is_empty(&entry.machine_id))
       continue;
     g_strlcpy(entry.addr, addr != NULL ? addr : "", sizeof entry.addr);
     g_array_append_val(entries, entry);
@@ -91,25 +92,25 @@
   return entries;
 }
 
-static const MmEntry *
+static const MmRegistryEntry *
 find_entry(const GArray *entries, const char *machine_id) {
   for (guint i = 0; i < entries->len; i++)
-    if (strcmp(g_array_index(entries, MmEntry, i).machine.s, machine_id) == 0)
-      return &g_array_index(entries, MmEntry, i);
+    if (strcmp(g_array_index(entries, MmRegistryEntry, i).machine_id.s, machine_id) == 0)
+      return &g_array_index(entries, MmRegistryEntry, i);
   return NULL;
 }
 
 /* The machine's newest session in the register, or NULL. */
-static const MmEntry *
-newest(const MmRegistry *registry, const char *machine_id) {
-  const MmEntry *newest_entry = NULL;
+static const MmRegistryEntry *
+find_newest_entry(const MmRegistry *registry, const char *machine_id) {
+  const MmRegistryEntry *newest_entry = NULL;
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init(&iter, registry->packs);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const MmEntry *entry = find_entry(((MmPack *)value)->entries, machine_id);
-    if (entry != NULL && (newest_entry == NULL || entry->session > newest_entry->session))
+    const MmRegistryEntry *entry = find_entry(((MmRegistryPack *)value)->entries, machine_id);
+    if (entry != NULL && (newest_entry == NULL || entry->incarnation > newest_entry->incarnation))
       newest_entry = entry;
   }
   return newest_entry;
@@ -119,56 +120,57 @@
 
 /* Entries that a pack no longer has. */
 static void
-left_out(MmRegistry *registry, const GArray *previous, const GArray *current) {
+process_removed_entries(MmRegistry *registry, const GArray *previous, const GArray *current) {
   for (guint i = 0; i < previous->len; i++) {
-    const MmEntry *entry = &g_array_index(previous, MmEntry, i);
-    const MmEntry *remaining_entry;
-    if (current != NULL && find_entry(current, entry->machine.s) != NULL)
+    const MmRegistryEntry *entry = &g_array_index(previous, MmRegistryEntry, i);
+    const MmRegistryEntry *remaining_entry;
+    if (current != NULL && find_entry(current, entry->machine_id.s) != NULL)
       continue;
-    remaining_entry = newest(registry, entry->machine.s);
+    remaining_entry = find_newest_entry(registry, entry->machine_id.s);
     if (remaining_entry != NULL)
-      mm_machine_table_registered(registry->node->machine_table, remaining_entry);
+      mm_machine_table_record_registration(registry->node->machine_table, remaining_entry);
     else
-      mm_machine_table_unregistered(registry->node->machine_table, entry->machine.s);
+      mm_machine_table_record_unregistration(registry->node->machine_table, entry->machine_id.s);
   }
 }
 
 void
-mm_registry_put(MmRegistry *registry, const char *pack_name, const json_t *value,
-                MmKeyVersion version) {
-  MmPack *pack = g_hash_table_lookup(registry->packs, pack_name);
+mm_registry_apply_pack(MmRegistry *registry, const char *pack_name, const json_t *value,
+                       MmKeyVersion version) {
+  MmRegistryPack *pack = g_hash_table_lookup(registry->packs, pack_name);
   g_autoptr(GArray) previous_entries = NULL;
 
   if (pack != NULL && version.v < pack->version.v)
     return;
   if (pack == NULL) {
-    pack = g_new0(MmPack, 1);
+    pack = g_new0(MmRegistryPack, 1);
     g_hash_table_insert(registry->packs, g_strdup(pack_name), pack);
   }
   previous_entries = g_steal_pointer(&pack->entries);
   pack->version = version;
-  pack->entries = read_pack(value);
+  pack->entries = pack_from_json(value);
   for (guint i = 0; i < pack->entries->len; i++) {
-    const MmEntry *entry = &g_array_index(pack->entries, MmEntry, i);
+    const MmRegistryEntry *entry = &g_array_index(pack->entries, MmRegistryEntry, i);
     const MmMachine *machine
-        = mm_machine_table_find(registry->node->machine_table, entry->machine.s);
-    if (machine == NULL || !machine->registered || entry->session > machine->registered_session)
-      mm_machine_table_registered(registry->node->machine_table, entry);
+        = mm_machine_table_find(registry->node->machine_table, entry->machine_id.s);
+    if (machine == NULL || !machine->is_in_registry
+        || entry->incarnation > machine->registered_incarnation)
+      mm_machine_table_record_registration(registry->node->machine_table, entry);
   }
   if (previous_entries != NULL)
-    left_out(registry, previous_entries, pack->entries);
+    process_removed_entries(registry, previous_entries, pack->entries);
 }
 
 void
-mm_registry_remove(MmRegistry *registry, const char *pack_name) {
-  MmPack *pack = g_hash_table_lookup(registry->packs, pack_name);
+mm_registry_forget_pack(MmRegistry *registry, const char *pack_name) {
+  MmRegistryPack *pack = g_hash_table_lookup(registry->packs, pack_name);
   g_autoptr(GArray) previous_entries = NULL;
 
   if (pack == NULL)
     return;
   previous_entries = g_array_ref(pack->entries);
   g_hash_table_remove(registry->packs, pack_name);
-  left_out(registry, previous_entries, NULL);
+  process_removed_entries(registry, previous_entries, NULL);
 }
 
 void
@@ -184,24 +186,25 @@
 /* ---- entering ---- */
 
 static void
-entered(gpointer data, int status, json_t *body) {
+registrations_written(gpointer data, int status, json_t *body) {
   MmRegistry *registry = data;
 
   /* Who is entered is for the replica to show; what is not shown is tried again. */
-  registry->writing = FALSE;
-  registry->next = mm_time_add_ms(mm_node_now(registry->node), EVERY_MS);
+  registry->is_writing = FALSE;
+  registry->next_write_at = mm_time_add_ms(mm_node_now(registry->node), WRITE_INTERVAL_MS);
 }
 
 static GPtrArray *
-to_enter(const MmRegistry *registry) {
+machines_to_register(const MmRegistry *registry) {
   GPtrArray *unregistered = g_ptr_array_new();
-  const GPtrArray *machines = registry->node->machine_table->order;
+  const GPtrArray *machines = registry->node->machine_table->sorted_machines;
 
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    if (!mm_machine_is_registered(machine) && machine->heard && !machine->lost
-        && !machine->releasing && mm_sharing_registers(registry->node->sharing, machine)
-        && !mm_health_is_deaf(registry->node->machine_table, machine))
+    if (!mm_machine_has_registered_incarnation(machine) && machine->has_reported
+        && !machine->lease_has_expired && !machine->is_being_terminated
+        && mm_sharing_registers(registry->node->sharing, machine)
+        && !mm_machine_health_ignores_responses(registry->node->machine_table, machine))
       g_ptr_array_add(unregistered, machine);
   }
   return unregistered;
@@ -210,16 +213,16 @@
 /* What the pack should hold: its entries without those that a newer session has replaced elsewhere,
  * and of the list as many as there is room for, which are taken off it. */
 static GArray *
-filled(const MmRegistry *registry, const MmPack *pack, GPtrArray *unregistered) {
-  GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmEntry));
-  gsize limit = pack_limit(registry), bytes = 0;
+fill_pack(const MmRegistry *registry, const MmRegistryPack *pack, GPtrArray *unregistered) {
+  GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
+  gsize limit = pack_limit_bytes(registry), bytes = 0;
 
   for (guint i = 0; pack != NULL && i < pack->entries->len; i++) {
-    const MmEntry *entry = &g_array_index(pack->entries, MmEntry, i);
+    const MmRegistryEntry *entry = &g_array_index(pack->entries, MmRegistryEntry, i);
     const MmMachine *machine
-        = mm_machine_table_find(registry->node->machine_table, entry->machine.s);
+        = mm_machine_table_find(registry->node->machine_table, entry->machine_id.s);
     if (machine != NULL
-        && (entry->session < machine->registered_session
+        && (entry->incarnation < machine->registered_incarnation
             || g_ptr_array_find(unregistered, machine, NULL)))
       continue;
     g_array_append_val(entries, *entry);
@@ -227,11 +230,11 @@
   }
   while (unregistered->len > 0) {
     const MmMachine *machine = g_ptr_array_index(unregistered, unregistered->len - 1);
-    MmEntry entry = { .machine = machine->id,
-                      .type = machine->type_name,
-                      .zone = machine->zone,
-                      .spot = machine->spot,
-                      .session = machine->stamp.incarnation };
+    MmRegistryEntry entry = { .machine_id = machine->id,
+                              .type = machine->type_name,
+                              .zone = machine->zone,
+                              .is_spot = machine->is_spot,
+                              .incarnation = machine->latest_message_id.incarnation };
     memcpy(entry.addr, machine->addr, sizeof entry.addr);
     if (bytes + entry_bytes(&entry) > limit)
       break;
@@ -250,11 +253,11 @@
   g_autoptr(GPtrArray) unregistered = NULL;
   MmTransaction transaction;
 
-  if (registry->writing || mm_time_before(now, registry->next)
+  if (registry->is_writing || mm_time_before(now, registry->next_write_at)
       || mm_kv_client_is_refused(node->store) || !node->replica->is_loaded)
     return;
-  registry->next = mm_time_add_ms(now, EVERY_MS);
-  unregistered = to_enter(registry);
+  registry->next_write_at = mm_time_add_ms(now, WRITE_INTERVAL_MS);
+  unregistered = machines_to_register(registry);
   if (unregistered->len == 0)
     return;
   transaction = mm_transaction_begin();
@@ -262,9 +265,9 @@
        unregistered->len > 0 && transaction.n_operations < mm_kv_client_max_operations(node->store);
        pack_number++) {
     g_autofree char *pack_name = g_strdup_printf("%s/%u", node->settings->label.s, pack_number);
-    const MmPack *pack = g_hash_table_lookup(registry->packs, pack_name);
+    const MmRegistryPack *pack = g_hash_table_lookup(registry->packs, pack_name);
     guint n_before = unregistered->len;
-    g_autoptr(GArray) entries = filled(registry, pack, unregistered);
+    g_autoptr(GArray) entries = fill_pack(registry, pack, unregistered);
 
     if (unregistered->len == n_before)
       continue;
@@ -272,40 +275,43 @@
       break;
     mm_transaction_require_version(&transaction, MM_KEY_REGISTRY_PACK, pack_name,
                                    pack != NULL ? pack->version : (MmKeyVersion){ 0 });
-    mm_transaction_put(&transaction, MM_KEY_REGISTRY_PACK, pack_name, pack_json(entries), 0);
+    mm_transaction_put(&transaction, MM_KEY_REGISTRY_PACK, pack_name, pack_to_json(entries), 0);
   }
-  registry->writing = transaction.n_operations > 0;
-  mm_kv_client_commit_unless_empty(node->store, &transaction, entered, registry);
+  registry->is_writing = transaction.n_operations > 0;
+  mm_kv_client_commit_unless_empty(node->store, &transaction, registrations_written, registry);
 }
 
 /* ---- taking off ---- */
 
 static void
-dropped(gpointer data, int status, json_t *body) {
-  ((MmRegistry *)data)->dropping = FALSE;
+removals_written(gpointer data, int status, json_t *body) {
+  ((MmRegistry *)data)->is_removing = FALSE;
 }
 
 /* A machine is in one session at a time: hearing a newer one ends the older. */
 static gboolean
-is_over(const MmMachine *machine, const MmEntry *entry) {
-  if (machine->gone || (machine->heard && entry->session < machine->stamp.incarnation))
+entry_has_ended(const MmMachine *machine, const MmRegistryEntry *entry) {
+  if (machine->is_terminated
+      || (machine->has_reported && entry->incarnation < machine->latest_message_id.incarnation))
     return TRUE;
-  return machine->lost && (!machine->heard || entry->session == machine->stamp.incarnation);
+  return machine->lease_has_expired
+         && (!machine->has_reported
+             || entry->incarnation == machine->latest_message_id.incarnation);
 }
 
 /* The pack other than this one that holds the same session of the machine, or NULL. */
 static const char *
-find_copy(const MmRegistry *registry, const MmPack *excluded_pack, const MmEntry *entry,
-          MmKeyVersion *version) {
+find_copy_in_other_pack(const MmRegistry *registry, const MmRegistryPack *excluded_pack,
+                        const MmRegistryEntry *entry, MmKeyVersion *version) {
   GHashTableIter iter;
   gpointer pack_name, value;
 
   g_hash_table_iter_init(&iter, registry->packs);
   while (g_hash_table_iter_next(&iter, &pack_name, &value)) {
-    const MmPack *pack = value;
-    const MmEntry *copy
-        = pack != excluded_pack ? find_entry(pack->entries, entry->machine.s) : NULL;
-    if (copy != NULL && copy->session == entry->session) {
+    const MmRegistryPack *pack = value;
+    const MmRegistryEntry *copy
+        = pack != excluded_pack ? find_entry(pack->entries, entry->machine_id.s) : NULL;
+    if (copy != NULL && copy->incarnation == entry->incarnation) {
       *version = pack->version;
       return pack_name;
     }
@@ -314,7 +320,7 @@
 }
 
 static gboolean
-is_guarded(const MmTransaction *transaction, const char *pack_name) {
+pack_is_guarded(const MmTransaction *transaction, const char *pack_name) {
   g_autofree char *key = g_strconcat(MM_KEY_REGISTRY_PACK, pack_name, NULL);
   size_t i;
   json_t *guard;
@@ -328,23 +334,23 @@
  * limits, without what has been copied to another pack. That pack must then stay as it is until
  * this one is written: of two copies one has to remain. */
 static GArray *
-entries_kept(MmRegistry *registry, const MmPack *pack, MmTransaction *guards) {
-  GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmEntry));
-  gboolean too_large = entries_bytes(pack->entries) > pack_limit(registry);
+entries_to_keep(MmRegistry *registry, const MmRegistryPack *pack, MmTransaction *guards) {
+  GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
+  gboolean too_large = entries_bytes(pack->entries) > pack_limit_bytes(registry);
 
   for (guint i = 0; i < pack->entries->len; i++) {
-    const MmEntry *entry = &g_array_index(pack->entries, MmEntry, i);
+    const MmRegistryEntry *entry = &g_array_index(pack->entries, MmRegistryEntry, i);
     const MmMachine *machine
-        = mm_machine_table_find(registry->node->machine_table, entry->machine.s);
+        = mm_machine_table_find(registry->node->machine_table, entry->machine_id.s);
     const char *copied_to = NULL;
     MmKeyVersion version;
-    if (machine != NULL && is_over(machine, entry))
+    if (machine != NULL && entry_has_ended(machine, entry))
       continue;
     if (too_large)
-      copied_to = find_copy(registry, pack, entry, &version);
+      copied_to = find_copy_in_other_pack(registry, pack, entry, &version);
     if (copied_to == NULL)
       g_array_append_val(remaining, *entry);
-    else if (!is_guarded(guards, copied_to))
+    else if (!pack_is_guarded(guards, copied_to))
       mm_transaction_require_version(guards, MM_KEY_REGISTRY_PACK, copied_to, version);
   }
   return remaining;
@@ -364,14 +370,14 @@
  * pack. They leave this one once the replica shows the copies: no reader ever finds a machine in
  * neither. */
 static void
-copy_overflow(MmRegistry *registry, const char *pack_name, const MmPack *pack,
+copy_overflow(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
               const GArray *remaining, MmTransaction *transaction) {
-  g_autoptr(GArray) copied = g_array_new(FALSE, TRUE, sizeof(MmEntry));
+  g_autoptr(GArray) copied = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
   g_autofree char *new_pack_name = unused_pack_name(registry);
-  gsize limit = pack_limit(registry), bytes_left = entries_bytes(remaining), bytes_copied = 0;
+  gsize limit = pack_limit_bytes(registry), bytes_left = entries_bytes(remaining), bytes_copied = 0;
 
   for (guint i = remaining->len; i > 0 && bytes_left > limit; i--) {
-    const MmEntry *entry = &g_array_index(remaining, MmEntry, i - 1);
+    const MmRegistryEntry *entry = &g_array_index(remaining, MmRegistryEntry, i - 1);
     if (bytes_copied + entry_bytes(entry) > limit)
       break;
     bytes_copied += entry_bytes(entry);
@@ -381,27 +387,27 @@
   mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack->version);
   mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, new_pack_name,
                                  (MmKeyVersion){ 0 });
-  mm_transaction_put(transaction, MM_KEY_REGISTRY_PACK, new_pack_name, pack_json(copied), 0);
+  mm_transaction_put(transaction, MM_KEY_REGISTRY_PACK, new_pack_name, pack_to_json(copied), 0);
 }
 
 static void
-write_kept(const char *pack_name, const MmPack *pack, const GArray *remaining,
-           MmTransaction *transaction) {
+write_remaining(const char *pack_name, const MmRegistryPack *pack, const GArray *remaining,
+                MmTransaction *transaction) {
   mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack->version);
   if (remaining->len > 0)
-    mm_transaction_put(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack_json(remaining), 0);
+    mm_transaction_put(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack_to_json(remaining), 0);
   else
     mm_transaction_delete(transaction, MM_KEY_REGISTRY_PACK, pack_name);
 }
 
 /* One pack a transaction where guards for copies are needed. */
 static void
-drop_from_pack(MmRegistry *registry, const char *pack_name, const MmPack *pack,
-               MmTransaction *transaction) {
+remove_ended_entries(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
+                     MmTransaction *transaction) {
   MmTransaction guards = mm_transaction_begin();
-  g_autoptr(GArray) remaining = entries_kept(registry, pack, &guards);
+  g_autoptr(GArray) remaining = entries_to_keep(registry, pack, &guards);
   guint guards_limit = 4 * mm_kv_client_max_operations(registry->node->store);
-  gboolean too_large = entries_bytes(remaining) > pack_limit(registry);
+  gboolean too_large = entries_bytes(remaining) > pack_limit_bytes(registry);
   gboolean needs_own_transaction = too_large || json_array_size(guards.conditions) > 0;
 
   if (remaining->len < pack->entries->len
@@ -412,27 +418,27 @@
     if (too_large)
       copy_overflow(registry, pack_name, pack, remaining, transaction);
     else
-      write_kept(pack_name, pack, remaining, transaction);
+      write_remaining(pack_name, pack, remaining, transaction);
   }
   json_decref(guards.conditions);
   json_decref(guards.operations);
 }
 
 void
-mm_registry_drop_lost(MmRegistry *registry) {
+mm_registry_remove_ended_machines(MmRegistry *registry) {
   MmNode *node = registry->node;
   GHashTableIter iter;
   gpointer pack_name, value;
   MmTransaction transaction;
 
-  if (registry->dropping || mm_kv_client_is_refused(node->store))
+  if (registry->is_removing || mm_kv_client_is_refused(node->store))
     return;
   transaction = mm_transaction_begin();
   g_hash_table_iter_init(&iter, registry->packs);
   while (transaction.n_operations < mm_kv_client_max_operations(node->store)
          && json_array_size(transaction.conditions) <= mm_kv_client_max_operations(node->store)
          && g_hash_table_iter_next(&iter, &pack_name, &value))
-    drop_from_pack(registry, pack_name, value, &transaction);
-  registry->dropping = transaction.n_operations > 0;
-  mm_kv_client_commit_unless_empty(node->store, &transaction, dropped, registry);
+    remove_ended_entries(registry, pack_name, value, &transaction);
+  registry->is_removing = transaction.n_operations > 0;
+  mm_kv_client_commit_unless_empty(node->store, &transaction, removals_written, registry);
 }
--- a/src/checkin/report.c
+++ b/src/checkin/report.c
@@ -4,14 +4,15 @@
 
 #include "base/wire.h"
 
-#define TASKS_MAX 4096
+#define REPORTED_TASKS_MAX 4096
 
-static const char *const states[] = { "fetching", "gathering", "running", "flushing", "ended" };
-static const char *const causes[]
+static const char *const wire_states[]
+    = { "fetching", "gathering", "running", "flushing", "ended" };
+static const char *const wire_causes[]
     = { "", "done", "halted", "peers", "alone", "error", "no_room", "busy", "no_such" };
 
 static gboolean
-read_task(MmSeenTask *task, const json_t *json) {
+parse_task(MmReportedTask *task, const json_t *json) {
   const char *task_path = mm_json_string(json, WIRE_TASK);
   const char *slash = task_path != NULL ? strrchr(task_path, '/') : NULL;
   const char *state = mm_json_string(json, WIRE_STATE);
@@ -24,50 +25,50 @@
   memcpy(task->job.s, task_path, (gsize)(slash - task_path));
   task->number = (guint)g_ascii_strtoull(slash + 1, &number_end, 10);
   task->attempt.v = mm_json_count(json, WIRE_ATTEMPT, 0);
-  task->saved = mm_json_flag(json, WIRE_SAVED);
+  task->is_checkpointed = mm_json_flag(json, WIRE_SAVED);
   task->state = G_MAXUINT8;
-  for (guint i = 0; i < G_N_ELEMENTS(states); i++)
-    if (g_strcmp0(state, states[i]) == 0)
+  for (guint i = 0; i < G_N_ELEMENTS(wire_states); i++)
+    if (g_strcmp0(state, wire_states[i]) == 0)
       task->state = (guint8)i;
   /* An unknown cause of ending is treated as a stop: the task has left the machine. */
-  task->cause = task->state == MM_SEEN_ENDED ? MM_CAUSE_STOPPED : MM_CAUSE_NONE;
-  for (guint i = 1; i < G_N_ELEMENTS(causes); i++)
-    if (g_strcmp0(cause, causes[i]) == 0)
+  task->cause = task->state == MM_REPORTED_ENDED ? MM_CAUSE_STOPPED : MM_CAUSE_NONE;
+  for (guint i = 1; i < G_N_ELEMENTS(wire_causes); i++)
+    if (g_strcmp0(cause, wire_causes[i]) == 0)
       task->cause = (guint8)i;
   return *number_end == '\0' && task->state != G_MAXUINT8;
 }
 
 gboolean
-mm_report_parse(MmReport *heartbeat, const json_t *body, const char **reason) {
+mm_heartbeat_parse(MmHeartbeat *heartbeat, const json_t *body, const char **reason) {
   const json_t *tasks = mm_json_get(body, "kits");
   const char *addr = mm_json_string(body, WIRE_ADDR);
   size_t i;
   json_t *item;
 
   memset(heartbeat, 0, sizeof *heartbeat);
-  heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask));
+  heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask));
   if (!json_is_object(body) || mm_json_string(body, WIRE_MACHINE) == NULL
       || !json_is_integer(mm_json_get(body, WIRE_SESSION))
       || !json_is_integer(mm_json_get(body, WIRE_SEQ))
-      || (tasks != NULL && (!json_is_array(tasks) || json_array_size(tasks) > TASKS_MAX))
+      || (tasks != NULL && (!json_is_array(tasks) || json_array_size(tasks) > REPORTED_TASKS_MAX))
       || strlen(mm_json_string(body, WIRE_MACHINE)) > MM_NAME_MAX) {
     *reason = "not a worker's report";
     return FALSE;
   }
-  heartbeat->machine = mm_name(mm_json_string(body, WIRE_MACHINE));
+  heartbeat->machine_id = mm_name(mm_json_string(body, WIRE_MACHINE));
   if (addr != NULL)
     g_strlcpy(heartbeat->addr, addr, sizeof heartbeat->addr);
   heartbeat->type = mm_name(mm_json_string(body, WIRE_TYPE));
   heartbeat->zone = mm_name(mm_json_string(body, WIRE_ZONE));
-  heartbeat->spot = mm_json_flag(body, WIRE_SPOT);
-  heartbeat->stamp.incarnation = mm_json_count(body, WIRE_SESSION, 0);
-  heartbeat->stamp.sequence = mm_json_count(body, WIRE_SEQ, 0);
-  heartbeat->token.v = mm_json_count(body, WIRE_TOKEN, 0);
-  heartbeat->warned = mm_json_get(body, WIRE_NOTICE) != NULL;
-  heartbeat->notice_s = mm_json_number(body, WIRE_NOTICE, 0);
+  heartbeat->is_spot = mm_json_flag(body, WIRE_SPOT);
+  heartbeat->heartbeat_id.incarnation = mm_json_count(body, WIRE_SESSION, 0);
+  heartbeat->heartbeat_id.sequence = mm_json_count(body, WIRE_SEQ, 0);
+  heartbeat->fencing_token.v = mm_json_count(body, WIRE_TOKEN, 0);
+  heartbeat->has_termination_notice = mm_json_get(body, WIRE_NOTICE) != NULL;
+  heartbeat->termination_notice_s = mm_json_number(body, WIRE_NOTICE, 0);
   json_array_foreach(tasks, i, item) {
-    MmSeenTask task;
-    if (!read_task(&task, item)) {
+    MmReportedTask task;
+    if (!parse_task(&task, item)) {
       *reason = "a task in the report is not readable";
       return FALSE;
     }
@@ -77,7 +78,7 @@
 }
 
 void
-mm_report_clear(MmReport *heartbeat) {
+mm_heartbeat_clear(MmHeartbeat *heartbeat) {
   g_clear_pointer(&heartbeat->tasks, g_array_unref);
 }
 
--- a/src/checkin/report.h
+++ b/src/checkin/report.h
@@ -5,23 +5,23 @@
 
 /* A task's state and its cause of ending, as reported. */
 typedef enum {
-  MM_SEEN_FETCHING,
-  MM_SEEN_WAITING,
-  MM_SEEN_RUNNING,
-  MM_SEEN_SAVING,
-  MM_SEEN_ENDED
-} MmSeenState;
+  MM_REPORTED_FETCHING,
+  MM_REPORTED_WAITING_FOR_GANG,
+  MM_REPORTED_RUNNING,
+  MM_REPORTED_CHECKPOINTING,
+  MM_REPORTED_ENDED
+} MmReportedState;
 typedef enum {
   MM_CAUSE_NONE,
   MM_CAUSE_DONE,
   MM_CAUSE_STOPPED,
-  MM_CAUSE_PEERS,
-  MM_CAUSE_ALONE,
+  MM_CAUSE_GANG_PEER_ENDED,
+  MM_CAUSE_GANG_INCOMPLETE,
   MM_CAUSE_ERROR,
-  MM_CAUSE_NO_ROOM,
-  MM_CAUSE_BUSY,
-  MM_CAUSE_UNKNOWN
-} MmCause;
+  MM_CAUSE_NO_RESOURCES,
+  MM_CAUSE_OTHER_ATTEMPT,
+  MM_CAUSE_NO_SUCH_TASK
+} MmEndCause;
 
 typedef struct {
   MmName job;
@@ -29,29 +29,30 @@
   MmAttempt attempt;
   guint8 state;
   guint8 cause;
-  gboolean saved;
-} MmSeenTask;
+  gboolean is_checkpointed;
+} MmReportedTask;
 
 /* One report, read from HTTP or from a peer. */
 typedef struct {
-  MmName machine;
+  MmName machine_id;
   char addr[64];
   MmName type;
   MmName zone;
-  gboolean spot;
-  MmHeartbeatId stamp;
-  MmTerm token;
-  gboolean warned;
-  double notice_s;
-  gboolean direct;     /* the answer to a direct command: says nothing about starts under way */
-  gboolean unanswered; /* the node that heard it does not answer it 200 */
-  GArray *tasks;       /* MmSeenTask */
-} MmReport;
+  gboolean is_spot;
+  MmHeartbeatId heartbeat_id;
+  MmTerm fencing_token;
+  gboolean has_termination_notice;
+  double termination_notice_s;
+  gboolean
+      is_direct_reply;    /* the answer to a direct command: says nothing about starts under way */
+  gboolean is_unanswered; /* the node that heard it does not answer it 200 */
+  GArray *tasks;          /* MmReportedTask */
+} MmHeartbeat;
 
 /* A command for a worker. */
-typedef enum { MM_OP_START, MM_OP_STOP, MM_OP_FORGET } MmOp;
+typedef enum { MM_OP_START, MM_OP_STOP, MM_OP_FORGET } MmCommandOp;
 typedef struct {
-  MmOp op;
+  MmCommandOp op;
   MmName job;
   guint number;
   MmAttempt attempt;
@@ -59,6 +60,6 @@
 } MmCommand;
 
 /* FALSE with a reason when the body is no report; to be cleared all the same. */
-gboolean mm_report_parse(MmReport *heartbeat, const json_t *body, const char **reason);
-void mm_report_clear(MmReport *heartbeat);
+gboolean mm_heartbeat_parse(MmHeartbeat *heartbeat, const json_t *body, const char **reason);
+void mm_heartbeat_clear(MmHeartbeat *heartbeat);
 json_t *mm_command_to_json(const MmCommand *command);
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -135,6 +135,6 @@
   mm_fleet_return_machines(autoscaler);
   /* A lost machine stays on the register for nobody: after the next taking of a part it would have
    * to be proved lost once more before its tasks, or any others, could be given out. */
-  mm_registry_drop_lost(node->registry);
+  mm_registry_remove_ended_machines(node->registry);
   mm_fleet_rent(autoscaler);
 }
--- a/src/fleet/renting.c
+++ b/src/fleet/renting.c
@@ -101,7 +101,8 @@
     const MmListed *cloud_machine = value;
     const MmMachine *machine
         = mm_machine_table_find(autoscaler->node->machine_table, cloud_machine->id.s);
-    if (!cloud_machine->releasing && !cloud_machine->failed && (machine == NULL || !machine->heard)
+    if (!cloud_machine->releasing && !cloud_machine->failed
+        && (machine == NULL || !machine->has_reported)
         && mm_time_ms_since(now, cloud_machine->listed) < MM_FLEET_UNLISTED_MS)
       mm_fleet_offer_for(autoscaler, &cloud_machine->type, &cloud_machine->zone,
                          cloud_machine->spot)
--- a/src/fleet/returns.c
+++ b/src/fleet/returns.c
@@ -56,14 +56,14 @@
     }
     if (machine == NULL)
       continue;
-    machine->releasing = status == 200;
+    machine->is_being_terminated = status == 200;
     if (status != 200)
       continue;
     /* A 200 proves that the machine and all on it are gone. */
     mm_info("machine %s has been returned", id);
-    mm_machine_table_gone(node->machine_table, id);
+    mm_machine_table_record_termination(node->machine_table, id);
     mm_links_tell_gone(node->links, id);
-    if (!machine->registered)
+    if (!machine->is_in_registry)
       mm_machine_table_remove(node->machine_table, machine);
   }
   g_ptr_array_unref(request->ids);
@@ -80,11 +80,11 @@
   MmMachine *machine = id != NULL ? mm_machine_table_find(machine_table, id) : NULL;
 
   if (status == 200)
-    machine_table->heard_here = mm_node_now(autoscaler->node);
+    machine_table->last_worker_contact_at = mm_node_now(autoscaler->node);
   if (status == 200 && machine != NULL)
-    machine->seen = mm_time_max(machine->seen, mm_node_now(autoscaler->node));
+    machine->last_seen_at = mm_time_max(machine->last_seen_at, mm_node_now(autoscaler->node));
   if (machine != NULL)
-    machine->unanswered = 0;
+    machine->unanswered_probes = 0;
 }
 
 static void
@@ -92,12 +92,12 @@
   MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
 
-  if (autoscaler->probes == 0 || mm_time_ms_since(now, machine->probed) < PROBE_MS
+  if (autoscaler->probes == 0 || mm_time_ms_since(now, machine->last_probed_at) < PROBE_MS
       || machine->addr[0] == '\0')
     return;
   autoscaler->probes--;
-  machine->probed = now;
-  machine->unanswered++;
+  machine->last_probed_at = now;
+  machine->unanswered_probes++;
   node->port.request(node->port.self, MM_TARGET_WORKER, machine->addr, "GET", WIRE_STATUS_PATH,
                      NULL, 1500, probe_answered, autoscaler);
 }
@@ -129,19 +129,20 @@
  * healthy machines that reported to its peers a little late. */
 static gboolean
 reaches_workers(const MmFleet *autoscaler, const MmMachine *machine) {
-  return mm_time_before(machine->probed, autoscaler->node->machine_table->heard_here);
+  return mm_time_before(machine->last_probed_at,
+                        autoscaler->node->machine_table->last_worker_contact_at);
 }
 
 /* Where few machines report to this node, it may hear of none for long: it asks the one that was
  * heard of last, by whichever node. */
 static void
 probe_control(MmFleet *autoscaler) {
-  const GPtrArray *machines = autoscaler->node->machine_table->order;
+  const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
   MmMachine *last_heard = NULL;
 
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    if (last_heard == NULL || mm_time_before(last_heard->seen, machine->seen))
+    if (last_heard == NULL || mm_time_before(last_heard->last_seen_at, machine->last_seen_at))
       last_heard = machine;
   }
   if (last_heard != NULL)
@@ -159,19 +160,20 @@
   /* One that is registered may have been started on, whatever it showed last: until it is heard or
    * proved gone, the parts taken anew stand still. Idle ones that were taken once cost each of them
    * a whole lease. */
-  if (!machine->registered && (!machine->heard || machine->tasks->len == 0))
+  if (!machine->is_in_registry && (!machine->has_reported || machine->reported_tasks->len == 0))
     return FALSE;
   /* Its notice has run out: the cloud is asked to say at once that it is gone. */
-  if (machine->warned && mm_time_ms_since(now, machine->taken) > TAKEN_MS
-      && mm_time_ms_since(now, machine->seen) > TAKEN_MS)
+  if (machine->has_termination_notice && mm_time_ms_since(now, machine->termination_at) > TAKEN_MS
+      && mm_time_ms_since(now, machine->last_seen_at) > TAKEN_MS)
     return TRUE;
-  if (mm_time_ms_since(now, machine->seen) < overdue_ms(autoscaler)) {
-    machine->unanswered = 0;
+  if (mm_time_ms_since(now, machine->last_seen_at) < overdue_ms(autoscaler)) {
+    machine->unanswered_probes = 0;
     return FALSE;
   }
   if (autoscaler->quiet > MAX(2, autoscaler->all / 8))
     return FALSE;
-  if (mm_time_ms_since(now, machine->seen) >= patience_ms && machine->unanswered >= PROBES) {
+  if (mm_time_ms_since(now, machine->last_seen_at) >= patience_ms
+      && machine->unanswered_probes >= PROBES) {
     if (reaches_workers(autoscaler, machine))
       return TRUE;
     probe_control(autoscaler);
@@ -194,7 +196,7 @@
 
 void
 mm_fleet_count_quiet(MmFleet *autoscaler) {
-  const GPtrArray *machines = autoscaler->node->machine_table->order;
+  const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
   MmTime now = mm_node_now(autoscaler->node);
   /* Long before the patience ends: when the first of many that fell silent together is given up on,
    * the others must count already. */
@@ -207,15 +209,15 @@
   autoscaler->probes = PROBES_A_ROUND;
   for (guint i = 0; i < machines->len; i++) {
     const MmMachine *machine = g_ptr_array_index(machines, i);
-    gboolean is_silent = mm_time_ms_since(now, machine->seen) >= overdue_limit_ms;
+    gboolean is_silent = mm_time_ms_since(now, machine->last_seen_at) >= overdue_limit_ms;
     MmZoneQuiet *zone;
-    if (!(machine->heard || machine->registered) || machine->gone)
+    if (!(machine->has_reported || machine->is_in_registry) || machine->is_terminated)
       continue;
     zone = zone_quiet(autoscaler, &machine->zone);
     zone->all++;
     zone->quiet += is_silent;
-    autoscaler->all += !machine->lost;
-    autoscaler->quiet += !machine->lost && is_silent;
+    autoscaler->all += !machine->lease_has_expired;
+    autoscaler->quiet += !machine->lease_has_expired && is_silent;
   }
   /* Those that run and are not known: lost ones are forgotten once they are off the register. */
   g_hash_table_iter_init(&iter, autoscaler->listed);
@@ -225,7 +227,7 @@
         = mm_machine_table_find(autoscaler->node->machine_table, cloud_machine->id.s);
     MmZoneQuiet *zone;
     if (!cloud_machine->running || cloud_machine->releasing
-        || (machine != NULL && (machine->heard || machine->registered)))
+        || (machine != NULL && (machine->has_reported || machine->is_in_registry)))
       continue;
     zone = zone_quiet(autoscaler, &cloud_machine->zone);
     zone->all++;
@@ -254,7 +256,7 @@
 
   if (cloud_machine->failed)
     return TRUE;
-  if (machine == NULL || (!machine->heard && !machine->registered))
+  if (machine == NULL || (!machine->has_reported && !machine->is_in_registry))
     /* Never came up, or is up and never reported. */
     return cloud_machine->age_s > patience_s
            && (!cloud_machine->running
@@ -262,14 +264,14 @@
                                       * (mm_fleet_zone_is_cut(autoscaler, &cloud_machine->zone)
                                              ? CUT_LEASES
                                              : MUTE_LEASES));
-  if (machine->lost)
-    return mm_time_ms_since(now, machine->seen)
+  if (machine->lease_has_expired)
+    return mm_time_ms_since(now, machine->last_seen_at)
            > 1000 * (gint64)node->settings->worker_lease_s
                  * (mm_fleet_zone_is_cut(autoscaler, &machine->zone) ? CUT_LEASES : LOST_LEASES);
   if (silent(autoscaler, machine))
     return TRUE;
   /* Idle, with nothing waiting anywhere. */
-  if (machine->tasks->len == 0 && machine->placed->len == 0
+  if (machine->reported_tasks->len == 0 && machine->placed_tasks->len == 0
       && mm_time_ms_since(now, machine->idle_since)
              > (gint64)(node->operators->idle_return_s * 1000)) {
     for (guint view_index = 0; view_index < node->rank->n_views; view_index++)
@@ -285,15 +287,16 @@
  * anew from starting anything for all that time. */
 static void
 add_unlisted(MmFleet *autoscaler, GPtrArray *machine_ids, json_t *json_ids) {
-  const GPtrArray *machines = autoscaler->node->machine_table->order;
+  const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
 
   for (guint i = 0; i < machines->len && machine_ids->len < RELEASE_MAX; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    if (!machine->registered || machine->lost || machine->releasing || !autoscaler->list_known
-        || g_hash_table_contains(autoscaler->listed, machine->id.s) || !silent(autoscaler, machine))
+    if (!machine->is_in_registry || machine->lease_has_expired || machine->is_being_terminated
+        || !autoscaler->list_known || g_hash_table_contains(autoscaler->listed, machine->id.s)
+        || !silent(autoscaler, machine))
       continue;
     mm_info("returning machine %s, which the cloud does not list", machine->id.s);
-    machine->releasing = TRUE;
+    machine->is_being_terminated = TRUE;
     g_ptr_array_add(machine_ids, g_strdup(machine->id.s));
     json_array_append_new(json_ids, json_string(machine->id.s));
   }
@@ -320,7 +323,7 @@
     MmMachine *machine = mm_machine_table_find(node->machine_table, cloud_machine->id.s);
     if (mm_time_ms_since(now, cloud_machine->listed) > MM_FLEET_UNLISTED_MS) {
       /* Gone from the list for long: taken or returned. */
-      if (machine == NULL || machine->lost || cloud_machine->releasing)
+      if (machine == NULL || machine->lease_has_expired || cloud_machine->releasing)
         g_hash_table_iter_remove(&iter);
       continue;
     }
@@ -334,7 +337,7 @@
             cloud_machine->age_s);
     cloud_machine->releasing = TRUE;
     if (machine != NULL)
-      machine->releasing = TRUE;
+      machine->is_being_terminated = TRUE;
     g_ptr_array_add(request->ids, g_strdup(cloud_machine->id.s));
     json_array_append_new(json_ids, json_string(cloud_machine->id.s));
   }
--- a/src/jobs/api.c
+++ b/src/jobs/api.c
@@ -236,7 +236,7 @@
 static void
 answer_unfinished(MmCall *request, gboolean is_cancelled) {
   MmJob *job = mm_job_table_find(request->node->job_table, request->id.s);
-  guint n_running = mm_machine_table_running(request->node->machine_table, request->id.s);
+  guint n_running = mm_machine_table_running_tasks(request->node->machine_table, request->id.s);
   guint n_completed = 0;
   const char *state = WIRE_PENDING;
 
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -49,7 +49,7 @@
   node->types = mm_types_new(node);
   node->machine_table = mm_machine_table_new(node);
   node->registry = mm_registry_new(node);
-  node->checkin = mm_checkin_new(node);
+  node->checkin = mm_heartbeat_server_new(node);
   node->rank = mm_rank_new(node);
   node->owner = mm_owner_new(node);
   node->fleet = mm_fleet_new(node);
@@ -62,7 +62,7 @@
 mm_node_free(MmNode *node) {
   while (node->store->unsent_transactions->len > 0)
     mm_kv_client_fail_unsent(node->store);
-  mm_checkin_free(node->checkin);
+  mm_heartbeat_server_free(node->checkin);
   mm_api_free(node->api);
   mm_replica_free(node->replica); /* answers those who wait for it */
   mm_links_free(node->links);
@@ -121,7 +121,7 @@
   mm_api_tick(node->api);
   mm_links_tick(node->links);
   mm_types_tick(node->types);
-  mm_checkin_tick(node->checkin);
+  mm_heartbeat_server_tick(node->checkin);
   mm_machine_table_tick(node->machine_table);
   mm_registry_tick(node->registry);
   mm_owner_tick(node->owner);
@@ -186,7 +186,7 @@
                        FENCED_RETRY_S);
   } else if (strcmp(path, WIRE_REPORT_PATH) == 0) {
     if (strcmp(method, "POST") == 0)
-      mm_checkin_report(node->checkin, body, exchange);
+      mm_heartbeat_server_receive(node->checkin, body, exchange);
     else
       wrong_method(exchange);
   } else if (strcmp(path, WIRE_JOBS_PATH) == 0) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -19,7 +19,7 @@
 typedef struct MmFormat MmFormat;
 typedef struct MmMachineTable MmMachineTable;
 typedef struct MmRegistry MmRegistry;
-typedef struct MmCheckin MmCheckin;
+typedef struct MmHeartbeatServer MmHeartbeatServer;
 typedef struct MmRank MmRank;
 typedef struct MmOwner MmOwner;
 typedef struct MmTypes MmTypes;
@@ -46,7 +46,7 @@
   MmFormat *format;
   MmMachineTable *machine_table;
   MmRegistry *registry;
-  MmCheckin *checkin;
+  MmHeartbeatServer *checkin;
   MmRank *rank;
   MmOwner *owner;
   MmTypes *types;
--- a/src/owner/approve.c
+++ b/src/owner/approve.c
@@ -100,7 +100,7 @@
 add_kind(MmOwnedShard *held, const MmMachine *machine) {
   /* Of one that is not known, everything may be true. */
   MmMachineKind kind = machine != NULL
-                           ? (MmMachineKind){ machine->type_name, machine->zone, machine->spot }
+                           ? (MmMachineKind){ machine->type_name, machine->zone, machine->is_spot }
                            : (MmMachineKind){ 0 };
 
   for (guint i = 0; i < held->unacknowledged_kinds->len; i++) {
@@ -173,14 +173,14 @@
 mm_owner_crowd(const MmOwner *owner, const MmJob *job, const MmMachine *machine) {
   guint n_tasks = 0;
 
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->reported_tasks->len; i++) {
+    const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *other = mm_job_table_find(owner->node->job_table, reported->job.s);
-    n_tasks
-        += reported->state != MM_SEEN_ENDED && other != NULL && other->priority >= job->priority;
+    n_tasks += reported->state != MM_REPORTED_ENDED && other != NULL
+               && other->priority >= job->priority;
   }
-  for (guint i = 0; i < machine->placed->len; i++) {
-    const MmPlaced *placed = g_ptr_array_index(machine->placed, i);
+  for (guint i = 0; i < machine->placed_tasks->len; i++) {
+    const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
     n_tasks += placed->job->tasks[placed->number].state == MM_TASK_ISSUED
                && placed->job->priority >= job->priority;
   }
@@ -201,8 +201,8 @@
                                                                                         : NULL;
   owner->looks--;
   *estimate = (MmOutlook){ .at = now, .best_s = -1, .next_s = -1, .least_crowd = G_MAXUINT };
-  for (guint i = 0; i < node->machine_table->order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     double delay_s = mm_owner_delay_on(owner, job, machine);
 
     if (delay_s < 0)
@@ -303,7 +303,7 @@
   *approval = (MmApproval){ job->spec.id, number, attempt, mm_name(held->name), held->term, FALSE };
   mm_debug("%s/%u may start on %s (%s%s) after %.1f s", job->spec.id.s, number,
            request->machine->id.s, request->machine->type_name.s,
-           mm_machine_caches(request->machine, &job->spec.image) ? ", cached" : "",
+           mm_machine_has_cached_image(request->machine, &job->spec.image) ? ", cached" : "",
            mm_job_waited_s(owner->node, job));
 }
 
@@ -348,22 +348,22 @@
 
 static void
 keep(MmMachine *machine, const MmTaskRef *task) {
-  for (guint i = 0; i < machine->kept->len; i++) {
-    const MmTaskRef *kept = &g_array_index(machine->kept, MmTaskRef, i);
+  for (guint i = 0; i < machine->kept_list->len; i++) {
+    const MmTaskRef *kept = &g_array_index(machine->kept_list, MmTaskRef, i);
     if (kept->number == task->number && mm_name_equal(&kept->job, &task->job))
       return;
   }
-  if (machine->kept->len < KEPT_MAX)
-    g_array_append_val(machine->kept, *task);
+  if (machine->kept_list->len < KEPT_MAX)
+    g_array_append_val(machine->kept_list, *task);
 }
 
 /* The kept-list answers the machine's next request first. */
 static gboolean
 try_kept(MmOwner *owner, const MmAsk *request, MmMachine *list_machine, guint position,
          MmApproval *approval) {
-  MmTaskRef task = g_array_index(list_machine->kept, MmTaskRef, position);
+  MmTaskRef task = g_array_index(list_machine->kept_list, MmTaskRef, position);
 
-  g_array_remove_index(list_machine->kept, position);
+  g_array_remove_index(list_machine->kept_list, position);
   return try_task(owner, mm_job_table_find(owner->node->job_table, task.job.s), task.number,
                   request, approval);
 }
@@ -374,14 +374,14 @@
   MmMachineTable *machine_table = owner->node->machine_table;
   MmMachine *longest = NULL;
 
-  for (guint i = 0; i < machine_table->order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(machine_table->order, i);
-    if (machine->kept->len > (longest != NULL ? longest->kept->len : 0))
+  for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(machine_table->sorted_machines, i);
+    if (machine->kept_list->len > (longest != NULL ? longest->kept_list->len : 0))
       longest = machine;
   }
   if (longest != NULL
       && try_kept(owner, request, longest,
-                  (guint)g_rand_int_range(owner->node->rand, 0, (gint32)longest->kept->len),
+                  (guint)g_rand_int_range(owner->node->rand, 0, (gint32)longest->kept_list->len),
                   approval))
     return TRUE;
   for (guint i = 0; i < jobs->len; i++)
@@ -415,14 +415,14 @@
   const GPtrArray *by_urgency;
 
   if (!mm_node_lease_is_valid(owner->node->node_lease)
-      || !mm_machine_usable(owner->node->machine_table, request->machine)
-      || mm_heartbeat_id_is_newer(request->machine->stamp, request->stamp)
+      || !mm_machine_is_usable(owner->node->machine_table, request->machine)
+      || mm_heartbeat_id_is_newer(request->machine->latest_message_id, request->stamp)
       || mm_time_before(mm_node_now(owner->node), request->machine->full_until))
     return FALSE;
   if (mm_owner_reserved(owner, request, approval))
     return TRUE;
-  request->room = mm_resources_least(request->room,
-                                     mm_machine_free(owner->node->machine_table, request->machine));
+  request->room = mm_resources_least(
+      request->room, mm_machine_available_resources(owner->node->machine_table, request->machine));
   by_urgency = mm_owner_pressing(owner);
   jobs = g_ptr_array_sized_new(by_urgency->len);
   for (guint i = 0; i < by_urgency->len; i++) {
@@ -435,7 +435,7 @@
     return FALSE;
   if (try_first(owner, request, jobs, approval))
     return TRUE;
-  while (request->machine->kept->len > 0)
+  while (request->machine->kept_list->len > 0)
     if (try_kept(owner, request, request->machine, 0, approval))
       return TRUE;
   for (guint i = 0; i < request->n; i++) {
--- a/src/owner/command.c
+++ b/src/owner/command.c
@@ -43,13 +43,14 @@
  * placed there: perhaps no part's holder can be reached, or none is left. */
 static void
 stop_seen(MmOwner *owner, const MmJob *job) {
-  const GPtrArray *machines = owner->node->machine_table->order;
+  const GPtrArray *machines = owner->node->machine_table->sorted_machines;
 
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    for (guint k = 0; machine->host == MM_HOST_SELF && k < machine->tasks->len; k++) {
-      const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, k);
-      if (reported->state != MM_SEEN_ENDED && mm_name_equal(&reported->job, &job->spec.id)
+    for (guint k = 0;
+         machine->serving_node == MM_SERVING_NODE_SELF && k < machine->reported_tasks->len; k++) {
+      const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, k);
+      if (reported->state != MM_REPORTED_ENDED && mm_name_equal(&reported->job, &job->spec.id)
           && (job->tasks == NULL || reported->number >= job->spec.tasks
               || job->tasks[reported->number].machine != machine))
         mm_owner_stop(owner, machine, &reported->job, reported->number, reported->attempt, 0);
@@ -84,31 +85,32 @@
 static void
 direct_answered(gpointer data, int status, json_t *body) {
   MmOwner *owner = data;
-  MmReport heartbeat;
+  MmHeartbeat heartbeat;
   const char *reason = NULL;
 
   if (status != 200 && status != 409)
     return;
-  if (mm_report_parse(&heartbeat, body, &reason)) {
-    MmMachine *machine = mm_machine_table_find(owner->node->machine_table, heartbeat.machine.s);
-    gboolean is_acknowledgement = machine != NULL && heartbeat.token.v > machine->token.v;
-    heartbeat.direct = TRUE;
+  if (mm_heartbeat_parse(&heartbeat, body, &reason)) {
+    MmMachine *machine = mm_machine_table_find(owner->node->machine_table, heartbeat.machine_id.s);
+    gboolean is_acknowledgement
+        = machine != NULL && heartbeat.fencing_token.v > machine->acknowledged_term.v;
+    heartbeat.is_direct_reply = TRUE;
     if (machine != NULL)
-      machine = mm_machine_table_take(owner->node->machine_table, &heartbeat,
-                                      mm_node_now(owner->node), MM_HOST_NONE);
+      machine = mm_machine_table_record_heartbeat(owner->node->machine_table, &heartbeat,
+                                                  mm_node_now(owner->node), MM_SERVING_NODE_NONE);
     /* Other nodes may wait for the same acknowledgement. */
     if (is_acknowledgement && machine != NULL)
       mm_links_tell_direct(owner->node->links, machine);
   }
-  mm_report_clear(&heartbeat);
+  mm_heartbeat_clear(&heartbeat);
 }
 
 static void
 send_direct(MmOwner *owner, MmMachine *machine, json_t *commands) {
   MmNode *node = owner->node;
-  g_autoptr(json_t) body
-      = json_pack("{s:I, s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v, WIRE_SESSION,
-                  (json_int_t)MAX(machine->stamp.incarnation, 1), WIRE_COMMANDS, commands);
+  g_autoptr(json_t) body = json_pack(
+      "{s:I, s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v, WIRE_SESSION,
+      (json_int_t)MAX(machine->latest_message_id.incarnation, 1), WIRE_COMMANDS, commands);
 
   if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
     return;
@@ -157,10 +159,12 @@
 static gboolean
 acknowledgement_would_be_late(const MmNode *node, const MmMachine *machine, MmTerm newest) {
   MmTime now = mm_node_now(node);
-  gint64 reported_ms = mm_time_ms_since(now, machine->reported);
+  gint64 reported_ms = mm_time_ms_since(now, machine->last_heartbeat_at);
 
-  if (machine->host != MM_HOST_SELF || !machine->heard || !machine->registered
-      || machine->token.v >= MAX(newest.v, mm_sharing_term_of(node->sharing, machine).v))
+  if (machine->serving_node != MM_SERVING_NODE_SELF || !machine->has_reported
+      || !machine->is_in_registry
+      || machine->acknowledged_term.v
+             >= MAX(newest.v, mm_sharing_term_of(node->sharing, machine).v))
     return FALSE;
   if (machine->unacknowledged_since.us != 0)
     return mm_time_ms_since(now, machine->unacknowledged_since) > TAKEN_IN_MS;
@@ -179,20 +183,21 @@
   guint requests_left
       = (guint)CLAMP(node->settings->cpu_share * ASKS_A_CORE, ASKS_LEAST, ASKS_MOST);
 
-  if (mm_checkin_is_settling(node->checkin))
+  if (mm_heartbeat_server_is_settling(node->checkin))
     return;
-  for (guint i = 0; i < node->machine_table->order->len && requests_left > 0; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
+  for (guint i = 0; i < node->machine_table->sorted_machines->len && requests_left > 0; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     gboolean is_deaf;
 
-    if (machine->lost || mm_time_ms_since(now, machine->acknowledgement_asked) < ASK_EVERY_MS)
+    if (machine->lease_has_expired
+        || mm_time_ms_since(now, machine->acknowledgement_requested_at) < ASK_EVERY_MS)
       continue;
-    is_deaf = mm_health_is_deaf(node->machine_table, machine);
+    is_deaf = mm_machine_health_ignores_responses(node->machine_table, machine);
     if (!is_deaf && !acknowledgement_would_be_late(node, machine, newest)
-        && (mm_time_ms_since(now, machine->reported) < silent_ms
+        && (mm_time_ms_since(now, machine->last_heartbeat_at) < silent_ms
             || !is_unacknowledged(owner, machine)))
       continue;
-    machine->acknowledgement_asked = now;
+    machine->acknowledgement_requested_at = now;
     requests_left--;
     send_direct(owner, machine, json_array());
   }
@@ -203,10 +208,10 @@
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
 
-  for (guint i = 0; i < node->machine_table->order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
-    for (guint k = 0; k < machine->placed->len; k++) {
-      const MmPlaced *placed = g_ptr_array_index(machine->placed, k);
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+    for (guint k = 0; k < machine->placed_tasks->len; k++) {
+      const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, k);
       const MmTask *task = &placed->job->tasks[placed->number];
       if ((placed->job->cancelled || task->stopping) && task->state != MM_TASK_SAVING
           && mm_time_ms_since(now, task->told) > STOP_EVERY_MS)
--- a/src/owner/gang.c
+++ b/src/owner/gang.c
@@ -44,14 +44,14 @@
   MmTime now = mm_node_now(owner->node);
   gint64 recent_ms = (gint64)(owner->node->settings->heartbeat_interval_s * 2500);
 
-  for (guint i = 0; i < machine_table->order->len; i++) {
-    Place place = { g_ptr_array_index(machine_table->order, i), { 0 } };
-    if (!mm_machine_usable(machine_table, place.machine) || !mm_rank_allows(job, place.machine)
-        || mm_time_ms_since(now, place.machine->reported) > recent_ms
+  for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
+    Place place = { g_ptr_array_index(machine_table->sorted_machines, i), { 0 } };
+    if (!mm_machine_is_usable(machine_table, place.machine) || !mm_rank_allows(job, place.machine)
+        || mm_time_ms_since(now, place.machine->last_heartbeat_at) > recent_ms
         || mm_time_before(now, place.machine->full_until)
         || (zone != NULL && !mm_name_equal(&place.machine->zone, zone)))
       continue;
-    place.room = mm_machine_free(machine_table, place.machine);
+    place.room = mm_machine_available_resources(machine_table, place.machine);
     if (mm_resources_fits(job->spec.need, place.room))
       g_array_append_val(places, place);
   }
@@ -69,7 +69,7 @@
     for (guint i = 0; i < places->len; i++) {
       Place *place = &g_array_index(places, Place, i);
       /* First where the image is, then anywhere. */
-      if (pass == 0 && !mm_machine_caches(place->machine, &job->spec.image))
+      if (pass == 0 && !mm_machine_has_cached_image(place->machine, &job->spec.image))
         continue;
       while (chosen->len < job->spec.tasks && mm_resources_fits(job->spec.need, place->room)) {
         if (job->spec.spread) {
@@ -106,8 +106,8 @@
       mm_owner_clear_for_gang(owner, job, job->spec.tasks);
     return;
   }
-  for (guint i = 0; i < node->machine_table->order->len; i++) {
-    const MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     if (machine->type != NULL && reserve(owner, held, job, &machine->zone))
       return;
   }
@@ -152,8 +152,8 @@
 
 gboolean
 mm_owner_reserved(MmOwner *owner, const MmAsk *request, MmApproval *approval) {
-  for (guint i = 0; i < request->machine->placed->len; i++) {
-    const MmPlaced *placed = g_ptr_array_index(request->machine->placed, i);
+  for (guint i = 0; i < request->machine->placed_tasks->len; i++) {
+    const MmPlacedTask *placed = g_ptr_array_index(request->machine->placed_tasks, i);
     MmTask *task = &placed->job->tasks[placed->number];
     MmOwnedShard *held = mm_owner_held(owner, placed->job);
     MmResources need = placed->job->spec.need;
--- a/src/owner/guarantee.c
+++ b/src/owner/guarantee.c
@@ -47,11 +47,11 @@
     job->within = fits(&team->quota, &team_sums[job->team], &job->spec);
     job->favoured = job->within && !has_guarantee_aim;
   }
-  for (guint i = 0; i < node->machine_table->order->len; i++) {
-    const MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
-    for (guint k = 0; k < machine->tasks->len; k++) {
-      const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, k);
-      const MmJob *job = reported->state != MM_SEEN_ENDED
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+    for (guint k = 0; k < machine->reported_tasks->len; k++) {
+      const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, k);
+      const MmJob *job = reported->state != MM_REPORTED_ENDED
                              ? mm_job_table_find(node->job_table, reported->job.s)
                              : NULL;
       if (job != NULL && job->team >= 0)
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -55,11 +55,11 @@
 static void
 unlist(MmMachine *machine, const MmJob *job, guint number) {
   if (machine != NULL)
-    machine->free_as = 0;
-  for (guint i = 0; machine != NULL && i < machine->placed->len; i++) {
-    const MmPlaced *placed = g_ptr_array_index(machine->placed, i);
+    machine->available_generation = 0;
+  for (guint i = 0; machine != NULL && i < machine->placed_tasks->len; i++) {
+    const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
     if (placed->job == job && placed->number == number) {
-      g_ptr_array_remove_index_fast(machine->placed, i);
+      g_ptr_array_remove_index_fast(machine->placed_tasks, i);
       return;
     }
   }
@@ -94,21 +94,21 @@
   MmTask *task = &job->tasks[number];
 
   if (task->machine != machine) {
-    MmPlaced *placed = g_new(MmPlaced, 1);
+    MmPlacedTask *placed = g_new(MmPlacedTask, 1);
     unlist(task->machine, job, number);
-    *placed = (MmPlaced){ job, number };
-    g_ptr_array_add(machine->placed, placed);
+    *placed = (MmPlacedTask){ job, number };
+    g_ptr_array_add(machine->placed_tasks, placed);
     task->machine = machine;
     if (state == MM_TASK_ISSUED) {
-      machine->promised = mm_resources_sub(machine->promised, job->spec.need);
-      if (machine->promised.cores < 0)
-        machine->promised = (MmResources){ 0 };
+      machine->reserved_resources = mm_resources_sub(machine->reserved_resources, job->spec.need);
+      if (machine->reserved_resources.cores < 0)
+        machine->reserved_resources = (MmResources){ 0 };
     }
   }
   if (task->attempt.v != attempt.v)
     task->stopping = FALSE;
   task->attempt = attempt;
-  machine->free_as = 0;
+  machine->available_generation = 0;
   mm_owner_set_state(owner, job, number, (guint8)state);
 }
 
@@ -214,16 +214,16 @@
   }
   /* Machines registered later than this term only ever get starts of this term or a later one:
    * whoever answers them has seen their registration, and so the term, in the replica. */
-  for (guint i = 0; i < node->machine_table->order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
-    if (!machine->registered || machine->lost)
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+    if (!machine->is_in_registry || machine->lease_has_expired)
       continue;
-    if (machine->heard && machine->token.v >= held->term.v)
+    if (machine->has_reported && machine->acknowledged_term.v >= held->term.v)
       mm_owner_take_tasks(owner, machine, name);
     else
       g_hash_table_insert(held->unacknowledged, g_strdup(machine->id.s),
-                          GSIZE_TO_POINTER(machine->registered_session));
-    machine->acknowledgement_asked.us = 0;
+                          GSIZE_TO_POINTER(machine->registered_incarnation));
+    machine->acknowledgement_requested_at.us = 0;
   }
   held->unacknowledged_changed = TRUE;
   mm_info("part %s is held here with term %" G_GUINT64_FORMAT ", %u machines to hear", name,
--- a/src/owner/owner.h
+++ b/src/owner/owner.h
@@ -91,7 +91,7 @@
  * nothing of the job yet. */
 gboolean mm_owner_cancelled(MmOwner *owner, const char *job_id);
 /* `changed`: the report shows other tasks than the one before. */
-void mm_owner_report(MmOwner *owner, MmMachine *machine, const MmReport *heartbeat,
+void mm_owner_report(MmOwner *owner, MmMachine *machine, const MmHeartbeat *heartbeat,
                      gboolean changed);
 void mm_owner_machine_gone(MmOwner *owner, MmMachine *machine);
 /* Adds MmWaiting for what is unassigned in the parts held here, most pressing first, and the names
--- a/src/owner/preempt.c
+++ b/src/owner/preempt.c
@@ -25,7 +25,7 @@
 #define MOVE_FETCH_S 5
 
 typedef struct {
-  const MmSeenTask *seen;
+  const MmReportedTask *seen;
   const MmJob *job;
 } Victim;
 
@@ -46,7 +46,8 @@
 static gboolean
 is_spared(const MmOwner *owner, const MmJob *job) {
   return mm_job_waited_s(owner->node, job) > owner->node->operators->starve_s
-         && mm_machine_table_running(owner->node->machine_table, job->spec.id.s) <= SPARED_TASKS;
+         && mm_machine_table_running_tasks(owner->node->machine_table, job->spec.id.s)
+                <= SPARED_TASKS;
 }
 
 /* The tasks to stop on the machine so that the job's task fits: how many, or -1 when that is not to
@@ -58,10 +59,10 @@
 
   if (mm_resources_fits(job->spec.need, free_resources))
     return 0;
-  for (guint i = 0; i < machine->tasks->len && n_candidates < VICTIMS_MAX; i++) {
-    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->reported_tasks->len && n_candidates < VICTIMS_MAX; i++) {
+    const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *other;
-    if (reported->state == MM_SEEN_ENDED || reported->state == MM_SEEN_SAVING)
+    if (reported->state == MM_REPORTED_ENDED || reported->state == MM_REPORTED_CHECKPOINTING)
       continue;
     other = mm_job_table_find(owner->node->job_table, reported->job.s);
     if (other != NULL
@@ -77,7 +78,7 @@
 
 double
 mm_owner_fetch_s(const MmJob *job, const MmMachine *machine) {
-  if (machine->type == NULL || mm_machine_caches(machine, &job->spec.image))
+  if (machine->type == NULL || mm_machine_has_cached_image(machine, &job->spec.image))
     return 0;
   return job->spec.image_gb / machine->type->fetch_gb_per_s;
 }
@@ -88,19 +89,19 @@
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
   gint64 period_ms = (gint64)(node->settings->heartbeat_interval_s * 1000);
-  gint64 silent_ms = mm_time_ms_since(now, machine->reported);
+  gint64 silent_ms = mm_time_ms_since(now, machine->last_heartbeat_at);
   MmResources free_resources;
 
   owner->looked++;
   if (silent_ms > 2 * period_ms || machine->addr[0] == '\0'
-      || !mm_machine_usable(node->machine_table, machine)
+      || !mm_machine_is_usable(node->machine_table, machine)
       || mm_time_before(now, machine->full_until) || !mm_owner_place_hoped(owner, job, machine))
     return -1;
-  free_resources = mm_machine_free(node->machine_table, machine);
+  free_resources = mm_machine_available_resources(node->machine_table, machine);
   if (mm_rank_leaves(node->rank, job, machine, free_resources) >= MM_WOULD_TAKE)
     return -1;
-  if (mm_time_before(now, machine->clearing))
-    free_resources = mm_resources_sub(free_resources, machine->promised);
+  if (mm_time_before(now, machine->reserved_until))
+    free_resources = mm_resources_sub(free_resources, machine->reserved_resources);
   *n_victims = victims_on(owner, job, machine, free_resources, victims);
   if (*n_victims < 0)
     return -1;
@@ -149,17 +150,17 @@
   MmTime now = mm_node_now(owner->node);
   gint64 period_ms = (gint64)(owner->node->settings->heartbeat_interval_s * 1000);
 
-  if (!mm_time_before(now, machine->clearing))
-    machine->promised = (MmResources){ 0 };
-  machine->promised = mm_resources_add(machine->promised, job->spec.need);
-  machine->clearing = mm_time_add_ms(now, 2 * period_ms);
+  if (!mm_time_before(now, machine->reserved_until))
+    machine->reserved_resources = (MmResources){ 0 };
+  machine->reserved_resources = mm_resources_add(machine->reserved_resources, job->spec.need);
+  machine->reserved_until = mm_time_add_ms(now, 2 * period_ms);
   task->claimed = mm_time_add_ms(now, period_ms);
   task->claimed_on = machine->id;
 }
 
 void
 mm_owner_clear_for_gang(MmOwner *owner, MmJob *job, guint machines) {
-  const GPtrArray *order = owner->node->machine_table->order;
+  const GPtrArray *order = owner->node->machine_table->sorted_machines;
   MmTime now = mm_node_now(owner->node);
   Victim victims[VICTIMS_MAX];
   gint n_victims = 0;
@@ -187,8 +188,8 @@
   double best_s = 0;
   gint n_victims = 0;
 
-  for (guint i = 0; i < node->machine_table->order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     double delay_s = delay_on(owner, job, machine, victims, &n_victims);
 
     if (delay_s < 0)
@@ -212,8 +213,8 @@
 new_home(MmOwner *owner, const MmJob *job, const MmMachine *current, double max_fetch_s) {
   MmMachineTable *machine_table = owner->node->machine_table;
 
-  for (guint i = 0; i < machine_table->order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(machine_table->order, i);
+  for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(machine_table->sorted_machines, i);
     double delay_s;
     if (machine == current || mm_owner_fetch_s(job, machine) > max_fetch_s)
       continue;
@@ -240,21 +241,22 @@
       || mm_time_ms_since(now, task->since) < MOVE_AFTER_MS)
     return FALSE;
   owner->next_move = mm_time_add_ms(now, MOVE_EVERY_MS);
-  first_index
-      = node->machine_table->order->len > 0
-            ? (guint)g_rand_int_range(node->rand, 0, (gint32)node->machine_table->order->len)
-            : 0;
-  for (guint i = 0; i < node->machine_table->order->len && scans_left > 0; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->order,
-                                           (first_index + i) % node->machine_table->order->len);
-    MmResources free_resources = mm_machine_free(node->machine_table, machine);
-
-    if (!mm_machine_usable(node->machine_table, machine) || mm_time_before(now, machine->clearing)
+  first_index = node->machine_table->sorted_machines->len > 0 ? (guint)g_rand_int_range(
+                    node->rand, 0, (gint32)node->machine_table->sorted_machines->len)
+                                                              : 0;
+  for (guint i = 0; i < node->machine_table->sorted_machines->len && scans_left > 0; i++) {
+    MmMachine *machine
+        = g_ptr_array_index(node->machine_table->sorted_machines,
+                            (first_index + i) % node->machine_table->sorted_machines->len);
+    MmResources free_resources = mm_machine_available_resources(node->machine_table, machine);
+
+    if (!mm_machine_is_usable(node->machine_table, machine)
+        || mm_time_before(now, machine->reserved_until)
         || !mm_owner_place_hoped(owner, job, machine)
         || mm_rank_leaves(node->rank, job, machine, free_resources) >= MM_WOULD_TAKE)
       continue;
-    for (guint k = 0; k < machine->placed->len; k++) {
-      const MmPlaced *placed = g_ptr_array_index(machine->placed, k);
+    for (guint k = 0; k < machine->placed_tasks->len; k++) {
+      const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, k);
       MmJob *other = placed->job;
       MmTask *moved_task = &other->tasks[placed->number];
       MmMachine *target;
@@ -315,7 +317,8 @@
   for (guint i = 0; i < job_table->order->len; i++) {
     const MmJob *job = g_ptr_array_index(job_table->order, i);
     if (job->priority == MM_LOW
-        && mm_machine_table_running(owner->node->machine_table, job->spec.id.s) > SPARED_TASKS)
+        && mm_machine_table_running_tasks(owner->node->machine_table, job->spec.id.s)
+               > SPARED_TASKS)
       return TRUE;
   }
   return FALSE;
--- a/src/owner/reports.c
+++ b/src/owner/reports.c
@@ -45,7 +45,7 @@
 
 /* What each cause of ending asks for. The task has left the machine in every case. */
 static void
-task_ended(MmOwner *owner, MmJob *job, guint number, MmMachine *machine, MmCause cause) {
+task_ended(MmOwner *owner, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
   MmTask *task = &job->tasks[number];
   MmTime now = mm_node_now(owner->node);
 
@@ -59,18 +59,18 @@
     if (++job->failed_tasks >= 4)
       job->paused_until = mm_time_add_ms(now, MIN(2000 << MIN(job->failed_tasks - 4, 5), 60000));
     break;
-  case MM_CAUSE_NO_ROOM:
+  case MM_CAUSE_NO_RESOURCES:
     /* Our idea of its room was wrong; the next report but one shows better. */
     machine->full_until
         = mm_time_add_ms(now, (gint64)(owner->node->settings->heartbeat_interval_s * 1000));
     break;
-  case MM_CAUSE_UNKNOWN:
+  case MM_CAUSE_NO_SUCH_TASK:
     /* The user has not uploaded it yet, or never does. */
     task->not_before = mm_time_add_ms(now, 2000);
     break;
-  case MM_CAUSE_BUSY: /* the other attempt shows in the same report */
-  case MM_CAUSE_ALONE:
-  case MM_CAUSE_PEERS:
+  case MM_CAUSE_OTHER_ATTEMPT: /* the other attempt shows in the same report */
+  case MM_CAUSE_GANG_INCOMPLETE:
+  case MM_CAUSE_GANG_PEER_ENDED:
   case MM_CAUSE_STOPPED:
   default:
     break;
@@ -81,15 +81,15 @@
 state_of_seen(guint8 reported_state) {
   static const MmTaskState map[]
       = { MM_TASK_FETCHING, MM_TASK_WAITING, MM_TASK_RUNNING, MM_TASK_SAVING };
-  return map[MIN(reported_state, MM_SEEN_SAVING)];
+  return map[MIN(reported_state, MM_REPORTED_CHECKPOINTING)];
 }
 
 static void
-take_task(MmOwner *owner, MmMachine *machine, MmJob *job, const MmSeenTask *reported) {
+take_task(MmOwner *owner, MmMachine *machine, MmJob *job, const MmReportedTask *reported) {
   MmTask *task = &job->tasks[reported->number];
   gboolean is_same_attempt = task->machine == machine && task->attempt.v == reported->attempt.v;
 
-  if (reported->state == MM_SEEN_ENDED) {
+  if (reported->state == MM_REPORTED_ENDED) {
     if (reported->cause == MM_CAUSE_DONE && (is_same_attempt || !mm_task_is_live(task->state)))
       task_done(owner, job, reported->number);
     else if (is_same_attempt && mm_task_is_live(task->state))
@@ -101,7 +101,7 @@
     if (task->state == MM_TASK_DONE)
       return; /* to be stopped, see commands_for */
     if (is_same_attempt && task->state == MM_TASK_ISSUED)
-      machine->refused_starts = 0;
+      machine->consecutive_refused_starts = 0;
     mm_owner_place(owner, job, reported->number, machine, state_of_seen(reported->state),
                    reported->attempt);
     return;
@@ -123,10 +123,10 @@
 mm_owner_take_tasks(MmOwner *owner, MmMachine *machine, const char *only_shard) {
   gboolean unsettled = FALSE;
 
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->reported_tasks->len; i++) {
+    const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
-    unsettled = unsettled || job == NULL || reported->state == MM_SEEN_ENDED;
+    unsettled = unsettled || job == NULL || reported->state == MM_REPORTED_ENDED;
     if (job == NULL || job->tasks == NULL || reported->number >= job->spec.tasks)
       continue;
     if (only_shard == NULL || strcmp(only_shard, job->part) == 0)
@@ -135,31 +135,32 @@
   }
   /* A record may come after the report that shows its tasks, and a result may be taken only once
    * another attempt has left its machine: the same report must then be looked at again. */
-  machine->unsettled = unsettled;
+  machine->needs_task_review = unsettled;
 }
 
 /* Tasks placed on the machine that this report does not show have left it; a start is denied only
  * by a report that was sent after the one whose answer carried it. */
 static void
-miss_tasks(MmOwner *owner, MmMachine *machine, const MmReport *heartbeat) {
-  for (guint i = machine->placed->len; i > 0; i--) {
-    const MmPlaced *placed = g_ptr_array_index(machine->placed, i - 1);
+miss_tasks(MmOwner *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
+  for (guint i = machine->placed_tasks->len; i > 0; i--) {
+    const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i - 1);
     MmJob *job = placed->job;
     guint number = placed->number;
     MmTask *task = &job->tasks[number];
 
     if (task->state == MM_TASK_RESERVED
-        || mm_machine_seen(machine, &job->spec.id, number, task->attempt) != NULL)
+        || mm_machine_find_reported_task(machine, &job->spec.id, number, task->attempt) != NULL)
       continue;
     if (task->state == MM_TASK_ISSUED) {
       gboolean is_start_refused
-          = heartbeat->stamp.incarnation > task->issued.incarnation
-            || (!heartbeat->direct && mm_heartbeat_id_is_newer(heartbeat->stamp, task->issued));
+          = heartbeat->heartbeat_id.incarnation > task->issued.incarnation
+            || (!heartbeat->is_direct_reply
+                && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->issued));
       if (!is_start_refused)
         continue;
       mm_debug("start of %s/%u on %s was not carried out", job->spec.id.s, number, machine->id.s);
-      if (heartbeat->stamp.incarnation == task->issued.incarnation)
-        mm_health_note_refused_start(owner->node->machine_table, machine);
+      if (heartbeat->heartbeat_id.incarnation == task->issued.incarnation)
+        mm_machine_health_record_refused_start(owner->node->machine_table, machine);
     }
     mm_owner_unplace(owner, job, number);
   }
@@ -167,12 +168,12 @@
 
 /* Stops and clears that follow from the report. */
 static void
-commands_for(MmOwner *owner, MmMachine *machine, const MmReport *heartbeat) {
+commands_for(MmOwner *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   MmTime now = mm_node_now(owner->node);
 
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->reported_tasks->len; i++) {
+    const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
     MmCommand command = { MM_OP_FORGET, reported->job, reported->number, reported->attempt, 0 };
     MmTask *task;
@@ -180,7 +181,7 @@
     if (job == NULL || job->tasks == NULL || reported->number >= job->spec.tasks)
       continue;
     task = &job->tasks[reported->number];
-    if (reported->state == MM_SEEN_ENDED) {
+    if (reported->state == MM_REPORTED_ENDED) {
       /* The result is forgotten here only once the state service holds it. */
       if (reported->cause == MM_CAUSE_DONE && job->spec.kind != MM_KIND_SERVICE
           && !mm_done_set_has(&job->recorded, reported->number) && !job->cancelled)
@@ -192,9 +193,9 @@
     command.grace_s = mm_owner_grace_s(job);
     if (job->cancelled || task->state == MM_TASK_DONE
         || (task->stopping && task->machine == machine && mm_time_ms_since(now, task->told) > 500
-            && reported->state != MM_SEEN_SAVING)) {
+            && reported->state != MM_REPORTED_CHECKPOINTING)) {
       g_array_append_val(commands, command);
-    } else if (machine->warned && !task->stopping && task->machine == machine) {
+    } else if (machine->has_termination_notice && !task->stopping && task->machine == machine) {
       /* The machine is about to be taken: save, or at least start again elsewhere sooner. */
       task->stopping = TRUE;
       task->told = now;
@@ -203,11 +204,12 @@
   }
   if (commands->len == 0)
     return;
-  if (machine->host == MM_HOST_SELF)
+  if (machine->serving_node == MM_SERVING_NODE_SELF)
     for (guint i = 0; i < commands->len; i++)
-      mm_machine_queue(machine, machine->stamp.incarnation, &g_array_index(commands, MmCommand, i));
-  else if (machine->host >= 0)
-    mm_links_tell_commands(owner->node->links, (guint)machine->host, machine, commands);
+      mm_machine_queue_command(machine, machine->latest_message_id.incarnation,
+                               &g_array_index(commands, MmCommand, i));
+  else if (machine->serving_node >= 0)
+    mm_links_tell_commands(owner->node->links, (guint)machine->serving_node, machine, commands);
 }
 
 /* Its report acknowledgements the part's term; or it shows a newer session than any that was on the
@@ -217,20 +219,21 @@
 is_heard(const MmOwnedShard *held, const MmMachine *machine) {
   gpointer registered_incarnation;
 
-  return machine->token.v >= held->term.v
+  return machine->acknowledged_term.v >= held->term.v
          || (g_hash_table_lookup_extended(held->unacknowledged, machine->id.s, NULL,
                                           &registered_incarnation)
-             && machine->stamp.incarnation > GPOINTER_TO_SIZE(registered_incarnation));
+             && machine->latest_message_id.incarnation > GPOINTER_TO_SIZE(registered_incarnation));
 }
 
 void
-mm_owner_report(MmOwner *owner, MmMachine *machine, const MmReport *heartbeat, gboolean changed) {
+mm_owner_report(MmOwner *owner, MmMachine *machine, const MmHeartbeat *heartbeat,
+                gboolean changed) {
   GHashTableIter iter;
   gpointer value;
 
   if (g_hash_table_size(owner->held) == 0)
     return;
-  if (changed || machine->unsettled)
+  if (changed || machine->needs_task_review)
     mm_owner_take_tasks(owner, machine, NULL);
   miss_tasks(owner, machine, heartbeat);
   g_hash_table_iter_init(&iter, owner->held);
@@ -251,8 +254,9 @@
   GHashTableIter iter;
   gpointer value;
 
-  while (machine->placed->len > 0) {
-    const MmPlaced *placed = g_ptr_array_index(machine->placed, machine->placed->len - 1);
+  while (machine->placed_tasks->len > 0) {
+    const MmPlacedTask *placed
+        = g_ptr_array_index(machine->placed_tasks, machine->placed_tasks->len - 1);
     mm_owner_unplace(owner, placed->job, placed->number);
   }
   g_hash_table_iter_init(&iter, owner->held);
--- a/src/parts/claims.c
+++ b/src/parts/claims.c
@@ -440,7 +440,7 @@
   guint n_led = distribution->n_led[distribution->own_index];
   guint n_fewest = distribution->n_led[node_with_fewest_shards(distribution)];
 
-  if (n_led < n_fewest + 2 || !mm_machine_table_all_heard(ownership->node->machine_table)) {
+  if (n_led < n_fewest + 2 || !mm_machine_table_all_seen_recently(ownership->node->machine_table)) {
     ownership->uneven_since.us = 0;
   } else if (ownership->uneven_since.us == 0) {
     ownership->uneven_since = now;
--- a/src/peers/links.c
+++ b/src/peers/links.c
@@ -214,41 +214,42 @@
 
 static void
 take_report(MmLinks *links, guint peer, const Mm__Report *message) {
-  MmReport heartbeat = { .machine = mm_name(message->machine),
-                         .type = mm_name(message->type),
-                         .zone = mm_name(message->zone),
-                         .spot = message->spot,
-                         .stamp = { message->session, message->seq },
-                         .token = { message->token },
-                         .warned = message->warned,
-                         .direct = message->direct,
-                         .unanswered = message->unanswered,
-                         .notice_s = message->notice_s };
+  MmHeartbeat heartbeat = { .machine_id = mm_name(message->machine),
+                            .type = mm_name(message->type),
+                            .zone = mm_name(message->zone),
+                            .is_spot = message->spot,
+                            .heartbeat_id = { message->session, message->seq },
+                            .fencing_token = { message->token },
+                            .has_termination_notice = message->warned,
+                            .is_direct_reply = message->direct,
+                            .is_unanswered = message->unanswered,
+                            .termination_notice_s = message->notice_s };
 
   MmMachine *machine;
 
-  if (mm_name_is_empty(&heartbeat.machine)
-      || (heartbeat.direct
-          && mm_machine_table_find(links->node->machine_table, heartbeat.machine.s) == NULL))
+  if (mm_name_is_empty(&heartbeat.machine_id)
+      || (heartbeat.is_direct_reply
+          && mm_machine_table_find(links->node->machine_table, heartbeat.machine_id.s) == NULL))
     return;
   g_strlcpy(heartbeat.addr, message->addr, sizeof heartbeat.addr);
-  heartbeat.tasks = g_array_sized_new(FALSE, TRUE, sizeof(MmSeenTask), (guint)message->n_tasks);
+  heartbeat.tasks = g_array_sized_new(FALSE, TRUE, sizeof(MmReportedTask), (guint)message->n_tasks);
   for (size_t i = 0; i < message->n_tasks; i++) {
     const Mm__TaskState *task = message->tasks[i];
-    MmSeenTask reported_task = { .job = mm_name(task->job),
-                                 .number = task->number,
-                                 .attempt = { task->attempt },
-                                 .state = (guint8)MIN(task->state, MM_SEEN_ENDED),
-                                 .cause = (guint8)MIN(task->cause, MM_CAUSE_UNKNOWN),
-                                 .saved = task->saved };
+    MmReportedTask reported_task = { .job = mm_name(task->job),
+                                     .number = task->number,
+                                     .attempt = { task->attempt },
+                                     .state = (guint8)MIN(task->state, MM_REPORTED_ENDED),
+                                     .cause = (guint8)MIN(task->cause, MM_CAUSE_NO_SUCH_TASK),
+                                     .is_checkpointed = task->saved };
     g_array_append_val(heartbeat.tasks, reported_task);
   }
-  machine = mm_machine_table_take(
+  machine = mm_machine_table_record_heartbeat(
       links->node->machine_table, &heartbeat,
       mm_time_add_ms(mm_node_now(links->node), -(gint64)message->age_ms), (gint)peer);
   if (machine != NULL && !message->unanswered)
-    mm_health_count_answer(links->node->machine_table, machine, (MmTerm){ message->term });
-  mm_report_clear(&heartbeat);
+    mm_machine_health_count_response(links->node->machine_table, machine,
+                                     (MmTerm){ message->term });
+  mm_heartbeat_clear(&heartbeat);
 }
 
 static void
@@ -260,32 +261,33 @@
   for (size_t i = 0; i < repeats->n_machines; i++) {
     MmHeartbeatId heartbeat_id = { repeats->sessions[i], repeats->seqs[i] };
     MmMachine *machine = mm_machine_table_find(links->node->machine_table, repeats->machines[i]);
-    mm_machine_table_beat(links->node->machine_table, repeats->machines[i], heartbeat_id, now,
-                          (gint)peer);
+    mm_machine_table_record_repeat(links->node->machine_table, repeats->machines[i], heartbeat_id,
+                                   now, (gint)peer);
     if (machine != NULL)
-      mm_health_count_answer(links->node->machine_table, machine, (MmTerm){ repeats->term });
+      mm_machine_health_count_response(links->node->machine_table, machine,
+                                       (MmTerm){ repeats->term });
   }
   for (size_t i = 0; i < repeats->n_unproved; i++)
-    mm_machine_table_answered(links->node->machine_table, repeats->unproved[i], now);
+    mm_machine_table_record_response(links->node->machine_table, repeats->unproved[i], now);
 }
 
 static void
 take_commands(MmLinks *links, const Mm__Commands *message) {
   MmMachine *machine = mm_machine_table_find(links->node->machine_table, message->machine);
 
-  if (machine == NULL || machine->host != MM_HOST_SELF
-      || machine->stamp.incarnation != message->session)
+  if (machine == NULL || machine->serving_node != MM_SERVING_NODE_SELF
+      || machine->latest_message_id.incarnation != message->session)
     return;
   for (size_t i = 0; i < message->n_commands; i++) {
     const Mm__Command *item = message->commands[i];
-    MmCommand command = { .op = (MmOp)item->op,
+    MmCommand command = { .op = (MmCommandOp)item->op,
                           .job = mm_name(item->job),
                           .number = item->number,
                           .attempt = { item->attempt },
                           .grace_s = item->grace_s };
     /* Starts are good for one answer only and never come this way. */
     if (command.op == MM_OP_STOP || command.op == MM_OP_FORGET)
-      mm_machine_queue(machine, message->session, &command);
+      mm_machine_queue_command(machine, message->session, &command);
   }
 }
 
@@ -301,7 +303,7 @@
   pong.served_ms = age_ms(links, links->node->store->last_served_at);
   pong.claim = links->node->node_lease->lease_id;
   pong.answering = mm_node_lease_may_answer_workers(links->node->node_lease);
-  pong.machines = mm_checkin_hosted(links->node->checkin);
+  pong.machines = mm_heartbeat_server_served_machines(links->node->checkin);
   frame.body_case = MM__FRAME__BODY_PONG;
   frame.pong = &pong;
   mm_links_send(links, peer, &frame);
@@ -317,7 +319,7 @@
     mm_sharing_grant_asked(sharing, peer_index, frame->grant_ask);
     return TRUE;
   case MM__FRAME__BODY_GRANT_ANSWER:
-    mm_pending_answer_granted(links->node->checkin, peer_index, frame->grant_answer);
+    mm_pending_response_grants_answered(links->node->checkin, peer_index, frame->grant_answer);
     return TRUE;
   case MM__FRAME__BODY_MOVE_ORDER:
     mm_sharing_move_ordered(sharing, peer_index, frame->move_order);
@@ -365,7 +367,7 @@
     mm_owner_peer_ask(links->node->owner, peer_index, frame->ask);
     break;
   case MM__FRAME__BODY_ANSWER:
-    mm_checkin_answered(links->node->checkin, peer_index, frame->answer);
+    mm_pending_response_start_answered(links->node->checkin, peer_index, frame->answer);
     break;
   case MM__FRAME__BODY_BACKLOG:
     mm_rank_heard(links->node->rank, (gint)peer_index, frame->backlog);
@@ -381,7 +383,7 @@
     mm_api_cancel_acked(links->node->api, peer_index, frame->cancel_ack->job);
     break;
   case MM__FRAME__BODY_GONE:
-    mm_machine_table_gone(links->node->machine_table, frame->gone->machine);
+    mm_machine_table_record_termination(links->node->machine_table, frame->gone->machine);
     break;
   default:
     if (!take_sharing_frame(links, peer_index, frame))
--- a/src/peers/telling.c
+++ b/src/peers/telling.c
@@ -18,7 +18,7 @@
 send_report(MmLinks *links, guint peer, const MmMachine *machine, Telling kind) {
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Report heartbeat = MM__REPORT__INIT;
-  guint n = machine->tasks->len;
+  guint n = machine->reported_tasks->len;
   g_autofree Mm__TaskState *tasks = g_new(Mm__TaskState, MAX(n, 1));
   g_autofree Mm__TaskState **list = g_new(Mm__TaskState *, MAX(n, 1));
   MmTime now = mm_node_now(links->node);
@@ -27,27 +27,31 @@
   heartbeat.addr = (char *)machine->addr;
   heartbeat.type = (char *)machine->type_name.s;
   heartbeat.zone = (char *)machine->zone.s;
-  heartbeat.spot = machine->spot;
+  heartbeat.spot = machine->is_spot;
   heartbeat.unanswered = kind != ANSWERED;
   heartbeat.direct = kind == DIRECT;
   heartbeat.term = kind == ANSWERED ? links->node->replica->term.v : 0;
-  heartbeat.session = machine->stamp.incarnation;
-  heartbeat.seq = machine->stamp.sequence;
-  heartbeat.token = machine->token.v;
-  heartbeat.warned = machine->warned;
-  heartbeat.notice_s = machine->warned ? (double)mm_time_ms_since(machine->taken, now) / 1000.0 : 0;
-  heartbeat.age_ms = kind == DIRECT
-                         ? 0
-                         : (guint32)CLAMP(mm_time_ms_since(now, machine->reported), 0, G_MAXUINT32);
+  heartbeat.session = machine->latest_message_id.incarnation;
+  heartbeat.seq = machine->latest_message_id.sequence;
+  heartbeat.token = machine->acknowledged_term.v;
+  heartbeat.warned = machine->has_termination_notice;
+  heartbeat.notice_s = machine->has_termination_notice
+                           ? (double)mm_time_ms_since(machine->termination_at, now) / 1000.0
+                           : 0;
+  heartbeat.age_ms
+      = kind == DIRECT
+            ? 0
+            : (guint32)CLAMP(mm_time_ms_since(now, machine->last_heartbeat_at), 0, G_MAXUINT32);
   for (guint i = 0; i < n; i++) {
-    const MmSeenTask *reported_task = &g_array_index(machine->tasks, MmSeenTask, i);
+    const MmReportedTask *reported_task
+        = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     mm__task_state__init(&tasks[i]);
     tasks[i].job = (char *)reported_task->job.s;
     tasks[i].number = reported_task->number;
     tasks[i].attempt = reported_task->attempt.v;
     tasks[i].state = reported_task->state;
     tasks[i].cause = reported_task->cause;
-    tasks[i].saved = reported_task->saved;
+    tasks[i].saved = reported_task->is_checkpointed;
     list[i] = &tasks[i];
   }
   heartbeat.tasks = list;
@@ -108,14 +112,14 @@
 
 void
 mm_links_tell_report(MmLinks *links, MmMachine *machine, gboolean is_answered) {
-  if (!machine->untold && is_answered) {
-    MmBeat repeat = { machine->id, machine->stamp };
+  if (!machine->has_unsent_changes && is_answered) {
+    MmBeat repeat = { machine->id, machine->latest_message_id };
     g_array_append_val(links->beats, repeat);
     if (links->beats->len >= BEATS_MAX)
       mm_links_tell_beats(links);
     return;
   }
-  machine->untold = FALSE;
+  machine->has_unsent_changes = FALSE;
   tell_machine(links, machine, is_answered ? ANSWERED : UNANSWERED);
 }
 
@@ -182,7 +186,7 @@
     list[i] = &items[i];
   }
   message.machine = (char *)machine->id.s;
-  message.session = machine->stamp.incarnation;
+  message.session = machine->latest_message_id.incarnation;
   message.commands = list;
   message.n_commands = commands->len;
   frame.body_case = MM__FRAME__BODY_COMMANDS;
@@ -195,7 +199,7 @@
  * (day 29 of tests/test-world). */
 static gboolean
 is_known_by_direct_answer(const MmMachine *machine) {
-  return mm_heartbeat_id_is_newer(machine->stamp, machine->report_stamp);
+  return mm_heartbeat_id_is_newer(machine->latest_message_id, machine->latest_heartbeat_id);
 }
 
 /* Everything this node has answered within two leases comes before its first pong on a link: what
@@ -206,7 +210,7 @@
 void
 mm_links_tell_answered(MmLinks *links, guint peer) {
   MmNode *node = links->node;
-  const GPtrArray *machines = node->machine_table->order;
+  const GPtrArray *machines = node->machine_table->sorted_machines;
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->worker_lease_s * 2000);
   g_autoptr(GPtrArray) hosted_elsewhere = g_ptr_array_new();
@@ -215,14 +219,16 @@
 
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    gboolean is_hosted_here = machine->heard && machine->host == MM_HOST_SELF && !machine->lost;
+    gboolean is_hosted_here = machine->has_reported && machine->serving_node == MM_SERVING_NODE_SELF
+                              && !machine->lease_has_expired;
     if (is_hosted_here && !is_known_by_direct_answer(machine)) {
       send_report(links, peer, machine, ANSWERED);
       continue;
     }
     if (is_hosted_here)
       send_report(links, peer, machine, DIRECT);
-    if (machine->answered_here.us != 0 && mm_time_ms_since(now, machine->answered_here) < recent_ms)
+    if (machine->last_own_response_at.us != 0
+        && mm_time_ms_since(now, machine->last_own_response_at) < recent_ms)
       g_ptr_array_add(hosted_elsewhere, machine->id.s);
   }
   if (hosted_elsewhere->len == 0)
--- a/src/rank/rank.c
+++ b/src/rank/rank.c
@@ -167,7 +167,7 @@
 /* Where the job's own words allow it at all. */
 gboolean
 mm_rank_allows(const MmJob *job, const MmMachine *machine) {
-  return mm_spec_allows(&job->spec, &machine->type_name, &machine->zone, machine->spot);
+  return mm_spec_allows(&job->spec, &machine->type_name, &machine->zone, machine->is_spot);
 }
 
 void
@@ -188,10 +188,10 @@
 others_take(const MmRank *rank, const MmMachine *machine, MmResources free_resources) {
   MmResources taken = mm_resources_sub(machine->type->room, free_resources);
 
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->reported_tasks->len; i++) {
+    const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *task_job = mm_job_table_find(rank->node->job_table, reported->job.s);
-    if (reported->state != MM_SEEN_ENDED && task_job != NULL
+    if (reported->state != MM_REPORTED_ENDED && task_job != NULL
         && task_job->spec.need.accelerators > 0)
       taken = mm_resources_sub(taken, task_job->spec.need);
   }
@@ -211,14 +211,14 @@
 lasting_take(const MmRank *rank, const MmMachine *machine) {
   MmResources taken = { 0 };
 
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->reported_tasks->len; i++) {
+    const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *task_job = mm_job_table_find(rank->node->job_table, reported->job.s);
-    if (reported->state != MM_SEEN_ENDED && task_job != NULL && lasts(rank, task_job))
+    if (reported->state != MM_REPORTED_ENDED && task_job != NULL && lasts(rank, task_job))
       taken = mm_resources_add(taken, task_job->spec.need);
   }
-  for (guint i = 0; i < machine->placed->len; i++) {
-    const MmPlaced *placed = g_ptr_array_index(machine->placed, i);
+  for (guint i = 0; i < machine->placed_tasks->len; i++) {
+    const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
     if (placed->job->tasks[placed->number].state == MM_TASK_ISSUED && lasts(rank, placed->job))
       taken = mm_resources_add(taken, placed->job->spec.need);
   }
@@ -260,10 +260,10 @@
 
 static gboolean
 runs_accelerated_work(const MmRank *rank, const MmMachine *machine) {
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *reported = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->reported_tasks->len; i++) {
+    const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *job = mm_job_table_find(rank->node->job_table, reported->job.s);
-    if (reported->state != MM_SEEN_ENDED && job != NULL && job->spec.need.accelerators > 0)
+    if (reported->state != MM_REPORTED_ENDED && job != NULL && job->spec.need.accelerators > 0)
       return TRUE;
   }
   return FALSE;
@@ -281,14 +281,14 @@
 /* Machines that accelerated work could have at once, or after stopping what they are lent to. */
 static GPtrArray *
 idle_accelerated(const MmRank *rank, guint *n_all) {
-  const GPtrArray *order = rank->node->machine_table->order;
+  const GPtrArray *order = rank->node->machine_table->sorted_machines;
   GPtrArray *idle = g_ptr_array_new();
 
   *n_all = 0;
   for (guint i = 0; i < order->len; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
-    if (!mm_machine_usable(rank->node->machine_table, machine)
-        || machine->type->room.accelerators <= 0 || (machine->spot && !rank->accelerated_spot))
+    if (!mm_machine_is_usable(rank->node->machine_table, machine)
+        || machine->type->room.accelerators <= 0 || (machine->is_spot && !rank->accelerated_spot))
       continue;
     ++*n_all;
     if (!runs_accelerated_work(rank, machine) && !is_reserved(rank, machine)
@@ -327,7 +327,7 @@
     return MM_LEAVES;
   if (!rank->accelerated && job->spec.kind != MM_KIND_SERVICE)
     return MM_LEAVES;
-  if (rank->accelerated && machine->spot && !rank->accelerated_spot)
+  if (rank->accelerated && machine->is_spot && !rank->accelerated_spot)
     return MM_LEAVES;
   if (still_unknown(rank))
     return MM_WOULD_TAKE;
@@ -357,10 +357,10 @@
   if (mm_time_ms_since(now, rank->given_up_at) < GIVE_UP_EVERY_MS)
     return machine == rank->next_given_up;
 
-  for (guint i = 0; i < machine_table->order->len; i++) {
-    const MmMachine *other = g_ptr_array_index(machine_table->order, i);
-    if (!mm_machine_usable(machine_table, other) || other->type->room.accelerators <= 0
-        || (other->spot && !rank->accelerated_spot))
+  for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
+    const MmMachine *other = g_ptr_array_index(machine_table->sorted_machines, i);
+    if (!mm_machine_is_usable(machine_table, other) || other->type->room.accelerators <= 0
+        || (other->is_spot && !rank->accelerated_spot))
       continue;
     n_accelerated++;
     if (!holds_largest(rank, other, lasting_take(rank, other)))
@@ -442,7 +442,7 @@
 choose_cached(MmRank *rank, const MmMachine *machine, MmResources free_resources,
               const GArray *requested, MmChoice *choice) {
   g_autoptr(GArray) ranked = g_array_new(FALSE, FALSE, sizeof(Ranked));
-  guint n_machines = rank->node->machine_table->order->len, n_controllers = rank->n_views,
+  guint n_machines = rank->node->machine_table->sorted_machines->len, n_controllers = rank->n_views,
         n_tasks = 0, task_offset = 0;
   guint max_tasks = MIN((guint)rank->node->operators->candidates, MM_RANK_CANDIDATES_MAX);
 
@@ -456,13 +456,13 @@
     for (guint i = 0; i < rank->views[v].waiting->len; i++) {
       const MmWaiting *pending = g_ptr_array_index(rank->views[v].waiting, i);
       const MmJob *job = fitting(rank, pending, machine, free_resources);
-      gboolean cached = job != NULL && mm_machine_caches(machine, &job->spec.image);
+      gboolean cached = job != NULL && mm_machine_has_cached_image(machine, &job->spec.image);
       for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
         guint first = g_array_index(pending->ranges, guint, k);
         guint length = g_array_index(pending->ranges, guint, k + 1);
         for (guint t = 0; t < length && cached && ranked->len < RANKED_MAX; t++) {
-          Ranked item = { mm_modulo_priority(task_offset + t + 1, n_tasks, machine->index + 1,
-                                             n_machines, n_controllers),
+          Ranked item = { mm_modulo_priority(task_offset + t + 1, n_tasks,
+                                             machine->sorted_index + 1, n_machines, n_controllers),
                           v,
                           { pending->job, first + t } };
           if (!was_tried(requested, &pending->job, first + t))
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -25,17 +25,17 @@
 
 static gboolean
 is_shown(const MmMachine *machine, const MmGrant *grant) {
-  return mm_machine_seen(machine, &grant->job, grant->number, grant->attempt) != NULL;
+  return mm_machine_find_reported_task(machine, &grant->job, grant->number, grant->attempt) != NULL;
 }
 
 /* Takes off what tasks that the report shows use; FALSE when one of them is of an unknown job. */
 static gboolean
 take_off_reported(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    const MmSeenTask *task = &g_array_index(machine->tasks, MmSeenTask, i);
+  for (guint i = 0; i < machine->reported_tasks->len; i++) {
+    const MmReportedTask *task = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *job;
 
-    if (task->state == MM_SEEN_ENDED)
+    if (task->state == MM_REPORTED_ENDED)
       continue;
     job = mm_job_table_find(grants->node->job_table, task->job.s);
     if (job == NULL)
@@ -47,8 +47,8 @@
 
 static void
 take_off_reserved(const MmMachine *machine, MmResources *remaining) {
-  for (guint i = 0; i < machine->placed->len; i++) {
-    const MmPlaced *placed = g_ptr_array_index(machine->placed, i);
+  for (guint i = 0; i < machine->placed_tasks->len; i++) {
+    const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
     if (placed->job->tasks[placed->number].state == MM_TASK_RESERVED)
       *remaining = mm_resources_sub(*remaining, placed->job->spec.need);
   }
@@ -104,7 +104,7 @@
 
   if (is_outstanding(list, grant))
     return TRUE;
-  if (job == NULL || mm_heartbeat_id_is_newer(machine->stamp, grant->stamp)
+  if (job == NULL || mm_heartbeat_id_is_newer(machine->latest_message_id, grant->stamp)
       || !mm_resources_fits(job->spec.need, mm_grants_left(grants, machine))) {
     grants->refused++;
     return FALSE;
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -80,11 +80,11 @@
 note_unacknowledged(MmSharing *sharing, const MmMachine *machine) {
   MmOwnedGroup *owned = sharing->owned[machine->group];
 
-  if (owned == NULL || !machine->registered || machine->lost)
+  if (owned == NULL || !machine->is_in_registry || machine->lease_has_expired)
     return;
-  if (!machine->heard || machine->token.v < owned->term.v)
+  if (!machine->has_reported || machine->acknowledged_term.v < owned->term.v)
     g_hash_table_insert(owned->unacknowledged, g_strdup(machine->id.s),
-                        GSIZE_TO_POINTER(machine->registered_session));
+                        GSIZE_TO_POINTER(machine->registered_incarnation));
 }
 
 static void
@@ -102,7 +102,7 @@
 /* Drops what is not owned any more, or under another term, and adopts what is new. */
 static void
 take_over_map(MmSharing *sharing) {
-  const GPtrArray *machines = sharing->node->machine_table->order;
+  const GPtrArray *machines = sharing->node->machine_table->sorted_machines;
   g_autoptr(MmGroupSet) adopted_groups = roaring_bitmap_create();
 
   for (guint group = 0; group < sharing->groups; group++) {
@@ -123,7 +123,7 @@
     if (!roaring_bitmap_contains(adopted_groups, machine->group))
       continue;
     note_unacknowledged(sharing, machine);
-    machine->acknowledgement_asked.us = 0;
+    machine->acknowledgement_requested_at.us = 0;
   }
   mm_info("%u machine groups are owned here, %u of them new", sharing->n_owned,
           (guint)roaring_bitmap_get_cardinality(adopted_groups));
@@ -195,7 +195,8 @@
  * when the group was acquired; what was started in the old one is gone. */
 static gboolean
 acknowledges(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
-  return machine->token.v >= owned->term.v || machine->stamp.incarnation > incarnation;
+  return machine->acknowledged_term.v >= owned->term.v
+         || machine->latest_message_id.incarnation > incarnation;
 }
 
 void
@@ -233,7 +234,7 @@
   if (sharing->active)
     owner = mm_group_map_owner(sharing->map, machine->group);
   return owner.holding != NULL ? mm_sharing_owns(sharing, machine->group)
-                               : machine->host == MM_HOST_SELF;
+                               : machine->serving_node == MM_SERVING_NODE_SELF;
 }
 
 MmTerm
@@ -267,7 +268,7 @@
   /* What the owner has quarantined gets nothing; nor does a session that is not registered: should
    * the group change hands, the next owner would not know to wait for it. */
   return owned != NULL && !owned->moving && mm_sharing_owns(sharing, group)
-         && mm_machine_usable(sharing->node->machine_table, machine)
+         && mm_machine_is_usable(sharing->node->machine_table, machine)
          && mm_node_lease_may_answer_workers(sharing->node->node_lease)
          && !g_hash_table_contains(owned->unacknowledged, machine->id.s);
 }
@@ -346,10 +347,10 @@
   peer = mm_links_find(node->links, owner.holding->node.s);
   /* A worker that comes back so soon can't reach the owner: it is served here. */
   if (peer < 0 || !mm_links_peer_answers(node->links, (guint)peer)
-      || (machine->redirected.us != 0
-          && mm_time_ms_since(now, machine->redirected)
+      || (machine->last_redirected_at.us != 0
+          && mm_time_ms_since(now, machine->last_redirected_at)
                  < (gint64)(node->settings->worker_lease_s * 1000)))
     return -1;
-  machine->redirected = now;
+  machine->last_redirected_at = now;
   return peer;
 }
--- a/src/store/replica.c
+++ b/src/store/replica.c
@@ -108,7 +108,8 @@
   } else if (g_str_has_prefix(key, MM_KEY_LIVE_NODE)) {
     put_live_node(replica, key + strlen(MM_KEY_LIVE_NODE), value);
   } else if (g_str_has_prefix(key, MM_KEY_REGISTRY_PACK)) {
-    mm_registry_put(replica->node->registry, key + strlen(MM_KEY_REGISTRY_PACK), value, version);
+    mm_registry_apply_pack(replica->node->registry, key + strlen(MM_KEY_REGISTRY_PACK), value,
+                           version);
   } else if (g_str_has_prefix(key, MM_KEY_JOB)) {
     mm_job_table_put(replica->node->job_table, key + strlen(MM_KEY_JOB), value, version);
   } else if (g_str_has_prefix(key, MM_KEY_NODE_VERSION)) {
@@ -132,7 +133,7 @@
       mm_info("node %s is gone", key + strlen(MM_KEY_LIVE_NODE));
     }
   } else if (g_str_has_prefix(key, MM_KEY_REGISTRY_PACK)) {
-    mm_registry_remove(replica->node->registry, key + strlen(MM_KEY_REGISTRY_PACK));
+    mm_registry_forget_pack(replica->node->registry, key + strlen(MM_KEY_REGISTRY_PACK));
   } else if (g_str_has_prefix(key, MM_KEY_JOB)) {
     mm_job_table_remove(replica->node->job_table, key + strlen(MM_KEY_JOB));
   } else if (g_str_has_prefix(key, MM_KEY_MACHINE_GROUPS)) {
@@ -252,7 +253,7 @@
 notify_replica_changed(MmReplica *replica) {
   mm_owner_replica_changed(replica->node->owner);
   mm_sharing_replica_changed(replica->node->sharing);
-  mm_checkin_replica_changed(replica->node->checkin);
+  mm_heartbeat_server_replica_changed(replica->node->checkin);
 }
 
 static void
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -43,12 +43,13 @@
 /* Machines that the node knows, has heard of and finds on the register. */
 static guint
 machines_known(const World *world, guint node) {
-  const GPtrArray *order = world->nodes[node].node->machine_table->order;
+  const GPtrArray *order = world->nodes[node].node->machine_table->sorted_machines;
   guint n = 0;
 
   for (guint i = 0; i < order->len; i++) {
     const MmMachine *machine = g_ptr_array_index(order, i);
-    n += machine->heard && mm_machine_is_registered(machine) && !machine->lost;
+    n += machine->has_reported && mm_machine_has_registered_incarnation(machine)
+         && !machine->lease_has_expired;
   }
   return n;
 }
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -74,8 +74,8 @@
     const MmMachine *machine
         = mm_machine_table_find(node->machine_table, json_string_value(json_array_get(entry, 0)));
     g_assert_nonnull(machine);
-    g_assert_true(machine->registered);
-    g_assert_cmpuint(machine->registered_session, ==,
+    g_assert_true(machine->is_in_registry);
+    g_assert_cmpuint(machine->registered_incarnation, ==,
                      (guint64)json_integer_value(json_array_get(entry, 5)));
     g_assert_cmpstr(machine->type_name.s, ==, json_string_value(json_array_get(entry, 2)));
   }
@@ -127,7 +127,7 @@
     counts->cancelled += mm_json_get(value, "c") != NULL;
     counts->partly_done += mm_json_get(value, "d") != NULL;
   } else if (after_prefix(path, MM_KEY_REGISTRY_PACK, &rest)) {
-    mm_registry_put(node->registry, rest, value, version);
+    mm_registry_apply_pack(node->registry, rest, value, version);
     check_pack(node, value);
     counts->packs++;
   } else if (after_prefix(path, MM_KEY_TERMINAL_RECORD, &rest)) {
--- a/tests/test-health.c
+++ b/tests/test-health.c
@@ -38,31 +38,32 @@
 }
 
 static void
-take_report(Setting *s, guint machine, guint64 session, MmSeenTask *task) {
+take_report(Setting *s, guint machine, guint64 session, MmReportedTask *task) {
   MmMachine *m = s->machines[machine];
-  MmReport report = { .machine = m->id,
-                      .type = m->type_name,
-                      .zone = m->zone,
-                      .stamp = { session, m->stamp.sequence + 1 },
-                      .token = m->token,
-                      .tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask)) };
+  MmHeartbeat report = { .machine_id = m->id,
+                         .type = m->type_name,
+                         .zone = m->zone,
+                         .heartbeat_id = { session, m->latest_message_id.sequence + 1 },
+                         .fencing_token = m->acknowledged_term,
+                         .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
 
   if (task != NULL)
     g_array_append_val(report.tasks, *task);
-  mm_machine_table_take(s->node->machine_table, &report, mm_node_now(s->node), MM_HOST_SELF);
-  mm_report_clear(&report);
+  mm_machine_table_record_heartbeat(s->node->machine_table, &report, mm_node_now(s->node),
+                                    MM_SERVING_NODE_SELF);
+  mm_heartbeat_clear(&report);
 }
 
 /* A task of the job, its number that of the machine, has ended there. */
 static void
-ends(Setting *s, guint machine, guint job, MmCause cause) {
-  MmSeenTask task = { .job = s->jobs[job],
-                      .number = machine,
-                      .attempt = { 100 + job },
-                      .state = MM_SEEN_ENDED,
-                      .cause = (guint8)cause };
-
-  take_report(s, machine, s->machines[machine]->stamp.incarnation, &task);
+ends(Setting *s, guint machine, guint job, MmEndCause cause) {
+  MmReportedTask task = { .job = s->jobs[job],
+                          .number = machine,
+                          .attempt = { 100 + job },
+                          .state = MM_REPORTED_ENDED,
+                          .cause = (guint8)cause };
+
+  take_report(s, machine, s->machines[machine]->latest_message_id.incarnation, &task);
 }
 
 static gboolean
@@ -105,17 +106,17 @@
 test_lost_leases(void) {
   Setting s = set_up();
   gint64 second = G_USEC_PER_SEC;
-  guint64 session = s.machines[0]->stamp.incarnation;
+  guint64 session = s.machines[0]->latest_message_id.incarnation;
 
   for (guint lease = 0; lease < 3; lease++) {
     for (guint i = 0; i < 15; i++) {
       take_report(&s, 0, session, NULL);
-      mm_health_count_own_answer(s.node->machine_table, s.machines[0]);
+      mm_machine_health_count_own_response(s.node->machine_table, s.machines[0]);
       s.world->now_us += second;
     }
     s.world->now_us += (gint64)(s.world->lease_s * G_USEC_PER_SEC) - second / 10;
     take_report(&s, 0, session, NULL);
-    mm_health_count_own_answer(s.node->machine_table, s.machines[0]);
+    mm_machine_health_count_own_response(s.node->machine_table, s.machines[0]);
     s.world->now_us += second / 2;
     take_report(&s, 0, ++session, NULL);
     g_assert_false(is_quarantined(&s, 0));
@@ -123,7 +124,7 @@
   for (guint lease = 0; lease < 2; lease++) {
     for (guint i = 0; i < 15; i++) {
       take_report(&s, 0, session, NULL);
-      mm_health_count_own_answer(s.node->machine_table, s.machines[0]);
+      mm_machine_health_count_own_response(s.node->machine_table, s.machines[0]);
       s.world->now_us += second;
     }
     take_report(&s, 0, ++session, NULL);
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -188,7 +188,8 @@
   /* Four a node in a tenth of a second, and the stops of that time. */
   g_assert_cmpuint(most, <=, 16);
   /* Not one for each machine, all in all. */
-  g_assert_cmpuint(world->directs - first, <, world->nodes[1].node->machine_table->order->len);
+  g_assert_cmpuint(world->directs - first, <,
+                   world->nodes[1].node->machine_table->sorted_machines->len);
   g_assert_cmpuint(tenths, <, 70);
   world_free(world);
 }
@@ -397,7 +398,7 @@
   world_run(world, 14);
   world_assert_rules(world);
   for (guint i = 0; i < WORLD_NODES; i++)
-    g_assert_cmpuint(world->nodes[i].node->machine_table->order->len, >=, 1750);
+    g_assert_cmpuint(world->nodes[i].node->machine_table->sorted_machines->len, >=, 1750);
   world_cut_zone(world, 1, 35, TRUE);
   world_run(world, 40);
   world_assert_rules(world);
--- a/tests/test-links.c
+++ b/tests/test-links.c
@@ -21,21 +21,22 @@
 host_of(World *world, const char *id) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmMachine *machine = mm_machine_table_find(world->nodes[i].node->machine_table, id);
-    if (machine != NULL && machine->host == MM_HOST_SELF)
+    if (machine != NULL && machine->serving_node == MM_SERVING_NODE_SELF)
       return i;
   }
   g_assert_not_reached();
 }
 
-static MmReport
+static MmHeartbeat
 report_of(const MmMachine *machine, gboolean direct) {
-  return (MmReport){ .machine = machine->id,
-                     .type = machine->type_name,
-                     .zone = machine->zone,
-                     .stamp = { machine->stamp.incarnation, machine->stamp.sequence + 100 },
-                     .token = machine->token,
-                     .direct = direct,
-                     .tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask)) };
+  return (MmHeartbeat){ .machine_id = machine->id,
+                        .type = machine->type_name,
+                        .zone = machine->zone,
+                        .heartbeat_id = { machine->latest_message_id.incarnation,
+                                          machine->latest_message_id.sequence + 100 },
+                        .fencing_token = machine->acknowledged_term,
+                        .is_direct_reply = direct,
+                        .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
 }
 
 /* Links are refused; a node is back meanwhile and hears a machine by a direct answer only, which
@@ -49,7 +50,7 @@
   guint host = host_of(world, id), back = (host + 1) % WORLD_NODES;
   MmNode *node;
   MmMachine *machine;
-  MmReport report;
+  MmHeartbeat report;
   MmTime loaded;
 
   /* Else the machine would be returned. */
@@ -60,7 +61,7 @@
   node = world->nodes[back].node;
   machine = mm_machine_table_find(node->machine_table, id);
   g_assert_nonnull(machine);
-  loaded = machine->answered;
+  loaded = machine->last_possible_response_at;
   world_run(world, 8);
   /* From now on it reports to nobody. */
   for (guint i = 0; i < world->machines->len; i++)
@@ -69,18 +70,21 @@
   world_run(world, 0.1);
   g_assert_cmpint(host_of(world, id), ==, host);
   report = report_of(machine, TRUE);
-  mm_machine_table_take(node->machine_table, &report, mm_node_now(node), MM_HOST_SELF);
-  mm_report_clear(&report);
-  g_assert_cmpint(machine->host, ==, MM_HOST_NONE);
+  mm_machine_table_record_heartbeat(node->machine_table, &report, mm_node_now(node),
+                                    MM_SERVING_NODE_SELF);
+  mm_heartbeat_clear(&report);
+  g_assert_cmpint(machine->serving_node, ==, MM_SERVING_NODE_NONE);
   /* What an earlier version passed on: the direct answer as a report to the node that was back. */
   report = report_of(machine, FALSE);
-  mm_machine_table_take(world->nodes[host].node->machine_table, &report, (MmTime){ 1 }, 0);
-  mm_report_clear(&report);
-  g_assert_cmpint(mm_machine_table_find(world->nodes[host].node->machine_table, id)->host, ==, 0);
-  g_assert_cmpint(machine->answered.us, ==, loaded.us);
+  mm_machine_table_record_heartbeat(world->nodes[host].node->machine_table, &report, (MmTime){ 1 },
+                                    0);
+  mm_heartbeat_clear(&report);
+  g_assert_cmpint(mm_machine_table_find(world->nodes[host].node->machine_table, id)->serving_node,
+                  ==, 0);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, loaded.us);
   world_run(world, 4);
   g_assert_true(node->links->peers[0].up && node->links->peers[1].up);
-  g_assert_cmpint(machine->answered.us, >, loaded.us + 6 * G_USEC_PER_SEC);
+  g_assert_cmpint(machine->last_possible_response_at.us, >, loaded.us + 6 * G_USEC_PER_SEC);
   world_free(world);
 }
 
@@ -124,26 +128,29 @@
   const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
   MmNode *direct = world->nodes[0].node, *registered = world->nodes[1].node;
   MmMachine *machine = mm_machine_table_find(direct->machine_table, id);
-  MmReport report = report_of(machine, TRUE);
-  MmTime before = machine->answered;
-  MmEntry entry;
+  MmHeartbeat report = report_of(machine, TRUE);
+  MmTime before = machine->last_possible_response_at;
+  MmRegistryEntry entry;
 
   world->now_us += 2 * (gint64)G_USEC_PER_SEC;
-  mm_machine_table_take(direct->machine_table, &report, mm_node_now(direct), MM_HOST_NONE);
-  g_assert_cmpint(machine->answered.us, ==, before.us);
-  report.stamp.incarnation++;
-  mm_machine_table_take(direct->machine_table, &report, mm_node_now(direct), MM_HOST_NONE);
-  g_assert_cmpint(machine->answered.us, ==, mm_node_now(direct).us);
-  mm_report_clear(&report);
+  mm_machine_table_record_heartbeat(direct->machine_table, &report, mm_node_now(direct),
+                                    MM_SERVING_NODE_NONE);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, before.us);
+  report.heartbeat_id.incarnation++;
+  mm_machine_table_record_heartbeat(direct->machine_table, &report, mm_node_now(direct),
+                                    MM_SERVING_NODE_NONE);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, mm_node_now(direct).us);
+  mm_heartbeat_clear(&report);
 
   machine = mm_machine_table_find(registered->machine_table, id);
-  before = machine->answered;
-  entry = (MmEntry){ .machine = machine->id, .session = machine->stamp.incarnation };
-  mm_machine_table_registered(registered->machine_table, &entry);
-  g_assert_cmpint(machine->answered.us, ==, before.us);
-  entry.session++;
-  mm_machine_table_registered(registered->machine_table, &entry);
-  g_assert_cmpint(machine->answered.us, ==, mm_node_now(registered).us);
+  before = machine->last_possible_response_at;
+  entry = (MmRegistryEntry){ .machine_id = machine->id,
+                             .incarnation = machine->latest_message_id.incarnation };
+  mm_machine_table_record_registration(registered->machine_table, &entry);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, before.us);
+  entry.incarnation++;
+  mm_machine_table_record_registration(registered->machine_table, &entry);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, mm_node_now(registered).us);
   world_free(world);
 }
 
@@ -158,22 +165,24 @@
   MmNode *node = world->nodes[host].node;
   MmMachine *machine = mm_machine_table_find(node->machine_table, id);
   const MmMachine *there = mm_machine_table_find(world->nodes[other].node->machine_table, id);
-  MmReport report;
+  MmHeartbeat report;
 
   for (guint i = 0; i < world->machines->len; i++)
     ((WorldMachine *)g_ptr_array_index(world->machines, i))->hung_until_us
         = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 0.5);
   report = report_of(machine, TRUE);
-  mm_machine_table_take(node->machine_table, &report, mm_node_now(node), MM_HOST_NONE);
+  mm_machine_table_record_heartbeat(node->machine_table, &report, mm_node_now(node),
+                                    MM_SERVING_NODE_NONE);
   for (guint i = 0; i < WORLD_NODES - 1; i++)
     node->port.reconnect(node->port.self, i);
   world_run(world, 1.5);
-  g_assert_cmpuint(there->stamp.sequence, ==, report.stamp.sequence);
-  g_assert_true(mm_heartbeat_id_is_newer(report.stamp, there->report_stamp));
-  g_assert_cmpint(mm_time_ms_since(mm_node_now(world->nodes[other].node), there->answered), <,
-                  2500);
-  mm_report_clear(&report);
+  g_assert_cmpuint(there->latest_message_id.sequence, ==, report.heartbeat_id.sequence);
+  g_assert_true(mm_heartbeat_id_is_newer(report.heartbeat_id, there->latest_heartbeat_id));
+  g_assert_cmpint(
+      mm_time_ms_since(mm_node_now(world->nodes[other].node), there->last_possible_response_at), <,
+      2500);
+  mm_heartbeat_clear(&report);
   world_free(world);
 }
 
@@ -221,10 +230,11 @@
   g_assert_cmpuint(world->nodes[host].node->links->frames_out - frames, <, 40);
   world_run(world, 9);
   g_assert_true(peer->up);
-  g_assert_cmpint(mm_time_ms_since(
-                      mm_node_now(world->nodes[still].node),
-                      mm_machine_table_find(world->nodes[still].node->machine_table, id)->answered),
-                  <, 4000);
+  g_assert_cmpint(
+      mm_time_ms_since(mm_node_now(world->nodes[still].node),
+                       mm_machine_table_find(world->nodes[still].node->machine_table, id)
+                           ->last_possible_response_at),
+      <, 4000);
   world_assert_rules(world);
   world_free(world);
 }
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -45,7 +45,7 @@
 static gint
 ask(Setting *s, guint machine, gint first, gint second, gboolean pull) {
   MmAsk ask = { .machine = s->machines[machine],
-                .stamp = s->machines[machine]->stamp,
+                .stamp = s->machines[machine]->latest_message_id,
                 .room = { 16, 2, 64 },
                 .pull = pull };
   MmApproval approval;
@@ -63,12 +63,12 @@
   Setting s = set_up(5);
 
   g_assert_cmpint(ask(&s, 0, 0, 1, FALSE), ==, 0); /* alpha: the first, the second is kept */
-  g_assert_cmpuint(s.machines[0]->kept->len, ==, 1);
+  g_assert_cmpuint(s.machines[0]->kept_list->len, ==, 1);
   g_assert_cmpint(ask(&s, 0, -1, -1, FALSE), ==, 1); /* nothing sent: from the kept-list */
   g_assert_cmpint(ask(&s, 0, 0, 2, FALSE), ==, 2);   /* gamma: the first is taken, the second not */
   g_assert_cmpint(ask(&s, 0, 0, 1, FALSE), ==, -1);  /* chi: both are taken, nothing is kept */
   g_assert_cmpint(ask(&s, 0, 3, 0, FALSE), ==, 3);   /* beta */
-  g_assert_cmpuint(s.machines[0]->kept->len, ==, 0);
+  g_assert_cmpuint(s.machines[0]->kept_list->len, ==, 0);
   g_assert_cmpint(ask(&s, 1, -1, -1, FALSE), ==, -1);
   g_assert_cmpint(ask(&s, 1, -1, -1, TRUE), ==, 4); /* a pull gets what is left */
   g_assert_cmpint(ask(&s, 1, -1, -1, TRUE), ==, -1);
@@ -129,9 +129,9 @@
 static void
 test_old_ask(void) {
   Setting s = set_up(2);
-  MmHeartbeatId now = s.machines[0]->stamp;
+  MmHeartbeatId now = s.machines[0]->latest_message_id;
 
-  s.machines[0]->stamp.sequence++;
+  s.machines[0]->latest_message_id.sequence++;
   {
     MmAsk old = { .machine = s.machines[0], .stamp = now, .room = { 16, 2, 64 }, .pull = TRUE };
     MmApproval approval;
@@ -142,15 +142,16 @@
 }
 
 /* A report of a machine with one task of the setting's job on it. */
-static MmReport
+static MmHeartbeat
 report_with(const Setting *s, guint machine, guint64 session, guint64 seq, guint64 attempt) {
-  MmReport report = { .machine = s->machines[machine]->id,
-                      .type = s->machines[machine]->type_name,
-                      .zone = s->machines[machine]->zone,
-                      .stamp = { session, seq },
-                      .token = s->machines[machine]->token,
-                      .tasks = g_array_new(FALSE, TRUE, sizeof(MmSeenTask)) };
-  MmSeenTask seen = { .job = s->job->spec.id, .attempt = { attempt }, .state = MM_SEEN_RUNNING };
+  MmHeartbeat report = { .machine_id = s->machines[machine]->id,
+                         .type = s->machines[machine]->type_name,
+                         .zone = s->machines[machine]->zone,
+                         .heartbeat_id = { session, seq },
+                         .fencing_token = s->machines[machine]->acknowledged_term,
+                         .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
+  MmReportedTask seen
+      = { .job = s->job->spec.id, .attempt = { attempt }, .state = MM_REPORTED_RUNNING };
 
   if (attempt != 0)
     g_array_append_val(report.tasks, seen);
@@ -158,12 +159,12 @@
 }
 
 static MmMachine *
-take(const Setting *s, MmReport report) {
+take(const Setting *s, MmHeartbeat report) {
   MmNode *node = s->owner->node;
-  MmMachine *machine
-      = mm_machine_table_take(node->machine_table, &report, mm_node_now(node), MM_HOST_SELF);
+  MmMachine *machine = mm_machine_table_record_heartbeat(node->machine_table, &report,
+                                                         mm_node_now(node), MM_SERVING_NODE_SELF);
 
-  mm_report_clear(&report);
+  mm_heartbeat_clear(&report);
   return machine;
 }
 
@@ -174,7 +175,9 @@
 test_newer_attempt_stands(void) {
   for (guint newer_first = 0; newer_first < 2; newer_first++) {
     Setting s = set_up(2);
-    guint64 seq = MAX(s.machines[0]->stamp.sequence, s.machines[1]->stamp.sequence) + 1;
+    guint64 seq
+        = MAX(s.machines[0]->latest_message_id.sequence, s.machines[1]->latest_message_id.sequence)
+          + 1;
     guint first = newer_first ? 1 : 0;
 
     take(&s, report_with(&s, first, 1, seq, first == 1 ? 200 : 100));
@@ -198,7 +201,7 @@
   held->ready = FALSE;
   held->unacknowledged_changed = TRUE;
   g_hash_table_insert(held->unacknowledged, g_strdup(spot->id.s), GSIZE_TO_POINTER(1));
-  spot->spot = TRUE;
+  spot->is_spot = TRUE;
   s.job->spec.spot = TRUE;
   g_assert_false(mm_owner_knows(s.owner, s.job));
   g_assert_false(mm_owner_open(s.owner, s.job));
@@ -235,10 +238,10 @@
 }
 
 static gboolean
-is_late(const Setting *s, MmReport report) {
-  gboolean late = mm_machine_table_is_late(s->owner->node->machine_table, &report);
+is_late(const Setting *s, MmHeartbeat report) {
+  gboolean late = mm_machine_table_is_stale_heartbeat(s->owner->node->machine_table, &report);
 
-  mm_report_clear(&report);
+  mm_heartbeat_clear(&report);
   return late;
 }
 
@@ -247,11 +250,11 @@
 test_late_copies(void) {
   Setting s = set_up(2);
   MmMachine *machine = s.machines[0];
-  guint64 seq = machine->stamp.sequence + 10;
+  guint64 seq = machine->latest_message_id.sequence + 10;
   MmTime answered;
 
   take(&s, report_with(&s, 0, 1, seq, 100));
-  answered = machine->answered;
+  answered = machine->last_possible_response_at;
   world_run(s.world, 1);
   g_assert_true(is_late(&s, report_with(&s, 0, 1, seq, 100)));
   g_assert_true(is_late(&s, report_with(&s, 0, 1, seq - 1, 0)));
@@ -259,13 +262,13 @@
   g_assert_false(is_late(&s, report_with(&s, 0, 2, 1, 0)));
   /* Should one come by a peer all the same, it denies nothing and proves no life. */
   g_assert_null(take(&s, report_with(&s, 0, 1, seq - 1, 0)));
-  g_assert_cmpint(machine->answered.us, ==, answered.us);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, answered.us);
   g_assert_true(s.job->tasks[0].machine == machine);
   /* A report that a direct answer has overtaken is none. */
-  machine->stamp.sequence = seq + 5;
+  machine->latest_message_id.sequence = seq + 5;
   g_assert_false(is_late(&s, report_with(&s, 0, 1, seq + 2, 0)));
   /* Nothing brings back what has been proved gone. */
-  mm_machine_table_gone(s.owner->node->machine_table, machine->id.s);
+  mm_machine_table_record_termination(s.owner->node->machine_table, machine->id.s);
   g_assert_true(is_late(&s, report_with(&s, 0, 9, 1, 100)));
   g_assert_null(take(&s, report_with(&s, 0, 9, 1, 100)));
   world_free(s.world);
@@ -276,21 +279,21 @@
 test_unproved(void) {
   Setting s = set_up(2);
   const MmMachineTable *machine_table = s.owner->node->machine_table;
-  MmReport report = report_with(&s, 0, 3, 70, 100);
+  MmHeartbeat report = report_with(&s, 0, 3, 70, 100);
 
   s.owner->node->replica->term_at_start.v = 7; /* as if it had started among others */
-  report.machine = mm_name("m-000999");
-  report.token.v = s.owner->node->replica->term_at_start.v - 1;
-  g_assert_true(mm_machine_table_is_unproved(machine_table, &report));
-  report.token = s.owner->node->replica->term_at_start;
-  g_assert_false(mm_machine_table_is_unproved(machine_table, &report));
+  report.machine_id = mm_name("m-000999");
+  report.fencing_token.v = s.owner->node->replica->term_at_start.v - 1;
+  g_assert_true(mm_machine_table_is_unverified(machine_table, &report));
+  report.fencing_token = s.owner->node->replica->term_at_start;
+  g_assert_false(mm_machine_table_is_unverified(machine_table, &report));
   /* One on the register may hold tasks: whatever it shows counts. */
-  report.machine = s.machines[0]->id;
-  report.stamp.incarnation = s.machines[0]->registered_session;
-  report.token.v = 0;
-  s.machines[0]->heard = FALSE;
-  g_assert_false(mm_machine_table_is_unproved(machine_table, &report));
-  mm_report_clear(&report);
+  report.machine_id = s.machines[0]->id;
+  report.heartbeat_id.incarnation = s.machines[0]->registered_incarnation;
+  report.fencing_token.v = 0;
+  s.machines[0]->has_reported = FALSE;
+  g_assert_false(mm_machine_table_is_unverified(machine_table, &report));
+  mm_heartbeat_clear(&report);
   world_free(s.world);
 }
 
@@ -385,7 +388,7 @@
     for (guint i = 0; i < WORLD_NODES; i++) {
       const MmJob *known = mm_job_table_find(world->nodes[i].node->job_table, job->id);
       for (guint k = 0; known->tasks != NULL && k < 2; k++)
-        own += known->tasks[k].machine->host == MM_HOST_SELF;
+        own += known->tasks[k].machine->serving_node == MM_SERVING_NODE_SELF;
     }
     world_cancel(job);
     world_run(world, 4);
--- a/tests/test-spec.c
+++ b/tests/test-spec.c
@@ -110,21 +110,21 @@
       "{\"kit\":\"run-000398/0\",\"try\":1,\"mood\":\"ended\",\"cause\":\"no_room\"}]}",
       0, NULL);
   const char *reason = NULL;
-  MmReport report;
-  const MmSeenTask *tasks;
+  MmHeartbeat report;
+  const MmReportedTask *tasks;
 
-  g_assert_true(mm_report_parse(&report, body, &reason));
-  g_assert_true(report.warned && report.spot);
-  g_assert_cmpuint(report.token.v, ==, 41);
-  tasks = (const MmSeenTask *)report.tasks->data;
+  g_assert_true(mm_heartbeat_parse(&report, body, &reason));
+  g_assert_true(report.has_termination_notice && report.is_spot);
+  g_assert_cmpuint(report.fencing_token.v, ==, 41);
+  tasks = (const MmReportedTask *)report.tasks->data;
   g_assert_cmpstr(tasks[0].job.s, ==, "run-000412");
   g_assert_cmpuint(tasks[0].number, ==, 3);
-  g_assert_cmpint(tasks[1].state, ==, MM_SEEN_ENDED);
-  g_assert_cmpint(tasks[1].cause, ==, MM_CAUSE_NO_ROOM);
-  mm_report_clear(&report);
+  g_assert_cmpint(tasks[1].state, ==, MM_REPORTED_ENDED);
+  g_assert_cmpint(tasks[1].cause, ==, MM_CAUSE_NO_RESOURCES);
+  mm_heartbeat_clear(&report);
   json_object_set_new(json_array_get(json_object_get(body, "kits"), 0), "kit", json_string("x"));
-  g_assert_false(mm_report_parse(&report, body, &reason));
-  mm_report_clear(&report);
+  g_assert_false(mm_heartbeat_parse(&report, body, &reason));
+  mm_heartbeat_clear(&report);
 }
 
 int
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -120,7 +120,7 @@
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     const MmMachine *seen = mm_machine_table_find(world->nodes[0].node->machine_table, machine->id);
-    gboolean known = seen != NULL && seen->registered;
+    gboolean known = seen != NULL && seen->is_in_registry;
     if (machine->up)
       registered += known;
     else
--- a/tests/world/broken.c
+++ b/tests/world/broken.c
@@ -22,9 +22,9 @@
 /* A node that is broken on purpose: it takes late copies of reports for newer ones. */
 static void
 forget_stamps(MmMachineTable *machine_table) {
-  for (guint i = 0; i < machine_table->order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(machine_table->order, i);
-    machine->stamp.sequence = machine->report_stamp.sequence = 0;
+  for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(machine_table->sorted_machines, i);
+    machine->latest_message_id.sequence = machine->latest_heartbeat_id.sequence = 0;
   }
 }
 
@@ -35,13 +35,14 @@
   GHashTableIter iter;
   gpointer value;
 
-  for (guint i = 0; i < node->machine_table->order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->order, i);
-    machine->unacknowledged = 0;
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+    machine->unacknowledged_responses = 0;
     g_hash_table_iter_init(&iter, node->owner->held);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
       MmOwnedShard *led_shard = value;
-      if (!machine->heard || machine->lost || machine->token.v >= led_shard->term.v)
+      if (!machine->has_reported || machine->lease_has_expired
+          || machine->acknowledged_term.v >= led_shard->term.v)
         continue;
       g_hash_table_insert(led_shard->unacknowledged, g_strdup(machine->id.s),
                           GSIZE_TO_POINTER(G_MAXSIZE));
--- a/tests/world/rules.c
+++ b/tests/world/rules.c
@@ -104,7 +104,7 @@
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < machine->tasks->len && machine != except; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
-      n_running += task->job == job && task->state == MM_SEEN_RUNNING;
+      n_running += task->job == job && task->state == MM_REPORTED_RUNNING;
     }
   }
   return n_running;
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -172,7 +172,7 @@
 
   for (guint k = 0; k < machine->tasks->len; k++) {
     const WorldTask *task = g_ptr_array_index(machine->tasks, k);
-    if (task->state != MM_SEEN_ENDED)
+    if (task->state != MM_REPORTED_ENDED)
       resources = mm_resources_sub(resources, task->job->spec.need);
   }
   return resources;
@@ -205,7 +205,7 @@
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
-      if (task->state == MM_SEEN_ENDED)
+      if (task->state == MM_REPORTED_ENDED)
         continue;
       *n_given += task->job == target_job;
       if (mm_name_equal(&task->job->spec.team, &target_job->spec.team))
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -49,7 +49,7 @@
     g_autofree char *name = g_strdup_printf("%s/%u", task->job->id, task->number);
     json_t *item = json_pack("{s:s, s:I, s:s}", WIRE_TASK, name, WIRE_ATTEMPT,
                              (json_int_t)task->attempt, WIRE_STATE, states[task->state]);
-    if (task->state == MM_SEEN_ENDED)
+    if (task->state == MM_REPORTED_ENDED)
       json_object_set_new(item, WIRE_CAUSE, json_string(causes[task->cause]));
     json_array_append_new(tasks, item);
   }
@@ -85,11 +85,11 @@
 
 static void
 end_task(WorldMachine *machine, WorldTask *task, guint8 cause) {
-  gboolean was_running = task->state == MM_SEEN_RUNNING;
+  gboolean was_running = task->state == MM_REPORTED_RUNNING;
   gboolean was_on = world_task_is_on(task);
 
   mm_debug("world: %s/%u ends on %s: %s", task->job->id, task->number, machine->id, causes[cause]);
-  task->state = MM_SEEN_ENDED;
+  task->state = MM_REPORTED_ENDED;
   task->cause = cause;
   machine->changed = TRUE;
   if (was_on)
@@ -105,7 +105,8 @@
       && world_uniform(machine->world, 0, 1) < machine->world->cancelled_at_end)
     world_cancel(task->job);
   if (was_running)
-    end_peers(machine->world, task, cause == MM_CAUSE_DONE ? MM_CAUSE_DONE : MM_CAUSE_PEERS);
+    end_peers(machine->world, task,
+              cause == MM_CAUSE_DONE ? MM_CAUSE_DONE : MM_CAUSE_GANG_PEER_ENDED);
 }
 
 /* Gangs complete together and notice a loss together. */
@@ -118,7 +119,7 @@
     for (guint k = 0; k < other->tasks->len; k++) {
       WorldTask *peer = g_ptr_array_index(other->tasks, k);
       if (peer != task && peer->job == task->job && peer->attempt == task->attempt
-          && peer->state == MM_SEEN_RUNNING)
+          && peer->state == MM_REPORTED_RUNNING)
         end_task(other, peer, cause);
     }
   }
@@ -134,8 +135,8 @@
     WorldTask *task = g_ptr_array_index(tasks, i);
     if (world_task_is_on(task))
       record(machine, task, WORLD_TASK_ENDS);
-    if (task->state == MM_SEEN_RUNNING)
-      end_peers(machine->world, task, MM_CAUSE_PEERS);
+    if (task->state == MM_REPORTED_RUNNING)
+      end_peers(machine->world, task, MM_CAUSE_GANG_PEER_ENDED);
     g_free(task);
   }
 }
@@ -160,28 +161,28 @@
   task->attempt = attempt;
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WorldTask *other = g_ptr_array_index(machine->tasks, i);
-    if (other->state == MM_SEEN_ENDED)
+    if (other->state == MM_REPORTED_ENDED)
       continue;
     cores -= other->job->spec.need.cores;
     memory -= other->job->spec.need.memory_gb;
     if (other->job == job && other->number == number)
-      task->cause = MM_CAUSE_BUSY;
+      task->cause = MM_CAUSE_OTHER_ATTEMPT;
   }
   if (task->cause == 0
       && (cores < job->spec.need.cores - 1e-9 || memory < job->spec.need.memory_gb - 1e-9))
-    task->cause = MM_CAUSE_NO_ROOM;
-  world->no_room += task->cause == MM_CAUSE_NO_ROOM;
-  if (task->cause == MM_CAUSE_NO_ROOM && world->groups > 0)
+    task->cause = MM_CAUSE_NO_RESOURCES;
+  world->no_room += task->cause == MM_CAUSE_NO_RESOURCES;
+  if (task->cause == MM_CAUSE_NO_RESOURCES && world->groups > 0)
     world_break(world, "granted twice: %s has no resources for %s/%u", machine->id, job->id,
                 number);
   g_ptr_array_add(machine->tasks, task);
   machine->changed = TRUE;
   if (task->cause != 0) {
-    task->state = MM_SEEN_ENDED;
+    task->state = MM_REPORTED_ENDED;
     record(machine, task, WORLD_TASK_REFUSED);
     return;
   }
-  task->state = MM_SEEN_FETCHING;
+  task->state = MM_REPORTED_FETCHING;
   task->at_us = world->now_us + (gint64)(world_uniform(world, 0.05, 1.5) * G_USEC_PER_SEC);
 }
 
@@ -204,9 +205,9 @@
     } else if (task != NULL && strcmp(op, WIRE_STOP) == 0) {
       machine->world->stops++;
       machine->world->stop_grace_s = mm_json_number(item, WIRE_GRACE, 0);
-      if (task->state != MM_SEEN_ENDED)
+      if (task->state != MM_REPORTED_ENDED)
         end_task(machine, task, MM_CAUSE_STOPPED);
-    } else if (task != NULL && strcmp(op, WIRE_FORGET) == 0 && task->state == MM_SEEN_ENDED) {
+    } else if (task != NULL && strcmp(op, WIRE_FORGET) == 0 && task->state == MM_REPORTED_ENDED) {
       g_ptr_array_remove(machine->tasks, task);
       g_free(task);
       machine->changed = TRUE;
@@ -307,8 +308,9 @@
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *peer = g_ptr_array_index(machine->tasks, k);
-      n_present += peer->job == task->job && peer->attempt == task->attempt
-                   && (peer->state == MM_SEEN_WAITING || peer->state == MM_SEEN_RUNNING);
+      n_present
+          += peer->job == task->job && peer->attempt == task->attempt
+             && (peer->state == MM_REPORTED_WAITING_FOR_GANG || peer->state == MM_REPORTED_RUNNING);
     }
   }
   return n_present == task->job->spec.tasks;
@@ -318,17 +320,17 @@
 advance(WorldMachine *machine, WorldTask *task) {
   World *world = machine->world;
 
-  if (world->now_us < task->at_us || task->state == MM_SEEN_ENDED)
+  if (world->now_us < task->at_us || task->state == MM_REPORTED_ENDED)
     return;
-  if (task->state == MM_SEEN_FETCHING && task->job->done[task->number]) {
+  if (task->state == MM_REPORTED_FETCHING && task->job->done[task->number]) {
     world->starts++;
     world_check_start(world, machine, task);
     record(machine, task, WORLD_TASK_STARTS);
-    task->state = MM_SEEN_WAITING;
+    task->state = MM_REPORTED_WAITING_FOR_GANG;
     end_task(machine, task, MM_CAUSE_DONE);
     return;
   }
-  if (task->state == MM_SEEN_FETCHING) {
+  if (task->state == MM_REPORTED_FETCHING) {
     machine->changed = TRUE;
     world->starts++;
     mm_debug("world: %s/%u is on %s, attempt %" G_GUINT64_FORMAT, task->job->id, task->number,
@@ -336,25 +338,25 @@
     world_check_start(world, machine, task);
     record(machine, task, WORLD_TASK_STARTS);
     if (task->job->spec.kind == MM_KIND_GANG && task->job->spec.tasks > 1) {
-      task->state = MM_SEEN_WAITING;
+      task->state = MM_REPORTED_WAITING_FOR_GANG;
       task->left_s = 20;
       task->at_us = world->now_us;
       return;
     }
-    task->state = MM_SEEN_RUNNING;
+    task->state = MM_REPORTED_RUNNING;
     task->left_s
         = task->job->run_s * world_uniform(world, 0.8, 1.2) + task->number * task->job->stagger_s;
     task->at_us = world->now_us + (gint64)(task->left_s * G_USEC_PER_SEC);
     return;
   }
-  if (task->state == MM_SEEN_WAITING) {
+  if (task->state == MM_REPORTED_WAITING_FOR_GANG) {
     task->left_s -= 0.05;
     if (gang_complete(world, task)) {
       machine->changed = TRUE;
-      task->state = MM_SEEN_RUNNING;
+      task->state = MM_REPORTED_RUNNING;
       task->at_us = world->now_us + (gint64)(task->job->run_s * G_USEC_PER_SEC);
     } else if (task->left_s < 0) {
-      end_task(machine, task, MM_CAUSE_ALONE);
+      end_task(machine, task, MM_CAUSE_GANG_INCOMPLETE);
     }
     return;
   }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -60,7 +60,7 @@
   WorldJob *job;
   guint number;
   guint64 attempt;
-  guint8 state; /* MmSeenState */
+  guint8 state; /* MmReportedState */
   guint8 cause;
   gint64 at_us; /* when the next change of state is due */
   double left_s;
@@ -388,6 +388,6 @@
 guint world_running(const World *world, const WorldJob *job, const WorldMachine *except);
 static inline gboolean
 world_task_is_on(const WorldTask *task) {
-  return task->state == MM_SEEN_WAITING || task->state == MM_SEEN_RUNNING
-         || task->state == MM_SEEN_SAVING;
+  return task->state == MM_REPORTED_WAITING_FOR_GANG || task->state == MM_REPORTED_RUNNING
+         || task->state == MM_REPORTED_CHECKPOINTING;
 }
