--- a/src/checkin/machine-table.c
+++ b/src/checkin/machine-table.c
@@ -143,14 +143,14 @@
 static void
 notify_heartbeat(const MmMachineTable *machine_table, MmMachine *machine,
                  const MmHeartbeat *heartbeat, gboolean changed) {
-  mm_owner_report(machine_table->node->owner, machine, heartbeat, changed);
+  mm_scheduler_heartbeat_received(machine_table->node->owner, machine, heartbeat, changed);
   mm_sharing_reported(machine_table->node->sharing, machine, heartbeat->heartbeat_id,
                       heartbeat->is_direct_reply);
 }
 
 static void
 notify_machine_ended(const MmMachineTable *machine_table, MmMachine *machine) {
-  mm_owner_machine_gone(machine_table->node->owner, machine);
+  mm_scheduler_machine_gone(machine_table->node->owner, machine);
   mm_sharing_machine_gone(machine_table->node->sharing, machine);
 }
 
--- a/src/checkin/pending-answer.c
+++ b/src/checkin/pending-answer.c
@@ -131,24 +131,24 @@
   MmHeartbeatServer *server = response->server;
   const MmJob *job = mm_job_table_find(server->node->job_table, approval->job.s);
   MmApprovedStart start = { { MM_OP_START, approval->job, approval->number, approval->attempt, 0 },
-                            approval->part,
+                            approval->shard,
                             approval->term };
 
   g_array_append_val(response->approved_starts, start);
   if (job == NULL)
     response->available = (MmResources){ 0 };
-  else if (!approval->reserved)
+  else if (!approval->was_reserved)
     response->available = mm_resources_sub(response->available, job->spec.need);
-  mm_rank_strike(server->node->rank, (guint)response->choice.view, approval->job.s,
-                 approval->number);
+  mm_placement_remove_candidate(server->node->rank, (guint)response->choice.view, approval->job.s,
+                                approval->number);
 }
 
 static void
 record_refusal(MmPendingResponse *response) {
   response->failed_requests++;
-  if (response->choice.n == 0)
+  if (response->choice.n_tasks == 0)
     response->exhausted_views |= 1u << response->choice.view;
-  g_array_append_vals(response->tried_tasks, response->choice.tasks, response->choice.n);
+  g_array_append_vals(response->tried_tasks, response->choice.tasks, response->choice.n_tasks);
 }
 
 static void
@@ -156,8 +156,8 @@
   MmHeartbeatServer *server = response->server;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Ask request = MM__ASK__INIT;
-  Mm__TaskRef task_refs[MM_RANK_CANDIDATES_MAX];
-  Mm__TaskRef *ref_pointers[MM_RANK_CANDIDATES_MAX];
+  Mm__TaskRef task_refs[MM_PLACEMENT_CANDIDATES_MAX];
+  Mm__TaskRef *ref_pointers[MM_PLACEMENT_CANDIDATES_MAX];
 
   response->request_id = ++server->last_request_id;
   g_hash_table_insert(server->pending_responses, &response->request_id, response);
@@ -168,15 +168,15 @@
   request.cores = response->available.cores;
   request.accelerators = response->available.accelerators;
   request.memory_gb = response->available.memory_gb;
-  request.pull = response->choice.pull;
-  for (guint i = 0; i < response->choice.n; i++) {
+  request.pull = response->choice.is_pull;
+  for (guint i = 0; i < response->choice.n_tasks; i++) {
     mm__task_ref__init(&task_refs[i]);
     task_refs[i].job = response->choice.tasks[i].job.s;
     task_refs[i].number = response->choice.tasks[i].number;
     ref_pointers[i] = &task_refs[i];
   }
   request.candidates = ref_pointers;
-  request.n_candidates = response->choice.n;
+  request.n_candidates = response->choice.n_tasks;
   frame.body_case = MM__FRAME__BODY_ASK;
   frame.ask = &request;
   mm_links_send(server->node->links, (guint)response->choice.view - 1, &frame);
@@ -273,14 +273,14 @@
          && mm_time_before(mm_node_now(node), response->deadline)) {
     MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
     MmApproval approval;
-    MmAsk request;
+    MmStartRequest request;
 
     if (machine == NULL
         || mm_heartbeat_id_is_newer(machine->latest_message_id, response->heartbeat_id)
         || !mm_machine_is_usable(node->machine_table, machine))
       break;
-    response->choice = mm_rank_choose(node->rank, machine, response->available,
-                                      response->tried_tasks, response->exhausted_views);
+    response->choice = mm_placement_choose(node->rank, machine, response->available,
+                                           response->tried_tasks, response->exhausted_views);
     if (response->choice.view < 0)
       break;
     if (response->choice.view > 0) {
@@ -292,14 +292,14 @@
       send_start_request(response);
       return;
     }
-    request = (MmAsk){ .machine = machine,
-                       .stamp = response->heartbeat_id,
-                       .room = response->available,
-                       .own = TRUE,
-                       .pull = response->choice.pull,
-                       .n = response->choice.n };
+    request = (MmStartRequest){ .machine = machine,
+                                .heartbeat_id = response->heartbeat_id,
+                                .free_resources = response->available,
+                                .is_local = TRUE,
+                                .is_pull = response->choice.is_pull,
+                                .n_tasks = response->choice.n_tasks };
     memcpy(request.tasks, response->choice.tasks, sizeof request.tasks);
-    if (mm_owner_ask(node->owner, &request, &approval))
+    if (mm_scheduler_approve_start(node->owner, &request, &approval))
       add_approved_start(response, &approval);
     else
       record_refusal(response);
@@ -316,7 +316,7 @@
   if (response == NULL || response->awaits_grants || response->choice.view != (gint)peer + 1)
     return;
   g_hash_table_remove(server->pending_responses, &request_id);
-  server->node->rank->views[peer + 1].unfinished = reply->unfinished;
+  server->node->rank->views[peer + 1].n_pending_tasks = reply->unfinished;
   if (reply->approval != NULL) {
     MmApproval approval
         = { mm_name(reply->approval->job),  reply->approval->number,   { reply->approval->attempt },
--- a/src/checkin/pending-answer.h
+++ b/src/checkin/pending-answer.h
@@ -26,7 +26,7 @@
   MmResources available;
   GArray *approved_starts; /* Start */
   GArray *tried_tasks;     /* MmTaskRef */
-  MmChoice choice;
+  MmPlacementChoice choice;
   guint exhausted_views;
   guint failed_requests;
   guint64 request_id;
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -33,13 +33,13 @@
 
   for (guint i = 0; i < change->cancelled->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(change->cancelled, i);
-    mm_owner_cancelled(node->owner, vertex->job.s);
+    mm_scheduler_job_cancelled(node->owner, vertex->job.s);
   }
   for (guint i = 0; i < change->ready->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(change->ready, i);
     MmJob *job = mm_job_table_find(node->job_table, vertex->job.s);
     if (job != NULL)
-      mm_owner_job_ready(node->owner, job);
+      mm_scheduler_job_ready(node->owner, job);
   }
 }
 
@@ -78,7 +78,7 @@
   apply(dependencies, &change);
   mm_graph_change_clear(&change);
   if (job->spec.n_needs > 0 && mm_job_is_ready(job))
-    mm_owner_job_ready(dependencies->node->owner, job);
+    mm_scheduler_job_ready(dependencies->node->owner, job);
 }
 
 void
--- a/src/fleet/renting.c
+++ b/src/fleet/renting.c
@@ -64,13 +64,15 @@
 /* How many of the job's tasks one such machine holds beside the work it is kept for. */
 static guint
 slots(MmFleet *autoscaler, const MmJob *job, const MmType *type) {
-  const MmRank *placement = autoscaler->node->rank;
+  const MmPlacement *placement = autoscaler->node->rank;
   MmResources free_resources = type->room;
   guint n_slots = 1000;
 
-  if (free_resources.accelerators > 0 && job->spec.need.accelerators <= 0 && placement->accelerated)
+  if (free_resources.accelerators > 0 && job->spec.need.accelerators <= 0
+      && placement->has_seen_accelerated_work)
     free_resources = mm_resources_sub(
-        free_resources, (MmResources){ placement->largest.cores, 0, placement->largest.memory_gb });
+        free_resources, (MmResources){ placement->largest_accelerated_need.cores, 0,
+                                       placement->largest_accelerated_need.memory_gb });
   if (job->spec.need.cores > 0)
     n_slots = MIN(n_slots, (guint)MAX(free_resources.cores / job->spec.need.cores + 1e-6, 0));
   if (job->spec.need.accelerators > 0)
@@ -175,7 +177,7 @@
 void
 mm_fleet_rent(MmFleet *autoscaler) {
   MmNode *node = autoscaler->node;
-  MmRank *placement = node->rank;
+  MmPlacement *placement = node->rank;
   MmTime now = mm_node_now(node);
   g_autoptr(GHashTable) reserved_slots = g_hash_table_new(g_direct_hash, g_direct_equal);
 
@@ -183,8 +185,8 @@
     return;
   count_coming(autoscaler);
   for (guint view_index = 0; view_index < placement->n_views; view_index++) {
-    for (guint i = 0; i < placement->views[view_index].waiting->len; i++) {
-      const MmWaiting *pending = g_ptr_array_index(placement->views[view_index].waiting, i);
+    for (guint i = 0; i < placement->views[view_index].pending->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[view_index].pending, i);
       const MmJob *job = mm_job_table_find(node->job_table, pending->job.s);
       g_autoptr(GArray) options = NULL;
       guint n_tasks = 0;
--- a/src/fleet/returns.c
+++ b/src/fleet/returns.c
@@ -275,7 +275,7 @@
       && mm_time_ms_since(now, machine->idle_since)
              > (gint64)(node->operators->idle_return_s * 1000)) {
     for (guint view_index = 0; view_index < node->rank->n_views; view_index++)
-      if (node->rank->views[view_index].unfinished > 0)
+      if (node->rank->views[view_index].n_pending_tasks > 0)
         return FALSE;
     return TRUE;
   }
--- a/src/jobs/api.c
+++ b/src/jobs/api.c
@@ -293,7 +293,7 @@
   if (revision > request->node->replica->revision && request->node->replica->is_loaded)
     mm_job_table_put(request->node->job_table, request->id.s, request->record,
                      (MmKeyVersion){ revision });
-  mm_owner_cancelled(request->node->owner, request->id.s);
+  mm_scheduler_job_cancelled(request->node->owner, request->id.s);
   answer_cancelled(request);
 }
 
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -91,7 +91,7 @@
     g_ptr_array_add(job_table->order, job);
     job_table->generation++;
     g_ptr_array_sort(job_table->order, older_first);
-    mm_rank_note(job_table->node->rank, &job->spec);
+    mm_placement_note_accelerated_job(job_table->node->rank, &job->spec);
     mm_dependencies_job_added(job_table->node->dependencies, job);
   }
   job->version = version;
@@ -100,9 +100,9 @@
   if (mm_json_count(json, "c", 0) != 0) {
     if (job->cancel_version.v == 0)
       job->cancel_version = version;
-    mm_owner_cancelled(job_table->node->owner, id);
+    mm_scheduler_job_cancelled(job_table->node->owner, id);
   }
-  mm_owner_job_changed(job_table->node->owner, job);
+  mm_scheduler_job_changed(job_table->node->owner, job);
 }
 
 static void
@@ -125,7 +125,7 @@
   bounded_add(job_table->ended, job_table->ended_order, ENDED_KEPT, id, NULL);
   if (job == NULL)
     return;
-  mm_owner_job_removed(job_table->node->owner, job);
+  mm_scheduler_job_removed(job_table->node->owner, job);
   g_ptr_array_remove(job_table->order, job);
   job_table->generation++;
   g_hash_table_remove(job_table->jobs, id);
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -7,7 +7,7 @@
 #include "node/node.h"
 
 typedef struct MmMachine MmMachine;
-typedef struct MmOwnedShard MmOwnedShard;
+typedef struct MmLedShard MmLedShard;
 typedef struct MmVertex MmVertex;
 
 /* Where a task may be. Only the owner of its team knows. */
@@ -66,7 +66,7 @@
   MmDoneSet recorded; /* what the state service holds */
 
   /* The owner's view; NULL where the part is not held here. */
-  MmOwnedShard *held;
+  MmLedShard *held;
   MmTask *tasks;
   MmDoneSet done;
   guint idle;       /* tasks in MM_TASK_IDLE */
@@ -84,7 +84,7 @@
   gboolean within;   /* fits its team's guarantee together with the team's older unfinished jobs */
   gboolean favoured; /* the same, where no aim of the settings gives guarantees a time */
   gboolean aged;     /* waited past all patience with nothing begun */
-  gint64 due_ms;     /* time of day by which to act for its next aim, see mm_owner_set_due */
+  gint64 due_ms; /* time of day by which to act for its next aim, see mm_scheduler_update_urgency */
   MmPriority inherited_priority; /* the highest of its own and of the jobs that depend on it */
   gint64 inherited_due_ms;       /* the same, for the deadlines of jobs that depend on it */
   MmOutlook outlook;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -50,8 +50,8 @@
   node->machine_table = mm_machine_table_new(node);
   node->registry = mm_registry_new(node);
   node->checkin = mm_heartbeat_server_new(node);
-  node->rank = mm_rank_new(node);
-  node->owner = mm_owner_new(node);
+  node->rank = mm_placement_new(node);
+  node->owner = mm_scheduler_new(node);
   node->fleet = mm_fleet_new(node);
   node->sharing = mm_sharing_new(node);
   node->links = mm_links_new(node);
@@ -68,8 +68,8 @@
   mm_links_free(node->links);
   mm_sharing_free(node->sharing);
   mm_fleet_free(node->fleet);
-  mm_owner_free(node->owner);
-  mm_rank_free(node->rank);
+  mm_scheduler_free(node->owner);
+  mm_placement_free(node->rank);
   mm_registry_free(node->registry);
   mm_machine_table_free(node->machine_table);
   mm_types_free(node->types);
@@ -124,8 +124,8 @@
   mm_heartbeat_server_tick(node->checkin);
   mm_machine_table_tick(node->machine_table);
   mm_registry_tick(node->registry);
-  mm_owner_tick(node->owner);
-  mm_rank_tick(node->rank);
+  mm_scheduler_tick(node->owner);
+  mm_placement_tick(node->rank);
   mm_sharing_tick(node->sharing);
   mm_fleet_tick(node->fleet);
 }
--- a/src/owner/approve.c
+++ b/src/owner/approve.c
@@ -6,25 +6,25 @@
 #include "peers/links.h"
 #include "store/replica.h"
 
-#define KEPT_MAX 64
-#define AVOID_MS 60000
-#define GIVE_UP_AFTER_MS 800
-#define SPREAD_PERIODS 0.7
-#define OUTLOOK_MS 400
-#define OUTLOOK_OLD_MS 2000
+#define KEPT_TASKS_MAX 64
+#define AVOID_FAILED_MACHINE_MS 60000
+#define RELEASE_MACHINE_AFTER_MS 800
+#define SPREAD_SERVICE_PERIODS 0.7
+#define ESTIMATE_FRESH_MS 400
+#define ESTIMATE_AGE_MAX_MS 2000
 
 MmAttempt
-mm_owner_next_attempt(MmOwner *owner, const MmOwnedShard *held) {
+mm_scheduler_next_attempt(MmScheduler *owner, const MmLedShard *held) {
   /* Terms never come twice and the sequence starts anew with the process, which takes a new term
    * before it approves anything: so no attempt is ever given out twice, with no write per start. */
-  return (MmAttempt){ held->term.v << 24 | (++owner->sequence & 0xffffff) };
+  return (MmAttempt){ held->term.v << 24 | (++owner->attempt_sequence & 0xffffff) };
 }
 
 /* Earlier holders kept to the same rules of place, and what a machine is never changes: on a
  * machine that the job may not use, there is none of its tasks, heard or not. So services need not
  * wait for a spot machine that was taken, nor gangs for one without accelerators. */
 static gboolean
-may_be_on_unacknowledged(const MmOwnedShard *held, const MmJob *job) {
+may_be_on_unacknowledged(const MmLedShard *held, const MmJob *job) {
   for (guint i = 0; i < held->unacknowledged_kinds->len; i++) {
     const MmMachineKind *kind = &g_array_index(held->unacknowledged_kinds, MmMachineKind, i);
     if (mm_name_is_empty(&kind->type)
@@ -35,37 +35,37 @@
 }
 
 gboolean
-mm_owner_knows(MmOwner *owner, const MmJob *job) {
-  MmOwnedShard *held = mm_owner_held(owner, job);
+mm_scheduler_knows_all_starts(MmScheduler *owner, const MmJob *job) {
+  MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
 
-  if (held->ready || job->known_after_claim)
+  if (held->is_ready || job->known_after_claim)
     return TRUE;
-  mm_owner_sum_unacknowledged(owner, held);
+  mm_scheduler_sum_unacknowledged(owner, held);
   return !may_be_on_unacknowledged(held, job);
 }
 
 gboolean
-mm_owner_open(MmOwner *owner, const MmJob *job) {
-  return mm_owner_held(owner, job) != NULL && job->tasks != NULL && !job->cancelled
-         && mm_job_is_ready(job) && mm_owner_knows(owner, job)
+mm_scheduler_job_is_schedulable(MmScheduler *owner, const MmJob *job) {
+  return mm_scheduler_shard_of_job(owner, job) != NULL && job->tasks != NULL && !job->cancelled
+         && mm_job_is_ready(job) && mm_scheduler_knows_all_starts(owner, job)
          && !mm_time_before(mm_node_now(owner->node), job->paused_until);
 }
 
 gboolean
-mm_owner_yields(const MmOwner *owner, const MmJob *job) {
-  const MmJob *gang = owner->yield;
+mm_scheduler_must_yield_to_gang(const MmScheduler *owner, const MmJob *job) {
+  const MmJob *gang = owner->yield_to_gang;
 
   return gang != NULL && gang != job && job->spec.need.accelerators > 0
-         && mm_owner_compare_pressing(&gang, &job) < 0;
+         && mm_scheduler_compare_urgency(&gang, &job) < 0;
 }
 
 /* `claims_at` zero: only tasks that are or may be on machines count. */
 static gboolean
-place_allowed(const MmMachineTable *machine_table, const MmJob *job, const MmMachine *machine,
-              MmTime reservations_at) {
+constraints_allow(const MmMachineTable *machine_table, const MmJob *job, const MmMachine *machine,
+                  MmTime reservations_at) {
   guint n_in_zone = 0;
 
-  if (!mm_rank_allows(job, machine))
+  if (!mm_placement_allows(job, machine))
     return FALSE;
   if (!job->spec.one_zone && !job->spec.spread)
     return TRUE;
@@ -87,17 +87,18 @@
 }
 
 gboolean
-mm_owner_place_allowed(const MmJob *job, const MmMachine *machine) {
-  return place_allowed(NULL, job, machine, (MmTime){ 0 });
+mm_scheduler_constraints_allow(const MmJob *job, const MmMachine *machine) {
+  return constraints_allow(NULL, job, machine, (MmTime){ 0 });
 }
 
 gboolean
-mm_owner_place_hoped(const MmOwner *owner, const MmJob *job, const MmMachine *machine) {
-  return place_allowed(owner->node->machine_table, job, machine, mm_node_now(owner->node));
+mm_scheduler_constraints_will_allow(const MmScheduler *owner, const MmJob *job,
+                                    const MmMachine *machine) {
+  return constraints_allow(owner->node->machine_table, job, machine, mm_node_now(owner->node));
 }
 
 static void
-add_kind(MmOwnedShard *held, const MmMachine *machine) {
+add_unacknowledged_kind(MmLedShard *held, const MmMachine *machine) {
   /* Of one that is not known, everything may be true. */
   MmMachineKind kind = machine != NULL
                            ? (MmMachineKind){ machine->type_name, machine->zone, machine->is_spot }
@@ -113,7 +114,7 @@
 }
 
 void
-mm_owner_sum_unacknowledged(MmOwner *owner, MmOwnedShard *held) {
+mm_scheduler_sum_unacknowledged(MmScheduler *owner, MmLedShard *held) {
   GHashTableIter iter;
   gpointer machine_id;
   guint n_kinds_before = held->unacknowledged_kinds->len;
@@ -122,55 +123,57 @@
     return;
   held->unacknowledged_changed = FALSE;
   g_array_set_size(held->unacknowledged_kinds, 0);
-  held->unacknowledged_of_unknown_type = FALSE;
+  held->has_unacknowledged_of_unknown_type = FALSE;
   held->unacknowledged_resources = (MmResources){ 0 };
-  g_hash_table_iter_init(&iter, held->unacknowledged);
+  g_hash_table_iter_init(&iter, held->unacknowledged_machines);
   while (g_hash_table_iter_next(&iter, &machine_id, NULL)) {
     const MmMachine *machine = mm_machine_table_find(owner->node->machine_table, machine_id);
-    add_kind(held, machine);
+    add_unacknowledged_kind(held, machine);
     if (machine == NULL || machine->type == NULL)
-      held->unacknowledged_of_unknown_type = held->unacknowledged_changed
+      held->has_unacknowledged_of_unknown_type = held->unacknowledged_changed
           = TRUE; /* its type may become known */
     else
       held->unacknowledged_resources
           = mm_resources_add(held->unacknowledged_resources, machine->type->room);
   }
   if (held->unacknowledged_kinds->len < n_kinds_before)
-    mm_rank_changed(owner->node->rank);
+    mm_placement_backlog_changed(owner->node->rank);
 }
 
 /* Who needs nothing of what is limited takes nothing of it, however much is used or owed: a team
  * that owed a waiting gang accelerators once started none of its arrays either, for minutes, beside
  * machines that lay idle. */
 static gboolean
-within(double limit, double used, double need) {
+within_quota(double limit, double used, double need) {
   return limit <= 0 || need <= 0 || used + need <= limit + MM_RESOURCES_SLACK;
 }
 
 /* What the team's tasks take or might take: all that may be on a machine, stops under way included,
  * and on a machine that has not been heard whatever fits there. */
 gboolean
-mm_owner_quota_allows(MmOwner *owner, MmOwnedShard *held, const MmJob *job, guint tasks) {
+mm_scheduler_quota_allows(MmScheduler *owner, MmLedShard *held, const MmJob *job, guint tasks) {
   MmResources limit = held->team->limit;
   MmResources used;
 
   if (limit.cores <= 0 && limit.accelerators <= 0)
     return TRUE;
-  mm_owner_sum_unacknowledged(owner, held);
-  if (held->unacknowledged_of_unknown_type)
+  mm_scheduler_sum_unacknowledged(owner, held);
+  if (held->has_unacknowledged_of_unknown_type)
     return FALSE;
   used = mm_resources_add(held->used, held->unacknowledged_resources);
   /* Else small jobs take what is left of the limit one by one: a large one never begins, and work
    * of higher priority waits for lower. */
-  if (held->owed_to != NULL && held->owed_to != job
-      && mm_owner_compare_pressing(&held->owed_to, &job) < 0)
-    used = mm_resources_add(used, held->owed);
-  return within(limit.cores, used.cores, tasks * job->spec.need.cores)
-         && within(limit.accelerators, used.accelerators, tasks * job->spec.need.accelerators);
+  if (held->quota_reserved_for != NULL && held->quota_reserved_for != job
+      && mm_scheduler_compare_urgency(&held->quota_reserved_for, &job) < 0)
+    used = mm_resources_add(used, held->reserved_quota);
+  return within_quota(limit.cores, used.cores, tasks * job->spec.need.cores)
+         && within_quota(limit.accelerators, used.accelerators,
+                         tasks * job->spec.need.accelerators);
 }
 
 guint
-mm_owner_crowd(const MmOwner *owner, const MmJob *job, const MmMachine *machine) {
+mm_scheduler_count_colocated_tasks(const MmScheduler *owner, const MmJob *job,
+                                   const MmMachine *machine) {
   guint n_tasks = 0;
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
@@ -189,21 +192,22 @@
 
 /* The outlook, not older than a moment; of a job that could not be looked at in time, as it was. */
 static const MmOutlook *
-outlook_for(MmOwner *owner, MmJob *job) {
+estimate_placement(MmScheduler *owner, MmJob *job) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
   MmOutlook *estimate = &job->outlook;
 
-  if (estimate->at.us != 0 && mm_time_ms_since(now, estimate->at) < OUTLOOK_MS)
+  if (estimate->at.us != 0 && mm_time_ms_since(now, estimate->at) < ESTIMATE_FRESH_MS)
     return estimate;
-  if (owner->looks == 0)
-    return estimate->at.us != 0 && mm_time_ms_since(now, estimate->at) < OUTLOOK_OLD_MS ? estimate
-                                                                                        : NULL;
-  owner->looks--;
+  if (owner->machine_scans_left == 0)
+    return estimate->at.us != 0 && mm_time_ms_since(now, estimate->at) < ESTIMATE_AGE_MAX_MS
+               ? estimate
+               : NULL;
+  owner->machine_scans_left--;
   *estimate = (MmOutlook){ .at = now, .best_s = -1, .next_s = -1, .least_crowd = G_MAXUINT };
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
-    double delay_s = mm_owner_delay_on(owner, job, machine);
+    double delay_s = mm_scheduler_start_delay_s(owner, job, machine);
 
     if (delay_s < 0)
       continue;
@@ -217,7 +221,8 @@
     if (job->spec.kind == MM_KIND_SERVICE
         && delay_s <= job->spec.image_gb / machine->type->fetch_gb_per_s
                           + node->settings->heartbeat_interval_s)
-      estimate->least_crowd = MIN(estimate->least_crowd, mm_owner_crowd(owner, job, machine));
+      estimate->least_crowd
+          = MIN(estimate->least_crowd, mm_scheduler_count_colocated_tasks(owner, job, machine));
   }
   return estimate;
 }
@@ -228,12 +233,13 @@
  * for the next ones, leaves beside it work that can be stopped for them, and bounds what a
  * machine's end takes. */
 static gboolean
-better_elsewhere(MmOwner *owner, MmJob *job, const MmTask *task, const MmMachine *here) {
+starts_sooner_elsewhere(MmScheduler *owner, MmJob *job, const MmTask *task, const MmMachine *here) {
   MmNode *node = owner->node;
   double period_s = node->settings->heartbeat_interval_s;
-  double fetch_s = mm_owner_fetch_s(job, here);
+  double fetch_s = mm_scheduler_image_fetch_s(job, here);
   double waited_s = (double)mm_time_ms_since(mm_node_now(node), task->since) / 1000.0;
-  gboolean spread_out = job->spec.kind == MM_KIND_SERVICE && waited_s < period_s * SPREAD_PERIODS;
+  gboolean spread_out
+      = job->spec.kind == MM_KIND_SERVICE && waited_s < period_s * SPREAD_SERVICE_PERIODS;
   const MmOutlook *estimate;
   double elsewhere_s;
 
@@ -243,12 +249,13 @@
   if (mm_time_before(mm_node_now(node), task->claimed)
       && mm_name_equal(&task->claimed_on, &here->id))
     return FALSE;
-  estimate = outlook_for(owner, job);
+  estimate = estimate_placement(owner, job);
   if (estimate == NULL)
     return FALSE;
   elsewhere_s = mm_name_equal(&estimate->best, &here->id) ? estimate->next_s : estimate->best_s;
   if ((elsewhere_s < 0 || elsewhere_s >= fetch_s)
-      && !(spread_out && estimate->least_crowd < mm_owner_crowd(owner, job, here)))
+      && !(spread_out
+           && estimate->least_crowd < mm_scheduler_count_colocated_tasks(owner, job, here)))
     return FALSE;
   mm_debug("%s waits %.1f s: another would run it in %.1f s, %s in %.1f s", job->spec.id.s,
            waited_s, elsewhere_s, here->id.s, fetch_s);
@@ -258,48 +265,51 @@
 /* A machine with accelerators is given up only to a task that has waited a little and that nothing
  * else could run, be it by stopping something. */
 static gboolean
-leaves_enough(MmOwner *owner, MmJob *job, const MmTask *task, const MmAsk *request) {
+reserve_allows(MmScheduler *owner, MmJob *job, const MmTask *task, const MmStartRequest *request) {
   MmNode *node = owner->node;
-  MmLeaves verdict = mm_rank_leaves(node->rank, job, request->machine, request->room);
+  MmReserveVerdict verdict
+      = mm_placement_check_reserve(node->rank, job, request->machine, request->free_resources);
   const MmOutlook *estimate;
 
-  if (verdict < MM_WOULD_TAKE)
+  if (verdict < MM_RESERVE_WOULD_SHRINK)
     return TRUE;
-  if (verdict == MM_MAY_NOT || mm_time_ms_since(mm_node_now(node), task->since) < GIVE_UP_AFTER_MS
-      || !mm_rank_may_give_up(node->rank, request->machine))
+  if (verdict == MM_RESERVE_FORBIDDEN
+      || mm_time_ms_since(mm_node_now(node), task->since) < RELEASE_MACHINE_AFTER_MS
+      || !mm_placement_may_release_machine(node->rank, request->machine))
     return FALSE;
-  estimate = outlook_for(owner, job);
+  estimate = estimate_placement(owner, job);
   return estimate != NULL && estimate->best_s < 0;
 }
 
 /* What holds for all tasks of the job alike. */
 static gboolean
-job_may_start(MmOwner *owner, const MmJob *job, const MmAsk *request) {
-  return mm_resources_fits(job->spec.need, request->room) && !mm_owner_yields(owner, job)
-         && mm_owner_place_allowed(job, request->machine)
-         && mm_owner_quota_allows(owner, job->held, job, 1);
+job_may_start(MmScheduler *owner, const MmJob *job, const MmStartRequest *request) {
+  return mm_resources_fits(job->spec.need, request->free_resources)
+         && !mm_scheduler_must_yield_to_gang(owner, job)
+         && mm_scheduler_constraints_allow(job, request->machine)
+         && mm_scheduler_quota_allows(owner, job->held, job, 1);
 }
 
 static gboolean
-task_may_start(MmOwner *owner, MmJob *job, guint number, const MmAsk *request) {
+task_may_start(MmScheduler *owner, MmJob *job, guint number, const MmStartRequest *request) {
   const MmTask *task = &job->tasks[number];
   MmTime now = mm_node_now(owner->node);
 
   return task->state == MM_TASK_IDLE && !mm_time_before(now, task->not_before)
          && !(mm_name_equal(&task->avoid, &request->machine->id)
-              && mm_time_ms_since(now, task->since) < AVOID_MS)
-         && leaves_enough(owner, job, task, request)
-         && !(mm_owner_goes_first(owner, job)
-              && better_elsewhere(owner, job, task, request->machine));
+              && mm_time_ms_since(now, task->since) < AVOID_FAILED_MACHINE_MS)
+         && reserve_allows(owner, job, task, request)
+         && !(mm_scheduler_has_precedence(owner, job)
+              && starts_sooner_elsewhere(owner, job, task, request->machine));
 }
 
 static void
-approve(MmOwner *owner, MmOwnedShard *held, MmJob *job, guint number, const MmAsk *request,
-        MmApproval *approval) {
-  MmAttempt attempt = mm_owner_next_attempt(owner, held);
+approve_task(MmScheduler *owner, MmLedShard *held, MmJob *job, guint number,
+             const MmStartRequest *request, MmApproval *approval) {
+  MmAttempt attempt = mm_scheduler_next_attempt(owner, held);
 
-  mm_owner_place(owner, job, number, request->machine, MM_TASK_ISSUED, attempt);
-  job->tasks[number].issued = request->stamp;
+  mm_scheduler_place_task(owner, job, number, request->machine, MM_TASK_ISSUED, attempt);
+  job->tasks[number].issued = request->heartbeat_id;
   *approval = (MmApproval){ job->spec.id, number, attempt, mm_name(held->name), held->term, FALSE };
   mm_debug("%s/%u may start on %s (%s%s) after %.1f s", job->spec.id.s, number,
            request->machine->id.s, request->machine->type_name.s,
@@ -308,17 +318,19 @@
 }
 
 static gboolean
-try_task(MmOwner *owner, MmJob *job, guint number, const MmAsk *request, MmApproval *approval) {
-  if (job == NULL || !mm_owner_open(owner, job) || number >= job->spec.tasks || mm_job_is_gang(job)
-      || !job_may_start(owner, job, request) || !task_may_start(owner, job, number, request))
+try_task(MmScheduler *owner, MmJob *job, guint number, const MmStartRequest *request,
+         MmApproval *approval) {
+  if (job == NULL || !mm_scheduler_job_is_schedulable(owner, job) || number >= job->spec.tasks
+      || mm_job_is_gang(job) || !job_may_start(owner, job, request)
+      || !task_may_start(owner, job, number, request))
     return FALSE;
-  approve(owner, job->held, job, number, request, approval);
+  approve_task(owner, job->held, job, number, request, approval);
   return TRUE;
 }
 
 /* The job's lowest unassigned task, if it may start there. */
 static gboolean
-try_job(MmOwner *owner, MmJob *job, const MmAsk *request, MmApproval *approval) {
+try_job(MmScheduler *owner, MmJob *job, const MmStartRequest *request, MmApproval *approval) {
   guint tries = 8;
 
   if (!job_may_start(owner, job, request))
@@ -327,7 +339,7 @@
     if (job->tasks[i].state != MM_TASK_IDLE)
       continue;
     if (task_may_start(owner, job, i, request)) {
-      approve(owner, job->held, job, i, request, approval);
+      approve_task(owner, job->held, job, i, request, approval);
       return TRUE;
     }
     tries--;
@@ -337,30 +349,31 @@
 
 /* Work that goes first to any fitting machine, most pressing first. */
 static gboolean
-try_first(MmOwner *owner, const MmAsk *request, GPtrArray *jobs, MmApproval *approval) {
+try_precedence_jobs(MmScheduler *owner, const MmStartRequest *request, GPtrArray *jobs,
+                    MmApproval *approval) {
   for (guint i = 0; i < jobs->len; i++) {
     MmJob *job = g_ptr_array_index(jobs, i);
-    if (mm_owner_goes_first(owner, job) && try_job(owner, job, request, approval))
+    if (mm_scheduler_has_precedence(owner, job) && try_job(owner, job, request, approval))
       return TRUE;
   }
   return FALSE;
 }
 
 static void
-keep(MmMachine *machine, const MmTaskRef *task) {
+add_to_kept_list(MmMachine *machine, const MmTaskRef *task) {
   for (guint i = 0; i < machine->kept_list->len; i++) {
     const MmTaskRef *kept = &g_array_index(machine->kept_list, MmTaskRef, i);
     if (kept->number == task->number && mm_name_equal(&kept->job, &task->job))
       return;
   }
-  if (machine->kept_list->len < KEPT_MAX)
+  if (machine->kept_list->len < KEPT_TASKS_MAX)
     g_array_append_val(machine->kept_list, *task);
 }
 
 /* The kept-list answers the machine's next request first. */
 static gboolean
-try_kept(MmOwner *owner, const MmAsk *request, MmMachine *list_machine, guint position,
-         MmApproval *approval) {
+try_kept_task(MmScheduler *owner, const MmStartRequest *request, MmMachine *list_machine,
+              guint position, MmApproval *approval) {
   MmTaskRef task = g_array_index(list_machine->kept_list, MmTaskRef, position);
 
   g_array_remove_index(list_machine->kept_list, position);
@@ -370,7 +383,7 @@
 
 /* A random task from the longest kept-list; without any, the oldest unassigned task that fits. */
 static gboolean
-try_pull(MmOwner *owner, const MmAsk *request, GPtrArray *jobs, MmApproval *approval) {
+try_pull(MmScheduler *owner, const MmStartRequest *request, GPtrArray *jobs, MmApproval *approval) {
   MmMachineTable *machine_table = owner->node->machine_table;
   MmMachine *longest = NULL;
 
@@ -380,9 +393,9 @@
       longest = machine;
   }
   if (longest != NULL
-      && try_kept(owner, request, longest,
-                  (guint)g_rand_int_range(owner->node->rand, 0, (gint32)longest->kept_list->len),
-                  approval))
+      && try_kept_task(
+          owner, request, longest,
+          (guint)g_rand_int_range(owner->node->rand, 0, (gint32)longest->kept_list->len), approval))
     return TRUE;
   for (guint i = 0; i < jobs->len; i++)
     if (try_job(owner, g_ptr_array_index(jobs, i), request, approval))
@@ -392,92 +405,96 @@
 
 /* In an order as old as the last slow tick at most. */
 const GPtrArray *
-mm_owner_pressing(MmOwner *owner) {
+mm_scheduler_jobs_by_urgency(MmScheduler *owner) {
   MmJobTable *job_table = owner->node->job_table;
 
-  if (!owner->pressing_stale)
-    return owner->pressing;
-  owner->pressing_stale = FALSE;
-  g_ptr_array_set_size(owner->pressing, 0);
+  if (!owner->is_urgency_order_stale)
+    return owner->jobs_by_urgency;
+  owner->is_urgency_order_stale = FALSE;
+  g_ptr_array_set_size(owner->jobs_by_urgency, 0);
   for (guint i = 0; i < job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(job_table->order, i);
     if (job->tasks != NULL && !mm_job_is_gang(job) && !job->cancelled)
-      g_ptr_array_add(owner->pressing, job);
+      g_ptr_array_add(owner->jobs_by_urgency, job);
   }
-  g_ptr_array_sort(owner->pressing, mm_owner_compare_pressing);
-  return owner->pressing;
+  g_ptr_array_sort(owner->jobs_by_urgency, mm_scheduler_compare_urgency);
+  return owner->jobs_by_urgency;
 }
 
 gboolean
-mm_owner_ask(MmOwner *owner, MmAsk *request, MmApproval *approval) {
+mm_scheduler_approve_start(MmScheduler *owner, MmStartRequest *request, MmApproval *approval) {
   MmJobTable *job_table = owner->node->job_table;
   g_autoptr(GPtrArray) jobs = NULL;
   const GPtrArray *by_urgency;
 
   if (!mm_node_lease_is_valid(owner->node->node_lease)
       || !mm_machine_is_usable(owner->node->machine_table, request->machine)
-      || mm_heartbeat_id_is_newer(request->machine->latest_message_id, request->stamp)
+      || mm_heartbeat_id_is_newer(request->machine->latest_message_id, request->heartbeat_id)
       || mm_time_before(mm_node_now(owner->node), request->machine->full_until))
     return FALSE;
-  if (mm_owner_reserved(owner, request, approval))
+  if (mm_scheduler_approve_reserved_start(owner, request, approval))
     return TRUE;
-  request->room = mm_resources_least(
-      request->room, mm_machine_available_resources(owner->node->machine_table, request->machine));
-  by_urgency = mm_owner_pressing(owner);
+  request->free_resources = mm_resources_least(
+      request->free_resources,
+      mm_machine_available_resources(owner->node->machine_table, request->machine));
+  by_urgency = mm_scheduler_jobs_by_urgency(owner);
   jobs = g_ptr_array_sized_new(by_urgency->len);
   for (guint i = 0; i < by_urgency->len; i++) {
     MmJob *job = g_ptr_array_index(by_urgency, i);
-    if (job->idle > 0 && mm_resources_fits(job->spec.need, request->room)
-        && mm_owner_open(owner, job) && mm_owner_quota_allows(owner, job->held, job, 1))
+    if (job->idle > 0 && mm_resources_fits(job->spec.need, request->free_resources)
+        && mm_scheduler_job_is_schedulable(owner, job)
+        && mm_scheduler_quota_allows(owner, job->held, job, 1))
       g_ptr_array_add(jobs, job);
   }
   if (jobs->len == 0)
     return FALSE;
-  if (try_first(owner, request, jobs, approval))
+  if (try_precedence_jobs(owner, request, jobs, approval))
     return TRUE;
   while (request->machine->kept_list->len > 0)
-    if (try_kept(owner, request, request->machine, 0, approval))
+    if (try_kept_task(owner, request, request->machine, 0, approval))
       return TRUE;
-  for (guint i = 0; i < request->n; i++) {
+  for (guint i = 0; i < request->n_tasks; i++) {
     if (!try_task(owner, mm_job_table_find(job_table, request->tasks[i].job.s),
                   request->tasks[i].number, request, approval))
       continue;
-    for (guint k = i + 1; k < request->n; k++) {
+    for (guint k = i + 1; k < request->n_tasks; k++) {
       const MmJob *job = mm_job_table_find(job_table, request->tasks[k].job.s);
       if (job != NULL && job->tasks != NULL && request->tasks[k].number < job->spec.tasks
           && job->tasks[request->tasks[k].number].state == MM_TASK_IDLE)
-        keep(request->machine, &request->tasks[k]);
+        add_to_kept_list(request->machine, &request->tasks[k]);
     }
     return TRUE;
   }
-  return request->pull && try_pull(owner, request, jobs, approval);
+  return request->is_pull && try_pull(owner, request, jobs, approval);
 }
 
 void
-mm_owner_peer_ask(MmOwner *owner, guint peer, const Mm__Ask *message) {
+mm_scheduler_peer_start_request(MmScheduler *owner, guint peer, const Mm__Ask *message) {
   MmMachine *machine = mm_machine_table_find(owner->node->machine_table, message->machine);
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Answer answer = MM__ANSWER__INIT;
   Mm__Approval approval_message = MM__APPROVAL__INIT;
   MmApproval approval;
-  MmAsk request = { .machine = machine,
-                    .stamp = { message->session, message->seq },
-                    .room = { message->cores, message->accelerators, message->memory_gb },
-                    .pull = message->pull };
-
-  for (size_t i = 0; i < message->n_candidates && request.n < MM_RANK_CANDIDATES_MAX; i++)
-    request.tasks[request.n++]
+  MmStartRequest request
+      = { .machine = machine,
+          .heartbeat_id = { message->session, message->seq },
+          .free_resources = { message->cores, message->accelerators, message->memory_gb },
+          .is_pull = message->pull };
+
+  for (size_t i = 0; i < message->n_candidates && request.n_tasks < MM_PLACEMENT_CANDIDATES_MAX;
+       i++)
+    request.tasks[request.n_tasks++]
         = (MmTaskRef){ mm_name(message->candidates[i]->job), message->candidates[i]->number };
   answer.id = message->id;
-  if (machine != NULL && mm_owner_ask(owner, &request, &approval)) {
+  if (machine != NULL && mm_scheduler_approve_start(owner, &request, &approval)) {
     approval_message.job = approval.job.s;
     approval_message.number = approval.number;
     approval_message.attempt = approval.attempt.v;
-    approval_message.team = approval.part.s;
+    approval_message.team = approval.shard.s;
     approval_message.term = approval.term.v;
     answer.approval = &approval_message;
   }
-  answer.unfinished = mm_owner_unfinished(owner);
+  answer.unfinished = mm_scheduler_count_pending_tasks(owner);
   frame.body_case = MM__FRAME__BODY_ANSWER;
   frame.answer = &answer;
   mm_links_send(owner->node->links, peer, &frame);
--- a/src/owner/command.c
+++ b/src/owner/command.c
@@ -12,37 +12,38 @@
 #include "store/replica.h"
 #include "store/store.h"
 
-#define ASK_EVERY_MS 3000
+#define ACK_REQUEST_INTERVAL_MS 3000
 /* In a slow tick: each takes about half a millisecond. */
-#define ASKS_A_CORE 40
-#define ASKS_LEAST 2
-#define ASKS_MOST 64
+#define ACK_REQUESTS_PER_CORE 40
+#define ACK_REQUESTS_MIN 2
+#define ACK_REQUESTS_MAX 64
 /* A worker shows a higher term half a second after it was told, if it does so before its next
  * report. */
-#define TAKEN_IN_MS 1200
-#define SOON_PERIODS 0.6
-#define STOP_EVERY_MS 2000
+#define TERM_REPORTED_WITHIN_MS 1200
+#define RECENT_HEARTBEAT_PERIODS 0.6
+#define STOP_RESEND_MS 2000
 
 double
-mm_owner_grace_s(const MmJob *job) {
+mm_scheduler_stop_grace_s(const MmJob *job) {
   return job->spec.checkpoint_s > 0 && !job->cancelled ? job->spec.save_s + 1 : 0;
 }
 
 void
-mm_owner_stop_task(MmOwner *owner, MmJob *job, guint number) {
+mm_scheduler_stop_task(MmScheduler *owner, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
 
   if (task->machine == NULL || task->state == MM_TASK_RESERVED)
     return;
   task->stopping = TRUE;
   task->told = mm_node_now(owner->node);
-  mm_owner_stop(owner, task->machine, &job->spec.id, number, task->attempt, mm_owner_grace_s(job));
+  mm_scheduler_send_stop(owner, task->machine, &job->spec.id, number, task->attempt,
+                         mm_scheduler_stop_grace_s(job));
 }
 
 /* Those of its tasks that show on machines which this node answers, and that no part held here has
  * placed there: perhaps no part's holder can be reached, or none is left. */
 static void
-stop_seen(MmOwner *owner, const MmJob *job) {
+stop_reported_tasks(MmScheduler *owner, const MmJob *job) {
   const GPtrArray *machines = owner->node->machine_table->sorted_machines;
 
   for (guint i = 0; i < machines->len; i++) {
@@ -53,13 +54,14 @@
       if (reported->state != MM_REPORTED_ENDED && mm_name_equal(&reported->job, &job->spec.id)
           && (job->tasks == NULL || reported->number >= job->spec.tasks
               || job->tasks[reported->number].machine != machine))
-        mm_owner_stop(owner, machine, &reported->job, reported->number, reported->attempt, 0);
+        mm_scheduler_send_stop(owner, machine, &reported->job, reported->number, reported->attempt,
+                               0);
     }
   }
 }
 
 gboolean
-mm_owner_cancelled(MmOwner *owner, const char *job_id) {
+mm_scheduler_job_cancelled(MmScheduler *owner, const char *job_id) {
   MmJob *job = mm_job_table_find(owner->node->job_table, job_id);
 
   if (job == NULL)
@@ -70,21 +72,21 @@
   job->cancel_served_us = owner->node->store->available_us;
   for (guint i = 0; job->tasks != NULL && i < job->spec.tasks; i++) {
     if (job->tasks[i].state == MM_TASK_RESERVED)
-      mm_owner_unplace(owner, job, i);
+      mm_scheduler_unplace_task(owner, job, i);
     else if (mm_task_is_live(job->tasks[i].state))
-      mm_owner_stop_task(owner, job, i);
+      mm_scheduler_stop_task(owner, job, i);
   }
   /* What depends on a cancelled job has never been started. */
   if (!mm_job_needs_cancelled(job))
-    stop_seen(owner, job);
-  mm_rank_changed(owner->node->rank);
+    stop_reported_tasks(owner, job);
+  mm_placement_backlog_changed(owner->node->rank);
   mm_dependencies_job_cancelled(owner->node->dependencies, job_id);
   return TRUE;
 }
 
 static void
-direct_answered(gpointer data, int status, json_t *body) {
-  MmOwner *owner = data;
+direct_command_answered(gpointer data, int status, json_t *body) {
+  MmScheduler *owner = data;
   MmHeartbeat heartbeat;
   const char *reason = NULL;
 
@@ -106,7 +108,7 @@
 }
 
 static void
-send_direct(MmOwner *owner, MmMachine *machine, json_t *commands) {
+send_direct_commands(MmScheduler *owner, MmMachine *machine, json_t *commands) {
   MmNode *node = owner->node;
   g_autoptr(json_t) body = json_pack(
       "{s:I, s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v, WIRE_SESSION,
@@ -115,22 +117,22 @@
   if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
     return;
   node->port.request(node->port.self, MM_TARGET_WORKER, machine->addr, "POST", WIRE_DIRECT_PATH,
-                     body, 2000, direct_answered, owner);
+                     body, 2000, direct_command_answered, owner);
 }
 
 void
-mm_owner_stop(MmOwner *owner, MmMachine *machine, const MmName *job, guint number,
-              MmAttempt attempt, double grace_s) {
+mm_scheduler_send_stop(MmScheduler *owner, MmMachine *machine, const MmName *job, guint number,
+                       MmAttempt attempt, double grace_s) {
   MmCommand command = { MM_OP_STOP, *job, number, attempt, grace_s };
   json_t *commands = json_array();
 
   json_array_append_new(commands, mm_command_to_json(&command));
-  send_direct(owner, machine, commands);
+  send_direct_commands(owner, machine, commands);
 }
 
 /* The newest term that a team's holder waits for, wherever it is. */
 static MmTerm
-newest_taking(const MmNode *node) {
+newest_shard_term(const MmNode *node) {
   MmTerm newest = { 0 };
 
   for (guint i = 0; i < node->node_lease->shard_names->len; i++) {
@@ -143,13 +145,13 @@
 }
 
 static gboolean
-is_unacknowledged(const MmOwner *owner, const MmMachine *machine) {
+is_unacknowledged(const MmScheduler *owner, const MmMachine *machine) {
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, owner->held);
+  g_hash_table_iter_init(&iter, owner->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value))
-    if (g_hash_table_contains(((MmOwnedShard *)value)->unacknowledged, machine->id.s))
+    if (g_hash_table_contains(((MmLedShard *)value)->unacknowledged_machines, machine->id.s))
       return TRUE;
   return mm_sharing_waits_for(owner->node->sharing, machine);
 }
@@ -167,21 +169,22 @@
              >= MAX(newest.v, mm_sharing_term_of(node->sharing, machine).v))
     return FALSE;
   if (machine->unacknowledged_since.us != 0)
-    return mm_time_ms_since(now, machine->unacknowledged_since) > TAKEN_IN_MS;
-  return reported_ms < (gint64)(node->settings->heartbeat_interval_s * 1000 * SOON_PERIODS);
+    return mm_time_ms_since(now, machine->unacknowledged_since) > TERM_REPORTED_WITHIN_MS;
+  return reported_ms
+         < (gint64)(node->settings->heartbeat_interval_s * 1000 * RECENT_HEARTBEAT_PERIODS);
 }
 
 /* An empty command spreads the term, and its answer is an acknowledgement. A few are asked at a
  * time, for a share of the processor: asking four hundred at once took all the time there was, and
  * claims ended over it. */
 void
-mm_owner_ask_acknowledgements(MmOwner *owner) {
+mm_scheduler_request_acknowledgements(MmScheduler *owner) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
   gint64 silent_ms = (gint64)(node->settings->heartbeat_interval_s * 1500);
-  MmTerm newest = newest_taking(node);
-  guint requests_left
-      = (guint)CLAMP(node->settings->cpu_share * ASKS_A_CORE, ASKS_LEAST, ASKS_MOST);
+  MmTerm newest = newest_shard_term(node);
+  guint requests_left = (guint)CLAMP(node->settings->cpu_share * ACK_REQUESTS_PER_CORE,
+                                     ACK_REQUESTS_MIN, ACK_REQUESTS_MAX);
 
   if (mm_heartbeat_server_is_settling(node->checkin))
     return;
@@ -190,7 +193,7 @@
     gboolean is_deaf;
 
     if (machine->lease_has_expired
-        || mm_time_ms_since(now, machine->acknowledgement_requested_at) < ASK_EVERY_MS)
+        || mm_time_ms_since(now, machine->acknowledgement_requested_at) < ACK_REQUEST_INTERVAL_MS)
       continue;
     is_deaf = mm_machine_health_ignores_responses(node->machine_table, machine);
     if (!is_deaf && !acknowledgement_would_be_late(node, machine, newest)
@@ -199,12 +202,12 @@
       continue;
     machine->acknowledgement_requested_at = now;
     requests_left--;
-    send_direct(owner, machine, json_array());
+    send_direct_commands(owner, machine, json_array());
   }
 }
 
 void
-mm_owner_repeat_stops(MmOwner *owner) {
+mm_scheduler_resend_stops(MmScheduler *owner) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
 
@@ -214,8 +217,8 @@
       const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, k);
       const MmTask *task = &placed->job->tasks[placed->number];
       if ((placed->job->cancelled || task->stopping) && task->state != MM_TASK_SAVING
-          && mm_time_ms_since(now, task->told) > STOP_EVERY_MS)
-        mm_owner_stop_task(owner, placed->job, placed->number);
+          && mm_time_ms_since(now, task->told) > STOP_RESEND_MS)
+        mm_scheduler_stop_task(owner, placed->job, placed->number);
     }
   }
 }
--- a/src/owner/gang.c
+++ b/src/owner/gang.c
@@ -5,24 +5,25 @@
 #include "parts/claims.h"
 
 /* Several report periods: within them every machine asks for work. */
-#define RESERVED_PERIODS 3
-#define UNASKED_MS 10000
+#define RESERVATION_PERIODS 3
+#define UNUSED_RESERVATION_PAUSE_MS 10000
 
 typedef struct {
   MmMachine *machine;
-  MmResources room;
+  MmResources free_resources;
 } Place;
 
 static void
-release_gang(MmOwner *owner, MmJob *job) {
+release_gang(MmScheduler *owner, MmJob *job) {
   for (guint i = 0; i < job->spec.tasks; i++) {
     MmTask *task = &job->tasks[i];
     if (task->state == MM_TASK_RESERVED) {
       /* It did not ask in time, whatever the reason: not the same place again at once. */
-      task->machine->full_until = mm_time_add_ms(mm_node_now(owner->node), UNASKED_MS);
-      mm_owner_unplace(owner, job, i);
+      task->machine->full_until
+          = mm_time_add_ms(mm_node_now(owner->node), UNUSED_RESERVATION_PAUSE_MS);
+      mm_scheduler_unplace_task(owner, job, i);
     } else if (task->machine != NULL && !task->stopping) {
-      mm_owner_stop_task(owner, job, i);
+      mm_scheduler_stop_task(owner, job, i);
     }
   }
 }
@@ -31,14 +32,14 @@
  * so. A member can't run alone, so the whole gang is started again: results are kept, and a member
  * whose result is there ends as done at once. Its being done is not assumed. */
 static void
-run_again(MmOwner *owner, MmJob *job) {
+restart_gang(MmScheduler *owner, MmJob *job) {
   for (guint i = 0; i < job->spec.tasks; i++)
     if (job->tasks[i].state == MM_TASK_DONE)
-      mm_owner_unplace(owner, job, i);
+      mm_scheduler_unplace_task(owner, job, i);
 }
 
 static GArray *
-open_places(MmOwner *owner, const MmJob *job, const MmName *zone) {
+free_places(MmScheduler *owner, const MmJob *job, const MmName *zone) {
   MmMachineTable *machine_table = owner->node->machine_table;
   GArray *places = g_array_new(FALSE, FALSE, sizeof(Place));
   MmTime now = mm_node_now(owner->node);
@@ -46,13 +47,14 @@
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     Place place = { g_ptr_array_index(machine_table->sorted_machines, i), { 0 } };
-    if (!mm_machine_is_usable(machine_table, place.machine) || !mm_rank_allows(job, place.machine)
+    if (!mm_machine_is_usable(machine_table, place.machine)
+        || !mm_placement_allows(job, place.machine)
         || mm_time_ms_since(now, place.machine->last_heartbeat_at) > recent_ms
         || mm_time_before(now, place.machine->full_until)
         || (zone != NULL && !mm_name_equal(&place.machine->zone, zone)))
       continue;
-    place.room = mm_machine_available_resources(machine_table, place.machine);
-    if (mm_resources_fits(job->spec.need, place.room))
+    place.free_resources = mm_machine_available_resources(machine_table, place.machine);
+    if (mm_resources_fits(job->spec.need, place.free_resources))
       g_array_append_val(places, place);
   }
   return places;
@@ -60,8 +62,8 @@
 
 /* Reserves places for the whole gang; FALSE, with nothing reserved, when they do not suffice. */
 static gboolean
-reserve(MmOwner *owner, MmOwnedShard *held, MmJob *job, const MmName *zone) {
-  g_autoptr(GArray) places = open_places(owner, job, zone);
+reserve_gang(MmScheduler *owner, MmLedShard *held, MmJob *job, const MmName *zone) {
+  g_autoptr(GArray) places = free_places(owner, job, zone);
   g_autoptr(GPtrArray) chosen = g_ptr_array_new();
   MmAttempt attempt;
 
@@ -71,7 +73,8 @@
       /* First where the image is, then anywhere. */
       if (pass == 0 && !mm_machine_has_cached_image(place->machine, &job->spec.image))
         continue;
-      while (chosen->len < job->spec.tasks && mm_resources_fits(job->spec.need, place->room)) {
+      while (chosen->len < job->spec.tasks
+             && mm_resources_fits(job->spec.need, place->free_resources)) {
         if (job->spec.spread) {
           guint n_in_zone = 0;
           for (guint k = 0; k < chosen->len; k++)
@@ -80,55 +83,57 @@
           if (n_in_zone >= mm_spec_zone_limit(&job->spec))
             break;
         }
-        place->room = mm_resources_sub(place->room, job->spec.need);
+        place->free_resources = mm_resources_sub(place->free_resources, job->spec.need);
         g_ptr_array_add(chosen, place->machine);
       }
     }
   }
   if (chosen->len < job->spec.tasks)
     return FALSE;
-  attempt = mm_owner_next_attempt(owner, held);
+  attempt = mm_scheduler_next_attempt(owner, held);
   for (guint i = 0; i < job->spec.tasks; i++)
-    mm_owner_place(owner, job, i, g_ptr_array_index(chosen, i), MM_TASK_RESERVED, attempt);
+    mm_scheduler_place_task(owner, job, i, g_ptr_array_index(chosen, i), MM_TASK_RESERVED, attempt);
   return TRUE;
 }
 
 static void
-plan(MmOwner *owner, MmOwnedShard *held, MmJob *job) {
+plan_gang(MmScheduler *owner, MmLedShard *held, MmJob *job) {
   MmNode *node = owner->node;
 
-  if (mm_owner_yields(owner, job) || !mm_owner_quota_allows(owner, held, job, job->spec.tasks))
+  if (mm_scheduler_must_yield_to_gang(owner, job)
+      || !mm_scheduler_quota_allows(owner, held, job, job->spec.tasks))
     return;
   if (!job->spec.one_zone) {
     /* Only where nothing else takes the places as they get free, one after another: machines with
      * accelerators are lent no more while such a gang waits. */
-    if (!reserve(owner, held, job, NULL) && job->spec.need.accelerators > 0)
-      mm_owner_clear_for_gang(owner, job, job->spec.tasks);
+    if (!reserve_gang(owner, held, job, NULL) && job->spec.need.accelerators > 0)
+      mm_scheduler_preempt_for_gang(owner, job, job->spec.tasks);
     return;
   }
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
-    if (machine->type != NULL && reserve(owner, held, job, &machine->zone))
+    if (machine->type != NULL && reserve_gang(owner, held, job, &machine->zone))
       return;
   }
 }
 
 void
-mm_owner_plan_gangs(MmOwner *owner) {
+mm_scheduler_plan_gangs(MmScheduler *owner) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
   g_autoptr(GPtrArray) jobs = g_ptr_array_new();
-  gint64 reservation_ms = (gint64)(node->settings->heartbeat_interval_s * 1000 * RESERVED_PERIODS);
+  gint64 reservation_ms
+      = (gint64)(node->settings->heartbeat_interval_s * 1000 * RESERVATION_PERIODS);
 
   for (guint i = 0; i < node->job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->order, i);
-    if (job->tasks != NULL && mm_job_is_gang(job) && mm_owner_open(owner, job))
+    if (job->tasks != NULL && mm_job_is_gang(job) && mm_scheduler_job_is_schedulable(owner, job))
       g_ptr_array_add(jobs, job);
   }
-  g_ptr_array_sort(jobs, mm_owner_compare_pressing);
+  g_ptr_array_sort(jobs, mm_scheduler_compare_urgency);
   for (guint i = 0; i < jobs->len; i++) {
     MmJob *job = g_ptr_array_index(jobs, i);
-    MmOwnedShard *held = mm_owner_held(owner, job);
+    MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
     guint n_started = 0;
     gboolean is_reservation_expired = FALSE, is_paused = FALSE;
 
@@ -144,30 +149,31 @@
     if (is_reservation_expired || (n_started > 0 && job->idle > 0))
       release_gang(owner, job);
     else if (!is_paused && job->live == 0 && job->idle < job->spec.tasks)
-      run_again(owner, job);
+      restart_gang(owner, job);
     else if (!is_paused && job->idle == job->spec.tasks)
-      plan(owner, held, job);
+      plan_gang(owner, held, job);
   }
 }
 
 gboolean
-mm_owner_reserved(MmOwner *owner, const MmAsk *request, MmApproval *approval) {
+mm_scheduler_approve_reserved_start(MmScheduler *owner, const MmStartRequest *request,
+                                    MmApproval *approval) {
   for (guint i = 0; i < request->machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(request->machine->placed_tasks, i);
     MmTask *task = &placed->job->tasks[placed->number];
-    MmOwnedShard *held = mm_owner_held(owner, placed->job);
+    MmLedShard *held = mm_scheduler_shard_of_job(owner, placed->job);
     MmResources need = placed->job->spec.need;
     /* Own requests have its room taken off already. Compared without it, no gang ever began that
      * had a place on a machine which reports to its owner. */
-    MmResources free_resources
-        = request->own ? mm_resources_add(request->room, need) : request->room;
+    MmResources free_resources = request->is_local ? mm_resources_add(request->free_resources, need)
+                                                   : request->free_resources;
 
     if (task->state != MM_TASK_RESERVED || held == NULL || placed->job->cancelled
         || !mm_resources_fits(need, free_resources))
       continue;
-    mm_owner_place(owner, placed->job, placed->number, request->machine, MM_TASK_ISSUED,
-                   task->attempt);
-    task->issued = request->stamp;
+    mm_scheduler_place_task(owner, placed->job, placed->number, request->machine, MM_TASK_ISSUED,
+                            task->attempt);
+    task->issued = request->heartbeat_id;
     *approval = (MmApproval){ placed->job->spec.id, placed->number, task->attempt,
                               mm_name(held->name),  held->term,     TRUE };
     return TRUE;
--- a/src/owner/guarantee.c
+++ b/src/owner/guarantee.c
@@ -5,10 +5,10 @@
 
 #include "dependencies/dependencies.h"
 
-#define EVERY_MS 1000
+#define QUOTA_UPDATE_INTERVAL_MS 1000
 
 static gboolean
-fits(const MmResources *guaranteed, const MmResources *team_sum, const MmSpec *spec) {
+fits_guarantee(const MmResources *guaranteed, const MmResources *team_sum, const MmSpec *spec) {
   /* An amount of 0 is no guarantee at all. */
   if (spec->need.accelerators > 0
       && team_sum->accelerators > guaranteed->accelerators + MM_RESOURCES_SLACK)
@@ -19,16 +19,16 @@
 }
 
 void
-mm_owner_count_guarantees(MmOwner *owner) {
+mm_scheduler_update_guarantees(MmScheduler *owner) {
   MmNode *node = owner->node;
   const GArray *teams = node->settings->teams;
   MmTime now = mm_node_now(node);
   g_autofree MmResources *team_sums = NULL;
   gboolean has_guarantee_aim = FALSE;
 
-  if (mm_time_before(now, owner->next_guarantees))
+  if (mm_time_before(now, owner->next_guarantees_at))
     return;
-  owner->next_guarantees = mm_time_add_ms(now, EVERY_MS);
+  owner->next_guarantees_at = mm_time_add_ms(now, QUOTA_UPDATE_INTERVAL_MS);
   for (guint i = 0; i < node->settings->objectives->len; i++)
     has_guarantee_aim
         = has_guarantee_aim
@@ -44,7 +44,7 @@
     team = &g_array_index(teams, MmTeamSettings, job->team);
     team_sums[job->team].cores += job->spec.tasks * job->spec.need.cores;
     team_sums[job->team].accelerators += job->spec.tasks * job->spec.need.accelerators;
-    job->within = fits(&team->quota, &team_sums[job->team], &job->spec);
+    job->within = fits_guarantee(&team->quota, &team_sums[job->team], &job->spec);
     job->favoured = job->within && !has_guarantee_aim;
   }
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
@@ -61,7 +61,7 @@
 }
 
 gboolean
-mm_owner_may_reclaim(const MmOwner *owner, const MmJob *job, const MmJob *victim) {
+mm_scheduler_may_reclaim_quota(const MmScheduler *owner, const MmJob *job, const MmJob *victim) {
   const MmTeamSettings *team;
   MmResources team_use_after;
 
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -6,54 +6,54 @@
 
 #define SLOW_TICK_MS 100
 /* At all machines, in a slow tick. */
-#define LOOKS_A_ROUND 8
-#define OWED_TASKS 4
-#define YIELD_MOST_MS 240000
-#define YIELD_JOBS 3
-#define BACKLOG_JOBS 64
-#define BACKLOG_TASKS 512
-#define BACKLOG_RANGES 16
+#define MACHINE_SCANS_PER_TICK 8
+#define RESERVED_QUOTA_TASKS 4
+#define YIELD_TO_GANG_MAX_MS 240000
+#define YIELD_TO_GANG_JOBS_MAX 3
+#define BACKLOG_JOBS_MAX 64
+#define BACKLOG_TASKS_MAX 512
+#define BACKLOG_RANGES_MAX 16
 
 static void
-held_free(gpointer data) {
-  MmOwnedShard *held = data;
+led_shard_free(gpointer data) {
+  MmLedShard *held = data;
 
-  g_hash_table_unref(held->unacknowledged);
+  g_hash_table_unref(held->unacknowledged_machines);
   g_array_unref(held->unacknowledged_kinds);
   g_free(held->name);
   g_free(held);
 }
 
-MmOwner *
-mm_owner_new(MmNode *node) {
-  MmOwner *owner = g_new0(MmOwner, 1);
+MmScheduler *
+mm_scheduler_new(MmNode *node) {
+  MmScheduler *owner = g_new0(MmScheduler, 1);
 
   owner->node = node;
-  owner->pressing = g_ptr_array_new();
+  owner->jobs_by_urgency = g_ptr_array_new();
   owner->team_used = g_new0(MmResources, node->settings->teams->len);
-  owner->held = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, held_free);
-  owner->guesses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  owner->led_shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, led_shard_free);
+  owner->estimate_errors = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   return owner;
 }
 
 void
-mm_owner_free(MmOwner *owner) {
-  g_ptr_array_unref(owner->pressing);
+mm_scheduler_free(MmScheduler *owner) {
+  g_ptr_array_unref(owner->jobs_by_urgency);
   g_free(owner->team_used);
-  g_hash_table_unref(owner->held);
-  g_hash_table_unref(owner->guesses);
+  g_hash_table_unref(owner->led_shards);
+  g_hash_table_unref(owner->estimate_errors);
   g_free(owner);
 }
 
-MmOwnedShard *
-mm_owner_held(const MmOwner *owner, const MmJob *job) {
-  return job->held != NULL ? job->held : g_hash_table_lookup(owner->held, job->part);
+MmLedShard *
+mm_scheduler_shard_of_job(const MmScheduler *owner, const MmJob *job) {
+  return job->held != NULL ? job->held : g_hash_table_lookup(owner->led_shards, job->part);
 }
 
 /* ---- where tasks are ---- */
 
 static void
-unlist(MmMachine *machine, const MmJob *job, guint number) {
+remove_from_machine(MmMachine *machine, const MmJob *job, guint number) {
   if (machine != NULL)
     machine->available_generation = 0;
   for (guint i = 0; machine != NULL && i < machine->placed_tasks->len; i++) {
@@ -66,7 +66,7 @@
 }
 
 void
-mm_owner_set_state(MmOwner *owner, MmJob *job, guint number, guint8 state) {
+mm_scheduler_set_task_state(MmScheduler *owner, MmJob *job, guint number, guint8 state) {
   MmTask *task = &job->tasks[number];
 
   if (task->state == state)
@@ -76,7 +76,7 @@
   job->idle += state == MM_TASK_IDLE;
   job->live += mm_task_is_live(state);
   if (mm_task_is_live(state) != mm_task_is_live(task->state)) {
-    MmOwnedShard *held = mm_owner_held(owner, job);
+    MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
     if (held != NULL)
       held->used = mm_task_is_live(state) ? mm_resources_add(held->used, job->spec.need)
                                           : mm_resources_sub(held->used, job->spec.need);
@@ -85,17 +85,17 @@
   task->since = mm_node_now(owner->node);
   if (state == MM_TASK_IDLE)
     job->first_idle = MIN(job->first_idle, number);
-  mm_rank_changed(owner->node->rank);
+  mm_placement_backlog_changed(owner->node->rank);
 }
 
 void
-mm_owner_place(MmOwner *owner, MmJob *job, guint number, MmMachine *machine, MmTaskState state,
-               MmAttempt attempt) {
+mm_scheduler_place_task(MmScheduler *owner, MmJob *job, guint number, MmMachine *machine,
+                        MmTaskState state, MmAttempt attempt) {
   MmTask *task = &job->tasks[number];
 
   if (task->machine != machine) {
     MmPlacedTask *placed = g_new(MmPlacedTask, 1);
-    unlist(task->machine, job, number);
+    remove_from_machine(task->machine, job, number);
     *placed = (MmPlacedTask){ job, number };
     g_ptr_array_add(machine->placed_tasks, placed);
     task->machine = machine;
@@ -109,48 +109,48 @@
     task->stopping = FALSE;
   task->attempt = attempt;
   machine->available_generation = 0;
-  mm_owner_set_state(owner, job, number, (guint8)state);
+  mm_scheduler_set_task_state(owner, job, number, (guint8)state);
 }
 
 void
-mm_owner_unplace(MmOwner *owner, MmJob *job, guint number) {
+mm_scheduler_unplace_task(MmScheduler *owner, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
 
-  unlist(task->machine, job, number);
+  remove_from_machine(task->machine, job, number);
   task->machine = NULL;
   task->stopping = FALSE;
-  mm_owner_set_state(owner, job, number, MM_TASK_IDLE);
+  mm_scheduler_set_task_state(owner, job, number, MM_TASK_IDLE);
 }
 
 /* ---- taking and dropping parts ---- */
 
 static void
-drop_job(MmOwner *owner, MmJob *job) {
-  MmOwnedShard *held = mm_owner_held(owner, job);
+drop_job(MmScheduler *owner, MmJob *job) {
+  MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
 
-  if (held != NULL && held->owed_to == job)
-    held->owed_to = NULL;
+  if (held != NULL && held->quota_reserved_for == job)
+    held->quota_reserved_for = NULL;
   if (held != NULL && job->live > 0) {
     held->used.cores -= job->live * job->spec.need.cores;
     held->used.accelerators -= job->live * job->spec.need.accelerators;
   }
   for (guint i = 0; job->tasks != NULL && i < job->spec.tasks; i++)
-    unlist(job->tasks[i].machine, job, i);
+    remove_from_machine(job->tasks[i].machine, job, i);
   g_clear_pointer(&job->tasks, g_free);
   mm_done_set_clear(&job->done);
   job->idle = job->live = 0;
   job->writing = FALSE;
   job->held = NULL;
-  owner->pressing_stale = TRUE;
-  mm_rank_changed(owner->node->rank);
+  owner->is_urgency_order_stale = TRUE;
+  mm_placement_backlog_changed(owner->node->rank);
 }
 
 static void
-adopt_job(MmOwner *owner, MmOwnedShard *held, MmJob *job) {
+adopt_job(MmScheduler *owner, MmLedShard *held, MmJob *job) {
   MmTime now = mm_node_now(owner->node);
 
   job->held = held;
-  owner->pressing_stale = TRUE;
+  owner->is_urgency_order_stale = TRUE;
   job->tasks = g_new0(MmTask, job->spec.tasks);
   mm_done_set_init(&job->done, job->spec.tasks);
   job->first_idle = 0;
@@ -167,11 +167,11 @@
   }
   if (job->done.count == job->spec.tasks)
     job->dirty = now;
-  mm_rank_changed(owner->node->rank);
+  mm_placement_backlog_changed(owner->node->rank);
 }
 
 static void
-drop_part(MmOwner *owner, const char *name) {
+stop_leading_shard(MmScheduler *owner, const char *name) {
   MmJobTable *job_table = owner->node->job_table;
 
   for (guint i = 0; i < job_table->order->len; i++) {
@@ -180,33 +180,33 @@
       drop_job(owner, job);
   }
   mm_info("part %s is no longer held here", name);
-  g_hash_table_remove(owner->held, name);
+  g_hash_table_remove(owner->led_shards, name);
 }
 
 void
-mm_owner_check_ready(MmOwner *owner, MmOwnedShard *held) {
-  if (held->ready || g_hash_table_size(held->unacknowledged) > 0)
+mm_scheduler_check_shard_ready(MmScheduler *owner, MmLedShard *held) {
+  if (held->is_ready || g_hash_table_size(held->unacknowledged_machines) > 0)
     return;
-  held->ready = TRUE;
+  held->is_ready = TRUE;
   mm_info("part %s is ready %" G_GINT64_FORMAT " ms after it was taken", held->name,
-          mm_time_ms_since(mm_node_now(owner->node), held->taken));
-  mm_rank_changed(owner->node->rank);
+          mm_time_ms_since(mm_node_now(owner->node), held->acquired_at));
+  mm_placement_backlog_changed(owner->node->rank);
 }
 
 static void
-adopt_part(MmOwner *owner, const char *name, const MmTeamSettings *team,
-           const MmShard *shard_record) {
+start_leading_shard(MmScheduler *owner, const char *name, const MmTeamSettings *team,
+                    const MmShard *shard_record) {
   MmNode *node = owner->node;
-  MmOwnedShard *held = g_new0(MmOwnedShard, 1);
+  MmLedShard *held = g_new0(MmLedShard, 1);
 
   held->name = g_strdup(name);
   held->term = shard_record->term;
   held->version = shard_record->version;
   held->team = team;
-  held->taken = mm_node_now(node);
-  held->unacknowledged = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  held->acquired_at = mm_node_now(node);
+  held->unacknowledged_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   held->unacknowledged_kinds = g_array_new(FALSE, TRUE, sizeof(MmMachineKind));
-  g_hash_table_insert(owner->held, held->name, held);
+  g_hash_table_insert(owner->led_shards, held->name, held);
   for (guint i = 0; i < node->job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->order, i);
     if (strcmp(job->part, name) == 0)
@@ -219,43 +219,43 @@
     if (!machine->is_in_registry || machine->lease_has_expired)
       continue;
     if (machine->has_reported && machine->acknowledged_term.v >= held->term.v)
-      mm_owner_take_tasks(owner, machine, name);
+      mm_scheduler_apply_reported_tasks(owner, machine, name);
     else
-      g_hash_table_insert(held->unacknowledged, g_strdup(machine->id.s),
+      g_hash_table_insert(held->unacknowledged_machines, g_strdup(machine->id.s),
                           GSIZE_TO_POINTER(machine->registered_incarnation));
     machine->acknowledgement_requested_at.us = 0;
   }
   held->unacknowledged_changed = TRUE;
   mm_info("part %s is held here with term %" G_GUINT64_FORMAT ", %u machines to hear", name,
-          held->term.v, g_hash_table_size(held->unacknowledged));
-  mm_owner_check_ready(owner, held);
+          held->term.v, g_hash_table_size(held->unacknowledged_machines));
+  mm_scheduler_check_shard_ready(owner, held);
 }
 
 void
-mm_owner_replica_changed(MmOwner *owner) {
+mm_scheduler_replica_changed(MmScheduler *owner) {
   MmNode *node = owner->node;
 
   for (guint i = 0; i < node->settings->teams->len; i++) {
     const MmTeamSettings *team = &g_array_index(node->settings->teams, MmTeamSettings, i);
     g_autofree char *name = mm_shard_ownership_shard_of_team(&team->name);
-    MmOwnedShard *held = g_hash_table_lookup(owner->held, name);
+    MmLedShard *held = g_hash_table_lookup(owner->led_shards, name);
     gboolean is_leader = mm_shard_ownership_leads(node->node_lease, name);
     const MmShard *shard_record = mm_replica_shard(node->replica, name);
 
     if (held != NULL && (!is_leader || shard_record->term.v != held->term.v)) {
-      drop_part(owner, name);
+      stop_leading_shard(owner, name);
       held = NULL;
     }
     if (held == NULL && is_leader)
-      adopt_part(owner, name, team, shard_record);
+      start_leading_shard(owner, name, team, shard_record);
   }
 }
 
 void
-mm_owner_job_changed(MmOwner *owner, MmJob *job) {
-  MmOwnedShard *held = mm_owner_held(owner, job);
+mm_scheduler_job_changed(MmScheduler *owner, MmJob *job) {
+  MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
 
-  mm_owner_set_due(owner, job);
+  mm_scheduler_update_urgency(owner, job);
 
   if (held != NULL && job->tasks == NULL) {
     adopt_job(owner, held, job);
@@ -264,11 +264,11 @@
     job->known_after_claim = job->version.v > held->version.v && owner->node->replica->is_loaded;
   }
   if (job->tasks != NULL && job->cancelled)
-    mm_rank_changed(owner->node->rank);
+    mm_placement_backlog_changed(owner->node->rank);
 }
 
 void
-mm_owner_job_ready(MmOwner *owner, MmJob *job) {
+mm_scheduler_job_ready(MmScheduler *owner, MmJob *job) {
   MmTime now = mm_node_now(owner->node);
 
   job->waits_from_ms = MAX(job->submitted_ms, mm_vertex_ready_ms(job->vertex));
@@ -277,27 +277,27 @@
       job->tasks[i].since = now;
   mm_info("%s (%s) is ready: all that it depends on is done", job->spec.id.s,
           job->spec.job_class.s);
-  owner->pressing_stale = TRUE;
-  mm_rank_changed(owner->node->rank);
+  owner->is_urgency_order_stale = TRUE;
+  mm_placement_backlog_changed(owner->node->rank);
 }
 
 void
-mm_owner_job_removed(MmOwner *owner, MmJob *job) {
-  if (owner->yield == job)
-    owner->yield = NULL;
+mm_scheduler_job_removed(MmScheduler *owner, MmJob *job) {
+  if (owner->yield_to_gang == job)
+    owner->yield_to_gang = NULL;
   drop_job(owner, job);
 }
 
 /* ---- backlog ---- */
 
 static void
-add_waiting(MmOwner *owner, MmJob *job, GPtrArray *list, guint *tasks_left) {
+add_pending_tasks(MmScheduler *owner, MmJob *job, GPtrArray *list, guint *tasks_left) {
   MmTime now = mm_node_now(owner->node);
-  MmWaiting *pending = g_new0(MmWaiting, 1);
+  MmPendingTasks *pending = g_new0(MmPendingTasks, 1);
 
   pending->job = job->spec.id;
-  pending->first = mm_owner_goes_first(owner, job);
-  pending->aged = job->aged;
+  pending->has_precedence = mm_scheduler_has_precedence(owner, job);
+  pending->is_starving = job->aged;
   pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
   while (job->first_idle < job->spec.tasks && job->tasks[job->first_idle].state != MM_TASK_IDLE)
     job->first_idle++;
@@ -314,7 +314,7 @@
       last_range[1]++;
     } else {
       guint range[2] = { i, 1 };
-      if (pending->ranges->len >= 2 * BACKLOG_RANGES)
+      if (pending->ranges->len >= 2 * BACKLOG_RANGES_MAX)
         break;
       g_array_append_vals(pending->ranges, range, 2);
     }
@@ -329,34 +329,35 @@
 
 /* Only gangs' places are reserved: these are few, while machines with tasks are thousands. */
 static void
-add_reserved(const MmJob *job, GArray *machines) {
+add_reserved_machines(const MmJob *job, GArray *machines) {
   for (guint i = 0; i < job->spec.tasks; i++)
     if (job->tasks[i].state == MM_TASK_RESERVED)
       g_array_append_val(machines, job->tasks[i].machine->id);
 }
 
 void
-mm_owner_backlog(MmOwner *owner, GPtrArray *pending, GArray *reserved_machines) {
+mm_scheduler_list_backlog(MmScheduler *owner, GPtrArray *pending, GArray *reserved_machines) {
   MmJobTable *job_table = owner->node->job_table;
   g_autoptr(GPtrArray) jobs = g_ptr_array_new();
-  guint tasks_left = BACKLOG_TASKS;
+  guint tasks_left = BACKLOG_TASKS_MAX;
 
   for (guint i = 0; i < job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(job_table->order, i);
     if (job->tasks != NULL && mm_job_is_gang(job))
-      add_reserved(job, reserved_machines);
+      add_reserved_machines(job, reserved_machines);
     /* What its team's limit keeps from starting need not be asked for, nor machines rented. */
-    if (job->tasks != NULL && job->idle > 0 && mm_owner_open(owner, job)
-        && mm_owner_quota_allows(owner, job->held, job, mm_job_is_gang(job) ? job->spec.tasks : 1))
+    if (job->tasks != NULL && job->idle > 0 && mm_scheduler_job_is_schedulable(owner, job)
+        && mm_scheduler_quota_allows(owner, job->held, job,
+                                     mm_job_is_gang(job) ? job->spec.tasks : 1))
       g_ptr_array_add(jobs, job);
   }
-  g_ptr_array_sort(jobs, mm_owner_compare_pressing);
-  for (guint i = 0; i < jobs->len && i < BACKLOG_JOBS && tasks_left > 0; i++)
-    add_waiting(owner, g_ptr_array_index(jobs, i), pending, &tasks_left);
+  g_ptr_array_sort(jobs, mm_scheduler_compare_urgency);
+  for (guint i = 0; i < jobs->len && i < BACKLOG_JOBS_MAX && tasks_left > 0; i++)
+    add_pending_tasks(owner, g_ptr_array_index(jobs, i), pending, &tasks_left);
 }
 
 guint
-mm_owner_unfinished(const MmOwner *owner) {
+mm_scheduler_count_pending_tasks(const MmScheduler *owner) {
   MmJobTable *job_table = owner->node->job_table;
   guint n_pending_tasks = 0;
 
@@ -372,27 +373,28 @@
 
 /* Sums that are kept as tasks come and go are taken anew now and then: amounts are fractions. */
 static void
-sum_up(MmOwner *owner) {
+recount_resources(MmScheduler *owner) {
   MmJobTable *job_table = owner->node->job_table;
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, owner->held);
+  g_hash_table_iter_init(&iter, owner->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmOwnedShard *held = value;
-    held->used = held->owed = (MmResources){ 0 };
-    held->owed_to = NULL;
-    mm_owner_sum_unacknowledged(owner, held);
+    MmLedShard *held = value;
+    held->used = held->reserved_quota = (MmResources){ 0 };
+    held->quota_reserved_for = NULL;
+    mm_scheduler_sum_unacknowledged(owner, held);
   }
   for (guint i = 0; i < job_table->order->len; i++) {
     const MmJob *job = g_ptr_array_index(job_table->order, i);
-    MmOwnedShard *held = job->tasks != NULL ? job->held : NULL;
+    MmLedShard *held = job->tasks != NULL ? job->held : NULL;
     if (held != NULL && job->idle > 0 && (job->aged || job->spec.priority >= MM_URGENT)
-        && mm_owner_open(owner, job)
-        && (held->owed_to == NULL || mm_owner_compare_pressing(&job, &held->owed_to) < 0)) {
-      guint tasks = mm_job_is_gang(job) ? job->spec.tasks : MIN(job->idle, OWED_TASKS);
-      held->owed_to = job;
-      held->owed
+        && mm_scheduler_job_is_schedulable(owner, job)
+        && (held->quota_reserved_for == NULL
+            || mm_scheduler_compare_urgency(&job, &held->quota_reserved_for) < 0)) {
+      guint tasks = mm_job_is_gang(job) ? job->spec.tasks : MIN(job->idle, RESERVED_QUOTA_TASKS);
+      held->quota_reserved_for = job;
+      held->reserved_quota
           = (MmResources){ tasks * job->spec.need.cores, tasks * job->spec.need.accelerators, 0 };
     }
     if (held == NULL || job->live == 0)
@@ -408,7 +410,7 @@
  * idle until it has all of them, so where much waits, only a gang that starves is given that; and
  * not for ever, should it find no place for another reason. */
 static void
-find_yield(MmOwner *owner) {
+choose_gang_to_yield_to(MmScheduler *owner) {
   MmNode *node = owner->node;
   MmJobTable *job_table = node->job_table;
   gint64 now_ms = mm_node_wall_ms(node);
@@ -417,9 +419,9 @@
   guint n_waiting_jobs = 0;
 
   for (guint v = 0; v < node->rank->n_views; v++) {
-    const GPtrArray *pending_list = node->rank->views[v].waiting;
+    const GPtrArray *pending_list = node->rank->views[v].pending;
     for (guint i = 0; i < pending_list->len; i++) {
-      const MmWaiting *pending = g_ptr_array_index(pending_list, i);
+      const MmPendingTasks *pending = g_ptr_array_index(pending_list, i);
       const MmJob *job = mm_job_table_find(job_table, pending->job.s);
       const MmJob **best;
       gint64 waited_ms;
@@ -428,43 +430,43 @@
         continue;
       n_waiting_jobs++;
       waited_ms = now_ms - job->waits_from_ms;
-      if (!mm_job_is_gang(job) || waited_ms < wait_bound_ms || waited_ms > YIELD_MOST_MS)
+      if (!mm_job_is_gang(job) || waited_ms < wait_bound_ms || waited_ms > YIELD_TO_GANG_MAX_MS)
         continue;
       best = job->aged ? &starving_gang : &waiting_gang;
-      if (*best == NULL || mm_owner_compare_pressing(&job, best) < 0)
+      if (*best == NULL || mm_scheduler_compare_urgency(&job, best) < 0)
         *best = job;
     }
   }
-  owner->yield = starving_gang != NULL          ? starving_gang
-                 : n_waiting_jobs <= YIELD_JOBS ? waiting_gang
-                                                : NULL;
+  owner->yield_to_gang = starving_gang != NULL                      ? starving_gang
+                         : n_waiting_jobs <= YIELD_TO_GANG_JOBS_MAX ? waiting_gang
+                                                                    : NULL;
 }
 
 void
-mm_owner_tick(MmOwner *owner) {
+mm_scheduler_tick(MmScheduler *owner) {
   MmTime now = mm_node_now(owner->node);
 
   if (!mm_node_lease_is_valid(owner->node->node_lease))
     return;
-  mm_owner_write_jobs(owner);
-  if (mm_time_before(now, owner->next_slow))
+  mm_scheduler_write_jobs(owner);
+  if (mm_time_before(now, owner->next_slow_tick_at))
     return;
-  owner->next_slow = mm_time_add_ms(now, SLOW_TICK_MS);
+  owner->next_slow_tick_at = mm_time_add_ms(now, SLOW_TICK_MS);
   /* The newest first: a job's dependents come after it. */
   for (guint i = owner->node->job_table->order->len; i > 0; i--) {
     MmJob *job = g_ptr_array_index(owner->node->job_table->order, i - 1);
-    mm_owner_set_due(owner, job);
+    mm_scheduler_update_urgency(owner, job);
     if (job->tasks != NULL)
       job->aged = job->live == 0 && job->done.count == 0 && !job->cancelled && mm_job_is_ready(job)
                   && mm_job_waited_s(owner->node, job) > owner->node->operators->starve_s;
   }
-  find_yield(owner);
-  mm_owner_count_guarantees(owner);
-  sum_up(owner);
-  owner->pressing_stale = TRUE;
-  owner->looks = LOOKS_A_ROUND;
-  mm_owner_ask_acknowledgements(owner);
-  mm_owner_repeat_stops(owner);
-  mm_owner_plan_gangs(owner);
-  mm_owner_preempt(owner);
+  choose_gang_to_yield_to(owner);
+  mm_scheduler_update_guarantees(owner);
+  recount_resources(owner);
+  owner->is_urgency_order_stale = TRUE;
+  owner->machine_scans_left = MACHINE_SCANS_PER_TICK;
+  mm_scheduler_request_acknowledgements(owner);
+  mm_scheduler_resend_stops(owner);
+  mm_scheduler_plan_gangs(owner);
+  mm_scheduler_preempt(owner);
 }
--- a/src/owner/record.c
+++ b/src/owner/record.c
@@ -5,42 +5,42 @@
 #include "dependencies/dependencies.h"
 #include "store/store.h"
 
-#define WRITE_EVERY_MS 1000
-#define WRITE_DELAY_MS 300
+#define JOB_WRITE_INTERVAL_MS 1000
+#define JOB_WRITE_DELAY_MS 300
 
 typedef struct {
   MmName id;
-  char *text;
-  json_t *final; /* the final record; NULL: it goes on */
-} Written;
+  char *completed_text;
+  json_t *terminal_record; /* the final record; NULL: it goes on */
+} WrittenJob;
 
 typedef struct {
-  MmOwner *owner;
+  MmScheduler *owner;
   GArray *jobs; /* Written */
-} Write;
+} JobWrite;
 
 static void
-written_clear(gpointer data) {
-  g_free(((Written *)data)->text);
-  json_decref(((Written *)data)->final);
+written_job_clear(gpointer data) {
+  g_free(((WrittenJob *)data)->completed_text);
+  json_decref(((WrittenJob *)data)->terminal_record);
 }
 
 static void
 jobs_written(gpointer data, int status, json_t *body) {
-  Write *write = data;
-  MmOwner *owner = write->owner;
+  JobWrite *write = data;
+  MmScheduler *owner = write->owner;
   MmNode *node = owner->node;
   guint64 revision = mm_json_count(body, WIRE_REVISION, 0);
 
-  owner->writing = FALSE;
+  owner->is_writing = FALSE;
   if (status == 409)
-    owner->solo = write->jobs->len;
+    owner->single_job_writes = write->jobs->len;
   for (guint i = 0; i < write->jobs->len; i++) {
-    const Written *written_job = &g_array_index(write->jobs, Written, i);
+    const WrittenJob *written_job = &g_array_index(write->jobs, WrittenJob, i);
     MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
 
-    if (status == 200 && written_job->final != NULL)
-      mm_job_table_keep_final(node->job_table, written_job->id.s, written_job->final);
+    if (status == 200 && written_job->terminal_record != NULL)
+      mm_job_table_keep_final(node->job_table, written_job->id.s, written_job->terminal_record);
     if (job == NULL)
       continue;
     job->writing = FALSE;
@@ -48,8 +48,8 @@
       job->dirty = mm_node_now(node);
       continue;
     }
-    if (written_job->final == NULL) {
-      mm_done_set_parse(&job->recorded, written_job->text);
+    if (written_job->terminal_record == NULL) {
+      mm_done_set_parse(&job->recorded, written_job->completed_text);
       job->version.v = MAX(job->version.v, revision);
     }
   }
@@ -58,15 +58,16 @@
 }
 
 static gboolean
-wants_final(MmOwner *owner, const MmJob *job) {
+needs_terminal_record(MmScheduler *owner, const MmJob *job) {
   if (job->cancelled)
-    return job->live == 0 && (mm_job_needs_cancelled(job) || mm_owner_knows(owner, job));
+    return job->live == 0
+           && (mm_job_needs_cancelled(job) || mm_scheduler_knows_all_starts(owner, job));
   return job->spec.kind != MM_KIND_SERVICE && job->done.count == job->spec.tasks;
 }
 
 /* The longest done set's text that fits beside the rest of the record. */
 static char *
-record_text(const MmOwner *owner, const MmJob *job) {
+completed_tasks_text(const MmScheduler *owner, const MmJob *job) {
   g_autoptr(json_t) bare_record = mm_job_record(&job->spec, job->submitted_ms, FALSE, NULL);
   gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + 64;
   gsize max_bytes = mm_kv_client_max_value_bytes(owner->node->store);
@@ -75,9 +76,9 @@
 }
 
 static void
-add_to_write(MmOwner *owner, MmTransaction *transaction, Write *write, MmOwnedShard *held,
+add_to_write(MmScheduler *owner, MmTransaction *transaction, JobWrite *write, MmLedShard *held,
              MmJob *job, gboolean is_terminal) {
-  Written written_job = { .id = job->spec.id };
+  WrittenJob written_job = { .id = job->spec.id };
 
   mm_transaction_require_version(transaction, MM_KEY_JOB, job->spec.id.s, job->version);
   mm_transaction_require_version(transaction, MM_KEY_SHARD, held->name, held->version);
@@ -86,16 +87,17 @@
             job->spec.id.s, job->spec.job_class.s, job->spec.tasks, job->spec.estimate_s,
             job->cancelled ? WIRE_CANCELLED : WIRE_DONE, mm_job_waited_s(owner->node, job),
             job->spec.deadline_s, job->seen_n > 0 ? job->seen_s / job->seen_n : 0);
-    written_job.final = mm_final_record(
+    written_job.terminal_record = mm_final_record(
         &(MmFinalState){ job->cancelled, job->done.count, mm_node_wall_ms(owner->node) });
     mm_transaction_put(transaction, MM_KEY_TERMINAL_RECORD, job->spec.id.s,
-                       json_incref(written_job.final), 0);
+                       json_incref(written_job.terminal_record), 0);
     mm_transaction_delete(transaction, MM_KEY_JOB, job->spec.id.s);
   } else {
-    written_job.text = record_text(owner, job);
+    written_job.completed_text = completed_tasks_text(owner, job);
     mm_transaction_put(
         transaction, MM_KEY_JOB, job->spec.id.s,
-        mm_job_record(&job->spec, job->submitted_ms, job->cancelled, written_job.text), 0);
+        mm_job_record(&job->spec, job->submitted_ms, job->cancelled, written_job.completed_text),
+        0);
   }
   job->writing = TRUE;
   job->dirty.us = 0;
@@ -104,31 +106,31 @@
 }
 
 void
-mm_owner_write_jobs(MmOwner *owner) {
+mm_scheduler_write_jobs(MmScheduler *owner) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
   guint max_ops = mm_kv_client_max_operations(node->store);
   guint max_guards = 4 * max_ops;
   MmTransaction transaction;
-  Write *write;
+  JobWrite *write;
 
-  if (owner->writing || mm_kv_client_is_refused(node->store))
+  if (owner->is_writing || mm_kv_client_is_refused(node->store))
     return;
   transaction = mm_transaction_begin();
-  write = g_new(Write, 1);
-  *write = (Write){ owner, g_array_new(FALSE, TRUE, sizeof(Written)) };
-  g_array_set_clear_func(write->jobs, written_clear);
+  write = g_new(JobWrite, 1);
+  *write = (JobWrite){ owner, g_array_new(FALSE, TRUE, sizeof(WrittenJob)) };
+  g_array_set_clear_func(write->jobs, written_job_clear);
   for (guint i = 0; i < node->job_table->order->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->order, i);
-    MmOwnedShard *held = job->tasks != NULL ? mm_owner_held(owner, job) : NULL;
+    MmLedShard *held = job->tasks != NULL ? mm_scheduler_shard_of_job(owner, job) : NULL;
     gboolean is_terminal;
 
     if (held == NULL || job->writing)
       continue;
-    is_terminal = wants_final(owner, job);
+    is_terminal = needs_terminal_record(owner, job);
     if (transaction.n_operations + 2 > max_ops
         || json_array_size(transaction.conditions) + 2 > max_guards
-        || (owner->solo > 0 && transaction.n_operations > 0))
+        || (owner->single_job_writes > 0 && transaction.n_operations > 0))
       break;
     /* Dependents of a cancelled job show as cancelled without a record that says so: there may be
      * thousands, and their records can wait. */
@@ -138,15 +140,15 @@
     if (is_terminal && mm_time_ms_since(now, job->wrote) > 100) {
       add_to_write(owner, &transaction, write, held, job, TRUE);
     } else if (!is_terminal && !job->cancelled && job->dirty.us != 0
-               && mm_time_ms_since(now, job->dirty) >= WRITE_DELAY_MS
-               && mm_time_ms_since(now, job->wrote) >= WRITE_EVERY_MS
+               && mm_time_ms_since(now, job->dirty) >= JOB_WRITE_DELAY_MS
+               && mm_time_ms_since(now, job->wrote) >= JOB_WRITE_INTERVAL_MS
                && mm_kv_client_try_spend_writes(node->store, 1)) {
       add_to_write(owner, &transaction, write, held, job, FALSE);
     }
   }
   if (transaction.n_operations > 0) {
-    owner->writing = TRUE;
-    owner->solo -= owner->solo > 0;
+    owner->is_writing = TRUE;
+    owner->single_job_writes -= owner->single_job_writes > 0;
     mm_kv_client_commit(node->store, &transaction, jobs_written, write);
     return;
   }
--- a/src/owner/reports.c
+++ b/src/owner/reports.c
@@ -8,21 +8,22 @@
 
 /* Old days weigh less and less: guesses may be too high on one day and too low on the next. */
 static void
-learn(MmOwner *owner, const MmJob *job, double ran_s) {
-  MmGuesses *estimate_error = g_hash_table_lookup(owner->guesses, job->spec.job_class.s);
+learn_run_time(MmScheduler *owner, const MmJob *job, double ran_s) {
+  MmEstimateError *estimate_error
+      = g_hash_table_lookup(owner->estimate_errors, job->spec.job_class.s);
 
   if (job->spec.estimate_s <= 0)
     return;
   if (estimate_error == NULL) {
-    estimate_error = g_new0(MmGuesses, 1);
-    g_hash_table_insert(owner->guesses, g_strdup(job->spec.job_class.s), estimate_error);
+    estimate_error = g_new0(MmEstimateError, 1);
+    g_hash_table_insert(owner->estimate_errors, g_strdup(job->spec.job_class.s), estimate_error);
   }
-  estimate_error->seen_s = estimate_error->seen_s * 0.98 + ran_s;
-  estimate_error->guessed_s = estimate_error->guessed_s * 0.98 + job->spec.estimate_s;
+  estimate_error->actual_s = estimate_error->actual_s * 0.98 + ran_s;
+  estimate_error->estimated_s = estimate_error->estimated_s * 0.98 + job->spec.estimate_s;
 }
 
 static void
-task_done(MmOwner *owner, MmJob *job, guint number) {
+task_done(MmScheduler *owner, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
   MmTime now = mm_node_now(owner->node);
 
@@ -32,11 +33,11 @@
     double ran_s = (double)mm_time_ms_since(now, task->since) / 1000.0;
     job->seen_s += ran_s;
     job->seen_n++;
-    learn(owner, job, ran_s);
+    learn_run_time(owner, job, ran_s);
   }
   if (task->machine != NULL)
-    mm_owner_unplace(owner, job, number);
-  mm_owner_set_state(owner, job, number, MM_TASK_DONE);
+    mm_scheduler_unplace_task(owner, job, number);
+  mm_scheduler_set_task_state(owner, job, number, MM_TASK_DONE);
   mm_done_set_add(&job->done, number);
   job->failed_tasks = 0;
   if (job->dirty.us == 0)
@@ -45,11 +46,11 @@
 
 /* What each cause of ending asks for. The task has left the machine in every case. */
 static void
-task_ended(MmOwner *owner, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
+task_ended(MmScheduler *owner, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
   MmTask *task = &job->tasks[number];
   MmTime now = mm_node_now(owner->node);
 
-  mm_owner_unplace(owner, job, number);
+  mm_scheduler_unplace_task(owner, job, number);
   switch (cause) {
   case MM_CAUSE_ERROR:
     task->errors = MIN(task->errors + 1, 10);
@@ -78,14 +79,15 @@
 }
 
 static MmTaskState
-state_of_seen(guint8 reported_state) {
+state_of_reported(guint8 reported_state) {
   static const MmTaskState map[]
       = { MM_TASK_FETCHING, MM_TASK_WAITING, MM_TASK_RUNNING, MM_TASK_SAVING };
   return map[MIN(reported_state, MM_REPORTED_CHECKPOINTING)];
 }
 
 static void
-take_task(MmOwner *owner, MmMachine *machine, MmJob *job, const MmReportedTask *reported) {
+apply_reported_task(MmScheduler *owner, MmMachine *machine, MmJob *job,
+                    const MmReportedTask *reported) {
   MmTask *task = &job->tasks[reported->number];
   gboolean is_same_attempt = task->machine == machine && task->attempt.v == reported->attempt.v;
 
@@ -102,8 +104,8 @@
       return; /* to be stopped, see commands_for */
     if (is_same_attempt && task->state == MM_TASK_ISSUED)
       machine->consecutive_refused_starts = 0;
-    mm_owner_place(owner, job, reported->number, machine, state_of_seen(reported->state),
-                   reported->attempt);
+    mm_scheduler_place_task(owner, job, reported->number, machine,
+                            state_of_reported(reported->state), reported->attempt);
     return;
   }
   /* A newer attempt is only ever approved when the older is gone for certain: of two that show, the
@@ -111,8 +113,8 @@
   if (reported->attempt.v > task->attempt.v) {
     mm_info("task %s/%u is on %s: what %s showed is over", job->spec.id.s, reported->number,
             machine->id.s, task->machine->id.s);
-    mm_owner_place(owner, job, reported->number, machine, state_of_seen(reported->state),
-                   reported->attempt);
+    mm_scheduler_place_task(owner, job, reported->number, machine,
+                            state_of_reported(reported->state), reported->attempt);
     return;
   }
   mm_info("task %s/%u shows on %s while it is placed on %s", job->spec.id.s, reported->number,
@@ -120,7 +122,7 @@
 }
 
 void
-mm_owner_take_tasks(MmOwner *owner, MmMachine *machine, const char *only_shard) {
+mm_scheduler_apply_reported_tasks(MmScheduler *owner, MmMachine *machine, const char *only_shard) {
   gboolean unsettled = FALSE;
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
@@ -130,7 +132,7 @@
     if (job == NULL || job->tasks == NULL || reported->number >= job->spec.tasks)
       continue;
     if (only_shard == NULL || strcmp(only_shard, job->part) == 0)
-      take_task(owner, machine, job, reported);
+      apply_reported_task(owner, machine, job, reported);
     unsettled = unsettled || job->tasks[reported->number].machine != machine;
   }
   /* A record may come after the report that shows its tasks, and a result may be taken only once
@@ -141,7 +143,7 @@
 /* Tasks placed on the machine that this report does not show have left it; a start is denied only
  * by a report that was sent after the one whose answer carried it. */
 static void
-miss_tasks(MmOwner *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
+unplace_missing_tasks(MmScheduler *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
   for (guint i = machine->placed_tasks->len; i > 0; i--) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i - 1);
     MmJob *job = placed->job;
@@ -162,13 +164,13 @@
       if (heartbeat->heartbeat_id.incarnation == task->issued.incarnation)
         mm_machine_health_record_refused_start(owner->node->machine_table, machine);
     }
-    mm_owner_unplace(owner, job, number);
+    mm_scheduler_unplace_task(owner, job, number);
   }
 }
 
 /* Stops and clears that follow from the report. */
 static void
-commands_for(MmOwner *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
+queue_commands(MmScheduler *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   MmTime now = mm_node_now(owner->node);
 
@@ -190,7 +192,7 @@
       continue;
     }
     command.op = MM_OP_STOP;
-    command.grace_s = mm_owner_grace_s(job);
+    command.grace_s = mm_scheduler_stop_grace_s(job);
     if (job->cancelled || task->state == MM_TASK_DONE
         || (task->stopping && task->machine == machine && mm_time_ms_since(now, task->told) > 500
             && reported->state != MM_REPORTED_CHECKPOINTING)) {
@@ -216,55 +218,55 @@
  * register when the part was taken: the old session's tasks are gone, and starts for the new one
  * need an entry that only who has seen the part's term can believe. */
 static gboolean
-is_heard(const MmOwnedShard *held, const MmMachine *machine) {
+has_acknowledged_term(const MmLedShard *held, const MmMachine *machine) {
   gpointer registered_incarnation;
 
   return machine->acknowledged_term.v >= held->term.v
-         || (g_hash_table_lookup_extended(held->unacknowledged, machine->id.s, NULL,
+         || (g_hash_table_lookup_extended(held->unacknowledged_machines, machine->id.s, NULL,
                                           &registered_incarnation)
              && machine->latest_message_id.incarnation > GPOINTER_TO_SIZE(registered_incarnation));
 }
 
 void
-mm_owner_report(MmOwner *owner, MmMachine *machine, const MmHeartbeat *heartbeat,
-                gboolean changed) {
+mm_scheduler_heartbeat_received(MmScheduler *owner, MmMachine *machine,
+                                const MmHeartbeat *heartbeat, gboolean changed) {
   GHashTableIter iter;
   gpointer value;
 
-  if (g_hash_table_size(owner->held) == 0)
+  if (g_hash_table_size(owner->led_shards) == 0)
     return;
   if (changed || machine->needs_task_review)
-    mm_owner_take_tasks(owner, machine, NULL);
-  miss_tasks(owner, machine, heartbeat);
-  g_hash_table_iter_init(&iter, owner->held);
+    mm_scheduler_apply_reported_tasks(owner, machine, NULL);
+  unplace_missing_tasks(owner, machine, heartbeat);
+  g_hash_table_iter_init(&iter, owner->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmOwnedShard *held = value;
-    if (!held->ready && is_heard(held, machine)
-        && g_hash_table_remove(held->unacknowledged, machine->id.s)) {
+    MmLedShard *held = value;
+    if (!held->is_ready && has_acknowledged_term(held, machine)
+        && g_hash_table_remove(held->unacknowledged_machines, machine->id.s)) {
       held->unacknowledged_changed = TRUE;
-      mm_owner_check_ready(owner, held);
+      mm_scheduler_check_shard_ready(owner, held);
     }
   }
-  commands_for(owner, machine, heartbeat);
+  queue_commands(owner, machine, heartbeat);
 }
 
 /* Lost or returned: nothing is on it any more and no start can reach it. */
 void
-mm_owner_machine_gone(MmOwner *owner, MmMachine *machine) {
+mm_scheduler_machine_gone(MmScheduler *owner, MmMachine *machine) {
   GHashTableIter iter;
   gpointer value;
 
   while (machine->placed_tasks->len > 0) {
     const MmPlacedTask *placed
         = g_ptr_array_index(machine->placed_tasks, machine->placed_tasks->len - 1);
-    mm_owner_unplace(owner, placed->job, placed->number);
+    mm_scheduler_unplace_task(owner, placed->job, placed->number);
   }
-  g_hash_table_iter_init(&iter, owner->held);
+  g_hash_table_iter_init(&iter, owner->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmOwnedShard *held = value;
-    if (g_hash_table_remove(held->unacknowledged, machine->id.s)) {
+    MmLedShard *held = value;
+    if (g_hash_table_remove(held->unacknowledged_machines, machine->id.s)) {
       held->unacknowledged_changed = TRUE;
-      mm_owner_check_ready(owner, held);
+      mm_scheduler_check_shard_ready(owner, held);
     }
   }
 }
--- a/src/owner/urgency.c
+++ b/src/owner/urgency.c
@@ -9,25 +9,25 @@
 #include "dependencies/dependencies.h"
 
 /* Work within its team's guarantee should start within seconds. */
-#define WITHIN_S 1
+#define GUARANTEED_START_S 1
 /* From the end of a job's last task to the start of those of its dependents: reports, the final
  * record, the fetch of an image. */
-#define STAGE_MS 3000
+#define DEPENDENCY_STAGE_MS 3000
 /* So long before a deadline that it has taken over a job has the whole priority of those that need
  * it. */
-#define HURRY_MS 15000
-#define NO_DUE_MS G_MAXINT64
+#define INHERITED_DEADLINE_MARGIN_MS 15000
+#define NO_DUE_TIME_MS G_MAXINT64
 
 gboolean
-mm_owner_goes_first(const MmOwner *owner, const MmJob *job) {
+mm_scheduler_has_precedence(const MmScheduler *owner, const MmJob *job) {
   return job->aged || job->priority >= MM_URGENT
          || mm_job_waited_s(owner->node, job)
-                > (job->within ? WITHIN_S : owner->node->operators->wait_bound_s);
+                > (job->within ? GUARANTEED_START_S : owner->node->operators->wait_bound_s);
 }
 
 /* When the last task must have started for the aim, in seconds from the job's submission. */
 static double
-aim_at(const MmJob *job, const MmObjective *aim, double run_s) {
+aim_start_s(const MmJob *job, const MmObjective *aim, double run_s) {
   switch (aim->kind) {
   case MM_OBJECTIVE_WAIT:
   case MM_OBJECTIVE_QUOTA:
@@ -44,10 +44,11 @@
 /* The user's guess of a run time, corrected by how far the class's guesses were off, or what was
  * seen of the job's own tasks. */
 static double
-run_guess_s(const MmOwner *owner, const MmJob *job) {
-  const MmGuesses *estimate_error = g_hash_table_lookup(owner->guesses, job->spec.job_class.s);
-  double ratio = estimate_error != NULL && estimate_error->guessed_s > 0
-                     ? estimate_error->seen_s / estimate_error->guessed_s
+estimate_run_s(const MmScheduler *owner, const MmJob *job) {
+  const MmEstimateError *estimate_error
+      = g_hash_table_lookup(owner->estimate_errors, job->spec.job_class.s);
+  double ratio = estimate_error != NULL && estimate_error->estimated_s > 0
+                     ? estimate_error->actual_s / estimate_error->estimated_s
                      : 1;
 
   if (job->seen_n > 0)
@@ -58,7 +59,7 @@
 /* How many rounds the unassigned tasks need where the team's limit lets only so many run at once.
  */
 static double
-rounds(const MmOwner *owner, const MmJob *job) {
+estimate_rounds(const MmScheduler *owner, const MmJob *job) {
   const MmTeamSettings *team = mm_settings_team(owner->node->settings, &job->spec.team);
   double n_parallel = job->spec.tasks;
 
@@ -72,10 +73,10 @@
 
 /* By when the job must be given machines for the first of its own aims that it can still meet. */
 static gint64
-own_due_ms(const MmOwner *owner, const MmJob *job, double run_s) {
+own_due_ms(const MmScheduler *owner, const MmJob *job, double run_s) {
   const MmSettings *settings = owner->node->settings;
   gint64 now_ms = mm_node_wall_ms(owner->node);
-  gint64 due_ms = NO_DUE_MS;
+  gint64 due_ms = NO_DUE_TIME_MS;
   gboolean has_own_aim = FALSE;
 
   for (guint i = 0; i < settings->objectives->len; i++) {
@@ -85,7 +86,7 @@
     if (aim->kind == MM_OBJECTIVE_QUOTA ? !job->within
                                         : !mm_name_equal(&aim->job_class, &job->spec.job_class))
       continue;
-    start_s = aim_at(job, aim, run_s);
+    start_s = aim_start_s(job, aim, run_s);
     counted_from_ms = aim->kind == MM_OBJECTIVE_DEADLINE ? job->submitted_ms : job->waits_from_ms;
     start_ms = counted_from_ms + (gint64)(start_s * 1000);
     has_own_aim = has_own_aim || (start_s >= 0 && aim->kind != MM_OBJECTIVE_QUOTA);
@@ -111,12 +112,12 @@
 /* Takes over what the unfinished jobs that depend on this one ask for. Their own values may be as
  * old as the last round where they are not worked out before this one. */
 static void
-inherit(const MmOwner *owner, MmJob *job, double run_s) {
+inherit_from_dependents(const MmScheduler *owner, MmJob *job, double run_s) {
   const MmJobTable *job_table = owner->node->job_table;
-  gint64 dependents_due_ms = NO_DUE_MS;
+  gint64 dependents_due_ms = NO_DUE_TIME_MS;
 
   job->inherited_priority = job->spec.priority;
-  job->inherited_due_ms = NO_DUE_MS;
+  job->inherited_due_ms = NO_DUE_TIME_MS;
   for (guint i = 0; job->vertex != NULL && i < job->vertex->dependents->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(job->vertex->dependents, i);
     const MmJob *dependent = mm_job_table_find(job_table, vertex->job.s);
@@ -125,34 +126,34 @@
     job->inherited_priority = MAX(job->inherited_priority, dependent->inherited_priority);
     dependents_due_ms = MIN(dependents_due_ms, deadline_due_ms(dependent));
   }
-  if (dependents_due_ms != NO_DUE_MS)
-    job->inherited_due_ms
-        = MAX(dependents_due_ms - STAGE_MS - (gint64)(run_s * 1000), mm_node_wall_ms(owner->node));
+  if (dependents_due_ms != NO_DUE_TIME_MS)
+    job->inherited_due_ms = MAX(dependents_due_ms - DEPENDENCY_STAGE_MS - (gint64)(run_s * 1000),
+                                mm_node_wall_ms(owner->node));
 }
 
 /* While there is time until the deadline that it has taken over, a job goes in the order of what is
  * due but stops no other team's or class's ordinary work: that cost the other work more than the
  * pipelines gained, which were done long before their deadlines. */
 static MmPriority
-priority_now(const MmOwner *owner, const MmJob *job) {
+effective_priority(const MmScheduler *owner, const MmJob *job) {
   gint64 slack_ms = job->inherited_due_ms - mm_node_wall_ms(owner->node);
 
-  if (job->inherited_due_ms == NO_DUE_MS || slack_ms <= HURRY_MS)
+  if (job->inherited_due_ms == NO_DUE_TIME_MS || slack_ms <= INHERITED_DEADLINE_MARGIN_MS)
     return job->inherited_priority;
   return MAX(job->spec.priority, MIN(job->inherited_priority, MM_NORMAL));
 }
 
 void
-mm_owner_set_due(MmOwner *owner, MmJob *job) {
-  double run_s = run_guess_s(owner, job) * rounds(owner, job);
+mm_scheduler_update_urgency(MmScheduler *owner, MmJob *job) {
+  double run_s = estimate_run_s(owner, job) * estimate_rounds(owner, job);
 
-  inherit(owner, job, run_s);
-  job->priority = priority_now(owner, job);
+  inherit_from_dependents(owner, job, run_s);
+  job->priority = effective_priority(owner, job);
   job->due_ms = MIN(own_due_ms(owner, job, run_s), job->inherited_due_ms);
 }
 
 gint
-mm_owner_compare_pressing(gconstpointer a, gconstpointer b) {
+mm_scheduler_compare_urgency(gconstpointer a, gconstpointer b) {
   const MmJob *x = *(MmJob *const *)a, *y = *(MmJob *const *)b;
 
   if (x->aged != y->aged)
--- a/src/peers/links.c
+++ b/src/peers/links.c
@@ -124,7 +124,7 @@
     if (job->cancelled && !mm_job_needs_cancelled(job))
       mm_links_tell_cancelled_to(links, peer, job->spec.id.s);
   }
-  mm_rank_tell(links->node->rank, (gint)peer);
+  mm_placement_send_backlog(links->node->rank, (gint)peer);
 }
 
 void
@@ -364,19 +364,19 @@
     take_beats(links, peer_index, frame->beats);
     break;
   case MM__FRAME__BODY_ASK:
-    mm_owner_peer_ask(links->node->owner, peer_index, frame->ask);
+    mm_scheduler_peer_start_request(links->node->owner, peer_index, frame->ask);
     break;
   case MM__FRAME__BODY_ANSWER:
     mm_pending_response_start_answered(links->node->checkin, peer_index, frame->answer);
     break;
   case MM__FRAME__BODY_BACKLOG:
-    mm_rank_heard(links->node->rank, (gint)peer_index, frame->backlog);
+    mm_placement_backlog_received(links->node->rank, (gint)peer_index, frame->backlog);
     break;
   case MM__FRAME__BODY_COMMANDS:
     take_commands(links, frame->commands);
     break;
   case MM__FRAME__BODY_CANCELLED:
-    if (mm_owner_cancelled(links->node->owner, frame->cancelled->job))
+    if (mm_scheduler_job_cancelled(links->node->owner, frame->cancelled->job))
       mm_links_tell_cancel_ack(links, peer_index, frame->cancelled->job);
     break;
   case MM__FRAME__BODY_CANCEL_ACK:
--- a/src/store/replica.c
+++ b/src/store/replica.c
@@ -251,7 +251,7 @@
 
 static void
 notify_replica_changed(MmReplica *replica) {
-  mm_owner_replica_changed(replica->node->owner);
+  mm_scheduler_replica_changed(replica->node->owner);
   mm_sharing_replica_changed(replica->node->sharing);
   mm_heartbeat_server_replica_changed(replica->node->checkin);
 }
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -62,9 +62,9 @@
   for (guint i = 0; i < WORLD_NODES; i++) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->held);
+    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->led_shards);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-      n += g_hash_table_size(((const MmOwnedShard *)value)->unacknowledged);
+      n += g_hash_table_size(((const MmLedShard *)value)->unacknowledged_machines);
   }
   return n;
 }
@@ -74,7 +74,7 @@
   guint n = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++)
-    n += g_hash_table_size(world->nodes[i].node->owner->held);
+    n += g_hash_table_size(world->nodes[i].node->owner->led_shards);
   return n;
 }
 
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -69,7 +69,7 @@
   double n = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++)
-    n += world->nodes[i].node != NULL ? (double)world->nodes[i].node->owner->looked : 0;
+    n += world->nodes[i].node != NULL ? (double)world->nodes[i].node->owner->n_machines_scanned : 0;
   return n;
 }
 
@@ -150,10 +150,10 @@
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (world->nodes[i].node == NULL)
       continue;
-    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->held);
+    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->led_shards);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
       held++;
-      if (!((MmOwnedShard *)value)->ready)
+      if (!((MmLedShard *)value)->is_ready)
         return FALSE;
     }
   }
@@ -216,9 +216,9 @@
   for (guint i = 0; i < WORLD_NODES; i++) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->held);
+    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->led_shards);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-      g_assert_true(((MmOwnedShard *)value)->ready);
+      g_assert_true(((MmLedShard *)value)->is_ready);
   }
   world_assert_rules(world);
   world_free(world);
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -6,7 +6,7 @@
 
 typedef struct {
   World *world;
-  MmOwner *owner;
+  MmScheduler *owner;
   MmJob *job;
   MmMachine *machines[2];
 } Setting;
@@ -30,7 +30,7 @@
     MmNode *node = s.world->nodes[i].node;
     MmJob *known = mm_job_table_find(node->job_table, job->id);
     g_assert_nonnull(known);
-    if (mm_owner_held(node->owner, known) == NULL)
+    if (mm_scheduler_shard_of_job(node->owner, known) == NULL)
       continue;
     s.owner = node->owner;
     s.job = known;
@@ -44,17 +44,17 @@
 /* -1: refused. */
 static gint
 ask(Setting *s, guint machine, gint first, gint second, gboolean pull) {
-  MmAsk ask = { .machine = s->machines[machine],
-                .stamp = s->machines[machine]->latest_message_id,
-                .room = { 16, 2, 64 },
-                .pull = pull };
+  MmStartRequest ask = { .machine = s->machines[machine],
+                         .heartbeat_id = s->machines[machine]->latest_message_id,
+                         .free_resources = { 16, 2, 64 },
+                         .is_pull = pull };
   MmApproval approval;
 
   if (first >= 0)
-    ask.tasks[ask.n++] = (MmTaskRef){ s->job->spec.id, (guint)first };
+    ask.tasks[ask.n_tasks++] = (MmTaskRef){ s->job->spec.id, (guint)first };
   if (second >= 0)
-    ask.tasks[ask.n++] = (MmTaskRef){ s->job->spec.id, (guint)second };
-  return mm_owner_ask(s->owner, &ask, &approval) ? (gint)approval.number : -1;
+    ask.tasks[ask.n_tasks++] = (MmTaskRef){ s->job->spec.id, (guint)second };
+  return mm_scheduler_approve_start(s->owner, &ask, &approval) ? (gint)approval.number : -1;
 }
 
 /* The answers of the paper's Table I. */
@@ -105,22 +105,22 @@
 static void
 test_owes_what_is_limited(void) {
   Setting s = set_up(2);
-  MmOwnedShard *held = mm_owner_held(s.owner, s.job);
+  MmLedShard *held = mm_scheduler_shard_of_job(s.owner, s.job);
   MmTeamSettings team = *held->team;
   MmJob starving = { .aged = TRUE, .spec = { .need = { 43, 8, 310 }, .tasks = 1 } };
 
   team.limit = (MmResources){ 0, 13, 0 };
   held->team = &team;
   held->used = (MmResources){ 43, 8, 310 };
-  held->owed = starving.spec.need;
-  held->owed_to = &starving;
-  g_assert_true(mm_owner_quota_allows(s.owner, held, s.job, 2));
+  held->reserved_quota = starving.spec.need;
+  held->quota_reserved_for = &starving;
+  g_assert_true(mm_scheduler_quota_allows(s.owner, held, s.job, 2));
   s.job->spec.need.accelerators = 1;
-  g_assert_false(mm_owner_quota_allows(s.owner, held, s.job, 1));
-  g_assert_false(mm_owner_quota_allows(s.owner, held, &starving, 1));
-  held->owed_to = NULL;
-  g_assert_true(mm_owner_quota_allows(s.owner, held, s.job, 5));
-  g_assert_false(mm_owner_quota_allows(s.owner, held, s.job, 6));
+  g_assert_false(mm_scheduler_quota_allows(s.owner, held, s.job, 1));
+  g_assert_false(mm_scheduler_quota_allows(s.owner, held, &starving, 1));
+  held->quota_reserved_for = NULL;
+  g_assert_true(mm_scheduler_quota_allows(s.owner, held, s.job, 5));
+  g_assert_false(mm_scheduler_quota_allows(s.owner, held, s.job, 6));
   held->team = mm_settings_team(s.owner->node->settings, &s.job->spec.team);
   world_free(s.world);
 }
@@ -133,9 +133,12 @@
 
   s.machines[0]->latest_message_id.sequence++;
   {
-    MmAsk old = { .machine = s.machines[0], .stamp = now, .room = { 16, 2, 64 }, .pull = TRUE };
+    MmStartRequest old = { .machine = s.machines[0],
+                           .heartbeat_id = now,
+                           .free_resources = { 16, 2, 64 },
+                           .is_pull = TRUE };
     MmApproval approval;
-    g_assert_false(mm_owner_ask(s.owner, &old, &approval));
+    g_assert_false(mm_scheduler_approve_start(s.owner, &old, &approval));
   }
   g_assert_cmpint(ask(&s, 0, -1, -1, TRUE), >=, 0);
   world_free(s.world);
@@ -193,28 +196,28 @@
 static void
 test_waits_where_it_may_be(void) {
   Setting s = set_up(2);
-  MmOwnedShard *held = mm_owner_held(s.owner, s.job);
+  MmLedShard *held = mm_scheduler_shard_of_job(s.owner, s.job);
   MmMachine *spot = s.machines[0];
 
   s.job->known_after_claim = FALSE;
-  g_assert_true(mm_owner_knows(s.owner, s.job));
-  held->ready = FALSE;
+  g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
+  held->is_ready = FALSE;
   held->unacknowledged_changed = TRUE;
-  g_hash_table_insert(held->unacknowledged, g_strdup(spot->id.s), GSIZE_TO_POINTER(1));
+  g_hash_table_insert(held->unacknowledged_machines, g_strdup(spot->id.s), GSIZE_TO_POINTER(1));
   spot->is_spot = TRUE;
   s.job->spec.spot = TRUE;
-  g_assert_false(mm_owner_knows(s.owner, s.job));
-  g_assert_false(mm_owner_open(s.owner, s.job));
+  g_assert_false(mm_scheduler_knows_all_starts(s.owner, s.job));
+  g_assert_false(mm_scheduler_job_is_schedulable(s.owner, s.job));
   s.job->spec.spot = FALSE;
-  g_assert_true(mm_owner_knows(s.owner, s.job));
-  g_assert_true(mm_owner_open(s.owner, s.job));
+  g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
+  g_assert_true(mm_scheduler_job_is_schedulable(s.owner, s.job));
   s.job->spec.spot = TRUE;
   s.job->spec.zone = mm_name("elsewhere");
-  g_assert_true(mm_owner_knows(s.owner, s.job));
+  g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
   /* One of which nothing is known may hold anything. */
-  g_hash_table_insert(held->unacknowledged, g_strdup("m-999999"), GSIZE_TO_POINTER(1));
+  g_hash_table_insert(held->unacknowledged_machines, g_strdup("m-999999"), GSIZE_TO_POINTER(1));
   held->unacknowledged_changed = TRUE;
-  g_assert_false(mm_owner_knows(s.owner, s.job));
+  g_assert_false(mm_scheduler_knows_all_starts(s.owner, s.job));
   world_free(s.world);
 }
 
@@ -308,18 +311,18 @@
   from.team = 1;
   from.within = FALSE;
   s.owner->team_used[1] = (MmResources){ 6, 0, 0 };
-  g_assert_true(mm_owner_may_reclaim(s.owner, job, &from));
+  g_assert_true(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
   s.owner->team_used[1].cores = 5; /* would fall below its own guarantee */
-  g_assert_false(mm_owner_may_reclaim(s.owner, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
   s.owner->team_used[1].cores = 6;
   from.within = TRUE;
-  g_assert_false(mm_owner_may_reclaim(s.owner, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
   from.within = FALSE;
   from.priority = MM_URGENT;
-  g_assert_false(mm_owner_may_reclaim(s.owner, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
   from.priority = job->priority;
   job->within = FALSE;
-  g_assert_false(mm_owner_may_reclaim(s.owner, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
   world_free(s.world);
 }
 
--- a/tests/world/broken.c
+++ b/tests/world/broken.c
@@ -8,14 +8,14 @@
 
 /* An owner that is broken on purpose: it takes every machine for heard at once. */
 static void
-forget_unacknowledged(MmOwner *scheduler) {
+forget_unacknowledged(MmScheduler *scheduler) {
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, scheduler->held);
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    g_hash_table_remove_all(((MmOwnedShard *)value)->unacknowledged);
-    ((MmOwnedShard *)value)->ready = TRUE;
+    g_hash_table_remove_all(((MmLedShard *)value)->unacknowledged_machines);
+    ((MmLedShard *)value)->is_ready = TRUE;
   }
 }
 
@@ -38,15 +38,15 @@
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     machine->unacknowledged_responses = 0;
-    g_hash_table_iter_init(&iter, node->owner->held);
+    g_hash_table_iter_init(&iter, node->owner->led_shards);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-      MmOwnedShard *led_shard = value;
+      MmLedShard *led_shard = value;
       if (!machine->has_reported || machine->lease_has_expired
           || machine->acknowledged_term.v >= led_shard->term.v)
         continue;
-      g_hash_table_insert(led_shard->unacknowledged, g_strdup(machine->id.s),
+      g_hash_table_insert(led_shard->unacknowledged_machines, g_strdup(machine->id.s),
                           GSIZE_TO_POINTER(G_MAXSIZE));
-      led_shard->ready = FALSE;
+      led_shard->is_ready = FALSE;
     }
   }
 }
