--- a/src/checkin/health.c
+++ b/src/checkin/health.c
@@ -77,10 +77,10 @@
     if (task->cause == MM_CAUSE_DONE) {
       machine->consecutive_failed_jobs = 0;
       if (job != NULL)
-        job->succeeded = TRUE;
+        job->has_succeeded = TRUE;
     } else if (task->cause == MM_CAUSE_ERROR) {
       if (job != NULL)
-        mm_job_note_failure(job, &machine->id);
+        mm_job_add_failed_machine(job, &machine->id);
       count_failed_job(machine_table, machine, &task->job);
     }
   }
--- a/src/checkin/machine-table.c
+++ b/src/checkin/machine-table.c
@@ -284,7 +284,7 @@
     machine->type_name = heartbeat->type;
   if (!mm_name_is_empty(&heartbeat->zone))
     machine->zone = heartbeat->zone;
-  machine->type = mm_types_find(machine_table->node->types, &machine->type_name);
+  machine->type = mm_instance_types_find(machine_table->node->types, &machine->type_name);
   machine->is_spot = heartbeat->is_spot;
 }
 
@@ -456,7 +456,7 @@
   if (machine->has_reported)
     return;
   machine->type_name = entry->type;
-  machine->type = mm_types_find(machine_table->node->types, &machine->type_name);
+  machine->type = mm_instance_types_find(machine_table->node->types, &machine->type_name);
   machine->zone = entry->zone;
   machine->is_spot = entry->is_spot;
   memcpy(machine->addr, entry->addr, sizeof machine->addr);
--- a/src/checkin/machine-table.h
+++ b/src/checkin/machine-table.h
@@ -25,7 +25,7 @@
   MmName id;
   char addr[64];
   MmName type_name;
-  const MmType *type; /* NULL while the cloud's types are not known */
+  const MmInstanceType *type; /* NULL while the cloud's types are not known */
   MmName zone;
   gboolean is_spot;
   gboolean has_reported; /* a report has been seen; otherwise known from the register only */
--- a/src/checkin/machine.c
+++ b/src/checkin/machine.c
@@ -25,7 +25,7 @@
   }
   g_array_append_vals(machine->cached_images, &(MmCachedImage){ *image, image_gb, now }, 1);
   total_gb += image_gb;
-  while (machine->type != NULL && total_gb > machine->type->cache_gb
+  while (machine->type != NULL && total_gb > machine->type->image_cache_gb
          && machine->cached_images->len > 1) {
     guint oldest = 0;
     for (guint i = 1; i < machine->cached_images->len; i++)
@@ -73,7 +73,7 @@
     return machine->available_resources;
   machine->available_generation = machine_table->node->job_table->generation;
   machine->available_resources = available;
-  available = machine->type->room;
+  available = machine->type->resources;
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *task = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *job;
@@ -82,13 +82,13 @@
     job = mm_job_table_find(machine_table->node->job_table, task->job.s);
     if (job == NULL)
       return (MmResources){ 0 };
-    available = mm_resources_sub(available, job->spec.need);
+    available = mm_resources_sub(available, job->spec.task_resources);
   }
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
     guint8 state = placed->job->tasks[placed->number].state;
-    if (state == MM_TASK_ISSUED || state == MM_TASK_RESERVED)
-      available = mm_resources_sub(available, placed->job->spec.need);
+    if (state == MM_TASK_START_SENT || state == MM_TASK_PLACE_RESERVED)
+      available = mm_resources_sub(available, placed->job->spec.task_resources);
   }
   machine->available_resources = available;
   return available;
--- a/src/checkin/pending-answer.c
+++ b/src/checkin/pending-answer.c
@@ -29,8 +29,8 @@
   TerminalConfirmation *confirmation = data;
 
   if (status == 200)
-    mm_job_table_keep_final(confirmation->server->node->job_table, confirmation->job_id.s,
-                            mm_json_get(body, WIRE_VALUE));
+    mm_job_table_add_terminal_record(confirmation->server->node->job_table, confirmation->job_id.s,
+                                     mm_json_get(body, WIRE_VALUE));
   g_hash_table_remove(confirmation->server->jobs_being_confirmed, confirmation->job_id.s);
   g_free(confirmation);
 }
@@ -65,7 +65,7 @@
     const MmJob *job = mm_job_table_find(job_table, reported->job.s);
     MmCommand command = { reported->state == MM_REPORTED_ENDED ? MM_OP_FORGET : MM_OP_STOP,
                           reported->job, reported->number, reported->attempt, 0 };
-    if (job != NULL ? job->cancelled && reported->state != MM_REPORTED_ENDED
+    if (job != NULL ? job->is_cancelled && reported->state != MM_REPORTED_ENDED
                     : mm_job_table_is_over(job_table, reported->job.s))
       json_array_append_new(commands, mm_command_to_json(&command));
     else if (job == NULL)
@@ -85,7 +85,7 @@
   return mm_sharing_grant_is_current(server->node->sharing, response->machine_id.s,
                                      response->grant_term)
          && shard != NULL && shard->term.v == start->shard_term.v
-         && (job != NULL ? !job->cancelled
+         && (job != NULL ? !job->is_cancelled
                          : !mm_job_table_is_over(server->node->job_table, start->command.job.s));
 }
 
@@ -138,7 +138,7 @@
   if (job == NULL)
     response->available = (MmResources){ 0 };
   else if (!approval->was_reserved)
-    response->available = mm_resources_sub(response->available, job->spec.need);
+    response->available = mm_resources_sub(response->available, job->spec.task_resources);
   mm_placement_remove_candidate(server->node->rank, (guint)response->choice.view, approval->job.s,
                                 approval->number);
 }
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -6,63 +6,64 @@
 #include "store/store.h"
 
 /* Reads of final states at once, and the share of the state service's requests that they take. */
-#define LOOKUPS_MAX 4
-#define LOOKUP_SHARE 0.1
-#define LOOKUP_RETRY_MS 500
+#define MAX_CONCURRENT_LOOKUPS 4
+#define LOOKUP_REQUEST_SHARE 0.1
+#define LOOKUP_RETRY_PAUSE_MS 500
 
 MmDependencies *
 mm_dependencies_new(MmNode *node) {
   MmDependencies *dependencies = g_new0(MmDependencies, 1);
 
   dependencies->node = node;
-  dependencies->graph = mm_graph_new();
+  dependencies->graph = mm_dependency_graph_new();
   return dependencies;
 }
 
 void
 mm_dependencies_free(MmDependencies *dependencies) {
-  mm_graph_free(dependencies->graph);
+  mm_dependency_graph_free(dependencies->graph);
   g_free(dependencies);
 }
 
 /* ---- what follows from a change of the graph ---- */
 
 static void
-apply(MmDependencies *dependencies, const MmGraphChange *change) {
+notify_scheduler(MmDependencies *dependencies, const MmDependencyChange *change) {
   MmNode *node = dependencies->node;
 
   for (guint i = 0; i < change->cancelled->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(change->cancelled, i);
-    mm_scheduler_job_cancelled(node->owner, vertex->job.s);
+    mm_scheduler_job_cancelled(node->owner, vertex->job_id.s);
   }
   for (guint i = 0; i < change->ready->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(change->ready, i);
-    MmJob *job = mm_job_table_find(node->job_table, vertex->job.s);
+    MmJob *job = mm_job_table_find(node->job_table, vertex->job_id.s);
     if (job != NULL)
       mm_scheduler_job_ready(node->owner, job);
   }
 }
 
 static void
-add_vertex(MmDependencies *dependencies, MmJob *job, MmGraphChange *change) {
-  job->vertex = mm_graph_add(dependencies->graph, job->spec.id.s, job->spec.needs,
-                             job->spec.n_needs, change);
-  if (job->vertex != NULL && job->cancelled)
-    mm_graph_cancel(dependencies->graph, job->spec.id.s, change);
+add_vertex(MmDependencies *dependencies, MmJob *job, MmDependencyChange *change) {
+  job->vertex
+      = mm_dependency_graph_add_job(dependencies->graph, job->spec.id.s, job->spec.dependencies,
+                                    job->spec.n_dependencies, change);
+  if (job->vertex != NULL && job->is_cancelled)
+    mm_dependency_graph_cancel_job(dependencies->graph, job->spec.id.s, change);
 }
 
 /* What this node knows already of the jobs that the new one depends on. */
 static void
-add_known_needs(MmDependencies *dependencies, const MmJob *job, MmGraphChange *change) {
+add_known_dependencies(MmDependencies *dependencies, const MmJob *job, MmDependencyChange *change) {
   MmJobTable *job_table = dependencies->node->job_table;
 
-  for (guint i = 0; i < job->spec.n_needs; i++) {
-    const char *dependency_id = job->spec.needs[i].s;
+  for (guint i = 0; i < job->spec.n_dependencies; i++) {
+    const char *dependency_id = job->spec.dependencies[i].s;
     MmJob *dependency = mm_job_table_find(job_table, dependency_id);
-    MmFinalState terminal;
-    if (mm_job_table_final_state(job_table, dependency_id, &terminal))
-      mm_graph_finish(dependencies->graph, dependency_id, terminal.cancelled, terminal.done_ms,
-                      change);
+    MmTerminalState terminal;
+    if (mm_job_table_get_terminal_state(job_table, dependency_id, &terminal))
+      mm_dependency_graph_end_job(dependencies->graph, dependency_id, terminal.is_cancelled,
+                                  terminal.completed_at_ms, change);
     if (dependency != NULL)
       add_vertex(dependencies, dependency, change);
   }
@@ -70,51 +71,51 @@
 
 void
 mm_dependencies_job_added(MmDependencies *dependencies, MmJob *job) {
-  MmGraphChange change;
+  MmDependencyChange change;
 
-  mm_graph_change_init(&change);
+  mm_dependency_change_init(&change);
   add_vertex(dependencies, job, &change);
-  add_known_needs(dependencies, job, &change);
-  apply(dependencies, &change);
-  mm_graph_change_clear(&change);
-  if (job->spec.n_needs > 0 && mm_job_is_ready(job))
+  add_known_dependencies(dependencies, job, &change);
+  notify_scheduler(dependencies, &change);
+  mm_dependency_change_clear(&change);
+  if (job->spec.n_dependencies > 0 && mm_job_dependencies_are_done(job))
     mm_scheduler_job_ready(dependencies->node->owner, job);
 }
 
 void
 mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job_id) {
-  MmGraphChange change;
+  MmDependencyChange change;
 
-  mm_graph_change_init(&change);
-  mm_graph_cancel(dependencies->graph, job_id, &change);
-  apply(dependencies, &change);
-  mm_graph_change_clear(&change);
+  mm_dependency_change_init(&change);
+  mm_dependency_graph_cancel_job(dependencies->graph, job_id, &change);
+  notify_scheduler(dependencies, &change);
+  mm_dependency_change_clear(&change);
 }
 
 void
-mm_dependencies_job_over(MmDependencies *dependencies, const char *job_id, gboolean is_cancelled,
-                         gint64 done_at_ms) {
-  MmGraphChange change;
-
-  mm_graph_change_init(&change);
-  mm_graph_finish(dependencies->graph, job_id, is_cancelled, done_at_ms, &change);
-  apply(dependencies, &change);
-  mm_graph_change_clear(&change);
+mm_dependencies_job_ended(MmDependencies *dependencies, const char *job_id, gboolean is_cancelled,
+                          gint64 done_at_ms) {
+  MmDependencyChange change;
+
+  mm_dependency_change_init(&change);
+  mm_dependency_graph_end_job(dependencies->graph, job_id, is_cancelled, done_at_ms, &change);
+  notify_scheduler(dependencies, &change);
+  mm_dependency_change_clear(&change);
 }
 
 void
 mm_dependencies_job_removed(MmDependencies *dependencies, const char *job_id) {
-  mm_graph_remove(dependencies->graph, job_id);
+  mm_dependency_graph_remove_job(dependencies->graph, job_id);
 }
 
 gboolean
-mm_dependencies_undecided(MmDependencies *dependencies, const MmJob *job) {
-  return job->vertex != NULL && mm_graph_is_undecided(dependencies->graph, job->vertex);
+mm_dependencies_is_undecided(MmDependencies *dependencies, const MmJob *job) {
+  return job->vertex != NULL && mm_dependency_graph_is_undecided(dependencies->graph, job->vertex);
 }
 
 gboolean
-mm_job_needs_cancelled(const MmJob *job) {
-  return job->vertex != NULL && mm_vertex_needs_cancelled(job->vertex);
+mm_job_has_cancelled_dependency(const MmJob *job) {
+  return job->vertex != NULL && mm_vertex_has_cancelled_dependency(job->vertex);
 }
 
 /* ---- final states that nobody has told ---- */
@@ -122,35 +123,35 @@
 typedef struct {
   MmDependencies *dependencies;
   MmName job;
-} Lookup;
+} TerminalLookup;
 
 static void
-looked_up(gpointer data, int status, json_t *body) {
-  Lookup *lookup = data;
+on_terminal_record_read(gpointer data, int status, json_t *body) {
+  TerminalLookup *lookup = data;
   MmDependencies *dependencies = lookup->dependencies;
   MmNode *node = dependencies->node;
-  MmVertex *vertex = mm_graph_find(dependencies->graph, lookup->job.s);
+  MmVertex *vertex = mm_dependency_graph_find(dependencies->graph, lookup->job.s);
 
-  dependencies->lookups--;
+  dependencies->n_lookups--;
   if (vertex != NULL) {
-    vertex->looking_up = FALSE;
+    vertex->is_being_looked_up = FALSE;
     /* 404: its record is about to show here, or has just been moved. */
-    vertex->look_up_after = mm_time_add_ms(mm_node_now(node), LOOKUP_RETRY_MS);
+    vertex->lookup_not_before = mm_time_add_ms(mm_node_now(node), LOOKUP_RETRY_PAUSE_MS);
   }
   if (status == 200)
-    mm_job_table_keep_final(node->job_table, lookup->job.s, mm_json_get(body, WIRE_VALUE));
+    mm_job_table_add_terminal_record(node->job_table, lookup->job.s, mm_json_get(body, WIRE_VALUE));
   g_free(lookup);
 }
 
 static void
-look_up(MmDependencies *dependencies, MmVertex *vertex) {
-  Lookup *lookup = g_new(Lookup, 1);
-
-  *lookup = (Lookup){ dependencies, vertex->job };
-  vertex->looking_up = TRUE;
-  dependencies->lookups++;
-  mm_kv_client_get(dependencies->node->store, MM_KEY_TERMINAL_RECORD, vertex->job.s, looked_up,
-                   lookup);
+look_up_terminal_record(MmDependencies *dependencies, MmVertex *vertex) {
+  TerminalLookup *lookup = g_new(TerminalLookup, 1);
+
+  *lookup = (TerminalLookup){ dependencies, vertex->job_id };
+  vertex->is_being_looked_up = TRUE;
+  dependencies->n_lookups++;
+  mm_kv_client_get(dependencies->node->store, MM_KEY_TERMINAL_RECORD, vertex->job_id.s,
+                   on_terminal_record_read, lookup);
 }
 
 void
@@ -158,17 +159,18 @@
   MmNode *node = dependencies->node;
   const GPtrArray *unknown = dependencies->graph->unknown;
   MmTime now = mm_node_now(node);
-  gint64 lookup_interval_ms = (gint64)(1000 / (node->settings->kv_requests_per_s * LOOKUP_SHARE));
+  gint64 lookup_interval_ms
+      = (gint64)(1000 / (node->settings->kv_requests_per_s * LOOKUP_REQUEST_SHARE));
 
   if (unknown->len == 0 || mm_kv_client_is_refused(node->store)
-      || mm_time_before(now, dependencies->next_lookup))
+      || mm_time_before(now, dependencies->next_lookup_at))
     return;
-  for (guint i = 0; i < unknown->len && dependencies->lookups < LOOKUPS_MAX; i++) {
+  for (guint i = 0; i < unknown->len && dependencies->n_lookups < MAX_CONCURRENT_LOOKUPS; i++) {
     MmVertex *vertex = g_ptr_array_index(unknown, i);
-    if (vertex->looking_up || mm_time_before(now, vertex->look_up_after))
+    if (vertex->is_being_looked_up || mm_time_before(now, vertex->lookup_not_before))
       continue;
-    look_up(dependencies, vertex);
-    dependencies->next_lookup = mm_time_add_ms(now, lookup_interval_ms);
+    look_up_terminal_record(dependencies, vertex);
+    dependencies->next_lookup_at = mm_time_add_ms(now, lookup_interval_ms);
     return;
   }
 }
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -9,9 +9,9 @@
 
 struct MmDependencies {
   MmNode *node;
-  MmGraph *graph;
-  guint lookups; /* reads of final states under way */
-  MmTime next_lookup;
+  MmDependencyGraph *graph;
+  guint n_lookups; /* reads of final states under way */
+  MmTime next_lookup_at;
 };
 
 MmDependencies *mm_dependencies_new(MmNode *node);
@@ -23,22 +23,22 @@
 /* The job's cancellation is in the state service. */
 void mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job_id);
 /* The job's final state is in the state service. `done_ms` 0: when it was done is not known. */
-void mm_dependencies_job_over(MmDependencies *dependencies, const char *job_id,
-                              gboolean is_cancelled, gint64 done_at_ms);
+void mm_dependencies_job_ended(MmDependencies *dependencies, const char *job_id,
+                               gboolean is_cancelled, gint64 done_at_ms);
 /* The job's record has gone. To be told after its final state, where that is known. */
 void mm_dependencies_job_removed(MmDependencies *dependencies, const char *job_id);
 
 /* Whether nothing is known yet of a job that this one depends on, directly or not. Until it is, no
  * user can be told whether this job is cancelled. */
-gboolean mm_dependencies_undecided(MmDependencies *dependencies, const MmJob *job);
+gboolean mm_dependencies_is_undecided(MmDependencies *dependencies, const MmJob *job);
 
 /* Whether the job's tasks may start as far as its dependencies go: the final state `done` of each
  * has been seen in the state service. */
 static inline gboolean
-mm_job_is_ready(const MmJob *job) {
-  return job->vertex == NULL || mm_vertex_is_ready(job->vertex);
+mm_job_dependencies_are_done(const MmJob *job) {
+  return job->vertex == NULL || mm_vertex_dependencies_are_done(job->vertex);
 }
 
 /* Whether a job that it depends on is cancelled. No task of such a job has ever been started: it
  * was never ready. */
-gboolean mm_job_needs_cancelled(const MmJob *job);
+gboolean mm_job_has_cancelled_dependency(const MmJob *job);
--- a/src/dependencies/graph.h
+++ b/src/dependencies/graph.h
@@ -18,57 +18,60 @@
 
 typedef struct MmVertex MmVertex;
 struct MmVertex {
-  MmName job;
+  MmName job_id;
   MmVertexState state;
-  gint64 done_ms;        /* time of day of its end, where it is done; 0: not known */
-  gboolean in_table;     /* its record is in the job table */
-  gboolean looking_up;   /* its final state is being read */
-  MmTime look_up_after;  /* not before this */
-  GPtrArray *needs;      /* MmVertex: the jobs that it depends on */
-  GPtrArray *dependents; /* MmVertex: the unfinished jobs that depend on it */
-  guint unmet;           /* those of its needs that are not known to be done */
-  guint64 visited;       /* by the walk with this number */
+  gint64 done_at_ms;           /* time of day of its end, where it is done; 0: not known */
+  gboolean is_in_job_table;    /* its record is in the job table */
+  gboolean is_being_looked_up; /* its final state is being read */
+  MmTime lookup_not_before;    /* not before this */
+  GPtrArray *dependencies;     /* MmVertex: the jobs that it depends on */
+  GPtrArray *dependents;       /* MmVertex: the unfinished jobs that depend on it */
+  guint n_unmet;               /* those of its needs that are not known to be done */
+  guint64 last_walk;           /* by the walk with this number */
 };
 
 typedef struct {
   GHashTable *vertices; /* job id -> MmVertex */
   GPtrArray *unknown;   /* MmVertex in MM_VERTEX_UNKNOWN */
-  guint64 walks;
-} MmGraph;
+  guint64 n_walks;
+} MmDependencyGraph;
 
-MmGraph *mm_graph_new(void);
-void mm_graph_free(MmGraph *graph);
+MmDependencyGraph *mm_dependency_graph_new(void);
+void mm_dependency_graph_free(MmDependencyGraph *graph);
 
 /* The job's vertex, or NULL: it depends on nothing and nothing unfinished depends on it. */
-MmVertex *mm_graph_find(const MmGraph *graph, const char *job_id);
+MmVertex *mm_dependency_graph_find(const MmDependencyGraph *graph, const char *job_id);
 
 /* What a change brought about: vertices, lent until the next change of the graph. */
 typedef struct {
   GPtrArray *cancelled; /* MmVertex that are cancelled now and were not before */
   GPtrArray *ready;     /* MmVertex whose last need is done now */
-} MmGraphChange;
+} MmDependencyChange;
 
-void mm_graph_change_init(MmGraphChange *change);
-void mm_graph_change_clear(MmGraphChange *change);
+void mm_dependency_change_init(MmDependencyChange *change);
+void mm_dependency_change_clear(MmDependencyChange *change);
 
 /* The job's record is there, and it depends on `needs`. Later calls for the same job change
  * nothing. Returns its vertex, or NULL when it needs none. */
-MmVertex *mm_graph_add(MmGraph *graph, const char *job_id, const MmName *dependencies,
-                       guint n_dependencies, MmGraphChange *change);
+MmVertex *mm_dependency_graph_add_job(MmDependencyGraph *graph, const char *job_id,
+                                      const MmName *dependencies, guint n_dependencies,
+                                      MmDependencyChange *change);
 /* The job's record says that it is cancelled. Its dependents are cancelled with it. */
-void mm_graph_cancel(MmGraph *graph, const char *job_id, MmGraphChange *change);
+void mm_dependency_graph_cancel_job(MmDependencyGraph *graph, const char *job_id,
+                                    MmDependencyChange *change);
 /* The job's final state was seen. `done_ms` 0: when it was done is not known. */
-void mm_graph_finish(MmGraph *graph, const char *job_id, gboolean is_cancelled, gint64 done_at_ms,
-                     MmGraphChange *change);
+void mm_dependency_graph_end_job(MmDependencyGraph *graph, const char *job_id,
+                                 gboolean is_cancelled, gint64 done_at_ms,
+                                 MmDependencyChange *change);
 /* The job's record is gone. */
-void mm_graph_remove(MmGraph *graph, const char *job_id);
+void mm_dependency_graph_remove_job(MmDependencyGraph *graph, const char *job_id);
 
 /* Whether each of the job's needs is known to be done. */
-gboolean mm_vertex_is_ready(const MmVertex *vertex);
+gboolean mm_vertex_dependencies_are_done(const MmVertex *vertex);
 /* Whether a job that it depends on is cancelled. */
-gboolean mm_vertex_needs_cancelled(const MmVertex *vertex);
+gboolean mm_vertex_has_cancelled_dependency(const MmVertex *vertex);
 /* Time of day at which the last of its needs was done; 0: none, or not known. */
-gint64 mm_vertex_ready_ms(const MmVertex *vertex);
+gint64 mm_vertex_dependencies_done_at_ms(const MmVertex *vertex);
 /* Whether nothing is known of some job that this one depends on, directly or not: it may be
  * cancelled without showing so here. */
-gboolean mm_graph_is_undecided(MmGraph *graph, MmVertex *vertex);
+gboolean mm_dependency_graph_is_undecided(MmDependencyGraph *graph, MmVertex *vertex);
--- a/src/fleet/returns.c
+++ b/src/fleet/returns.c
@@ -5,54 +5,54 @@
 #include "peers/links.h"
 #include "rank/rank.h"
 
-#define RELEASE_MAX 100
-#define BOOT_FLOOR_S 30
+#define MAX_RELEASES_PER_REQUEST 100
+#define BOOT_PATIENCE_MIN_S 30
 
 /* A report is overdue, and then questions go unanswered for as long again, at most a few seconds:
  * that is time for all of them, however rare reports are. */
-#define OVERDUE_PERIODS 1.25
-#define OVERDUE_LEAST_S 1.75
-#define QUESTIONS_S 2.5
-#define PROBES 3
-#define PROBE_MS 900
+#define HEARTBEAT_OVERDUE_PERIODS 1.25
+#define HEARTBEAT_OVERDUE_MIN_S 1.75
+#define PROBING_MAX_S 2.5
+#define UNANSWERED_PROBES_MIN 3
+#define PROBE_INTERVAL_MS 900
 /* In half a second; each is a connection, and those to silent machines stay open until they fail.
  */
-#define PROBES_A_ROUND 16
-#define ZONE_LEAST 4
+#define MAX_PROBES_PER_ROUND 16
+#define ZONE_CUT_OFF_MIN_SILENT 4
 /* After so many leases a lost machine is returned, or one of a zone that is cut off. */
-#define LOST_LEASES 2
-#define CUT_LEASES 20
-#define MUTE_LEASES 4
-#define TAKEN_MS 1500
-#define RELEASE_AGAIN_MS 1500
+#define RELEASE_LOST_AFTER_LEASES 2
+#define RELEASE_CUT_OFF_AFTER_LEASES 20
+#define RELEASE_MUTE_AFTER_LEASES 4
+#define PREEMPTED_SILENCE_MS 1500
+#define RELEASE_RETRY_MS 1500
 
 typedef struct {
-  MmFleet *fleet;
-  GPtrArray *ids;
-} Release;
+  MmAutoscaler *autoscaler;
+  GPtrArray *machine_ids;
+} ReleaseRequest;
 
 static void
-release_answered(gpointer data, int status, json_t *body) {
-  Release *request = data;
-  MmFleet *autoscaler = request->fleet;
+on_release_response(gpointer data, int status, json_t *body) {
+  ReleaseRequest *request = data;
+  MmAutoscaler *autoscaler = request->autoscaler;
   MmNode *node = autoscaler->node;
 
-  autoscaler->releasing = FALSE;
+  autoscaler->release_in_flight = FALSE;
   if (status != 200)
-    autoscaler->next_release = mm_time_add_ms(mm_node_now(node), RELEASE_AGAIN_MS);
-  for (guint i = 0; i < request->ids->len; i++) {
-    const char *id = g_ptr_array_index(request->ids, i);
-    MmListed *cloud_machine = g_hash_table_lookup(autoscaler->listed, id);
+    autoscaler->next_release_at = mm_time_add_ms(mm_node_now(node), RELEASE_RETRY_MS);
+  for (guint i = 0; i < request->machine_ids->len; i++) {
+    const char *id = g_ptr_array_index(request->machine_ids, i);
+    MmCloudMachine *cloud_machine = g_hash_table_lookup(autoscaler->cloud_machines, id);
     MmMachine *machine = mm_machine_table_find(node->machine_table, id);
 
     if (cloud_machine != NULL)
-      cloud_machine->releasing = status == 200;
+      cloud_machine->is_releasing = status == 200;
     if (cloud_machine != NULL && status == 200) {
       /* Its place can be rented anew at once. */
-      MmOffer *offer = mm_fleet_offer_for(autoscaler, &cloud_machine->type, &cloud_machine->zone,
-                                          cloud_machine->spot);
-      offer->until.us = 0;
-      offer->refusals = 0;
+      MmMachineOffer *offer = mm_autoscaler_offer_for(autoscaler, &cloud_machine->type,
+                                                      &cloud_machine->zone, cloud_machine->is_spot);
+      offer->refused_until.us = 0;
+      offer->n_refusals = 0;
     }
     if (machine == NULL)
       continue;
@@ -66,15 +66,15 @@
     if (!machine->is_in_registry)
       mm_machine_table_remove(node->machine_table, machine);
   }
-  g_ptr_array_unref(request->ids);
+  g_ptr_array_unref(request->machine_ids);
   g_free(request);
 }
 
 /* ---- silent machines ---- */
 
 static void
-probe_answered(gpointer data, int status, json_t *body) {
-  MmFleet *autoscaler = data;
+on_probe_response(gpointer data, int status, json_t *body) {
+  MmAutoscaler *autoscaler = data;
   MmMachineTable *machine_table = autoscaler->node->machine_table;
   const char *id = mm_json_string(body, WIRE_MACHINE);
   MmMachine *machine = id != NULL ? mm_machine_table_find(machine_table, id) : NULL;
@@ -88,36 +88,37 @@
 }
 
 static void
-probe(MmFleet *autoscaler, MmMachine *machine) {
+probe_machine(MmAutoscaler *autoscaler, MmMachine *machine) {
   MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
 
-  if (autoscaler->probes == 0 || mm_time_ms_since(now, machine->last_probed_at) < PROBE_MS
+  if (autoscaler->probes_left == 0
+      || mm_time_ms_since(now, machine->last_probed_at) < PROBE_INTERVAL_MS
       || machine->addr[0] == '\0')
     return;
-  autoscaler->probes--;
+  autoscaler->probes_left--;
   machine->last_probed_at = now;
   machine->unanswered_probes++;
   node->port.request(node->port.self, MM_TARGET_WORKER, machine->addr, "GET", WIRE_STATUS_PATH,
-                     NULL, 1500, probe_answered, autoscaler);
+                     NULL, 1500, on_probe_response, autoscaler);
 }
 
 static gint64
-overdue_ms(const MmFleet *autoscaler) {
+heartbeat_overdue_ms(const MmAutoscaler *autoscaler) {
   const MmNode *node = autoscaler->node;
   double silent_release_s = node->operators->silent_release_s;
 
   return (gint64)(1000
                   * (silent_release_s > 0
                          ? silent_release_s / 2
-                         : MAX(node->settings->heartbeat_interval_s * OVERDUE_PERIODS,
-                               OVERDUE_LEAST_S)));
+                         : MAX(node->settings->heartbeat_interval_s * HEARTBEAT_OVERDUE_PERIODS,
+                               HEARTBEAT_OVERDUE_MIN_S)));
 }
 
 static gint64
-silence_ms(const MmFleet *autoscaler) {
-  gint64 overdue_limit_ms = overdue_ms(autoscaler);
-  gint64 probing_ms = (gint64)(1000 * QUESTIONS_S);
+silence_patience_ms(const MmAutoscaler *autoscaler) {
+  gint64 overdue_limit_ms = heartbeat_overdue_ms(autoscaler);
+  gint64 probing_ms = (gint64)(1000 * PROBING_MAX_S);
 
   return overdue_limit_ms
          + (autoscaler->node->operators->silent_release_s > 0 ? overdue_limit_ms
@@ -128,7 +129,7 @@
  * asked in vain. A node cut off from the workers got no answer from any, and once returned 80
  * healthy machines that reported to its peers a little late. */
 static gboolean
-reaches_workers(const MmFleet *autoscaler, const MmMachine *machine) {
+reaches_workers(const MmAutoscaler *autoscaler, const MmMachine *machine) {
   return mm_time_before(machine->last_probed_at,
                         autoscaler->node->machine_table->last_worker_contact_at);
 }
@@ -136,7 +137,7 @@
 /* Where few machines report to this node, it may hear of none for long: it asks the one that was
  * heard of last, by whichever node. */
 static void
-probe_control(MmFleet *autoscaler) {
+probe_last_heard_machine(MmAutoscaler *autoscaler) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
   MmMachine *last_heard = NULL;
 
@@ -146,16 +147,16 @@
       last_heard = machine;
   }
   if (last_heard != NULL)
-    probe(autoscaler, last_heard);
+    probe_machine(autoscaler, last_heard);
 }
 
 /* A machine that neither reports nor answers while the others do: its lease would prove its tasks
  * gone only at its end, the cloud proves it at once. Not when many are silent together: then the
  * trouble is hardly with the machines. */
 static gboolean
-silent(MmFleet *autoscaler, MmMachine *machine) {
+is_machine_silent(MmAutoscaler *autoscaler, MmMachine *machine) {
   MmTime now = mm_node_now(autoscaler->node);
-  gint64 patience_ms = silence_ms(autoscaler);
+  gint64 patience_ms = silence_patience_ms(autoscaler);
 
   /* One that is registered may have been started on, whatever it showed last: until it is heard or
    * proved gone, the parts taken anew stand still. Idle ones that were taken once cost each of them
@@ -163,112 +164,119 @@
   if (!machine->is_in_registry && (!machine->has_reported || machine->reported_tasks->len == 0))
     return FALSE;
   /* Its notice has run out: the cloud is asked to say at once that it is gone. */
-  if (machine->has_termination_notice && mm_time_ms_since(now, machine->termination_at) > TAKEN_MS
-      && mm_time_ms_since(now, machine->last_seen_at) > TAKEN_MS)
+  if (machine->has_termination_notice
+      && mm_time_ms_since(now, machine->termination_at) > PREEMPTED_SILENCE_MS
+      && mm_time_ms_since(now, machine->last_seen_at) > PREEMPTED_SILENCE_MS)
     return TRUE;
-  if (mm_time_ms_since(now, machine->last_seen_at) < overdue_ms(autoscaler)) {
+  if (mm_time_ms_since(now, machine->last_seen_at) < heartbeat_overdue_ms(autoscaler)) {
     machine->unanswered_probes = 0;
     return FALSE;
   }
-  if (autoscaler->quiet > MAX(2, autoscaler->all / 8))
+  if (autoscaler->n_silent > MAX(2, autoscaler->n_machines / 8))
     return FALSE;
   if (mm_time_ms_since(now, machine->last_seen_at) >= patience_ms
-      && machine->unanswered_probes >= PROBES) {
+      && machine->unanswered_probes >= UNANSWERED_PROBES_MIN) {
     if (reaches_workers(autoscaler, machine))
       return TRUE;
-    probe_control(autoscaler);
+    probe_last_heard_machine(autoscaler);
   }
   /* Its node may have crashed and it may be on its way to another: then it answers directly. */
-  probe(autoscaler, machine);
+  probe_machine(autoscaler, machine);
   return FALSE;
 }
 
-static MmZoneQuiet *
-zone_quiet(MmFleet *autoscaler, const MmName *zone) {
-  MmZoneQuiet fresh = { .zone = *zone };
+static MmZoneSilence *
+find_or_add_zone(MmAutoscaler *autoscaler, const MmName *zone) {
+  MmZoneSilence fresh = { .zone = *zone };
 
-  for (guint i = 0; i < autoscaler->zones->len; i++)
-    if (mm_name_equal(&g_array_index(autoscaler->zones, MmZoneQuiet, i).zone, zone))
-      return &g_array_index(autoscaler->zones, MmZoneQuiet, i);
-  g_array_append_val(autoscaler->zones, fresh);
-  return &g_array_index(autoscaler->zones, MmZoneQuiet, autoscaler->zones->len - 1);
+  for (guint i = 0; i < autoscaler->zone_silences->len; i++)
+    if (mm_name_equal(&g_array_index(autoscaler->zone_silences, MmZoneSilence, i).zone, zone))
+      return &g_array_index(autoscaler->zone_silences, MmZoneSilence, i);
+  g_array_append_val(autoscaler->zone_silences, fresh);
+  return &g_array_index(autoscaler->zone_silences, MmZoneSilence,
+                        autoscaler->zone_silences->len - 1);
 }
 
 void
-mm_fleet_count_quiet(MmFleet *autoscaler) {
+mm_autoscaler_count_silent(MmAutoscaler *autoscaler) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
   MmTime now = mm_node_now(autoscaler->node);
   /* Long before the patience ends: when the first of many that fell silent together is given up on,
    * the others must count already. */
-  gint64 overdue_limit_ms = overdue_ms(autoscaler);
+  gint64 overdue_limit_ms = heartbeat_overdue_ms(autoscaler);
   GHashTableIter iter;
   gpointer value;
 
-  g_array_set_size(autoscaler->zones, 0);
-  autoscaler->all = autoscaler->quiet = 0;
-  autoscaler->probes = PROBES_A_ROUND;
+  g_array_set_size(autoscaler->zone_silences, 0);
+  autoscaler->n_machines = autoscaler->n_silent = 0;
+  autoscaler->probes_left = MAX_PROBES_PER_ROUND;
   for (guint i = 0; i < machines->len; i++) {
     const MmMachine *machine = g_ptr_array_index(machines, i);
     gboolean is_silent = mm_time_ms_since(now, machine->last_seen_at) >= overdue_limit_ms;
-    MmZoneQuiet *zone;
+    MmZoneSilence *zone;
     if (!(machine->has_reported || machine->is_in_registry) || machine->is_terminated)
       continue;
-    zone = zone_quiet(autoscaler, &machine->zone);
-    zone->all++;
-    zone->quiet += is_silent;
-    autoscaler->all += !machine->lease_has_expired;
-    autoscaler->quiet += !machine->lease_has_expired && is_silent;
+    zone = find_or_add_zone(autoscaler, &machine->zone);
+    zone->n_machines++;
+    zone->n_silent += is_silent;
+    autoscaler->n_machines += !machine->lease_has_expired;
+    autoscaler->n_silent += !machine->lease_has_expired && is_silent;
   }
   /* Those that run and are not known: lost ones are forgotten once they are off the register. */
-  g_hash_table_iter_init(&iter, autoscaler->listed);
+  g_hash_table_iter_init(&iter, autoscaler->cloud_machines);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const MmListed *cloud_machine = value;
+    const MmCloudMachine *cloud_machine = value;
     const MmMachine *machine
         = mm_machine_table_find(autoscaler->node->machine_table, cloud_machine->id.s);
-    MmZoneQuiet *zone;
-    if (!cloud_machine->running || cloud_machine->releasing
+    MmZoneSilence *zone;
+    if (!cloud_machine->is_running || cloud_machine->is_releasing
         || (machine != NULL && (machine->has_reported || machine->is_in_registry)))
       continue;
-    zone = zone_quiet(autoscaler, &cloud_machine->zone);
-    zone->all++;
-    zone->quiet++;
+    zone = find_or_add_zone(autoscaler, &cloud_machine->zone);
+    zone->n_machines++;
+    zone->n_silent++;
   }
 }
 
 /* A zone most of whose machines are silent is cut off, rather than that they all have ended: they
  * will be back, and renting as many anew takes longer than most cuts last. */
 gboolean
-mm_fleet_zone_is_cut(MmFleet *autoscaler, const MmName *zone_name) {
-  const MmZoneQuiet *silence = zone_quiet(autoscaler, zone_name);
+mm_autoscaler_zone_is_cut_off(MmAutoscaler *autoscaler, const MmName *zone_name) {
+  const MmZoneSilence *silence = find_or_add_zone(autoscaler, zone_name);
 
-  return silence->quiet >= ZONE_LEAST && 2 * silence->quiet > silence->all;
+  return silence->n_silent >= ZONE_CUT_OFF_MIN_SILENT
+         && 2 * silence->n_silent > silence->n_machines;
 }
 
 static gboolean
-useless(MmFleet *autoscaler, MmListed *cloud_machine) {
+should_release(MmAutoscaler *autoscaler, MmCloudMachine *cloud_machine) {
   MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
   MmMachine *machine = mm_machine_table_find(node->machine_table, cloud_machine->id.s);
-  const MmType *type = mm_types_find(node->types, &cloud_machine->type);
-  double patience_s
-      = type != NULL ? MAX(type->boot_s * node->operators->boot_patience, BOOT_FLOOR_S) : 600;
-  gint64 listed_for_ms = mm_time_ms_since(now, cloud_machine->first);
+  const MmInstanceType *type = mm_instance_types_find(node->types, &cloud_machine->type);
+  double patience_s = type != NULL
+                          ? MAX(type->boot_s * node->operators->boot_patience, BOOT_PATIENCE_MIN_S)
+                          : 600;
+  gint64 listed_for_ms = mm_time_ms_since(now, cloud_machine->first_listed_at);
 
-  if (cloud_machine->failed)
+  if (cloud_machine->has_failed)
     return TRUE;
   if (machine == NULL || (!machine->has_reported && !machine->is_in_registry))
     /* Never came up, or is up and never reported. */
-    return cloud_machine->age_s > patience_s
-           && (!cloud_machine->running
-               || listed_for_ms > 1000 * (gint64)node->settings->worker_lease_s
-                                      * (mm_fleet_zone_is_cut(autoscaler, &cloud_machine->zone)
-                                             ? CUT_LEASES
-                                             : MUTE_LEASES));
+    return cloud_machine->age_when_listed_s > patience_s
+           && (!cloud_machine->is_running
+               || listed_for_ms
+                      > 1000 * (gint64)node->settings->worker_lease_s
+                            * (mm_autoscaler_zone_is_cut_off(autoscaler, &cloud_machine->zone)
+                                   ? RELEASE_CUT_OFF_AFTER_LEASES
+                                   : RELEASE_MUTE_AFTER_LEASES));
   if (machine->lease_has_expired)
     return mm_time_ms_since(now, machine->last_seen_at)
            > 1000 * (gint64)node->settings->worker_lease_s
-                 * (mm_fleet_zone_is_cut(autoscaler, &machine->zone) ? CUT_LEASES : LOST_LEASES);
-  if (silent(autoscaler, machine))
+                 * (mm_autoscaler_zone_is_cut_off(autoscaler, &machine->zone)
+                        ? RELEASE_CUT_OFF_AFTER_LEASES
+                        : RELEASE_LOST_AFTER_LEASES);
+  if (is_machine_silent(autoscaler, machine))
     return TRUE;
   /* Idle, with nothing waiting anywhere. */
   if (machine->reported_tasks->len == 0 && machine->placed_tasks->len == 0
@@ -286,14 +294,15 @@
  * return it, says at once that it is gone. Waiting out its lease instead kept parts that were taken
  * anew from starting anything for all that time. */
 static void
-add_unlisted(MmFleet *autoscaler, GPtrArray *machine_ids, json_t *json_ids) {
+add_silent_unlisted(MmAutoscaler *autoscaler, GPtrArray *machine_ids, json_t *json_ids) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
 
-  for (guint i = 0; i < machines->len && machine_ids->len < RELEASE_MAX; i++) {
+  for (guint i = 0; i < machines->len && machine_ids->len < MAX_RELEASES_PER_REQUEST; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
     if (!machine->is_in_registry || machine->lease_has_expired || machine->is_being_terminated
-        || !autoscaler->list_known || g_hash_table_contains(autoscaler->listed, machine->id.s)
-        || !silent(autoscaler, machine))
+        || !autoscaler->has_machine_list
+        || g_hash_table_contains(autoscaler->cloud_machines, machine->id.s)
+        || !is_machine_silent(autoscaler, machine))
       continue;
     mm_info("returning machine %s, which the cloud does not list", machine->id.s);
     machine->is_being_terminated = TRUE;
@@ -303,52 +312,52 @@
 }
 
 void
-mm_fleet_return_machines(MmFleet *autoscaler) {
+mm_autoscaler_scale_in(MmAutoscaler *autoscaler) {
   MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
-  Release *request;
+  ReleaseRequest *request;
   GHashTableIter iter;
   gpointer value;
   json_t *json_ids;
 
-  if (autoscaler->releasing || mm_time_before(now, autoscaler->next_release))
+  if (autoscaler->release_in_flight || mm_time_before(now, autoscaler->next_release_at))
     return;
   json_ids = json_array();
-  request = g_new(Release, 1);
-  *request = (Release){ autoscaler, g_ptr_array_new_with_free_func(g_free) };
-  add_unlisted(autoscaler, request->ids, json_ids);
-  g_hash_table_iter_init(&iter, autoscaler->listed);
+  request = g_new(ReleaseRequest, 1);
+  *request = (ReleaseRequest){ autoscaler, g_ptr_array_new_with_free_func(g_free) };
+  add_silent_unlisted(autoscaler, request->machine_ids, json_ids);
+  g_hash_table_iter_init(&iter, autoscaler->cloud_machines);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmListed *cloud_machine = value;
+    MmCloudMachine *cloud_machine = value;
     MmMachine *machine = mm_machine_table_find(node->machine_table, cloud_machine->id.s);
-    if (mm_time_ms_since(now, cloud_machine->listed) > MM_FLEET_UNLISTED_MS) {
+    if (mm_time_ms_since(now, cloud_machine->last_listed_at) > MM_AUTOSCALER_UNLISTED_GONE_MS) {
       /* Gone from the list for long: taken or returned. */
-      if (machine == NULL || machine->lease_has_expired || cloud_machine->releasing)
+      if (machine == NULL || machine->lease_has_expired || cloud_machine->is_releasing)
         g_hash_table_iter_remove(&iter);
       continue;
     }
-    if (cloud_machine->releasing || request->ids->len >= RELEASE_MAX
-        || !useless(autoscaler, cloud_machine))
+    if (cloud_machine->is_releasing || request->machine_ids->len >= MAX_RELEASES_PER_REQUEST
+        || !should_release(autoscaler, cloud_machine))
       continue;
     mm_info("returning machine %s (%s, %.0f s old)", cloud_machine->id.s,
-            cloud_machine->failed ? "failed"
-            : machine == NULL     ? "never came up"
-                                  : "not needed or silent",
-            cloud_machine->age_s);
-    cloud_machine->releasing = TRUE;
+            cloud_machine->has_failed ? "failed"
+            : machine == NULL         ? "never came up"
+                                      : "not needed or silent",
+            cloud_machine->age_when_listed_s);
+    cloud_machine->is_releasing = TRUE;
     if (machine != NULL)
       machine->is_being_terminated = TRUE;
-    g_ptr_array_add(request->ids, g_strdup(cloud_machine->id.s));
+    g_ptr_array_add(request->machine_ids, g_strdup(cloud_machine->id.s));
     json_array_append_new(json_ids, json_string(cloud_machine->id.s));
   }
-  if (request->ids->len > 0) {
+  if (request->machine_ids->len > 0) {
     g_autoptr(json_t) body = json_pack("{s:o}", WIRE_MACHINES, json_ids);
-    autoscaler->releasing = TRUE;
+    autoscaler->release_in_flight = TRUE;
     node->port.request(node->port.self, MM_TARGET_CLOUD, NULL, "POST", WIRE_RELEASE_PATH, body,
-                       5000, release_answered, request);
+                       5000, on_release_response, request);
     return;
   }
   json_decref(json_ids);
-  g_ptr_array_unref(request->ids);
+  g_ptr_array_unref(request->machine_ids);
   g_free(request);
 }
--- a/src/jobs/doneset.c
+++ b/src/jobs/doneset.c
@@ -3,40 +3,40 @@
 #include <string.h>
 
 void
-mm_done_set_init(MmDoneSet *set, guint n_tasks) {
-  set->size = n_tasks;
-  set->count = 0;
+mm_completed_tasks_init(MmCompletedTasks *set, guint n_tasks) {
+  set->n_tasks = n_tasks;
+  set->n_completed = 0;
   set->bits = g_new0(guint64, (n_tasks + 63) / 64);
 }
 
 void
-mm_done_set_clear(MmDoneSet *set) {
+mm_completed_tasks_clear(MmCompletedTasks *set) {
   g_clear_pointer(&set->bits, g_free);
-  set->size = set->count = 0;
+  set->n_tasks = set->n_completed = 0;
 }
 
 gboolean
-mm_done_set_has(const MmDoneSet *set, guint task_number) {
-  return task_number < set->size && (set->bits[task_number / 64] >> (task_number % 64) & 1) != 0;
+mm_completed_tasks_contains(const MmCompletedTasks *set, guint task_number) {
+  return task_number < set->n_tasks && (set->bits[task_number / 64] >> (task_number % 64) & 1) != 0;
 }
 
 gboolean
-mm_done_set_add(MmDoneSet *set, guint task_number) {
-  if (task_number >= set->size || mm_done_set_has(set, task_number))
+mm_completed_tasks_add(MmCompletedTasks *set, guint task_number) {
+  if (task_number >= set->n_tasks || mm_completed_tasks_contains(set, task_number))
     return FALSE;
   set->bits[task_number / 64] |= G_GUINT64_CONSTANT(1) << (task_number % 64);
-  set->count++;
+  set->n_completed++;
   return TRUE;
 }
 
 typedef struct {
   guint first;
   guint last;
-} Run;
+} TaskRange;
 
 static gint
-longer_first(gconstpointer a, gconstpointer b) {
-  const Run *x = a, *y = b;
+compare_longest_first(gconstpointer a, gconstpointer b) {
+  const TaskRange *x = a, *y = b;
   guint x_length = x->last - x->first, y_length = y->last - y->first;
 
   if (x_length != y_length)
@@ -45,45 +45,46 @@
 }
 
 static gint
-lower_first(gconstpointer a, gconstpointer b) {
-  const Run *x = a, *y = b;
+compare_lowest_first(gconstpointer a, gconstpointer b) {
+  const TaskRange *x = a, *y = b;
 
   return x->first < y->first ? -1 : x->first > y->first;
 }
 
 static gsize
-run_text(const Run *range, char *buffer, gsize size) {
+print_range(const TaskRange *range, char *buffer, gsize size) {
   if (range->first == range->last)
     return (gsize)g_snprintf(buffer, size, "%u,", range->first);
   return (gsize)g_snprintf(buffer, size, "%u-%u,", range->first, range->last);
 }
 
 char *
-mm_done_set_text(const MmDoneSet *set, gsize max_bytes) {
-  g_autoptr(GArray) ranges = g_array_new(FALSE, FALSE, sizeof(Run));
+mm_completed_tasks_to_text(const MmCompletedTasks *set, gsize max_bytes) {
+  g_autoptr(GArray) ranges = g_array_new(FALSE, FALSE, sizeof(TaskRange));
   GString *text = g_string_new(NULL);
   char buffer[32];
   gsize length = 0;
   guint n_kept = 0;
 
-  for (guint i = 0; i < set->size; i++) {
-    Run range = { i, i };
-    if (!mm_done_set_has(set, i))
+  for (guint i = 0; i < set->n_tasks; i++) {
+    TaskRange range = { i, i };
+    if (!mm_completed_tasks_contains(set, i))
       continue;
-    while (mm_done_set_has(set, range.last + 1))
+    while (mm_completed_tasks_contains(set, range.last + 1))
       range.last++;
     g_array_append_val(ranges, range);
     i = range.last;
   }
-  g_array_sort(ranges, longer_first);
-  while (n_kept < ranges->len
-         && (length += run_text(&g_array_index(ranges, Run, n_kept), buffer, sizeof buffer))
-                <= max_bytes)
+  g_array_sort(ranges, compare_longest_first);
+  while (
+      n_kept < ranges->len
+      && (length += print_range(&g_array_index(ranges, TaskRange, n_kept), buffer, sizeof buffer))
+             <= max_bytes)
     n_kept++;
   g_array_set_size(ranges, n_kept);
-  g_array_sort(ranges, lower_first);
+  g_array_sort(ranges, compare_lowest_first);
   for (guint i = 0; i < ranges->len; i++) {
-    run_text(&g_array_index(ranges, Run, i), buffer, sizeof buffer);
+    print_range(&g_array_index(ranges, TaskRange, i), buffer, sizeof buffer);
     g_string_append(text, buffer);
   }
   if (text->len > 0)
@@ -92,7 +93,7 @@
 }
 
 gboolean
-mm_done_set_parse(MmDoneSet *set, const char *text) {
+mm_completed_tasks_add_text(MmCompletedTasks *set, const char *text) {
   while (text != NULL && *text != '\0') {
     char *end;
     guint64 first, last;
@@ -106,10 +107,10 @@
         return FALSE;
       last = g_ascii_strtoull(text, &end, 10);
     }
-    if (last < first || last >= set->size || (*end != ',' && *end != '\0'))
+    if (last < first || last >= set->n_tasks || (*end != ',' && *end != '\0'))
       return FALSE;
     for (guint64 i = first; i <= last; i++)
-      mm_done_set_add(set, (guint)i);
+      mm_completed_tasks_add(set, (guint)i);
     if (*end == ',' && end[1] == '\0')
       return FALSE;
     text = *end == ',' ? end + 1 : end;
--- a/src/jobs/doneset.h
+++ b/src/jobs/doneset.h
@@ -4,18 +4,18 @@
 #include <glib.h>
 
 typedef struct {
-  guint size;
-  guint count;
+  guint n_tasks;
+  guint n_completed;
   guint64 *bits;
-} MmDoneSet;
+} MmCompletedTasks;
 
-void mm_done_set_init(MmDoneSet *set, guint n_tasks);
-void mm_done_set_clear(MmDoneSet *set);
-gboolean mm_done_set_has(const MmDoneSet *set, guint task_number);
+void mm_completed_tasks_init(MmCompletedTasks *set, guint n_tasks);
+void mm_completed_tasks_clear(MmCompletedTasks *set);
+gboolean mm_completed_tasks_contains(const MmCompletedTasks *set, guint task_number);
 /* TRUE when it was not in the set before. */
-gboolean mm_done_set_add(MmDoneSet *set, guint task_number);
+gboolean mm_completed_tasks_add(MmCompletedTasks *set, guint task_number);
 /* Writes runs, longest first, as far as they fit `most` bytes. What was left out is not in the
  * returned text, so whoever relies on it must read it back. */
-char *mm_done_set_text(const MmDoneSet *set, gsize max_bytes);
+char *mm_completed_tasks_to_text(const MmCompletedTasks *set, gsize max_bytes);
 /* Adds what the text names; FALSE when it is not such a text (then a part may have been added). */
-gboolean mm_done_set_parse(MmDoneSet *set, const char *text);
+gboolean mm_completed_tasks_add_text(MmCompletedTasks *set, const char *text);
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -4,52 +4,57 @@
 #include "base/json.h"
 #include "base/types.h"
 
-#define MM_JOB_TASKS_MAX 100000
-#define MM_JOB_TYPES_MAX 64
+#define MM_JOB_MAX_TASKS 100000
+#define MM_JOB_MAX_MACHINE_TYPES 64
 
-typedef enum { MM_KIND_ARRAY, MM_KIND_GANG, MM_KIND_SERVICE } MmKind;
-typedef enum { MM_LOW, MM_NORMAL, MM_URGENT, MM_CRITICAL } MmPriority;
+typedef enum { MM_JOB_KIND_ARRAY, MM_JOB_KIND_GANG, MM_JOB_KIND_SERVICE } MmJobKind;
+typedef enum {
+  MM_PRIORITY_LOW,
+  MM_PRIORITY_NORMAL,
+  MM_PRIORITY_URGENT,
+  MM_PRIORITY_CRITICAL
+} MmPriority;
 
 typedef struct {
   MmName id;
   MmName job_class;
   MmName team;
-  MmKind kind;
+  MmJobKind kind;
   MmPriority priority;
-  guint tasks;
-  MmResources need;
+  guint n_tasks;
+  MmResources task_resources;
   MmName image;
   double image_gb;
-  MmName *types; /* allowed machine types; none: any */
-  guint n_types;
+  MmName *allowed_types; /* allowed machine types; none: any */
+  guint n_allowed_types;
   MmName zone; /* empty: any */
-  gboolean one_zone;
-  gboolean spread;
-  gboolean spot;
-  double estimate_s;
-  double checkpoint_s;
-  double save_s;
-  double deadline_s; /* below 0: none */
-  MmName *needs;     /* ids of the jobs that must be done before any of its tasks starts */
-  guint n_needs;
-} MmSpec;
+  gboolean requires_one_zone;
+  gboolean spreads_over_zones;
+  gboolean allows_spot;
+  double run_estimate_s;
+  double checkpoint_interval_s;
+  double checkpoint_save_s;
+  double deadline_s;    /* below 0: none */
+  MmName *dependencies; /* ids of the jobs that must be done before any of its tasks starts */
+  guint n_dependencies;
+} MmJobSpec;
 
 /* FALSE with a reason (static text) when the body is malformed. */
-gboolean mm_spec_parse(MmSpec *spec, const json_t *json, const char **reason);
+gboolean mm_job_spec_parse(MmJobSpec *spec, const json_t *json, const char **reason);
 /* The known fields only, as they are to be stored; without the jobs that it depends on, which have
  * a shorter form of their own. */
-json_t *mm_spec_to_json(const MmSpec *spec);
+json_t *mm_job_spec_to_json(const MmJobSpec *spec);
 /* The ids of the jobs that it depends on as they are stored, such as "000398,000405"; NULL: none.
  */
-char *mm_spec_needs_text(const MmSpec *spec);
+char *mm_job_spec_dependencies_to_text(const MmJobSpec *spec);
 /* FALSE when it is not such a text. */
-gboolean mm_spec_needs_parse(MmSpec *spec, const char *text);
-void mm_spec_clear(MmSpec *spec);
+gboolean mm_job_spec_parse_dependencies(MmJobSpec *spec, const char *text);
+void mm_job_spec_clear(MmJobSpec *spec);
 /* Whether this is an id in the form that users' ids always have. */
-gboolean mm_spec_id_is_valid(const char *id);
-gboolean mm_spec_allows_type(const MmSpec *spec, const MmName *type);
+gboolean mm_job_id_is_valid(const char *id);
+gboolean mm_job_spec_allows_type(const MmJobSpec *spec, const MmName *type);
 /* Whether a machine of this kind may ever hold one of the job's tasks. */
-gboolean mm_spec_allows(const MmSpec *spec, const MmName *type, const MmName *zone,
-                        gboolean is_spot);
+gboolean mm_job_spec_allows_machine(const MmJobSpec *spec, const MmName *type, const MmName *zone,
+                                    gboolean is_spot);
 /* How many of the job's tasks one zone may hold. */
-guint mm_spec_zone_limit(const MmSpec *spec);
+guint mm_job_spec_max_tasks_per_zone(const MmJobSpec *spec);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -42,17 +42,17 @@
   node->replica = mm_replica_new(node);
   node->node_lease = mm_node_lease_new(node);
   node->job_table = mm_job_table_new(node);
-  node->api = mm_api_new(node);
+  node->api = mm_job_api_new(node);
   node->dependencies = mm_dependencies_new(node);
   node->versions = mm_versions_new(node);
   node->format = mm_format_new(node);
-  node->types = mm_types_new(node);
+  node->types = mm_instance_types_new(node);
   node->machine_table = mm_machine_table_new(node);
   node->registry = mm_registry_new(node);
   node->checkin = mm_heartbeat_server_new(node);
   node->rank = mm_placement_new(node);
   node->owner = mm_scheduler_new(node);
-  node->fleet = mm_fleet_new(node);
+  node->fleet = mm_autoscaler_new(node);
   node->sharing = mm_sharing_new(node);
   node->links = mm_links_new(node);
   return node;
@@ -63,16 +63,16 @@
   while (node->store->unsent_transactions->len > 0)
     mm_kv_client_fail_unsent(node->store);
   mm_heartbeat_server_free(node->checkin);
-  mm_api_free(node->api);
+  mm_job_api_free(node->api);
   mm_replica_free(node->replica); /* answers those who wait for it */
   mm_links_free(node->links);
   mm_sharing_free(node->sharing);
-  mm_fleet_free(node->fleet);
+  mm_autoscaler_free(node->fleet);
   mm_scheduler_free(node->owner);
   mm_placement_free(node->rank);
   mm_registry_free(node->registry);
   mm_machine_table_free(node->machine_table);
-  mm_types_free(node->types);
+  mm_instance_types_free(node->types);
   mm_job_table_free(node->job_table);
   mm_dependencies_free(node->dependencies);
   mm_versions_free(node->versions);
@@ -118,16 +118,16 @@
   mm_replica_tick(node->replica);
   mm_versions_tick(node->versions);
   mm_dependencies_tick(node->dependencies);
-  mm_api_tick(node->api);
+  mm_job_api_tick(node->api);
   mm_links_tick(node->links);
-  mm_types_tick(node->types);
+  mm_instance_types_tick(node->types);
   mm_heartbeat_server_tick(node->checkin);
   mm_machine_table_tick(node->machine_table);
   mm_registry_tick(node->registry);
   mm_scheduler_tick(node->owner);
   mm_placement_tick(node->rank);
   mm_sharing_tick(node->sharing);
-  mm_fleet_tick(node->fleet);
+  mm_autoscaler_tick(node->fleet);
 }
 
 /* A node that alone is refused by the state service, or has no answer from it, sends its users
@@ -136,7 +136,7 @@
 healthy(const MmNode *node) {
   MmTime now = mm_node_now(node);
 
-  if (!node->replica->is_loaded || !mm_types_known(node->types)
+  if (!node->replica->is_loaded || !mm_instance_types_are_known(node->types)
       || !mm_format_is_supported(node->format))
     return FALSE;
   if (mm_kv_client_is_silent(node->store))
@@ -160,11 +160,11 @@
     if (strcmp(method, "GET") != 0)
       wrong_method(exchange);
     else if (!shed(node, SHED_POLLS_MS, exchange))
-      mm_api_status(node, subpath, exchange);
+      mm_job_api_status(node, subpath, exchange);
   } else if (strcmp(slash + 1, WIRE_CANCEL_WORD) == 0) {
     g_autofree char *id = g_strndup(subpath, (gsize)(slash - subpath));
     if (strcmp(method, "POST") == 0)
-      mm_api_cancel(node, id, exchange);
+      mm_job_api_cancel(node, id, exchange);
     else
       wrong_method(exchange);
   } else {
@@ -193,7 +193,7 @@
     if (strcmp(method, "POST") != 0)
       wrong_method(exchange);
     else if (!shed(node, SHED_SUBMISSIONS_MS, exchange))
-      mm_api_submit(node, body, exchange);
+      mm_job_api_submit(node, body, exchange);
   } else if (g_str_has_prefix(path, WIRE_JOBS_PATH "/")) {
     handle_job(node, method, path + strlen(WIRE_JOBS_PATH "/"), exchange);
   } else if (g_str_has_prefix(path, MM_ADMIN_GROUPS_PATH)) {
--- a/src/owner/approve.c
+++ b/src/owner/approve.c
@@ -28,7 +28,7 @@
   for (guint i = 0; i < held->unacknowledged_kinds->len; i++) {
     const MmMachineKind *kind = &g_array_index(held->unacknowledged_kinds, MmMachineKind, i);
     if (mm_name_is_empty(&kind->type)
-        || mm_spec_allows(&job->spec, &kind->type, &kind->zone, kind->spot))
+        || mm_job_spec_allows_machine(&job->spec, &kind->type, &kind->zone, kind->spot))
       return TRUE;
   }
   return FALSE;
@@ -38,7 +38,7 @@
 mm_scheduler_knows_all_starts(MmScheduler *owner, const MmJob *job) {
   MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
 
-  if (held->is_ready || job->known_after_claim)
+  if (held->is_ready || job->submitted_after_acquire)
     return TRUE;
   mm_scheduler_sum_unacknowledged(owner, held);
   return !may_be_on_unacknowledged(held, job);
@@ -46,8 +46,8 @@
 
 gboolean
 mm_scheduler_job_is_schedulable(MmScheduler *owner, const MmJob *job) {
-  return mm_scheduler_shard_of_job(owner, job) != NULL && job->tasks != NULL && !job->cancelled
-         && mm_job_is_ready(job) && mm_scheduler_knows_all_starts(owner, job)
+  return mm_scheduler_shard_of_job(owner, job) != NULL && job->tasks != NULL && !job->is_cancelled
+         && mm_job_dependencies_are_done(job) && mm_scheduler_knows_all_starts(owner, job)
          && !mm_time_before(mm_node_now(owner->node), job->paused_until);
 }
 
@@ -55,7 +55,7 @@
 mm_scheduler_must_yield_to_gang(const MmScheduler *owner, const MmJob *job) {
   const MmJob *gang = owner->yield_to_gang;
 
-  return gang != NULL && gang != job && job->spec.need.accelerators > 0
+  return gang != NULL && gang != job && job->spec.task_resources.accelerators > 0
          && mm_scheduler_compare_urgency(&gang, &job) < 0;
 }
 
@@ -67,23 +67,23 @@
 
   if (!mm_placement_allows(job, machine))
     return FALSE;
-  if (!job->spec.one_zone && !job->spec.spread)
+  if (!job->spec.requires_one_zone && !job->spec.spreads_over_zones)
     return TRUE;
-  for (guint i = 0; i < job->spec.tasks; i++) {
+  for (guint i = 0; i < job->spec.n_tasks; i++) {
     const MmTask *task = &job->tasks[i];
     const MmMachine *task_machine = task->machine;
     gboolean same_zone;
     if (task_machine == NULL && reservations_at.us != 0
-        && mm_time_before(reservations_at, task->claimed))
-      task_machine = mm_machine_table_find(machine_table, task->claimed_on.s);
+        && mm_time_before(reservations_at, task->preempting_until))
+      task_machine = mm_machine_table_find(machine_table, task->preempting_on.s);
     if (task_machine == NULL)
       continue;
     same_zone = mm_name_equal(&task_machine->zone, &machine->zone);
     n_in_zone += same_zone;
-    if (job->spec.one_zone && !same_zone)
+    if (job->spec.requires_one_zone && !same_zone)
       return FALSE;
   }
-  return !job->spec.spread || n_in_zone < mm_spec_zone_limit(&job->spec);
+  return !job->spec.spreads_over_zones || n_in_zone < mm_job_spec_max_tasks_per_zone(&job->spec);
 }
 
 gboolean
@@ -134,7 +134,7 @@
           = TRUE; /* its type may become known */
     else
       held->unacknowledged_resources
-          = mm_resources_add(held->unacknowledged_resources, machine->type->room);
+          = mm_resources_add(held->unacknowledged_resources, machine->type->resources);
   }
   if (held->unacknowledged_kinds->len < n_kinds_before)
     mm_placement_backlog_changed(owner->node->rank);
@@ -166,9 +166,9 @@
   if (held->quota_reserved_for != NULL && held->quota_reserved_for != job
       && mm_scheduler_compare_urgency(&held->quota_reserved_for, &job) < 0)
     used = mm_resources_add(used, held->reserved_quota);
-  return within_quota(limit.cores, used.cores, tasks * job->spec.need.cores)
+  return within_quota(limit.cores, used.cores, tasks * job->spec.task_resources.cores)
          && within_quota(limit.accelerators, used.accelerators,
-                         tasks * job->spec.need.accelerators);
+                         tasks * job->spec.task_resources.accelerators);
 }
 
 guint
@@ -180,49 +180,55 @@
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *other = mm_job_table_find(owner->node->job_table, reported->job.s);
     n_tasks += reported->state != MM_REPORTED_ENDED && other != NULL
-               && other->priority >= job->priority;
+               && other->effective_priority >= job->effective_priority;
   }
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
-    n_tasks += placed->job->tasks[placed->number].state == MM_TASK_ISSUED
-               && placed->job->priority >= job->priority;
+    n_tasks += placed->job->tasks[placed->number].state == MM_TASK_START_SENT
+               && placed->job->effective_priority >= job->effective_priority;
   }
   return n_tasks;
 }
 
 /* The outlook, not older than a moment; of a job that could not be looked at in time, as it was. */
-static const MmOutlook *
+static const MmPlacementEstimate *
 estimate_placement(MmScheduler *owner, MmJob *job) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
-  MmOutlook *estimate = &job->outlook;
+  MmPlacementEstimate *estimate = &job->placement_estimate;
 
-  if (estimate->at.us != 0 && mm_time_ms_since(now, estimate->at) < ESTIMATE_FRESH_MS)
+  if (estimate->estimated_at.us != 0
+      && mm_time_ms_since(now, estimate->estimated_at) < ESTIMATE_FRESH_MS)
     return estimate;
   if (owner->machine_scans_left == 0)
-    return estimate->at.us != 0 && mm_time_ms_since(now, estimate->at) < ESTIMATE_AGE_MAX_MS
+    return estimate->estimated_at.us != 0
+                   && mm_time_ms_since(now, estimate->estimated_at) < ESTIMATE_AGE_MAX_MS
                ? estimate
                : NULL;
   owner->machine_scans_left--;
-  *estimate = (MmOutlook){ .at = now, .best_s = -1, .next_s = -1, .least_crowd = G_MAXUINT };
+  *estimate = (MmPlacementEstimate){ .estimated_at = now,
+                                     .soonest_delay_s = -1,
+                                     .next_soonest_delay_s = -1,
+                                     .fewest_colocated_tasks = G_MAXUINT };
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     double delay_s = mm_scheduler_start_delay_s(owner, job, machine);
 
     if (delay_s < 0)
       continue;
-    if (estimate->best_s < 0 || delay_s < estimate->best_s) {
-      estimate->next_s = estimate->best_s;
-      estimate->best_s = delay_s;
-      estimate->best = machine->id;
-    } else if (estimate->next_s < 0 || delay_s < estimate->next_s) {
-      estimate->next_s = delay_s;
+    if (estimate->soonest_delay_s < 0 || delay_s < estimate->soonest_delay_s) {
+      estimate->next_soonest_delay_s = estimate->soonest_delay_s;
+      estimate->soonest_delay_s = delay_s;
+      estimate->soonest_machine = machine->id;
+    } else if (estimate->next_soonest_delay_s < 0 || delay_s < estimate->next_soonest_delay_s) {
+      estimate->next_soonest_delay_s = delay_s;
     }
-    if (job->spec.kind == MM_KIND_SERVICE
-        && delay_s <= job->spec.image_gb / machine->type->fetch_gb_per_s
+    if (job->spec.kind == MM_JOB_KIND_SERVICE
+        && delay_s <= job->spec.image_gb / machine->type->image_fetch_gb_per_s
                           + node->settings->heartbeat_interval_s)
-      estimate->least_crowd
-          = MIN(estimate->least_crowd, mm_scheduler_count_colocated_tasks(owner, job, machine));
+      estimate->fewest_colocated_tasks
+          = MIN(estimate->fewest_colocated_tasks,
+                mm_scheduler_count_colocated_tasks(owner, job, machine));
   }
   return estimate;
 }
@@ -237,25 +243,28 @@
   MmNode *node = owner->node;
   double period_s = node->settings->heartbeat_interval_s;
   double fetch_s = mm_scheduler_image_fetch_s(job, here);
-  double waited_s = (double)mm_time_ms_since(mm_node_now(node), task->since) / 1000.0;
+  double waited_s = (double)mm_time_ms_since(mm_node_now(node), task->state_since) / 1000.0;
   gboolean spread_out
-      = job->spec.kind == MM_KIND_SERVICE && waited_s < period_s * SPREAD_SERVICE_PERIODS;
-  const MmOutlook *estimate;
+      = job->spec.kind == MM_JOB_KIND_SERVICE && waited_s < period_s * SPREAD_SERVICE_PERIODS;
+  const MmPlacementEstimate *estimate;
   double elsewhere_s;
 
   if (fetch_s < 0.5 || waited_s > MIN(fetch_s, period_s * 1.5))
     return FALSE;
   /* What was stopped here to make room was stopped for it: choosing again would only lose time. */
-  if (mm_time_before(mm_node_now(node), task->claimed)
-      && mm_name_equal(&task->claimed_on, &here->id))
+  if (mm_time_before(mm_node_now(node), task->preempting_until)
+      && mm_name_equal(&task->preempting_on, &here->id))
     return FALSE;
   estimate = estimate_placement(owner, job);
   if (estimate == NULL)
     return FALSE;
-  elsewhere_s = mm_name_equal(&estimate->best, &here->id) ? estimate->next_s : estimate->best_s;
+  elsewhere_s = mm_name_equal(&estimate->soonest_machine, &here->id)
+                    ? estimate->next_soonest_delay_s
+                    : estimate->soonest_delay_s;
   if ((elsewhere_s < 0 || elsewhere_s >= fetch_s)
       && !(spread_out
-           && estimate->least_crowd < mm_scheduler_count_colocated_tasks(owner, job, here)))
+           && estimate->fewest_colocated_tasks
+                  < mm_scheduler_count_colocated_tasks(owner, job, here)))
     return FALSE;
   mm_debug("%s waits %.1f s: another would run it in %.1f s, %s in %.1f s", job->spec.id.s,
            waited_s, elsewhere_s, here->id.s, fetch_s);
@@ -269,25 +278,25 @@
   MmNode *node = owner->node;
   MmReserveVerdict verdict
       = mm_placement_check_reserve(node->rank, job, request->machine, request->free_resources);
-  const MmOutlook *estimate;
+  const MmPlacementEstimate *estimate;
 
   if (verdict < MM_RESERVE_WOULD_SHRINK)
     return TRUE;
   if (verdict == MM_RESERVE_FORBIDDEN
-      || mm_time_ms_since(mm_node_now(node), task->since) < RELEASE_MACHINE_AFTER_MS
+      || mm_time_ms_since(mm_node_now(node), task->state_since) < RELEASE_MACHINE_AFTER_MS
       || !mm_placement_may_release_machine(node->rank, request->machine))
     return FALSE;
   estimate = estimate_placement(owner, job);
-  return estimate != NULL && estimate->best_s < 0;
+  return estimate != NULL && estimate->soonest_delay_s < 0;
 }
 
 /* What holds for all tasks of the job alike. */
 static gboolean
 job_may_start(MmScheduler *owner, const MmJob *job, const MmStartRequest *request) {
-  return mm_resources_fits(job->spec.need, request->free_resources)
+  return mm_resources_fits(job->spec.task_resources, request->free_resources)
          && !mm_scheduler_must_yield_to_gang(owner, job)
          && mm_scheduler_constraints_allow(job, request->machine)
-         && mm_scheduler_quota_allows(owner, job->held, job, 1);
+         && mm_scheduler_quota_allows(owner, job->led_shard, job, 1);
 }
 
 static gboolean
@@ -295,9 +304,9 @@
   const MmTask *task = &job->tasks[number];
   MmTime now = mm_node_now(owner->node);
 
-  return task->state == MM_TASK_IDLE && !mm_time_before(now, task->not_before)
-         && !(mm_name_equal(&task->avoid, &request->machine->id)
-              && mm_time_ms_since(now, task->since) < AVOID_FAILED_MACHINE_MS)
+  return task->state == MM_TASK_PENDING && !mm_time_before(now, task->retry_not_before)
+         && !(mm_name_equal(&task->last_failed_on, &request->machine->id)
+              && mm_time_ms_since(now, task->state_since) < AVOID_FAILED_MACHINE_MS)
          && reserve_allows(owner, job, task, request)
          && !(mm_scheduler_has_precedence(owner, job)
               && starts_sooner_elsewhere(owner, job, task, request->machine));
@@ -308,23 +317,23 @@
              const MmStartRequest *request, MmApproval *approval) {
   MmAttempt attempt = mm_scheduler_next_attempt(owner, held);
 
-  mm_scheduler_place_task(owner, job, number, request->machine, MM_TASK_ISSUED, attempt);
-  job->tasks[number].issued = request->heartbeat_id;
+  mm_scheduler_place_task(owner, job, number, request->machine, MM_TASK_START_SENT, attempt);
+  job->tasks[number].start_heartbeat_id = request->heartbeat_id;
   *approval = (MmApproval){ job->spec.id, number, attempt, mm_name(held->name), held->term, FALSE };
   mm_debug("%s/%u may start on %s (%s%s) after %.1f s", job->spec.id.s, number,
            request->machine->id.s, request->machine->type_name.s,
            mm_machine_has_cached_image(request->machine, &job->spec.image) ? ", cached" : "",
-           mm_job_waited_s(owner->node, job));
+           mm_job_waiting_time_s(owner->node, job));
 }
 
 static gboolean
 try_task(MmScheduler *owner, MmJob *job, guint number, const MmStartRequest *request,
          MmApproval *approval) {
-  if (job == NULL || !mm_scheduler_job_is_schedulable(owner, job) || number >= job->spec.tasks
+  if (job == NULL || !mm_scheduler_job_is_schedulable(owner, job) || number >= job->spec.n_tasks
       || mm_job_is_gang(job) || !job_may_start(owner, job, request)
       || !task_may_start(owner, job, number, request))
     return FALSE;
-  approve_task(owner, job->held, job, number, request, approval);
+  approve_task(owner, job->led_shard, job, number, request, approval);
   return TRUE;
 }
 
@@ -335,11 +344,11 @@
 
   if (!job_may_start(owner, job, request))
     return FALSE;
-  for (guint i = job->first_idle; i < job->spec.tasks && tries > 0; i++) {
-    if (job->tasks[i].state != MM_TASK_IDLE)
+  for (guint i = job->first_pending; i < job->spec.n_tasks && tries > 0; i++) {
+    if (job->tasks[i].state != MM_TASK_PENDING)
       continue;
     if (task_may_start(owner, job, i, request)) {
-      approve_task(owner, job->held, job, i, request, approval);
+      approve_task(owner, job->led_shard, job, i, request, approval);
       return TRUE;
     }
     tries--;
@@ -412,9 +421,9 @@
     return owner->jobs_by_urgency;
   owner->is_urgency_order_stale = FALSE;
   g_ptr_array_set_size(owner->jobs_by_urgency, 0);
-  for (guint i = 0; i < job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(job_table->order, i);
-    if (job->tasks != NULL && !mm_job_is_gang(job) && !job->cancelled)
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    if (job->tasks != NULL && !mm_job_is_gang(job) && !job->is_cancelled)
       g_ptr_array_add(owner->jobs_by_urgency, job);
   }
   g_ptr_array_sort(owner->jobs_by_urgency, mm_scheduler_compare_urgency);
@@ -441,9 +450,9 @@
   jobs = g_ptr_array_sized_new(by_urgency->len);
   for (guint i = 0; i < by_urgency->len; i++) {
     MmJob *job = g_ptr_array_index(by_urgency, i);
-    if (job->idle > 0 && mm_resources_fits(job->spec.need, request->free_resources)
+    if (job->n_pending > 0 && mm_resources_fits(job->spec.task_resources, request->free_resources)
         && mm_scheduler_job_is_schedulable(owner, job)
-        && mm_scheduler_quota_allows(owner, job->held, job, 1))
+        && mm_scheduler_quota_allows(owner, job->led_shard, job, 1))
       g_ptr_array_add(jobs, job);
   }
   if (jobs->len == 0)
@@ -459,8 +468,8 @@
       continue;
     for (guint k = i + 1; k < request->n_tasks; k++) {
       const MmJob *job = mm_job_table_find(job_table, request->tasks[k].job.s);
-      if (job != NULL && job->tasks != NULL && request->tasks[k].number < job->spec.tasks
-          && job->tasks[request->tasks[k].number].state == MM_TASK_IDLE)
+      if (job != NULL && job->tasks != NULL && request->tasks[k].number < job->spec.n_tasks
+          && job->tasks[request->tasks[k].number].state == MM_TASK_PENDING)
         add_to_kept_list(request->machine, &request->tasks[k]);
     }
     return TRUE;
--- a/src/owner/command.c
+++ b/src/owner/command.c
@@ -25,17 +25,18 @@
 
 double
 mm_scheduler_stop_grace_s(const MmJob *job) {
-  return job->spec.checkpoint_s > 0 && !job->cancelled ? job->spec.save_s + 1 : 0;
+  return job->spec.checkpoint_interval_s > 0 && !job->is_cancelled ? job->spec.checkpoint_save_s + 1
+                                                                   : 0;
 }
 
 void
 mm_scheduler_stop_task(MmScheduler *owner, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
 
-  if (task->machine == NULL || task->state == MM_TASK_RESERVED)
+  if (task->machine == NULL || task->state == MM_TASK_PLACE_RESERVED)
     return;
-  task->stopping = TRUE;
-  task->told = mm_node_now(owner->node);
+  task->is_stopping = TRUE;
+  task->stop_sent_at = mm_node_now(owner->node);
   mm_scheduler_send_stop(owner, task->machine, &job->spec.id, number, task->attempt,
                          mm_scheduler_stop_grace_s(job));
 }
@@ -52,7 +53,7 @@
          machine->serving_node == MM_SERVING_NODE_SELF && k < machine->reported_tasks->len; k++) {
       const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, k);
       if (reported->state != MM_REPORTED_ENDED && mm_name_equal(&reported->job, &job->spec.id)
-          && (job->tasks == NULL || reported->number >= job->spec.tasks
+          && (job->tasks == NULL || reported->number >= job->spec.n_tasks
               || job->tasks[reported->number].machine != machine))
         mm_scheduler_send_stop(owner, machine, &reported->job, reported->number, reported->attempt,
                                0);
@@ -66,18 +67,18 @@
 
   if (job == NULL)
     return mm_job_table_is_over(owner->node->job_table, job_id);
-  if (job->cancelled)
+  if (job->is_cancelled)
     return TRUE;
-  job->cancelled = TRUE;
-  job->cancel_served_us = owner->node->store->available_us;
-  for (guint i = 0; job->tasks != NULL && i < job->spec.tasks; i++) {
-    if (job->tasks[i].state == MM_TASK_RESERVED)
+  job->is_cancelled = TRUE;
+  job->kv_served_us_at_cancel = owner->node->store->available_us;
+  for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++) {
+    if (job->tasks[i].state == MM_TASK_PLACE_RESERVED)
       mm_scheduler_unplace_task(owner, job, i);
     else if (mm_task_is_live(job->tasks[i].state))
       mm_scheduler_stop_task(owner, job, i);
   }
   /* What depends on a cancelled job has never been started. */
-  if (!mm_job_needs_cancelled(job))
+  if (!mm_job_has_cancelled_dependency(job))
     stop_reported_tasks(owner, job);
   mm_placement_backlog_changed(owner->node->rank);
   mm_dependencies_job_cancelled(owner->node->dependencies, job_id);
@@ -216,8 +217,8 @@
     for (guint k = 0; k < machine->placed_tasks->len; k++) {
       const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, k);
       const MmTask *task = &placed->job->tasks[placed->number];
-      if ((placed->job->cancelled || task->stopping) && task->state != MM_TASK_SAVING
-          && mm_time_ms_since(now, task->told) > STOP_RESEND_MS)
+      if ((placed->job->is_cancelled || task->is_stopping) && task->state != MM_TASK_SAVING
+          && mm_time_ms_since(now, task->stop_sent_at) > STOP_RESEND_MS)
         mm_scheduler_stop_task(owner, placed->job, placed->number);
     }
   }
--- a/src/owner/gang.c
+++ b/src/owner/gang.c
@@ -15,14 +15,14 @@
 
 static void
 release_gang(MmScheduler *owner, MmJob *job) {
-  for (guint i = 0; i < job->spec.tasks; i++) {
+  for (guint i = 0; i < job->spec.n_tasks; i++) {
     MmTask *task = &job->tasks[i];
-    if (task->state == MM_TASK_RESERVED) {
+    if (task->state == MM_TASK_PLACE_RESERVED) {
       /* It did not ask in time, whatever the reason: not the same place again at once. */
       task->machine->full_until
           = mm_time_add_ms(mm_node_now(owner->node), UNUSED_RESERVATION_PAUSE_MS);
       mm_scheduler_unplace_task(owner, job, i);
-    } else if (task->machine != NULL && !task->stopping) {
+    } else if (task->machine != NULL && !task->is_stopping) {
       mm_scheduler_stop_task(owner, job, i);
     }
   }
@@ -33,7 +33,7 @@
  * whose result is there ends as done at once. Its being done is not assumed. */
 static void
 restart_gang(MmScheduler *owner, MmJob *job) {
-  for (guint i = 0; i < job->spec.tasks; i++)
+  for (guint i = 0; i < job->spec.n_tasks; i++)
     if (job->tasks[i].state == MM_TASK_DONE)
       mm_scheduler_unplace_task(owner, job, i);
 }
@@ -54,7 +54,7 @@
         || (zone != NULL && !mm_name_equal(&place.machine->zone, zone)))
       continue;
     place.free_resources = mm_machine_available_resources(machine_table, place.machine);
-    if (mm_resources_fits(job->spec.need, place.free_resources))
+    if (mm_resources_fits(job->spec.task_resources, place.free_resources))
       g_array_append_val(places, place);
   }
   return places;
@@ -73,26 +73,27 @@
       /* First where the image is, then anywhere. */
       if (pass == 0 && !mm_machine_has_cached_image(place->machine, &job->spec.image))
         continue;
-      while (chosen->len < job->spec.tasks
-             && mm_resources_fits(job->spec.need, place->free_resources)) {
-        if (job->spec.spread) {
+      while (chosen->len < job->spec.n_tasks
+             && mm_resources_fits(job->spec.task_resources, place->free_resources)) {
+        if (job->spec.spreads_over_zones) {
           guint n_in_zone = 0;
           for (guint k = 0; k < chosen->len; k++)
             n_in_zone += mm_name_equal(&((MmMachine *)g_ptr_array_index(chosen, k))->zone,
                                        &place->machine->zone);
-          if (n_in_zone >= mm_spec_zone_limit(&job->spec))
+          if (n_in_zone >= mm_job_spec_max_tasks_per_zone(&job->spec))
             break;
         }
-        place->free_resources = mm_resources_sub(place->free_resources, job->spec.need);
+        place->free_resources = mm_resources_sub(place->free_resources, job->spec.task_resources);
         g_ptr_array_add(chosen, place->machine);
       }
     }
   }
-  if (chosen->len < job->spec.tasks)
+  if (chosen->len < job->spec.n_tasks)
     return FALSE;
   attempt = mm_scheduler_next_attempt(owner, held);
-  for (guint i = 0; i < job->spec.tasks; i++)
-    mm_scheduler_place_task(owner, job, i, g_ptr_array_index(chosen, i), MM_TASK_RESERVED, attempt);
+  for (guint i = 0; i < job->spec.n_tasks; i++)
+    mm_scheduler_place_task(owner, job, i, g_ptr_array_index(chosen, i), MM_TASK_PLACE_RESERVED,
+                            attempt);
   return TRUE;
 }
 
@@ -101,13 +102,13 @@
   MmNode *node = owner->node;
 
   if (mm_scheduler_must_yield_to_gang(owner, job)
-      || !mm_scheduler_quota_allows(owner, held, job, job->spec.tasks))
+      || !mm_scheduler_quota_allows(owner, held, job, job->spec.n_tasks))
     return;
-  if (!job->spec.one_zone) {
+  if (!job->spec.requires_one_zone) {
     /* Only where nothing else takes the places as they get free, one after another: machines with
      * accelerators are lent no more while such a gang waits. */
-    if (!reserve_gang(owner, held, job, NULL) && job->spec.need.accelerators > 0)
-      mm_scheduler_preempt_for_gang(owner, job, job->spec.tasks);
+    if (!reserve_gang(owner, held, job, NULL) && job->spec.task_resources.accelerators > 0)
+      mm_scheduler_preempt_for_gang(owner, job, job->spec.n_tasks);
     return;
   }
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
@@ -125,8 +126,8 @@
   gint64 reservation_ms
       = (gint64)(node->settings->heartbeat_interval_s * 1000 * RESERVATION_PERIODS);
 
-  for (guint i = 0; i < node->job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->order, i);
+  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     if (job->tasks != NULL && mm_job_is_gang(job) && mm_scheduler_job_is_schedulable(owner, job))
       g_ptr_array_add(jobs, job);
   }
@@ -137,20 +138,20 @@
     guint n_started = 0;
     gboolean is_reservation_expired = FALSE, is_paused = FALSE;
 
-    for (guint k = 0; k < job->spec.tasks; k++) {
+    for (guint k = 0; k < job->spec.n_tasks; k++) {
       const MmTask *task = &job->tasks[k];
-      is_paused = is_paused || mm_time_before(now, task->not_before);
-      n_started += task->machine != NULL && task->state != MM_TASK_RESERVED;
+      is_paused = is_paused || mm_time_before(now, task->retry_not_before);
+      n_started += task->machine != NULL && task->state != MM_TASK_PLACE_RESERVED;
       is_reservation_expired = is_reservation_expired
-                               || (task->state == MM_TASK_RESERVED
-                                   && mm_time_ms_since(now, task->since) > reservation_ms);
+                               || (task->state == MM_TASK_PLACE_RESERVED
+                                   && mm_time_ms_since(now, task->state_since) > reservation_ms);
     }
     /* Some members are gone while others live, or a place did not ask in time: all or none. */
-    if (is_reservation_expired || (n_started > 0 && job->idle > 0))
+    if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
       release_gang(owner, job);
-    else if (!is_paused && job->live == 0 && job->idle < job->spec.tasks)
+    else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
       restart_gang(owner, job);
-    else if (!is_paused && job->idle == job->spec.tasks)
+    else if (!is_paused && job->n_pending == job->spec.n_tasks)
       plan_gang(owner, held, job);
   }
 }
@@ -162,18 +163,18 @@
     const MmPlacedTask *placed = g_ptr_array_index(request->machine->placed_tasks, i);
     MmTask *task = &placed->job->tasks[placed->number];
     MmLedShard *held = mm_scheduler_shard_of_job(owner, placed->job);
-    MmResources need = placed->job->spec.need;
+    MmResources need = placed->job->spec.task_resources;
     /* Own requests have its room taken off already. Compared without it, no gang ever began that
      * had a place on a machine which reports to its owner. */
     MmResources free_resources = request->is_local ? mm_resources_add(request->free_resources, need)
                                                    : request->free_resources;
 
-    if (task->state != MM_TASK_RESERVED || held == NULL || placed->job->cancelled
+    if (task->state != MM_TASK_PLACE_RESERVED || held == NULL || placed->job->is_cancelled
         || !mm_resources_fits(need, free_resources))
       continue;
-    mm_scheduler_place_task(owner, placed->job, placed->number, request->machine, MM_TASK_ISSUED,
-                            task->attempt);
-    task->issued = request->heartbeat_id;
+    mm_scheduler_place_task(owner, placed->job, placed->number, request->machine,
+                            MM_TASK_START_SENT, task->attempt);
+    task->start_heartbeat_id = request->heartbeat_id;
     *approval = (MmApproval){ placed->job->spec.id, placed->number, task->attempt,
                               mm_name(held->name),  held->term,     TRUE };
     return TRUE;
--- a/src/owner/guarantee.c
+++ b/src/owner/guarantee.c
@@ -8,13 +8,13 @@
 #define QUOTA_UPDATE_INTERVAL_MS 1000
 
 static gboolean
-fits_guarantee(const MmResources *guaranteed, const MmResources *team_sum, const MmSpec *spec) {
+fits_guarantee(const MmResources *guaranteed, const MmResources *team_sum, const MmJobSpec *spec) {
   /* An amount of 0 is no guarantee at all. */
-  if (spec->need.accelerators > 0
+  if (spec->task_resources.accelerators > 0
       && team_sum->accelerators > guaranteed->accelerators + MM_RESOURCES_SLACK)
     return FALSE;
   if (guaranteed->cores <= 0)
-    return spec->need.accelerators > 0;
+    return spec->task_resources.accelerators > 0;
   return team_sum->cores <= guaranteed->cores + MM_RESOURCES_SLACK;
 }
 
@@ -35,17 +35,18 @@
           || g_array_index(node->settings->objectives, MmObjective, i).kind == MM_OBJECTIVE_QUOTA;
   team_sums = g_new0(MmResources, teams->len);
   memset(owner->team_used, 0, teams->len * sizeof *owner->team_used);
-  for (guint i = 0; i < node->job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->order, i);
+  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     const MmTeamSettings *team;
-    job->within = job->favoured = FALSE;
-    if (job->team < 0 || job->cancelled || !mm_job_is_ready(job))
+    job->is_within_quota = job->has_quota_precedence = FALSE;
+    if (job->team_index < 0 || job->is_cancelled || !mm_job_dependencies_are_done(job))
       continue;
-    team = &g_array_index(teams, MmTeamSettings, job->team);
-    team_sums[job->team].cores += job->spec.tasks * job->spec.need.cores;
-    team_sums[job->team].accelerators += job->spec.tasks * job->spec.need.accelerators;
-    job->within = fits_guarantee(&team->quota, &team_sums[job->team], &job->spec);
-    job->favoured = job->within && !has_guarantee_aim;
+    team = &g_array_index(teams, MmTeamSettings, job->team_index);
+    team_sums[job->team_index].cores += job->spec.n_tasks * job->spec.task_resources.cores;
+    team_sums[job->team_index].accelerators
+        += job->spec.n_tasks * job->spec.task_resources.accelerators;
+    job->is_within_quota = fits_guarantee(&team->quota, &team_sums[job->team_index], &job->spec);
+    job->has_quota_precedence = job->is_within_quota && !has_guarantee_aim;
   }
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
@@ -54,8 +55,9 @@
       const MmJob *job = reported->state != MM_REPORTED_ENDED
                              ? mm_job_table_find(node->job_table, reported->job.s)
                              : NULL;
-      if (job != NULL && job->team >= 0)
-        owner->team_used[job->team] = mm_resources_add(owner->team_used[job->team], job->spec.need);
+      if (job != NULL && job->team_index >= 0)
+        owner->team_used[job->team_index]
+            = mm_resources_add(owner->team_used[job->team_index], job->spec.task_resources);
     }
   }
 }
@@ -65,11 +67,13 @@
   const MmTeamSettings *team;
   MmResources team_use_after;
 
-  if (!job->within || victim->team < 0 || victim->team == job->team || victim->within
-      || victim->spec.kind == MM_KIND_SERVICE || victim->priority > job->priority)
+  if (!job->is_within_quota || victim->team_index < 0 || victim->team_index == job->team_index
+      || victim->is_within_quota || victim->spec.kind == MM_JOB_KIND_SERVICE
+      || victim->effective_priority > job->effective_priority)
     return FALSE;
-  team = &g_array_index(owner->node->settings->teams, MmTeamSettings, victim->team);
-  team_use_after = mm_resources_sub(owner->team_used[victim->team], victim->spec.need);
+  team = &g_array_index(owner->node->settings->teams, MmTeamSettings, victim->team_index);
+  team_use_after
+      = mm_resources_sub(owner->team_used[victim->team_index], victim->spec.task_resources);
   return team_use_after.cores >= team->quota.cores - MM_RESOURCES_SLACK
          && team_use_after.accelerators >= team->quota.accelerators - MM_RESOURCES_SLACK;
 }
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -47,7 +47,8 @@
 
 MmLedShard *
 mm_scheduler_shard_of_job(const MmScheduler *owner, const MmJob *job) {
-  return job->held != NULL ? job->held : g_hash_table_lookup(owner->led_shards, job->part);
+  return job->led_shard != NULL ? job->led_shard
+                                : g_hash_table_lookup(owner->led_shards, job->shard);
 }
 
 /* ---- where tasks are ---- */
@@ -71,20 +72,20 @@
 
   if (task->state == state)
     return;
-  job->idle -= task->state == MM_TASK_IDLE;
-  job->live -= mm_task_is_live(task->state);
-  job->idle += state == MM_TASK_IDLE;
-  job->live += mm_task_is_live(state);
+  job->n_pending -= task->state == MM_TASK_PENDING;
+  job->n_maybe_on_machines -= mm_task_is_live(task->state);
+  job->n_pending += state == MM_TASK_PENDING;
+  job->n_maybe_on_machines += mm_task_is_live(state);
   if (mm_task_is_live(state) != mm_task_is_live(task->state)) {
     MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
     if (held != NULL)
-      held->used = mm_task_is_live(state) ? mm_resources_add(held->used, job->spec.need)
-                                          : mm_resources_sub(held->used, job->spec.need);
+      held->used = mm_task_is_live(state) ? mm_resources_add(held->used, job->spec.task_resources)
+                                          : mm_resources_sub(held->used, job->spec.task_resources);
   }
   task->state = state;
-  task->since = mm_node_now(owner->node);
-  if (state == MM_TASK_IDLE)
-    job->first_idle = MIN(job->first_idle, number);
+  task->state_since = mm_node_now(owner->node);
+  if (state == MM_TASK_PENDING)
+    job->first_pending = MIN(job->first_pending, number);
   mm_placement_backlog_changed(owner->node->rank);
 }
 
@@ -99,14 +100,15 @@
     *placed = (MmPlacedTask){ job, number };
     g_ptr_array_add(machine->placed_tasks, placed);
     task->machine = machine;
-    if (state == MM_TASK_ISSUED) {
-      machine->reserved_resources = mm_resources_sub(machine->reserved_resources, job->spec.need);
+    if (state == MM_TASK_START_SENT) {
+      machine->reserved_resources
+          = mm_resources_sub(machine->reserved_resources, job->spec.task_resources);
       if (machine->reserved_resources.cores < 0)
         machine->reserved_resources = (MmResources){ 0 };
     }
   }
   if (task->attempt.v != attempt.v)
-    task->stopping = FALSE;
+    task->is_stopping = FALSE;
   task->attempt = attempt;
   machine->available_generation = 0;
   mm_scheduler_set_task_state(owner, job, number, (guint8)state);
@@ -118,8 +120,8 @@
 
   remove_from_machine(task->machine, job, number);
   task->machine = NULL;
-  task->stopping = FALSE;
-  mm_scheduler_set_task_state(owner, job, number, MM_TASK_IDLE);
+  task->is_stopping = FALSE;
+  mm_scheduler_set_task_state(owner, job, number, MM_TASK_PENDING);
 }
 
 /* ---- taking and dropping parts ---- */
@@ -130,17 +132,17 @@
 
   if (held != NULL && held->quota_reserved_for == job)
     held->quota_reserved_for = NULL;
-  if (held != NULL && job->live > 0) {
-    held->used.cores -= job->live * job->spec.need.cores;
-    held->used.accelerators -= job->live * job->spec.need.accelerators;
+  if (held != NULL && job->n_maybe_on_machines > 0) {
+    held->used.cores -= job->n_maybe_on_machines * job->spec.task_resources.cores;
+    held->used.accelerators -= job->n_maybe_on_machines * job->spec.task_resources.accelerators;
   }
-  for (guint i = 0; job->tasks != NULL && i < job->spec.tasks; i++)
+  for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++)
     remove_from_machine(job->tasks[i].machine, job, i);
   g_clear_pointer(&job->tasks, g_free);
-  mm_done_set_clear(&job->done);
-  job->idle = job->live = 0;
-  job->writing = FALSE;
-  job->held = NULL;
+  mm_completed_tasks_clear(&job->completed);
+  job->n_pending = job->n_maybe_on_machines = 0;
+  job->is_being_written = FALSE;
+  job->led_shard = NULL;
   owner->is_urgency_order_stale = TRUE;
   mm_placement_backlog_changed(owner->node->rank);
 }
@@ -149,24 +151,24 @@
 adopt_job(MmScheduler *owner, MmLedShard *held, MmJob *job) {
   MmTime now = mm_node_now(owner->node);
 
-  job->held = held;
+  job->led_shard = held;
   owner->is_urgency_order_stale = TRUE;
-  job->tasks = g_new0(MmTask, job->spec.tasks);
-  mm_done_set_init(&job->done, job->spec.tasks);
-  job->first_idle = 0;
-  job->idle = job->live = 0;
-  job->known_after_claim = FALSE;
-  for (guint i = 0; i < job->spec.tasks; i++) {
-    job->tasks[i].since = now;
-    if (mm_done_set_has(&job->recorded, i)) {
+  job->tasks = g_new0(MmTask, job->spec.n_tasks);
+  mm_completed_tasks_init(&job->completed, job->spec.n_tasks);
+  job->first_pending = 0;
+  job->n_pending = job->n_maybe_on_machines = 0;
+  job->submitted_after_acquire = FALSE;
+  for (guint i = 0; i < job->spec.n_tasks; i++) {
+    job->tasks[i].state_since = now;
+    if (mm_completed_tasks_contains(&job->recorded_completed, i)) {
       job->tasks[i].state = MM_TASK_DONE;
-      mm_done_set_add(&job->done, i);
+      mm_completed_tasks_add(&job->completed, i);
     } else {
-      job->idle++;
+      job->n_pending++;
     }
   }
-  if (job->done.count == job->spec.tasks)
-    job->dirty = now;
+  if (job->completed.n_completed == job->spec.n_tasks)
+    job->unwritten_since = now;
   mm_placement_backlog_changed(owner->node->rank);
 }
 
@@ -174,9 +176,9 @@
 stop_leading_shard(MmScheduler *owner, const char *name) {
   MmJobTable *job_table = owner->node->job_table;
 
-  for (guint i = 0; i < job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(job_table->order, i);
-    if (strcmp(job->part, name) == 0)
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    if (strcmp(job->shard, name) == 0)
       drop_job(owner, job);
   }
   mm_info("part %s is no longer held here", name);
@@ -207,9 +209,9 @@
   held->unacknowledged_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   held->unacknowledged_kinds = g_array_new(FALSE, TRUE, sizeof(MmMachineKind));
   g_hash_table_insert(owner->led_shards, held->name, held);
-  for (guint i = 0; i < node->job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->order, i);
-    if (strcmp(job->part, name) == 0)
+  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
+    if (strcmp(job->shard, name) == 0)
       adopt_job(owner, held, job);
   }
   /* Machines registered later than this term only ever get starts of this term or a later one:
@@ -261,9 +263,10 @@
     adopt_job(owner, held, job);
     /* The watch shows changes in order: this job came after the part was taken, so no earlier
      * holder can have started any of it. */
-    job->known_after_claim = job->version.v > held->version.v && owner->node->replica->is_loaded;
+    job->submitted_after_acquire
+        = job->record_version.v > held->version.v && owner->node->replica->is_loaded;
   }
-  if (job->tasks != NULL && job->cancelled)
+  if (job->tasks != NULL && job->is_cancelled)
     mm_placement_backlog_changed(owner->node->rank);
 }
 
@@ -271,10 +274,10 @@
 mm_scheduler_job_ready(MmScheduler *owner, MmJob *job) {
   MmTime now = mm_node_now(owner->node);
 
-  job->waits_from_ms = MAX(job->submitted_ms, mm_vertex_ready_ms(job->vertex));
-  for (guint i = 0; job->tasks != NULL && i < job->spec.tasks; i++)
-    if (job->tasks[i].state == MM_TASK_IDLE)
-      job->tasks[i].since = now;
+  job->waiting_since_ms = MAX(job->submitted_at_ms, mm_vertex_dependencies_done_at_ms(job->vertex));
+  for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++)
+    if (job->tasks[i].state == MM_TASK_PENDING)
+      job->tasks[i].state_since = now;
   mm_info("%s (%s) is ready: all that it depends on is done", job->spec.id.s,
           job->spec.job_class.s);
   owner->is_urgency_order_stale = TRUE;
@@ -297,14 +300,15 @@
 
   pending->job = job->spec.id;
   pending->has_precedence = mm_scheduler_has_precedence(owner, job);
-  pending->is_starving = job->aged;
+  pending->is_starving = job->is_starving;
   pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
-  while (job->first_idle < job->spec.tasks && job->tasks[job->first_idle].state != MM_TASK_IDLE)
-    job->first_idle++;
-  for (guint i = job->first_idle; i<job->spec.tasks && * tasks_left> 0; i++) {
+  while (job->first_pending < job->spec.n_tasks
+         && job->tasks[job->first_pending].state != MM_TASK_PENDING)
+    job->first_pending++;
+  for (guint i = job->first_pending; i<job->spec.n_tasks && * tasks_left> 0; i++) {
     const MmTask *task = &job->tasks[i];
     guint *last_range;
-    if (task->state != MM_TASK_IDLE || mm_time_before(now, task->not_before))
+    if (task->state != MM_TASK_PENDING || mm_time_before(now, task->retry_not_before))
       continue;
     (*tasks_left)--;
     last_range = pending->ranges->len > 0
@@ -330,8 +334,8 @@
 /* Only gangs' places are reserved: these are few, while machines with tasks are thousands. */
 static void
 add_reserved_machines(const MmJob *job, GArray *machines) {
-  for (guint i = 0; i < job->spec.tasks; i++)
-    if (job->tasks[i].state == MM_TASK_RESERVED)
+  for (guint i = 0; i < job->spec.n_tasks; i++)
+    if (job->tasks[i].state == MM_TASK_PLACE_RESERVED)
       g_array_append_val(machines, job->tasks[i].machine->id);
 }
 
@@ -341,14 +345,14 @@
   g_autoptr(GPtrArray) jobs = g_ptr_array_new();
   guint tasks_left = BACKLOG_TASKS_MAX;
 
-  for (guint i = 0; i < job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(job_table->order, i);
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     if (job->tasks != NULL && mm_job_is_gang(job))
       add_reserved_machines(job, reserved_machines);
     /* What its team's limit keeps from starting need not be asked for, nor machines rented. */
-    if (job->tasks != NULL && job->idle > 0 && mm_scheduler_job_is_schedulable(owner, job)
-        && mm_scheduler_quota_allows(owner, job->held, job,
-                                     mm_job_is_gang(job) ? job->spec.tasks : 1))
+    if (job->tasks != NULL && job->n_pending > 0 && mm_scheduler_job_is_schedulable(owner, job)
+        && mm_scheduler_quota_allows(owner, job->led_shard, job,
+                                     mm_job_is_gang(job) ? job->spec.n_tasks : 1))
       g_ptr_array_add(jobs, job);
   }
   g_ptr_array_sort(jobs, mm_scheduler_compare_urgency);
@@ -361,10 +365,10 @@
   MmJobTable *job_table = owner->node->job_table;
   guint n_pending_tasks = 0;
 
-  for (guint i = 0; i < job_table->order->len; i++) {
-    const MmJob *job = g_ptr_array_index(job_table->order, i);
-    if (job->tasks != NULL && !job->cancelled && mm_job_is_ready(job))
-      n_pending_tasks += job->idle;
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    if (job->tasks != NULL && !job->is_cancelled && mm_job_dependencies_are_done(job))
+      n_pending_tasks += job->n_pending;
   }
   return n_pending_tasks;
 }
@@ -385,23 +389,25 @@
     held->quota_reserved_for = NULL;
     mm_scheduler_sum_unacknowledged(owner, held);
   }
-  for (guint i = 0; i < job_table->order->len; i++) {
-    const MmJob *job = g_ptr_array_index(job_table->order, i);
-    MmLedShard *held = job->tasks != NULL ? job->held : NULL;
-    if (held != NULL && job->idle > 0 && (job->aged || job->spec.priority >= MM_URGENT)
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    MmLedShard *held = job->tasks != NULL ? job->led_shard : NULL;
+    if (held != NULL && job->n_pending > 0
+        && (job->is_starving || job->spec.priority >= MM_PRIORITY_URGENT)
         && mm_scheduler_job_is_schedulable(owner, job)
         && (held->quota_reserved_for == NULL
             || mm_scheduler_compare_urgency(&job, &held->quota_reserved_for) < 0)) {
-      guint tasks = mm_job_is_gang(job) ? job->spec.tasks : MIN(job->idle, RESERVED_QUOTA_TASKS);
+      guint tasks
+          = mm_job_is_gang(job) ? job->spec.n_tasks : MIN(job->n_pending, RESERVED_QUOTA_TASKS);
       held->quota_reserved_for = job;
-      held->reserved_quota
-          = (MmResources){ tasks * job->spec.need.cores, tasks * job->spec.need.accelerators, 0 };
+      held->reserved_quota = (MmResources){ tasks * job->spec.task_resources.cores,
+                                            tasks * job->spec.task_resources.accelerators, 0 };
     }
-    if (held == NULL || job->live == 0)
+    if (held == NULL || job->n_maybe_on_machines == 0)
       continue;
-    held->used.cores += job->live * job->spec.need.cores;
-    held->used.accelerators += job->live * job->spec.need.accelerators;
-    held->used.memory_gb += job->live * job->spec.need.memory_gb;
+    held->used.cores += job->n_maybe_on_machines * job->spec.task_resources.cores;
+    held->used.accelerators += job->n_maybe_on_machines * job->spec.task_resources.accelerators;
+    held->used.memory_gb += job->n_maybe_on_machines * job->spec.task_resources.memory_gb;
   }
 }
 
@@ -425,14 +431,14 @@
       const MmJob *job = mm_job_table_find(job_table, pending->job.s);
       const MmJob **best;
       gint64 waited_ms;
-      if (job == NULL || job->cancelled || job->spec.need.accelerators <= 0
-          || (job->tasks != NULL && job->idle == 0))
+      if (job == NULL || job->is_cancelled || job->spec.task_resources.accelerators <= 0
+          || (job->tasks != NULL && job->n_pending == 0))
         continue;
       n_waiting_jobs++;
-      waited_ms = now_ms - job->waits_from_ms;
+      waited_ms = now_ms - job->waiting_since_ms;
       if (!mm_job_is_gang(job) || waited_ms < wait_bound_ms || waited_ms > YIELD_TO_GANG_MAX_MS)
         continue;
-      best = job->aged ? &starving_gang : &waiting_gang;
+      best = job->is_starving ? &starving_gang : &waiting_gang;
       if (*best == NULL || mm_scheduler_compare_urgency(&job, best) < 0)
         *best = job;
     }
@@ -453,12 +459,14 @@
     return;
   owner->next_slow_tick_at = mm_time_add_ms(now, SLOW_TICK_MS);
   /* The newest first: a job's dependents come after it. */
-  for (guint i = owner->node->job_table->order->len; i > 0; i--) {
-    MmJob *job = g_ptr_array_index(owner->node->job_table->order, i - 1);
+  for (guint i = owner->node->job_table->by_submission->len; i > 0; i--) {
+    MmJob *job = g_ptr_array_index(owner->node->job_table->by_submission, i - 1);
     mm_scheduler_update_urgency(owner, job);
     if (job->tasks != NULL)
-      job->aged = job->live == 0 && job->done.count == 0 && !job->cancelled && mm_job_is_ready(job)
-                  && mm_job_waited_s(owner->node, job) > owner->node->operators->starve_s;
+      job->is_starving
+          = job->n_maybe_on_machines == 0 && job->completed.n_completed == 0 && !job->is_cancelled
+            && mm_job_dependencies_are_done(job)
+            && mm_job_waiting_time_s(owner->node, job) > owner->node->operators->starve_s;
   }
   choose_gang_to_yield_to(owner);
   mm_scheduler_update_guarantees(owner);
--- a/src/owner/owner.h
+++ b/src/owner/owner.h
@@ -130,7 +130,7 @@
 /* owner.c */
 static inline gboolean
 mm_task_is_live(guint8 state) {
-  return state != MM_TASK_IDLE && state != MM_TASK_DONE;
+  return state != MM_TASK_PENDING && state != MM_TASK_DONE;
 }
 void mm_scheduler_set_task_state(MmScheduler *owner, MmJob *job, guint number, guint8 state);
 void mm_scheduler_place_task(MmScheduler *owner, MmJob *job, guint number, MmMachine *machine,
@@ -167,7 +167,7 @@
                                              MmApproval *approval);
 static inline gboolean
 mm_job_is_gang(const MmJob *job) {
-  return job->spec.kind == MM_KIND_GANG && job->spec.tasks > 1;
+  return job->spec.kind == MM_JOB_KIND_GANG && job->spec.n_tasks > 1;
 }
 
 /* guarantee.c */
--- a/src/owner/preempt.c
+++ b/src/owner/preempt.c
@@ -37,15 +37,15 @@
 cheapest_first(const void *a, const void *b) {
   const Victim *x = a, *y = b;
 
-  if (x->job->priority != y->job->priority)
-    return x->job->priority < y->job->priority ? -1 : 1;
+  if (x->job->effective_priority != y->job->effective_priority)
+    return x->job->effective_priority < y->job->effective_priority ? -1 : 1;
   return (int)y->reported->number - (int)x->reported->number;
 }
 
 /* A job that has hardly begun after a long wait keeps the little it has. */
 static gboolean
 is_spared(const MmScheduler *owner, const MmJob *job) {
-  return mm_job_waited_s(owner->node, job) > owner->node->operators->starve_s
+  return mm_job_waiting_time_s(owner->node, job) > owner->node->operators->starve_s
          && mm_machine_table_running_tasks(owner->node->machine_table, job->spec.id.s)
                 <= SPARED_TASKS_MAX;
 }
@@ -57,7 +57,7 @@
                MmResources free_resources, Victim chosen[VICTIMS_MAX]) {
   guint n_candidates = 0, n_chosen = 0;
 
-  if (mm_resources_fits(job->spec.need, free_resources))
+  if (mm_resources_fits(job->spec.task_resources, free_resources))
     return 0;
   for (guint i = 0; i < machine->reported_tasks->len && n_candidates < VICTIMS_MAX; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
@@ -66,21 +66,22 @@
       continue;
     other = mm_job_table_find(owner->node->job_table, reported->job.s);
     if (other != NULL
-        && (other->priority < job->priority || mm_scheduler_may_reclaim_quota(owner, job, other))
+        && (other->effective_priority < job->effective_priority
+            || mm_scheduler_may_reclaim_quota(owner, job, other))
         && !is_spared(owner, other))
       chosen[n_candidates++] = (Victim){ reported, other };
   }
   qsort(chosen, n_candidates, sizeof *chosen, cheapest_first);
-  while (n_chosen < n_candidates && !mm_resources_fits(job->spec.need, free_resources))
-    free_resources = mm_resources_add(free_resources, chosen[n_chosen++].job->spec.need);
-  return mm_resources_fits(job->spec.need, free_resources) ? (gint)n_chosen : -1;
+  while (n_chosen < n_candidates && !mm_resources_fits(job->spec.task_resources, free_resources))
+    free_resources = mm_resources_add(free_resources, chosen[n_chosen++].job->spec.task_resources);
+  return mm_resources_fits(job->spec.task_resources, free_resources) ? (gint)n_chosen : -1;
 }
 
 double
 mm_scheduler_image_fetch_s(const MmJob *job, const MmMachine *machine) {
   if (machine->type == NULL || mm_machine_has_cached_image(machine, &job->spec.image))
     return 0;
-  return job->spec.image_gb / machine->type->fetch_gb_per_s;
+  return job->spec.image_gb / machine->type->image_fetch_gb_per_s;
 }
 
 static double
@@ -126,7 +127,8 @@
  * have been up within a second once waited three for a scan of idle time to save. */
 static double
 victim_grace_s(const MmJob *job, const MmJob *victim) {
-  if (job->priority == MM_CRITICAL && victim->priority == MM_LOW)
+  if (job->effective_priority == MM_PRIORITY_CRITICAL
+      && victim->effective_priority == MM_PRIORITY_LOW)
     return 0;
   return mm_scheduler_stop_grace_s(victim);
 }
@@ -138,9 +140,9 @@
     const Victim *victim = &victims[i];
     mm_info("stopping %s/%u on %s for %s", victim->job->spec.id.s, victim->reported->number,
             machine->id.s, job->spec.id.s);
-    if (victim->job->team >= 0)
-      owner->team_used[victim->job->team]
-          = mm_resources_sub(owner->team_used[victim->job->team], victim->job->spec.need);
+    if (victim->job->team_index >= 0)
+      owner->team_used[victim->job->team_index] = mm_resources_sub(
+          owner->team_used[victim->job->team_index], victim->job->spec.task_resources);
     mm_scheduler_send_stop(owner, machine, &victim->job->spec.id, victim->reported->number,
                            victim->reported->attempt, victim_grace_s(job, victim->job));
   }
@@ -154,10 +156,11 @@
 
   if (!mm_time_before(now, machine->reserved_until))
     machine->reserved_resources = (MmResources){ 0 };
-  machine->reserved_resources = mm_resources_add(machine->reserved_resources, job->spec.need);
+  machine->reserved_resources
+      = mm_resources_add(machine->reserved_resources, job->spec.task_resources);
   machine->reserved_until = mm_time_add_ms(now, 2 * period_ms);
-  task->claimed = mm_time_add_ms(now, period_ms);
-  task->claimed_on = machine->id;
+  task->preempting_until = mm_time_add_ms(now, period_ms);
+  task->preempting_on = machine->id;
 }
 
 void
@@ -167,9 +170,9 @@
   Victim victims[VICTIMS_MAX];
   gint n_victims = 0;
 
-  if (mm_time_before(now, job->tasks[0].claimed))
+  if (mm_time_before(now, job->tasks[0].preempting_until))
     return;
-  job->tasks[0].claimed
+  job->tasks[0].preempting_until
       = mm_time_add_ms(now, (gint64)(owner->node->settings->heartbeat_interval_s * 1000));
   for (guint i = 0; i < order->len && machines > 0; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
@@ -196,7 +199,7 @@
 
     if (delay_s < 0)
       continue;
-    if (job->spec.kind == MM_KIND_SERVICE)
+    if (job->spec.kind == MM_JOB_KIND_SERVICE)
       delay_s += COLOCATED_TASK_PENALTY_S * mm_scheduler_count_colocated_tasks(owner, job, machine);
     if (best != NULL && delay_s >= best_s)
       continue;
@@ -238,11 +241,12 @@
   guint scans_left = REPLICA_MOVE_SCANS_MAX, first_index;
   MmTime now = mm_node_now(node);
   /* A replica may fetch its image for it once the wait has outgrown that. */
-  double fetch_s
-      = mm_time_ms_since(now, task->since) > REPLICA_MOVE_FETCH_S * 1000 ? REPLICA_MOVE_FETCH_S : 0;
+  double fetch_s = mm_time_ms_since(now, task->state_since) > REPLICA_MOVE_FETCH_S * 1000
+                       ? REPLICA_MOVE_FETCH_S
+                       : 0;
 
-  if (job->spec.kind != MM_KIND_SERVICE || mm_time_before(now, owner->next_replica_move_at)
-      || mm_time_ms_since(now, task->since) < REPLICA_MOVE_AFTER_MS)
+  if (job->spec.kind != MM_JOB_KIND_SERVICE || mm_time_before(now, owner->next_replica_move_at)
+      || mm_time_ms_since(now, task->state_since) < REPLICA_MOVE_AFTER_MS)
     return FALSE;
   owner->next_replica_move_at = mm_time_add_ms(now, REPLICA_MOVE_INTERVAL_MS);
   first_index = node->machine_table->sorted_machines->len > 0 ? (guint)g_rand_int_range(
@@ -266,10 +270,11 @@
       MmTask *moved_task = &other->tasks[placed->number];
       MmMachine *target;
 
-      if (other == job || other->cancelled || other->spec.kind != MM_KIND_SERVICE
-          || other->priority > job->priority || moved_task->state != MM_TASK_RUNNING
-          || moved_task->stopping
-          || !mm_resources_fits(job->spec.need, mm_resources_add(free_resources, other->spec.need)))
+      if (other == job || other->is_cancelled || other->spec.kind != MM_JOB_KIND_SERVICE
+          || other->effective_priority > job->effective_priority
+          || moved_task->state != MM_TASK_RUNNING || moved_task->is_stopping
+          || !mm_resources_fits(job->spec.task_resources,
+                                mm_resources_add(free_resources, other->spec.task_resources)))
         continue;
       if (scans_left-- == 0)
         return FALSE;
@@ -279,7 +284,7 @@
       mm_info("moving %s/%u from %s to %s to make room for %s", other->spec.id.s, placed->number,
               machine->id.s, target->id.s, job->spec.id.s);
       reserve_resources(owner, job, task, machine);
-      moved_task->avoid = machine->id;
+      moved_task->last_failed_on = machine->id;
       mm_scheduler_stop_task(owner, other, placed->number);
       return TRUE;
     }
@@ -294,16 +299,17 @@
 preempt_for_job(MmScheduler *owner, MmJob *job, guint max_tries) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
-  gint64 bound_ms = job->priority >= MM_URGENT ? (gint64)(node->operators->preempt_after_s * 1000)
-                                               : QUOTA_RECLAIM_AFTER_MS;
+  gint64 bound_ms = job->effective_priority >= MM_PRIORITY_URGENT
+                        ? (gint64)(node->operators->preempt_after_s * 1000)
+                        : QUOTA_RECLAIM_AFTER_MS;
   guint tries = 0;
 
-  for (guint i = job->first_idle; i < job->spec.tasks && tries < max_tries; i++) {
+  for (guint i = job->first_pending; i < job->spec.n_tasks && tries < max_tries; i++) {
     MmTask *task = &job->tasks[i];
-    if (task->state != MM_TASK_IDLE)
+    if (task->state != MM_TASK_PENDING)
       continue;
-    if (mm_time_before(now, task->claimed) || mm_time_before(now, task->not_before)
-        || mm_time_ms_since(now, task->since) < bound_ms)
+    if (mm_time_before(now, task->preempting_until) || mm_time_before(now, task->retry_not_before)
+        || mm_time_ms_since(now, task->state_since) < bound_ms)
       continue;
     tries++;
     if (!preempt_for_task(owner, job, task) && !move_replica(owner, job, task))
@@ -319,9 +325,9 @@
 low_priority_work_runs(const MmScheduler *owner) {
   const MmJobTable *job_table = owner->node->job_table;
 
-  for (guint i = 0; i < job_table->order->len; i++) {
-    const MmJob *job = g_ptr_array_index(job_table->order, i);
-    if (job->priority == MM_LOW
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    if (job->effective_priority == MM_PRIORITY_LOW
         && mm_machine_table_running_tasks(owner->node->machine_table, job->spec.id.s)
                > SPARED_TASKS_MAX)
       return TRUE;
@@ -332,7 +338,7 @@
 /* Neither urgent nor within a guarantee: it may only stop work of the lowest priority. */
 static gboolean
 is_ordinary(const MmJob *job) {
-  return job->priority < MM_URGENT && !job->within;
+  return job->effective_priority < MM_PRIORITY_URGENT && !job->is_within_quota;
 }
 
 /* A few jobs a round, most pressing first, each round going on where the last one stopped: each
@@ -351,9 +357,10 @@
                                                : preemptions_left);
     guint tries;
 
-    if (job->idle == 0 || max_tries == 0 || (ordinary && job->priority <= MM_LOW)
+    if (job->n_pending == 0 || max_tries == 0
+        || (ordinary && job->effective_priority <= MM_PRIORITY_LOW)
         || !mm_scheduler_job_is_schedulable(owner, job)
-        || !mm_scheduler_quota_allows(owner, job->held, job, 1))
+        || !mm_scheduler_quota_allows(owner, job->led_shard, job, 1))
       continue;
     tries = preempt_for_job(owner, job, max_tries);
     tasks_left -= tries;
--- a/src/owner/record.c
+++ b/src/owner/record.c
@@ -40,17 +40,18 @@
     MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
 
     if (status == 200 && written_job->terminal_record != NULL)
-      mm_job_table_keep_final(node->job_table, written_job->id.s, written_job->terminal_record);
+      mm_job_table_add_terminal_record(node->job_table, written_job->id.s,
+                                       written_job->terminal_record);
     if (job == NULL)
       continue;
-    job->writing = FALSE;
+    job->is_being_written = FALSE;
     if (status != 200) {
-      job->dirty = mm_node_now(node);
+      job->unwritten_since = mm_node_now(node);
       continue;
     }
     if (written_job->terminal_record == NULL) {
-      mm_done_set_parse(&job->recorded, written_job->completed_text);
-      job->version.v = MAX(job->version.v, revision);
+      mm_completed_tasks_add_text(&job->recorded_completed, written_job->completed_text);
+      job->record_version.v = MAX(job->record_version.v, revision);
     }
   }
   g_array_unref(write->jobs);
@@ -59,20 +60,22 @@
 
 static gboolean
 needs_terminal_record(MmScheduler *owner, const MmJob *job) {
-  if (job->cancelled)
-    return job->live == 0
-           && (mm_job_needs_cancelled(job) || mm_scheduler_knows_all_starts(owner, job));
-  return job->spec.kind != MM_KIND_SERVICE && job->done.count == job->spec.tasks;
+  if (job->is_cancelled)
+    return job->n_maybe_on_machines == 0
+           && (mm_job_has_cancelled_dependency(job) || mm_scheduler_knows_all_starts(owner, job));
+  return job->spec.kind != MM_JOB_KIND_SERVICE && job->completed.n_completed == job->spec.n_tasks;
 }
 
 /* The longest done set's text that fits beside the rest of the record. */
 static char *
 completed_tasks_text(const MmScheduler *owner, const MmJob *job) {
-  g_autoptr(json_t) bare_record = mm_job_record(&job->spec, job->submitted_ms, FALSE, NULL);
+  g_autoptr(json_t) bare_record
+      = mm_job_record_to_json(&job->spec, job->submitted_at_ms, FALSE, NULL);
   gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + 64;
   gsize max_bytes = mm_kv_client_max_value_bytes(owner->node->store);
 
-  return mm_done_set_text(&job->done, max_bytes > record_bytes ? max_bytes - record_bytes : 0);
+  return mm_completed_tasks_to_text(&job->completed,
+                                    max_bytes > record_bytes ? max_bytes - record_bytes : 0);
 }
 
 static void
@@ -80,28 +83,29 @@
              MmJob *job, gboolean is_terminal) {
   WrittenJob written_job = { .id = job->spec.id };
 
-  mm_transaction_require_version(transaction, MM_KEY_JOB, job->spec.id.s, job->version);
+  mm_transaction_require_version(transaction, MM_KEY_JOB, job->spec.id.s, job->record_version);
   mm_transaction_require_version(transaction, MM_KEY_SHARD, held->name, held->version);
   if (is_terminal) {
     mm_info("%s (%s, %u tasks, guess %.0f s) is %s after %.1f s, due %.0f s, runs seen %.0f s",
-            job->spec.id.s, job->spec.job_class.s, job->spec.tasks, job->spec.estimate_s,
-            job->cancelled ? WIRE_CANCELLED : WIRE_DONE, mm_job_waited_s(owner->node, job),
-            job->spec.deadline_s, job->seen_n > 0 ? job->seen_s / job->seen_n : 0);
-    written_job.terminal_record = mm_final_record(
-        &(MmFinalState){ job->cancelled, job->done.count, mm_node_wall_ms(owner->node) });
+            job->spec.id.s, job->spec.job_class.s, job->spec.n_tasks, job->spec.run_estimate_s,
+            job->is_cancelled ? WIRE_CANCELLED : WIRE_DONE, mm_job_waiting_time_s(owner->node, job),
+            job->spec.deadline_s,
+            job->n_observed_runs > 0 ? job->observed_run_s_sum / job->n_observed_runs : 0);
+    written_job.terminal_record = mm_terminal_record_to_json(&(MmTerminalState){
+        job->is_cancelled, job->completed.n_completed, mm_node_wall_ms(owner->node) });
     mm_transaction_put(transaction, MM_KEY_TERMINAL_RECORD, job->spec.id.s,
                        json_incref(written_job.terminal_record), 0);
     mm_transaction_delete(transaction, MM_KEY_JOB, job->spec.id.s);
   } else {
     written_job.completed_text = completed_tasks_text(owner, job);
-    mm_transaction_put(
-        transaction, MM_KEY_JOB, job->spec.id.s,
-        mm_job_record(&job->spec, job->submitted_ms, job->cancelled, written_job.completed_text),
-        0);
+    mm_transaction_put(transaction, MM_KEY_JOB, job->spec.id.s,
+                       mm_job_record_to_json(&job->spec, job->submitted_at_ms, job->is_cancelled,
+                                             written_job.completed_text),
+                       0);
   }
-  job->writing = TRUE;
-  job->dirty.us = 0;
-  job->wrote = mm_node_now(owner->node);
+  job->is_being_written = TRUE;
+  job->unwritten_since.us = 0;
+  job->last_write_at = mm_node_now(owner->node);
   g_array_append_val(write->jobs, written_job);
 }
 
@@ -120,12 +124,12 @@
   write = g_new(JobWrite, 1);
   *write = (JobWrite){ owner, g_array_new(FALSE, TRUE, sizeof(WrittenJob)) };
   g_array_set_clear_func(write->jobs, written_job_clear);
-  for (guint i = 0; i < node->job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->order, i);
+  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     MmLedShard *held = job->tasks != NULL ? mm_scheduler_shard_of_job(owner, job) : NULL;
     gboolean is_terminal;
 
-    if (held == NULL || job->writing)
+    if (held == NULL || job->is_being_written)
       continue;
     is_terminal = needs_terminal_record(owner, job);
     if (transaction.n_operations + 2 > max_ops
@@ -134,14 +138,14 @@
       break;
     /* Dependents of a cancelled job show as cancelled without a record that says so: there may be
      * thousands, and their records can wait. */
-    if (is_terminal && mm_job_needs_cancelled(job)
+    if (is_terminal && mm_job_has_cancelled_dependency(job)
         && !mm_kv_client_try_spend_writes(node->store, 2))
       continue;
-    if (is_terminal && mm_time_ms_since(now, job->wrote) > 100) {
+    if (is_terminal && mm_time_ms_since(now, job->last_write_at) > 100) {
       add_to_write(owner, &transaction, write, held, job, TRUE);
-    } else if (!is_terminal && !job->cancelled && job->dirty.us != 0
-               && mm_time_ms_since(now, job->dirty) >= JOB_WRITE_DELAY_MS
-               && mm_time_ms_since(now, job->wrote) >= JOB_WRITE_INTERVAL_MS
+    } else if (!is_terminal && !job->is_cancelled && job->unwritten_since.us != 0
+               && mm_time_ms_since(now, job->unwritten_since) >= JOB_WRITE_DELAY_MS
+               && mm_time_ms_since(now, job->last_write_at) >= JOB_WRITE_INTERVAL_MS
                && mm_kv_client_try_spend_writes(node->store, 1)) {
       add_to_write(owner, &transaction, write, held, job, FALSE);
     }
--- a/src/owner/reports.c
+++ b/src/owner/reports.c
@@ -12,14 +12,14 @@
   MmEstimateError *estimate_error
       = g_hash_table_lookup(owner->estimate_errors, job->spec.job_class.s);
 
-  if (job->spec.estimate_s <= 0)
+  if (job->spec.run_estimate_s <= 0)
     return;
   if (estimate_error == NULL) {
     estimate_error = g_new0(MmEstimateError, 1);
     g_hash_table_insert(owner->estimate_errors, g_strdup(job->spec.job_class.s), estimate_error);
   }
   estimate_error->actual_s = estimate_error->actual_s * 0.98 + ran_s;
-  estimate_error->estimated_s = estimate_error->estimated_s * 0.98 + job->spec.estimate_s;
+  estimate_error->estimated_s = estimate_error->estimated_s * 0.98 + job->spec.run_estimate_s;
 }
 
 static void
@@ -27,21 +27,21 @@
   MmTask *task = &job->tasks[number];
   MmTime now = mm_node_now(owner->node);
 
-  if (task->state == MM_TASK_DONE || job->spec.kind == MM_KIND_SERVICE)
+  if (task->state == MM_TASK_DONE || job->spec.kind == MM_JOB_KIND_SERVICE)
     return;
   if (task->state == MM_TASK_RUNNING) {
-    double ran_s = (double)mm_time_ms_since(now, task->since) / 1000.0;
-    job->seen_s += ran_s;
-    job->seen_n++;
+    double ran_s = (double)mm_time_ms_since(now, task->state_since) / 1000.0;
+    job->observed_run_s_sum += ran_s;
+    job->n_observed_runs++;
     learn_run_time(owner, job, ran_s);
   }
   if (task->machine != NULL)
     mm_scheduler_unplace_task(owner, job, number);
   mm_scheduler_set_task_state(owner, job, number, MM_TASK_DONE);
-  mm_done_set_add(&job->done, number);
-  job->failed_tasks = 0;
-  if (job->dirty.us == 0)
-    job->dirty = now;
+  mm_completed_tasks_add(&job->completed, number);
+  job->n_consecutive_errors = 0;
+  if (job->unwritten_since.us == 0)
+    job->unwritten_since = now;
 }
 
 /* What each cause of ending asks for. The task has left the machine in every case. */
@@ -53,12 +53,13 @@
   mm_scheduler_unplace_task(owner, job, number);
   switch (cause) {
   case MM_CAUSE_ERROR:
-    task->errors = MIN(task->errors + 1, 10);
-    task->avoid = machine->id;
-    task->not_before = mm_time_add_ms(now, MIN(500 << task->errors, 30000));
+    task->n_errors = MIN(task->n_errors + 1, 10);
+    task->last_failed_on = machine->id;
+    task->retry_not_before = mm_time_add_ms(now, MIN(500 << task->n_errors, 30000));
     /* A job that fails everywhere may not hog the fleet. */
-    if (++job->failed_tasks >= 4)
-      job->paused_until = mm_time_add_ms(now, MIN(2000 << MIN(job->failed_tasks - 4, 5), 60000));
+    if (++job->n_consecutive_errors >= 4)
+      job->paused_until
+          = mm_time_add_ms(now, MIN(2000 << MIN(job->n_consecutive_errors - 4, 5), 60000));
     break;
   case MM_CAUSE_NO_RESOURCES:
     /* Our idea of its room was wrong; the next report but one shows better. */
@@ -67,7 +68,7 @@
     break;
   case MM_CAUSE_NO_SUCH_TASK:
     /* The user has not uploaded it yet, or never does. */
-    task->not_before = mm_time_add_ms(now, 2000);
+    task->retry_not_before = mm_time_add_ms(now, 2000);
     break;
   case MM_CAUSE_OTHER_ATTEMPT: /* the other attempt shows in the same report */
   case MM_CAUSE_GANG_INCOMPLETE:
@@ -81,7 +82,7 @@
 static MmTaskState
 state_of_reported(guint8 reported_state) {
   static const MmTaskState map[]
-      = { MM_TASK_FETCHING, MM_TASK_WAITING, MM_TASK_RUNNING, MM_TASK_SAVING };
+      = { MM_TASK_FETCHING, MM_TASK_WAITING_FOR_GANG, MM_TASK_RUNNING, MM_TASK_SAVING };
   return map[MIN(reported_state, MM_REPORTED_CHECKPOINTING)];
 }
 
@@ -98,11 +99,11 @@
       task_ended(owner, job, reported->number, machine, reported->cause);
     return;
   }
-  if (is_same_attempt || !mm_task_is_live(task->state) || task->state == MM_TASK_RESERVED
+  if (is_same_attempt || !mm_task_is_live(task->state) || task->state == MM_TASK_PLACE_RESERVED
       || task->machine == machine) {
     if (task->state == MM_TASK_DONE)
       return; /* to be stopped, see commands_for */
-    if (is_same_attempt && task->state == MM_TASK_ISSUED)
+    if (is_same_attempt && task->state == MM_TASK_START_SENT)
       machine->consecutive_refused_starts = 0;
     mm_scheduler_place_task(owner, job, reported->number, machine,
                             state_of_reported(reported->state), reported->attempt);
@@ -129,9 +130,9 @@
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
     unsettled = unsettled || job == NULL || reported->state == MM_REPORTED_ENDED;
-    if (job == NULL || job->tasks == NULL || reported->number >= job->spec.tasks)
+    if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
       continue;
-    if (only_shard == NULL || strcmp(only_shard, job->part) == 0)
+    if (only_shard == NULL || strcmp(only_shard, job->shard) == 0)
       apply_reported_task(owner, machine, job, reported);
     unsettled = unsettled || job->tasks[reported->number].machine != machine;
   }
@@ -150,18 +151,18 @@
     guint number = placed->number;
     MmTask *task = &job->tasks[number];
 
-    if (task->state == MM_TASK_RESERVED
+    if (task->state == MM_TASK_PLACE_RESERVED
         || mm_machine_find_reported_task(machine, &job->spec.id, number, task->attempt) != NULL)
       continue;
-    if (task->state == MM_TASK_ISSUED) {
+    if (task->state == MM_TASK_START_SENT) {
       gboolean is_start_refused
-          = heartbeat->heartbeat_id.incarnation > task->issued.incarnation
+          = heartbeat->heartbeat_id.incarnation > task->start_heartbeat_id.incarnation
             || (!heartbeat->is_direct_reply
-                && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->issued));
+                && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
       if (!is_start_refused)
         continue;
       mm_debug("start of %s/%u on %s was not carried out", job->spec.id.s, number, machine->id.s);
-      if (heartbeat->heartbeat_id.incarnation == task->issued.incarnation)
+      if (heartbeat->heartbeat_id.incarnation == task->start_heartbeat_id.incarnation)
         mm_machine_health_record_refused_start(owner->node->machine_table, machine);
     }
     mm_scheduler_unplace_task(owner, job, number);
@@ -180,27 +181,29 @@
     MmCommand command = { MM_OP_FORGET, reported->job, reported->number, reported->attempt, 0 };
     MmTask *task;
 
-    if (job == NULL || job->tasks == NULL || reported->number >= job->spec.tasks)
+    if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
       continue;
     task = &job->tasks[reported->number];
     if (reported->state == MM_REPORTED_ENDED) {
       /* The result is forgotten here only once the state service holds it. */
-      if (reported->cause == MM_CAUSE_DONE && job->spec.kind != MM_KIND_SERVICE
-          && !mm_done_set_has(&job->recorded, reported->number) && !job->cancelled)
+      if (reported->cause == MM_CAUSE_DONE && job->spec.kind != MM_JOB_KIND_SERVICE
+          && !mm_completed_tasks_contains(&job->recorded_completed, reported->number)
+          && !job->is_cancelled)
         continue;
       g_array_append_val(commands, command);
       continue;
     }
     command.op = MM_OP_STOP;
     command.grace_s = mm_scheduler_stop_grace_s(job);
-    if (job->cancelled || task->state == MM_TASK_DONE
-        || (task->stopping && task->machine == machine && mm_time_ms_since(now, task->told) > 500
+    if (job->is_cancelled || task->state == MM_TASK_DONE
+        || (task->is_stopping && task->machine == machine
+            && mm_time_ms_since(now, task->stop_sent_at) > 500
             && reported->state != MM_REPORTED_CHECKPOINTING)) {
       g_array_append_val(commands, command);
-    } else if (machine->has_termination_notice && !task->stopping && task->machine == machine) {
+    } else if (machine->has_termination_notice && !task->is_stopping && task->machine == machine) {
       /* The machine is about to be taken: save, or at least start again elsewhere sooner. */
-      task->stopping = TRUE;
-      task->told = now;
+      task->is_stopping = TRUE;
+      task->stop_sent_at = now;
       g_array_append_val(commands, command);
     }
   }
--- a/src/owner/urgency.c
+++ b/src/owner/urgency.c
@@ -20,9 +20,10 @@
 
 gboolean
 mm_scheduler_has_precedence(const MmScheduler *owner, const MmJob *job) {
-  return job->aged || job->priority >= MM_URGENT
-         || mm_job_waited_s(owner->node, job)
-                > (job->within ? GUARANTEED_START_S : owner->node->operators->wait_bound_s);
+  return job->is_starving || job->effective_priority >= MM_PRIORITY_URGENT
+         || mm_job_waiting_time_s(owner->node, job) > (job->is_within_quota
+                                                           ? GUARANTEED_START_S
+                                                           : owner->node->operators->wait_bound_s);
 }
 
 /* When the last task must have started for the aim, in seconds from the job's submission. */
@@ -51,9 +52,9 @@
                      ? estimate_error->actual_s / estimate_error->estimated_s
                      : 1;
 
-  if (job->seen_n > 0)
-    return job->seen_s / job->seen_n;
-  return job->spec.estimate_s * CLAMP(ratio, 0.25, 4);
+  if (job->n_observed_runs > 0)
+    return job->observed_run_s_sum / job->n_observed_runs;
+  return job->spec.run_estimate_s * CLAMP(ratio, 0.25, 4);
 }
 
 /* How many rounds the unassigned tasks need where the team's limit lets only so many run at once.
@@ -61,14 +62,14 @@
 static double
 estimate_rounds(const MmScheduler *owner, const MmJob *job) {
   const MmTeamSettings *team = mm_settings_team(owner->node->settings, &job->spec.team);
-  double n_parallel = job->spec.tasks;
-
-  if (team != NULL && team->limit.cores > 0 && job->spec.need.cores > 0)
-    n_parallel = MIN(n_parallel, floor(team->limit.cores / job->spec.need.cores + 1e-6));
-  if (team != NULL && team->limit.accelerators > 0 && job->spec.need.accelerators > 0)
-    n_parallel
-        = MIN(n_parallel, floor(team->limit.accelerators / job->spec.need.accelerators + 1e-6));
-  return MAX(ceil((double)job->idle / MAX(n_parallel, 1)), 1);
+  double n_parallel = job->spec.n_tasks;
+
+  if (team != NULL && team->limit.cores > 0 && job->spec.task_resources.cores > 0)
+    n_parallel = MIN(n_parallel, floor(team->limit.cores / job->spec.task_resources.cores + 1e-6));
+  if (team != NULL && team->limit.accelerators > 0 && job->spec.task_resources.accelerators > 0)
+    n_parallel = MIN(
+        n_parallel, floor(team->limit.accelerators / job->spec.task_resources.accelerators + 1e-6));
+  return MAX(ceil((double)job->n_pending / MAX(n_parallel, 1)), 1);
 }
 
 /* By when the job must be given machines for the first of its own aims that it can still meet. */
@@ -83,11 +84,12 @@
     const MmObjective *aim = &g_array_index(settings->objectives, MmObjective, i);
     double start_s;
     gint64 counted_from_ms, start_ms;
-    if (aim->kind == MM_OBJECTIVE_QUOTA ? !job->within
+    if (aim->kind == MM_OBJECTIVE_QUOTA ? !job->is_within_quota
                                         : !mm_name_equal(&aim->job_class, &job->spec.job_class))
       continue;
     start_s = aim_start_s(job, aim, run_s);
-    counted_from_ms = aim->kind == MM_OBJECTIVE_DEADLINE ? job->submitted_ms : job->waits_from_ms;
+    counted_from_ms
+        = aim->kind == MM_OBJECTIVE_DEADLINE ? job->submitted_at_ms : job->waiting_since_ms;
     start_ms = counted_from_ms + (gint64)(start_s * 1000);
     has_own_aim = has_own_aim || (start_s >= 0 && aim->kind != MM_OBJECTIVE_QUOTA);
     if (start_s >= 0 && start_ms >= now_ms && start_ms < due_ms)
@@ -95,9 +97,9 @@
   }
   /* Without any aim of its own, its deadline or its age counts. */
   if (!has_own_aim && job->spec.deadline_s >= 0)
-    due_ms = job->submitted_ms + (gint64)(MAX(job->spec.deadline_s - run_s, 0) * 1000);
+    due_ms = job->submitted_at_ms + (gint64)(MAX(job->spec.deadline_s - run_s, 0) * 1000);
   else if (!has_own_aim)
-    due_ms = job->waits_from_ms;
+    due_ms = job->waiting_since_ms;
   return due_ms;
 }
 
@@ -105,8 +107,8 @@
  * over. */
 static gint64
 deadline_due_ms(const MmJob *job) {
-  return job->spec.deadline_s >= 0 ? MIN(job->due_ms, job->inherited_due_ms)
-                                   : job->inherited_due_ms;
+  return job->spec.deadline_s >= 0 ? MIN(job->due_at_ms, job->inherited_due_at_ms)
+                                   : job->inherited_due_at_ms;
 }
 
 /* Takes over what the unfinished jobs that depend on this one ask for. Their own values may be as
@@ -117,18 +119,18 @@
   gint64 dependents_due_ms = NO_DUE_TIME_MS;
 
   job->inherited_priority = job->spec.priority;
-  job->inherited_due_ms = NO_DUE_TIME_MS;
+  job->inherited_due_at_ms = NO_DUE_TIME_MS;
   for (guint i = 0; job->vertex != NULL && i < job->vertex->dependents->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(job->vertex->dependents, i);
-    const MmJob *dependent = mm_job_table_find(job_table, vertex->job.s);
-    if (dependent == NULL || dependent->cancelled)
+    const MmJob *dependent = mm_job_table_find(job_table, vertex->job_id.s);
+    if (dependent == NULL || dependent->is_cancelled)
       continue;
     job->inherited_priority = MAX(job->inherited_priority, dependent->inherited_priority);
     dependents_due_ms = MIN(dependents_due_ms, deadline_due_ms(dependent));
   }
   if (dependents_due_ms != NO_DUE_TIME_MS)
-    job->inherited_due_ms = MAX(dependents_due_ms - DEPENDENCY_STAGE_MS - (gint64)(run_s * 1000),
-                                mm_node_wall_ms(owner->node));
+    job->inherited_due_at_ms = MAX(dependents_due_ms - DEPENDENCY_STAGE_MS - (gint64)(run_s * 1000),
+                                   mm_node_wall_ms(owner->node));
 }
 
 /* While there is time until the deadline that it has taken over, a job goes in the order of what is
@@ -136,11 +138,11 @@
  * pipelines gained, which were done long before their deadlines. */
 static MmPriority
 effective_priority(const MmScheduler *owner, const MmJob *job) {
-  gint64 slack_ms = job->inherited_due_ms - mm_node_wall_ms(owner->node);
+  gint64 slack_ms = job->inherited_due_at_ms - mm_node_wall_ms(owner->node);
 
-  if (job->inherited_due_ms == NO_DUE_TIME_MS || slack_ms <= INHERITED_DEADLINE_MARGIN_MS)
+  if (job->inherited_due_at_ms == NO_DUE_TIME_MS || slack_ms <= INHERITED_DEADLINE_MARGIN_MS)
     return job->inherited_priority;
-  return MAX(job->spec.priority, MIN(job->inherited_priority, MM_NORMAL));
+  return MAX(job->spec.priority, MIN(job->inherited_priority, MM_PRIORITY_NORMAL));
 }
 
 void
@@ -148,25 +150,25 @@
   double run_s = estimate_run_s(owner, job) * estimate_rounds(owner, job);
 
   inherit_from_dependents(owner, job, run_s);
-  job->priority = effective_priority(owner, job);
-  job->due_ms = MIN(own_due_ms(owner, job, run_s), job->inherited_due_ms);
+  job->effective_priority = effective_priority(owner, job);
+  job->due_at_ms = MIN(own_due_ms(owner, job, run_s), job->inherited_due_at_ms);
 }
 
 gint
 mm_scheduler_compare_urgency(gconstpointer a, gconstpointer b) {
   const MmJob *x = *(MmJob *const *)a, *y = *(MmJob *const *)b;
 
-  if (x->aged != y->aged)
-    return x->aged ? -1 : 1;
-  if (x->aged && x->waits_from_ms != y->waits_from_ms)
-    return x->waits_from_ms < y->waits_from_ms ? -1 : 1;
-  if (x->priority != y->priority)
-    return x->priority > y->priority ? -1 : 1;
-  if (x->favoured != y->favoured)
-    return x->favoured ? -1 : 1;
-  if (x->due_ms != y->due_ms)
-    return x->due_ms < y->due_ms ? -1 : 1;
-  if (x->submitted_ms != y->submitted_ms)
-    return x->submitted_ms < y->submitted_ms ? -1 : 1;
+  if (x->is_starving != y->is_starving)
+    return x->is_starving ? -1 : 1;
+  if (x->is_starving && x->waiting_since_ms != y->waiting_since_ms)
+    return x->waiting_since_ms < y->waiting_since_ms ? -1 : 1;
+  if (x->effective_priority != y->effective_priority)
+    return x->effective_priority > y->effective_priority ? -1 : 1;
+  if (x->has_quota_precedence != y->has_quota_precedence)
+    return x->has_quota_precedence ? -1 : 1;
+  if (x->due_at_ms != y->due_at_ms)
+    return x->due_at_ms < y->due_at_ms ? -1 : 1;
+  if (x->submitted_at_ms != y->submitted_at_ms)
+    return x->submitted_at_ms < y->submitted_at_ms ? -1 : 1;
   return strcmp(x->spec.id.s, y->spec.id.s);
 }
--- a/src/peers/links.c
+++ b/src/peers/links.c
@@ -118,10 +118,10 @@
   links->peers[peer].up = TRUE;
   mm_debug("link to %s stands", links->peers[peer].label.s);
   mm_links_tell_answered(links, peer);
-  for (guint i = 0; i < job_table->order->len; i++) {
-    const MmJob *job = g_ptr_array_index(job_table->order, i);
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     /* What depends on a cancelled job, the peer works out by itself. */
-    if (job->cancelled && !mm_job_needs_cancelled(job))
+    if (job->is_cancelled && !mm_job_has_cancelled_dependency(job))
       mm_links_tell_cancelled_to(links, peer, job->spec.id.s);
   }
   mm_placement_send_backlog(links->node->rank, (gint)peer);
@@ -380,7 +380,7 @@
       mm_links_tell_cancel_ack(links, peer_index, frame->cancelled->job);
     break;
   case MM__FRAME__BODY_CANCEL_ACK:
-    mm_api_cancel_acked(links->node->api, peer_index, frame->cancel_ack->job);
+    mm_job_api_cancel_acked(links->node->api, peer_index, frame->cancel_ack->job);
     break;
   case MM__FRAME__BODY_GONE:
     mm_machine_table_record_termination(links->node->machine_table, frame->gone->machine);
--- a/src/rank/rank.c
+++ b/src/rank/rank.c
@@ -131,7 +131,7 @@
     pending->has_precedence = item->first;
     pending->is_starving = item->aged;
     if (job != NULL && job->tasks == NULL)
-      job->aged = item->aged;
+      job->is_starving = item->aged;
     pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
     g_array_append_vals(pending->ranges, item->ranges, (guint)(item->n_ranges & ~(size_t)1));
     g_ptr_array_add(view->pending, pending);
@@ -168,20 +168,21 @@
 /* Where the job's own words allow it at all. */
 gboolean
 mm_placement_allows(const MmJob *job, const MmMachine *machine) {
-  return mm_spec_allows(&job->spec, &machine->type_name, &machine->zone, machine->is_spot);
+  return mm_job_spec_allows_machine(&job->spec, &machine->type_name, &machine->zone,
+                                    machine->is_spot);
 }
 
 void
-mm_placement_note_accelerated_job(MmPlacement *rank, const MmSpec *spec) {
-  if (spec->need.accelerators <= 0)
+mm_placement_note_accelerated_job(MmPlacement *rank, const MmJobSpec *spec) {
+  if (spec->task_resources.accelerators <= 0)
     return;
   rank->has_seen_accelerated_work = TRUE;
   rank->max_accelerated_priority = MAX(rank->max_accelerated_priority, spec->priority);
-  rank->accelerated_may_use_spot = rank->accelerated_may_use_spot || spec->spot;
+  rank->accelerated_may_use_spot = rank->accelerated_may_use_spot || spec->allows_spot;
   rank->largest_accelerated_need.cores
-      = MAX(rank->largest_accelerated_need.cores, spec->need.cores);
+      = MAX(rank->largest_accelerated_need.cores, spec->task_resources.cores);
   rank->largest_accelerated_need.memory_gb
-      = MAX(rank->largest_accelerated_need.memory_gb, spec->need.memory_gb);
+      = MAX(rank->largest_accelerated_need.memory_gb, spec->task_resources.memory_gb);
 }
 
 /* What work without accelerators takes of the machine: all that is taken, less the accelerated
@@ -189,14 +190,14 @@
  * good. */
 static MmResources
 taken_by_other_work(const MmPlacement *rank, const MmMachine *machine, MmResources free_resources) {
-  MmResources taken = mm_resources_sub(machine->type->room, free_resources);
+  MmResources taken = mm_resources_sub(machine->type->resources, free_resources);
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *task_job = mm_job_table_find(rank->node->job_table, reported->job.s);
     if (reported->state != MM_REPORTED_ENDED && task_job != NULL
-        && task_job->spec.need.accelerators > 0)
-      taken = mm_resources_sub(taken, task_job->spec.need);
+        && task_job->spec.task_resources.accelerators > 0)
+      taken = mm_resources_sub(taken, task_job->spec.task_resources);
   }
   return taken;
 }
@@ -204,9 +205,9 @@
 static gboolean
 is_unpreemptible(const MmPlacement *rank, const MmJob *job) {
   MmPriority outranked_priority
-      = rank->has_seen_accelerated_work ? rank->max_accelerated_priority : MM_URGENT;
+      = rank->has_seen_accelerated_work ? rank->max_accelerated_priority : MM_PRIORITY_URGENT;
 
-  return job->spec.need.accelerators <= 0 && job->priority > outranked_priority;
+  return job->spec.task_resources.accelerators <= 0 && job->effective_priority > outranked_priority;
 }
 
 /* What accelerated work could not stop. Counting arrays as well once gave up every such machine at
@@ -220,13 +221,13 @@
     const MmJob *task_job = mm_job_table_find(rank->node->job_table, reported->job.s);
     if (reported->state != MM_REPORTED_ENDED && task_job != NULL
         && is_unpreemptible(rank, task_job))
-      taken = mm_resources_add(taken, task_job->spec.need);
+      taken = mm_resources_add(taken, task_job->spec.task_resources);
   }
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
-    if (placed->job->tasks[placed->number].state == MM_TASK_ISSUED
+    if (placed->job->tasks[placed->number].state == MM_TASK_START_SENT
         && is_unpreemptible(rank, placed->job))
-      taken = mm_resources_add(taken, placed->job->spec.need);
+      taken = mm_resources_add(taken, placed->job->spec.task_resources);
   }
   return taken;
 }
@@ -245,7 +246,7 @@
  * first. */
 static gboolean
 fits_largest_task(const MmPlacement *rank, const MmMachine *machine, MmResources taken) {
-  MmResources capacity = machine->type->room;
+  MmResources capacity = machine->type->resources;
 
   if (!rank->has_seen_accelerated_work)
     return taken.cores <= MM_RESOURCES_SLACK;
@@ -260,7 +261,7 @@
     for (guint i = 0; i < rank->views[v].pending->len; i++) {
       const MmPendingTasks *pending = g_ptr_array_index(rank->views[v].pending, i);
       const MmJob *job = mm_job_table_find(rank->node->job_table, pending->job.s);
-      if (job != NULL && !job->cancelled && job->spec.need.accelerators > 0)
+      if (job != NULL && !job->is_cancelled && job->spec.task_resources.accelerators > 0)
         return TRUE;
     }
   return FALSE;
@@ -271,7 +272,8 @@
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *job = mm_job_table_find(rank->node->job_table, reported->job.s);
-    if (reported->state != MM_REPORTED_ENDED && job != NULL && job->spec.need.accelerators > 0)
+    if (reported->state != MM_REPORTED_ENDED && job != NULL
+        && job->spec.task_resources.accelerators > 0)
       return TRUE;
   }
   return FALSE;
@@ -296,7 +298,7 @@
   for (guint i = 0; i < order->len; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
     if (!mm_machine_is_usable(rank->node->machine_table, machine)
-        || machine->type->room.accelerators <= 0
+        || machine->type->resources.accelerators <= 0
         || (machine->is_spot && !rank->accelerated_may_use_spot))
       continue;
     ++*n_all;
@@ -332,23 +334,23 @@
   gboolean is_released;
   MmResources taken;
 
-  if (machine->type == NULL || machine->type->room.accelerators <= 0
-      || job->spec.need.accelerators > 0)
+  if (machine->type == NULL || machine->type->resources.accelerators <= 0
+      || job->spec.task_resources.accelerators > 0)
     return MM_RESERVE_KEPT;
-  if (!rank->has_seen_accelerated_work && job->spec.kind != MM_KIND_SERVICE)
+  if (!rank->has_seen_accelerated_work && job->spec.kind != MM_JOB_KIND_SERVICE)
     return MM_RESERVE_KEPT;
   if (rank->has_seen_accelerated_work && machine->is_spot && !rank->accelerated_may_use_spot)
     return MM_RESERVE_KEPT;
   if (is_demand_unknown(rank))
     return MM_RESERVE_WOULD_SHRINK;
   taken = taken_by_other_work(rank, machine, free_resources);
-  if (fits_largest_task(rank, machine, mm_resources_add(taken, job->spec.need)))
+  if (fits_largest_task(rank, machine, mm_resources_add(taken, job->spec.task_resources)))
     return MM_RESERVE_KEPT;
   is_released = !fits_largest_task(rank, machine, taken_by_unpreemptible_work(rank, machine));
   /* Beside services that keep accelerated work away, other work takes nothing from it, and can be
    * stopped for it. A quarter of all room once lay idle there while arrays waited for minutes. */
-  if (job->priority <= rank->max_accelerated_priority) {
-    if (job->priority == rank->max_accelerated_priority)
+  if (job->effective_priority <= rank->max_accelerated_priority) {
+    if (job->effective_priority == rank->max_accelerated_priority)
       return MM_RESERVE_FORBIDDEN;
     choose_lent_machines(rank);
     return is_released || g_hash_table_contains(rank->lent_machines, machine->id.s)
@@ -370,7 +372,7 @@
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     const MmMachine *other = g_ptr_array_index(machine_table->sorted_machines, i);
-    if (!mm_machine_is_usable(machine_table, other) || other->type->room.accelerators <= 0
+    if (!mm_machine_is_usable(machine_table, other) || other->type->resources.accelerators <= 0
         || (other->is_spot && !rank->accelerated_may_use_spot))
       continue;
     n_accelerated++;
@@ -416,8 +418,8 @@
             MmResources free_resources) {
   const MmJob *job = mm_job_table_find(rank->node->job_table, pending->job.s);
 
-  return job != NULL && !job->cancelled && !mm_job_is_gang(job) && pending->ranges->len > 0
-                 && mm_resources_fits(job->spec.need, free_resources)
+  return job != NULL && !job->is_cancelled && !mm_job_is_gang(job) && pending->ranges->len > 0
+                 && mm_resources_fits(job->spec.task_resources, free_resources)
                  && mm_placement_allows(job, machine)
                  && mm_placement_check_reserve(rank, job, machine, free_resources)
                         != MM_RESERVE_FORBIDDEN
--- a/src/rank/rank.h
+++ b/src/rank/rank.h
@@ -61,7 +61,7 @@
 /* Takes a task out of a view: it has been given out or refused. */
 void mm_placement_remove_candidate(MmPlacement *rank, guint view, const char *job, guint number);
 /* A job has come: what accelerated work needs is remembered. */
-void mm_placement_note_accelerated_job(MmPlacement *rank, const MmSpec *spec);
+void mm_placement_note_accelerated_job(MmPlacement *rank, const MmJobSpec *spec);
 gboolean mm_placement_allows(const MmJob *job, const MmMachine *machine);
 /* Machines with accelerators are left to the work that needs them: other work takes only what stays
  * beside the largest such task seen, unless that work may not run there anyway. Such a machine may
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -40,7 +40,7 @@
     job = mm_job_table_find(grants->node->job_table, task->job.s);
     if (job == NULL)
       return FALSE;
-    *remaining = mm_resources_sub(*remaining, job->spec.need);
+    *remaining = mm_resources_sub(*remaining, job->spec.task_resources);
   }
   return TRUE;
 }
@@ -49,8 +49,8 @@
 take_off_reserved(const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
-    if (placed->job->tasks[placed->number].state == MM_TASK_RESERVED)
-      *remaining = mm_resources_sub(*remaining, placed->job->spec.need);
+    if (placed->job->tasks[placed->number].state == MM_TASK_PLACE_RESERVED)
+      *remaining = mm_resources_sub(*remaining, placed->job->spec.task_resources);
   }
 }
 
@@ -65,7 +65,7 @@
     const MmJob *job = mm_job_table_find(grants->node->job_table, grant->job.s);
     if (job == NULL)
       return FALSE;
-    *remaining = mm_resources_sub(*remaining, job->spec.need);
+    *remaining = mm_resources_sub(*remaining, job->spec.task_resources);
   }
   return TRUE;
 }
@@ -76,7 +76,7 @@
 
   if (machine->type == NULL)
     return (MmResources){ 0 };
-  remaining = machine->type->room;
+  remaining = machine->type->resources;
   take_off_reserved(machine, &remaining);
   if (!take_off_reported(grants, machine, &remaining)
       || !take_off_outstanding(grants, machine, &remaining))
@@ -105,7 +105,7 @@
   if (is_outstanding(list, grant))
     return TRUE;
   if (job == NULL || mm_heartbeat_id_is_newer(machine->latest_message_id, grant->stamp)
-      || !mm_resources_fits(job->spec.need, mm_grants_left(grants, machine))) {
+      || !mm_resources_fits(job->spec.task_resources, mm_grants_left(grants, machine))) {
     grants->refused++;
     return FALSE;
   }
--- a/src/store/replica.c
+++ b/src/store/replica.c
@@ -102,7 +102,7 @@
     replica->term.v = MAX(replica->term.v, mm_json_count(value, "t", 0));
     replica->term_version = version;
   } else if (strcmp(key, MM_KEY_INSTANCE_TYPES) == 0) {
-    mm_types_stored(replica->node->types, value, version);
+    mm_instance_types_load_stored(replica->node->types, value, version);
   } else if (g_str_has_prefix(key, MM_KEY_SHARD)) {
     put_shard(replica, key + strlen(MM_KEY_SHARD), value, version);
   } else if (g_str_has_prefix(key, MM_KEY_LIVE_NODE)) {
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -52,7 +52,7 @@
   Run *run = data;
   HistoryEvent event = { .us = machine->world->now_us,
                          .task = task->number,
-                         .cores = task->job->spec.need.cores,
+                         .cores = task->job->spec.task_resources.cores,
                          .capacity = strcmp(machine->type, "small") == 0 ? 4 : 16,
                          .completed = task->cause == MM_CAUSE_DONE };
 
@@ -76,7 +76,7 @@
     const WorldJob *job = g_ptr_array_index(run->world->jobs, i);
     guint before = GPOINTER_TO_UINT(g_hash_table_lookup(run->told, job->id));
     HistoryEvent event = { .us = run->world->now_us,
-                           .tasks = job->spec.kind == MM_KIND_SERVICE ? 0 : job->spec.tasks };
+                           .tasks = job->spec.kind == MM_JOB_KIND_SERVICE ? 0 : job->spec.n_tasks };
 
     g_strlcpy(event.job, job->id, sizeof event.job);
     for (guint told = MAX(before, ACCEPTED); told <= (guint)job->told && before <= told; told++) {
@@ -151,7 +151,7 @@
 cancel_services(World *world) {
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->spec.kind == MM_KIND_SERVICE && !job->asked_cancel)
+    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->asked_cancel)
       world_cancel(job);
   }
 }
--- a/tests/test-broken.c
+++ b/tests/test-broken.c
@@ -122,7 +122,7 @@
   world_run(world, 90);
   g_assert_cmpuint(world->broken->len, ==, 0);
   /* No task runs twice, as the rules' check has shown: so many are all of them. */
-  over = later->told == TOLD_DONE && world_running(world, service, deaf) == service->spec.tasks;
+  over = later->told == TOLD_DONE && world_running(world, service, deaf) == service->spec.n_tasks;
   world_free(world);
   return over;
 }
--- a/tests/test-doneset.c
+++ b/tests/test-doneset.c
@@ -6,73 +6,74 @@
 
   for (guint round = 0; round < 100; round++) {
     guint size = (guint)g_rand_int_range(rand, 1, 400);
-    MmDoneSet set, back;
+    MmCompletedTasks set, back;
     g_autofree char *text = NULL;
-    mm_done_set_init(&set, size);
-    mm_done_set_init(&back, size);
+    mm_completed_tasks_init(&set, size);
+    mm_completed_tasks_init(&back, size);
     for (guint i = 0; i < size; i++)
       if (g_rand_boolean(rand))
-        mm_done_set_add(&set, i);
-    text = mm_done_set_text(&set, 1 << 20);
-    g_assert_true(mm_done_set_parse(&back, text));
-    g_assert_cmpuint(back.count, ==, set.count);
+        mm_completed_tasks_add(&set, i);
+    text = mm_completed_tasks_to_text(&set, 1 << 20);
+    g_assert_true(mm_completed_tasks_add_text(&back, text));
+    g_assert_cmpuint(back.n_completed, ==, set.n_completed);
     for (guint i = 0; i < size; i++)
-      g_assert_cmpint(mm_done_set_has(&set, i), ==, mm_done_set_has(&back, i));
-    mm_done_set_clear(&set);
-    mm_done_set_clear(&back);
+      g_assert_cmpint(mm_completed_tasks_contains(&set, i), ==,
+                      mm_completed_tasks_contains(&back, i));
+    mm_completed_tasks_clear(&set);
+    mm_completed_tasks_clear(&back);
   }
   g_rand_free(rand);
 }
 
 static void
 test_runs(void) {
-  MmDoneSet set;
+  MmCompletedTasks set;
   g_autofree char *text = NULL;
 
-  mm_done_set_init(&set, 100000);
+  mm_completed_tasks_init(&set, 100000);
   for (guint i = 0; i < 99999; i++)
-    g_assert_true(mm_done_set_add(&set, i));
-  g_assert_false(mm_done_set_add(&set, 5));
-  g_assert_false(mm_done_set_add(&set, 100000));
-  text = mm_done_set_text(&set, 4096);
+    g_assert_true(mm_completed_tasks_add(&set, i));
+  g_assert_false(mm_completed_tasks_add(&set, 5));
+  g_assert_false(mm_completed_tasks_add(&set, 100000));
+  text = mm_completed_tasks_to_text(&set, 4096);
   g_assert_cmpstr(text, ==, "0-99998");
-  mm_done_set_clear(&set);
+  mm_completed_tasks_clear(&set);
 }
 
 /* What does not fit is left out, longest runs first in: the text must never claim more than is
  * done. */
 static void
 test_too_long(void) {
-  MmDoneSet set, back;
+  MmCompletedTasks set, back;
   g_autofree char *text = NULL;
 
-  mm_done_set_init(&set, 20000);
-  mm_done_set_init(&back, 20000);
+  mm_completed_tasks_init(&set, 20000);
+  mm_completed_tasks_init(&back, 20000);
   for (guint i = 0; i < 20000; i += 2)
-    mm_done_set_add(&set, i);
+    mm_completed_tasks_add(&set, i);
   for (guint i = 5000; i < 6000; i++)
-    mm_done_set_add(&set, i);
-  text = mm_done_set_text(&set, 1000);
+    mm_completed_tasks_add(&set, i);
+  text = mm_completed_tasks_to_text(&set, 1000);
   g_assert_cmpuint(strlen(text), <=, 1000);
-  g_assert_true(mm_done_set_parse(&back, text));
-  g_assert_true(mm_done_set_has(&back, 5500));
+  g_assert_true(mm_completed_tasks_add_text(&back, text));
+  g_assert_true(mm_completed_tasks_contains(&back, 5500));
   for (guint i = 0; i < 20000; i++)
-    g_assert_true(!mm_done_set_has(&back, i) || mm_done_set_has(&set, i));
-  mm_done_set_clear(&set);
-  mm_done_set_clear(&back);
+    g_assert_true(!mm_completed_tasks_contains(&back, i) || mm_completed_tasks_contains(&set, i));
+  mm_completed_tasks_clear(&set);
+  mm_completed_tasks_clear(&back);
 }
 
 static void
 test_nonsense(void) {
   const char *const bad[] = { "x", "1-", "3-2", "1,,2", "1,", "-1", "200", "1 2", "0-100" };
-  MmDoneSet set;
+  MmCompletedTasks set;
 
-  mm_done_set_init(&set, 100);
+  mm_completed_tasks_init(&set, 100);
   for (guint i = 0; i < G_N_ELEMENTS(bad); i++)
-    g_assert_false(mm_done_set_parse(&set, bad[i]));
-  g_assert_true(mm_done_set_parse(&set, NULL));
-  g_assert_true(mm_done_set_parse(&set, ""));
-  mm_done_set_clear(&set);
+    g_assert_false(mm_completed_tasks_add_text(&set, bad[i]));
+  g_assert_true(mm_completed_tasks_add_text(&set, NULL));
+  g_assert_true(mm_completed_tasks_add_text(&set, ""));
+  mm_completed_tasks_clear(&set);
 }
 
 int
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -58,10 +58,10 @@
   g_autoptr(json_t) written = NULL;
 
   g_assert_nonnull(job);
-  g_assert_cmpint(job->cancelled, ==, mm_json_count(value, "c", 0) != 0);
-  g_assert_cmpuint(job->spec.n_needs, ==, 0);
-  done = mm_done_set_text(&job->recorded, 1000);
-  written = mm_job_record(&job->spec, job->submitted_ms, job->cancelled, done);
+  g_assert_cmpint(job->is_cancelled, ==, mm_json_count(value, "c", 0) != 0);
+  g_assert_cmpuint(job->spec.n_dependencies, ==, 0);
+  done = mm_completed_tasks_to_text(&job->recorded_completed, 1000);
+  written = mm_job_record_to_json(&job->spec, job->submitted_at_ms, job->is_cancelled, done);
   g_assert_true(json_equal(written, (json_t *)value));
 }
 
@@ -84,14 +84,14 @@
 /* New fields are beside what the version before reads, and each of its fields is there. */
 static void
 check_final(const json_t *value) {
-  MmFinalState state;
+  MmTerminalState state;
   g_autoptr(json_t) written = NULL;
   const char *field;
   json_t *old;
 
-  g_assert_true(mm_final_parse(value, &state));
-  g_assert_cmpint(state.done_ms, ==, 0);
-  written = mm_final_record(&state);
+  g_assert_true(mm_terminal_record_parse(value, &state));
+  g_assert_cmpint(state.completed_at_ms, ==, 0);
+  written = mm_terminal_record_to_json(&state);
   json_object_foreach((json_t *)value, field, old)
       g_assert_true(json_equal(json_object_get(written, field), old));
 }
--- a/tests/test-graph.c
+++ b/tests/test-graph.c
@@ -2,22 +2,22 @@
 #include "dependencies/graph.h"
 
 typedef struct {
-  MmGraph *graph;
-  MmGraphChange change;
+  MmDependencyGraph *graph;
+  MmDependencyChange change;
 } Fixture;
 
 static Fixture
 fixture_new(void) {
-  Fixture f = { mm_graph_new(), { 0 } };
+  Fixture f = { mm_dependency_graph_new(), { 0 } };
 
-  mm_graph_change_init(&f.change);
+  mm_dependency_change_init(&f.change);
   return f;
 }
 
 static void
 fixture_free(Fixture *f) {
-  mm_graph_change_clear(&f->change);
-  mm_graph_free(f->graph);
+  mm_dependency_change_clear(&f->change);
+  mm_dependency_graph_free(f->graph);
 }
 
 static void
@@ -40,14 +40,14 @@
 
   for (guint i = 0; i < n; i++)
     names[i] = job_name(needs[i]);
-  return mm_graph_add(f->graph, id.s, names, n, &f->change);
+  return mm_dependency_graph_add_job(f->graph, id.s, names, n, &f->change);
 }
 
 static void
 finish(Fixture *f, guint job, gboolean cancelled, gint64 done_ms) {
   MmName id = job_name(job);
 
-  mm_graph_finish(f->graph, id.s, cancelled, done_ms, &f->change);
+  mm_dependency_graph_end_job(f->graph, id.s, cancelled, done_ms, &f->change);
 }
 
 /* A diamond: ready when the last of both arms is done, and counted from then. */
@@ -60,17 +60,17 @@
   add(&f, 2, (guint[]){ 1 }, 1);
   add(&f, 3, (guint[]){ 1 }, 1);
   end = add(&f, 4, (guint[]){ 2, 3, 2 }, 3);
-  g_assert_cmpuint(end->needs->len, ==, 2);
-  g_assert_false(mm_vertex_is_ready(end));
+  g_assert_cmpuint(end->dependencies->len, ==, 2);
+  g_assert_false(mm_vertex_dependencies_are_done(end));
   finish(&f, 1, FALSE, 50);
   g_assert_cmpuint(f.change.ready->len, ==, 2);
   forget_changes(&f);
   finish(&f, 3, FALSE, 90);
-  g_assert_false(mm_vertex_is_ready(end));
+  g_assert_false(mm_vertex_dependencies_are_done(end));
   finish(&f, 2, FALSE, 70);
-  g_assert_true(mm_vertex_is_ready(end));
+  g_assert_true(mm_vertex_dependencies_are_done(end));
   g_assert_true(g_ptr_array_index(f.change.ready, 0) == end);
-  g_assert_cmpint(mm_vertex_ready_ms(end), ==, 90);
+  g_assert_cmpint(mm_vertex_dependencies_done_at_ms(end), ==, 90);
   fixture_free(&f);
 }
 
@@ -87,13 +87,13 @@
   add(&f, 3, (guint[]){ 2 }, 1);
   add(&f, 4, (guint[]){ 3 }, 1);
   add(&f, 5, (guint[]){ 1 }, 1);
-  mm_graph_cancel(f.graph, middle.s, &f.change);
+  mm_dependency_graph_cancel_job(f.graph, middle.s, &f.change);
   g_assert_cmpuint(f.change.cancelled->len, ==, 3);
-  g_assert_cmpint(mm_graph_find(f.graph, "run-000005")->state, ==, MM_VERTEX_UNFINISHED);
-  g_assert_cmpint(mm_graph_find(f.graph, "run-000001")->state, ==, MM_VERTEX_UNKNOWN);
+  g_assert_cmpint(mm_dependency_graph_find(f.graph, "run-000005")->state, ==, MM_VERTEX_UNFINISHED);
+  g_assert_cmpint(mm_dependency_graph_find(f.graph, "run-000001")->state, ==, MM_VERTEX_UNKNOWN);
   late = add(&f, 6, (guint[]){ 4 }, 1);
   g_assert_cmpint(late->state, ==, MM_VERTEX_CANCELLED);
-  g_assert_true(mm_vertex_needs_cancelled(late));
+  g_assert_true(mm_vertex_has_cancelled_dependency(late));
   fixture_free(&f);
 }
 
@@ -106,16 +106,16 @@
   after = add(&f, 2, (guint[]){ 1 }, 1);
   last = add(&f, 3, (guint[]){ 2 }, 1);
   add(&f, 1, NULL, 0);
-  g_assert_false(mm_graph_is_undecided(f.graph, last));
-  mm_graph_remove(f.graph, "run-000001");
-  g_assert_false(mm_vertex_is_ready(after));
-  g_assert_true(mm_graph_is_undecided(f.graph, last));
+  g_assert_false(mm_dependency_graph_is_undecided(f.graph, last));
+  mm_dependency_graph_remove_job(f.graph, "run-000001");
+  g_assert_false(mm_vertex_dependencies_are_done(after));
+  g_assert_true(mm_dependency_graph_is_undecided(f.graph, last));
   finish(&f, 1, FALSE, 5);
-  g_assert_true(mm_vertex_is_ready(after));
-  g_assert_false(mm_graph_is_undecided(f.graph, last));
+  g_assert_true(mm_vertex_dependencies_are_done(after));
+  g_assert_false(mm_dependency_graph_is_undecided(f.graph, last));
   /* Nothing is kept for jobs that nobody needs any more. */
-  mm_graph_remove(f.graph, "run-000003");
-  mm_graph_remove(f.graph, "run-000002");
+  mm_dependency_graph_remove_job(f.graph, "run-000003");
+  mm_dependency_graph_remove_job(f.graph, "run-000002");
   g_assert_cmpuint(g_hash_table_size(f.graph->vertices), ==, 0);
   g_assert_cmpuint(f.graph->unknown->len, ==, 0);
   fixture_free(&f);
@@ -132,8 +132,9 @@
   add(&f, 0, NULL, 0);
   for (guint i = 1; i < LONG_CHAIN; i++)
     add(&f, i, (guint[]){ i - 1 }, 1);
-  g_assert_true(mm_graph_is_undecided(f.graph, mm_graph_find(f.graph, job_name(LONG_CHAIN - 1).s)));
-  mm_graph_cancel(f.graph, "run-000000", &f.change);
+  g_assert_true(mm_dependency_graph_is_undecided(
+      f.graph, mm_dependency_graph_find(f.graph, job_name(LONG_CHAIN - 1).s)));
+  mm_dependency_graph_cancel_job(f.graph, "run-000000", &f.change);
   g_assert_cmpuint(f.change.cancelled->len, ==, LONG_CHAIN);
   fixture_free(&f);
 }
@@ -148,7 +149,7 @@
   finish(&f, 0, FALSE, 9);
   g_assert_cmpuint(f.change.ready->len, ==, MANY_DEPENDENTS);
   for (guint i = 1; i <= MANY_DEPENDENTS; i++)
-    mm_graph_remove(f.graph, job_name(i).s);
+    mm_dependency_graph_remove_job(f.graph, job_name(i).s);
   g_assert_cmpuint(g_hash_table_size(f.graph->vertices), ==, 0);
   fixture_free(&f);
 }
@@ -185,13 +186,13 @@
 static void
 compare(const Fixture *f, const Model *m) {
   for (guint job = 0; job < JOBS; job++) {
-    const MmVertex *vertex = mm_graph_find(f->graph, job_name(job).s);
+    const MmVertex *vertex = mm_dependency_graph_find(f->graph, job_name(job).s);
     if (!m->added[job] || m->removed[job] || m->n_needs[job] == 0)
       continue;
     g_assert_nonnull(vertex);
     g_assert_cmpint(vertex->state == MM_VERTEX_CANCELLED, ==, model_cancelled(m, job));
     if (!model_cancelled(m, job))
-      g_assert_cmpint(mm_vertex_is_ready(vertex), ==, model_ready(m, job));
+      g_assert_cmpint(mm_vertex_dependencies_are_done(vertex), ==, model_ready(m, job));
   }
 }
 
@@ -217,19 +218,19 @@
       if (m->done[m->needs[*next][i]])
         finish(f, m->needs[*next][i], FALSE, 1);
       else if (m->cancelled[m->needs[*next][i]])
-        mm_graph_cancel(f->graph, job_name(m->needs[*next][i]).s, &f->change);
+        mm_dependency_graph_cancel_job(f->graph, job_name(m->needs[*next][i]).s, &f->change);
     }
     m->added[(*next)++] = TRUE;
   } else if (*next > 0 && m->added[job] && !m->removed[job]) {
     if (g_rand_int_range(rand, 0, 4) == 0 && !m->done[job]) {
       m->cancelled[job] = TRUE;
-      mm_graph_cancel(f->graph, id.s, &f->change);
+      mm_dependency_graph_cancel_job(f->graph, id.s, &f->change);
     } else if (!m->done[job] && !model_cancelled(m, job) && model_ready(m, job)) {
       m->done[job] = TRUE;
       finish(f, job, FALSE, 1);
     } else if (m->done[job]) {
       m->removed[job] = TRUE;
-      mm_graph_remove(f->graph, id.s);
+      mm_dependency_graph_remove_job(f->graph, id.s);
     }
   }
 }
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -132,8 +132,8 @@
   g_assert_cmpuint(up_in_zone(world, "c") + 4, >=, before);
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->spec.kind == MM_KIND_SERVICE && job->told == ACCEPTED)
-      g_assert_cmpuint(world_running(world, job, NULL), ==, job->spec.tasks);
+    if (job->spec.kind == MM_JOB_KIND_SERVICE && job->told == ACCEPTED)
+      g_assert_cmpuint(world_running(world, job, NULL), ==, job->spec.n_tasks);
   }
   starts = world->starts;
   load(world, 60, 25);
@@ -351,8 +351,8 @@
     gboolean services = FALSE, arrays = FALSE;
     for (guint k = 0; k < machine->tasks->len && strcmp(machine->type, "big") == 0; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
-      services = services || task->job->spec.kind == MM_KIND_SERVICE;
-      arrays = arrays || task->job->spec.kind == MM_KIND_ARRAY;
+      services = services || task->job->spec.kind == MM_JOB_KIND_SERVICE;
+      arrays = arrays || task->job->spec.kind == MM_JOB_KIND_ARRAY;
     }
     with_services += services;
     with_both += services && arrays;
--- a/tests/test-meetings.c
+++ b/tests/test-meetings.c
@@ -288,7 +288,7 @@
   world_run(world, 30);
   for (guint i = 0; i < 6; i++) {
     g_assert_cmpint(job_at(world, i)->told, ==, TOLD_DONE);
-    met += job_at(world, i)->starts == job_at(world, i)->spec.tasks;
+    met += job_at(world, i)->starts == job_at(world, i)->spec.n_tasks;
   }
   g_assert_cmpuint(met, ==, 6);
   return met;
@@ -572,7 +572,7 @@
 
   submit_many(world, 6, WIRE_KIND_SERVICE, 2, 0);
   world_run(world, 8);
-  while (!world->nodes[holder].node->fleet->active)
+  while (!world->nodes[holder].node->fleet->is_active)
     holder++;
   for (guint i = 0; i < 9; i++)
     up += machine_at(world, i)->up;
@@ -629,7 +629,7 @@
 settle(World *world) {
   world->calm_us = world->now_us + 30 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++)
-    if (job_at(world, i)->spec.kind == MM_KIND_SERVICE && !job_at(world, i)->asked_cancel)
+    if (job_at(world, i)->spec.kind == MM_JOB_KIND_SERVICE && !job_at(world, i)->asked_cancel)
       world_cancel(job_at(world, i));
   world_run(world, 150);
   world_check_served(world);
@@ -637,7 +637,7 @@
   for (guint i = 0; i < world->jobs->len; i++)
     if (job_at(world, i)->told < TOLD_CANCELLED)
       g_test_message("%s is not over: %u of %u done", job_at(world, i)->id,
-                     job_at(world, i)->n_done, job_at(world, i)->spec.tasks);
+                     job_at(world, i)->n_done, job_at(world, i)->spec.n_tasks);
   g_assert_cmpuint(told(world, TOLD_DONE) + told(world, TOLD_CANCELLED), ==, world->jobs->len);
 }
 
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -107,15 +107,16 @@
   Setting s = set_up(2);
   MmLedShard *held = mm_scheduler_shard_of_job(s.owner, s.job);
   MmTeamSettings team = *held->team;
-  MmJob starving = { .aged = TRUE, .spec = { .need = { 43, 8, 310 }, .tasks = 1 } };
+  MmJob starving
+      = { .is_starving = TRUE, .spec = { .task_resources = { 43, 8, 310 }, .n_tasks = 1 } };
 
   team.limit = (MmResources){ 0, 13, 0 };
   held->team = &team;
   held->used = (MmResources){ 43, 8, 310 };
-  held->reserved_quota = starving.spec.need;
+  held->reserved_quota = starving.spec.task_resources;
   held->quota_reserved_for = &starving;
   g_assert_true(mm_scheduler_quota_allows(s.owner, held, s.job, 2));
-  s.job->spec.need.accelerators = 1;
+  s.job->spec.task_resources.accelerators = 1;
   g_assert_false(mm_scheduler_quota_allows(s.owner, held, s.job, 1));
   g_assert_false(mm_scheduler_quota_allows(s.owner, held, &starving, 1));
   held->quota_reserved_for = NULL;
@@ -187,7 +188,7 @@
     take(&s, report_with(&s, 1 - first, 1, seq, first == 1 ? 100 : 200));
     g_assert_true(s.job->tasks[0].machine == s.machines[1]);
     g_assert_cmpuint(s.job->tasks[0].attempt.v, ==, 200);
-    g_assert_cmpuint(s.job->live, ==, 1);
+    g_assert_cmpuint(s.job->n_maybe_on_machines, ==, 1);
     world_free(s.world);
   }
 }
@@ -199,19 +200,19 @@
   MmLedShard *held = mm_scheduler_shard_of_job(s.owner, s.job);
   MmMachine *spot = s.machines[0];
 
-  s.job->known_after_claim = FALSE;
+  s.job->submitted_after_acquire = FALSE;
   g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
   held->is_ready = FALSE;
   held->unacknowledged_changed = TRUE;
   g_hash_table_insert(held->unacknowledged_machines, g_strdup(spot->id.s), GSIZE_TO_POINTER(1));
   spot->is_spot = TRUE;
-  s.job->spec.spot = TRUE;
+  s.job->spec.allows_spot = TRUE;
   g_assert_false(mm_scheduler_knows_all_starts(s.owner, s.job));
   g_assert_false(mm_scheduler_job_is_schedulable(s.owner, s.job));
-  s.job->spec.spot = FALSE;
+  s.job->spec.allows_spot = FALSE;
   g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
   g_assert_true(mm_scheduler_job_is_schedulable(s.owner, s.job));
-  s.job->spec.spot = TRUE;
+  s.job->spec.allows_spot = TRUE;
   s.job->spec.zone = mm_name("elsewhere");
   g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
   /* One of which nothing is known may hold anything. */
@@ -307,21 +308,21 @@
   MmJob *job = s.job;
   MmJob from = *job;
 
-  job->within = TRUE;
-  from.team = 1;
-  from.within = FALSE;
+  job->is_within_quota = TRUE;
+  from.team_index = 1;
+  from.is_within_quota = FALSE;
   s.owner->team_used[1] = (MmResources){ 6, 0, 0 };
   g_assert_true(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
   s.owner->team_used[1].cores = 5; /* would fall below its own guarantee */
   g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
   s.owner->team_used[1].cores = 6;
-  from.within = TRUE;
+  from.is_within_quota = TRUE;
   g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
-  from.within = FALSE;
-  from.priority = MM_URGENT;
+  from.is_within_quota = FALSE;
+  from.effective_priority = MM_PRIORITY_URGENT;
   g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
-  from.priority = job->priority;
-  job->within = FALSE;
+  from.effective_priority = job->effective_priority;
+  job->is_within_quota = FALSE;
   g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
   world_free(s.world);
 }
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -139,9 +139,9 @@
   g_assert_cmpuint(wide->starts, ==, 0);
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmJob *job = mm_job_table_find(world->nodes[i].node->job_table, wide->id);
-    g_assert_false(mm_job_is_ready(job));
-    g_assert_false(job->within);
-    g_assert_false(job->aged);
+    g_assert_false(mm_job_dependencies_are_done(job));
+    g_assert_false(job->is_within_quota);
+    g_assert_false(job->is_starving);
   }
   run_until_told(world, wide, TOLD_DONE, 60);
   finish_world(world);
@@ -164,9 +164,9 @@
 assert_priority(const World *world, const WorldJob *job, MmPriority inherited, MmPriority now) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmJob *seen = mm_job_table_find(world->nodes[i].node->job_table, job->id);
-    g_assert_cmpint(seen->spec.priority, ==, MM_LOW);
+    g_assert_cmpint(seen->spec.priority, ==, MM_PRIORITY_LOW);
     g_assert_cmpint(seen->inherited_priority, ==, inherited);
-    g_assert_cmpint(seen->priority, ==, now);
+    g_assert_cmpint(seen->effective_priority, ==, now);
   }
 }
 
@@ -183,26 +183,26 @@
   middle = next_job(world, 1, 1, 3, start);
   run_until_accepted(world, middle);
   world_run(world, 2);
-  assert_priority(world, start, MM_NORMAL, MM_NORMAL);
+  assert_priority(world, start, MM_PRIORITY_NORMAL, MM_PRIORITY_NORMAL);
   relaxed = critical_after(world, middle, 300);
-  assert_priority(world, start, MM_CRITICAL, MM_NORMAL);
+  assert_priority(world, start, MM_PRIORITY_CRITICAL, MM_PRIORITY_NORMAL);
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmJobTable *job_table = world->nodes[i].node->job_table;
     const MmJob *first = mm_job_table_find(job_table, start->id),
                 *second = mm_job_table_find(job_table, middle->id);
-    g_assert_cmpint(first->due_ms, <, second->due_ms);
-    g_assert_cmpint(second->due_ms, <, mm_job_table_find(job_table, relaxed->id)->due_ms);
+    g_assert_cmpint(first->due_at_ms, <, second->due_at_ms);
+    g_assert_cmpint(second->due_at_ms, <, mm_job_table_find(job_table, relaxed->id)->due_at_ms);
   }
   hurried = critical_after(world, middle, 100);
-  assert_priority(world, start, MM_CRITICAL, MM_CRITICAL);
+  assert_priority(world, start, MM_PRIORITY_CRITICAL, MM_PRIORITY_CRITICAL);
   world_cancel(hurried);
   run_until_told(world, hurried, TOLD_CANCELLED, 20);
   world_run(world, 4);
-  assert_priority(world, start, MM_CRITICAL, MM_NORMAL);
+  assert_priority(world, start, MM_PRIORITY_CRITICAL, MM_PRIORITY_NORMAL);
   world_cancel(relaxed);
   run_until_told(world, relaxed, TOLD_CANCELLED, 20);
   world_run(world, 4);
-  assert_priority(world, start, MM_NORMAL, MM_NORMAL);
+  assert_priority(world, start, MM_PRIORITY_NORMAL, MM_PRIORITY_NORMAL);
   finish_world(world);
 }
 
@@ -239,7 +239,7 @@
   for (guint32 seed = 1; seed <= 3; seed++) {
     World *world = pipeline_world(seed);
     WorldJob *start = first_job(world, 0, 1, 6), *end;
-    MmFinalState state;
+    MmTerminalState state;
     guint owner = G_MAXUINT;
 
     run_until_accepted(world, start);
@@ -248,7 +248,7 @@
     for (guint i = 0; i < 4000 && owner == G_MAXUINT; i++) {
       world_run(world, 0.005);
       for (guint n = 0; n < WORLD_NODES; n++)
-        if (mm_job_table_final_state(world->nodes[n].node->job_table, start->id, &state))
+        if (mm_job_table_get_terminal_state(world->nodes[n].node->job_table, start->id, &state))
           owner = n;
     }
     g_assert_cmpuint(owner, <, WORLD_NODES);
@@ -425,7 +425,7 @@
 any_need(World *world) {
   for (guint tries = 0; tries < 20; tries++) {
     WorldJob *job = world_any_job(world);
-    if (job->ever_accepted && job->spec.kind != MM_KIND_SERVICE)
+    if (job->ever_accepted && job->spec.kind != MM_JOB_KIND_SERVICE)
       return job;
   }
   return NULL;
--- a/tests/test-spec.c
+++ b/tests/test-spec.c
@@ -24,20 +24,20 @@
   g_autoptr(json_t) body = sample();
   g_autoptr(json_t) stored = NULL;
   const char *reason = NULL;
-  MmSpec spec, again;
+  MmJobSpec spec, again;
 
-  g_assert_true(mm_spec_parse(&spec, body, &reason));
-  g_assert_cmpuint(spec.tasks, ==, 16);
-  g_assert_cmpint(spec.kind, ==, MM_KIND_GANG);
-  g_assert_cmpint(spec.priority, ==, MM_URGENT);
-  g_assert_true(spec.one_zone && spec.spot && !spec.spread);
+  g_assert_true(mm_job_spec_parse(&spec, body, &reason));
+  g_assert_cmpuint(spec.n_tasks, ==, 16);
+  g_assert_cmpint(spec.kind, ==, MM_JOB_KIND_GANG);
+  g_assert_cmpint(spec.priority, ==, MM_PRIORITY_URGENT);
+  g_assert_true(spec.requires_one_zone && spec.allows_spot && !spec.spreads_over_zones);
   g_assert_true(mm_name_is_empty(&spec.zone));
-  stored = mm_spec_to_json(&spec);
-  g_assert_true(mm_spec_parse(&again, stored, &reason));
+  stored = mm_job_spec_to_json(&spec);
+  g_assert_true(mm_job_spec_parse(&again, stored, &reason));
   g_assert_cmpfloat(again.deadline_s, ==, 900);
-  g_assert_cmpuint(again.n_types, ==, 1);
-  mm_spec_clear(&spec);
-  mm_spec_clear(&again);
+  g_assert_cmpuint(again.n_allowed_types, ==, 1);
+  mm_job_spec_clear(&spec);
+  mm_job_spec_clear(&again);
 }
 
 /* Every field that may not be null must be there and of its kind; each fault is told by name. */
@@ -78,12 +78,12 @@
   for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
     g_autoptr(json_t) body = sample();
     const char *reason = NULL;
-    MmSpec spec;
+    MmJobSpec spec;
     if (faults[i].value == NULL)
       json_object_del(body, faults[i].field);
     else
       json_object_set_new(body, faults[i].field, faults[i].value);
-    g_assert_false(mm_spec_parse(&spec, body, &reason));
+    g_assert_false(mm_job_spec_parse(&spec, body, &reason));
     g_assert_nonnull(strstr(reason, faults[i].field));
   }
 }
@@ -92,12 +92,12 @@
 test_not_an_object(void) {
   const char *const texts[] = { "3", "[]", "\"run-1\"", "null" };
   const char *reason = NULL;
-  MmSpec spec;
+  MmJobSpec spec;
 
-  g_assert_false(mm_spec_parse(&spec, NULL, &reason));
+  g_assert_false(mm_job_spec_parse(&spec, NULL, &reason));
   for (guint i = 0; i < G_N_ELEMENTS(texts); i++) {
     g_autoptr(json_t) body = json_loads(texts[i], JSON_DECODE_ANY, NULL);
-    g_assert_false(mm_spec_parse(&spec, body, &reason));
+    g_assert_false(mm_job_spec_parse(&spec, body, &reason));
   }
 }
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -137,7 +137,7 @@
       = json_pack("{s:s, s:i}", WIRE_TEAM, team, WIRE_TASKS, g_rand_int_range(world->rand, 1, 9));
   WorldJob *need = pipelines ? world_any_job(world) : NULL;
 
-  if (need != NULL && need->ever_accepted && need->spec.kind != MM_KIND_SERVICE)
+  if (need != NULL && need->ever_accepted && need->spec.kind != MM_JOB_KIND_SERVICE)
     world_submit_after(world, body, world_uniform(world, 1, 8), &need, 1);
   else
     world_submit(world, body, world_uniform(world, 1, 8));
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -243,7 +243,7 @@
   world->calm_us = world->now_us + 45 * (gint64)G_USEC_PER_SEC;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->spec.kind == MM_KIND_SERVICE && !job->asked_cancel)
+    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->asked_cancel)
       world_cancel(job);
   }
   world_run(world, 240);
--- a/tests/world/broken.c
+++ b/tests/world/broken.c
@@ -54,29 +54,29 @@
 /* A node that knows of the cancellations of its own parts' jobs only. */
 static void
 forget_cancelled(const MmJobTable *job_table) {
-  for (guint i = 0; i < job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(job_table->order, i);
-    job->cancelled = job->cancelled && job->tasks != NULL;
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    job->is_cancelled = job->is_cancelled && job->tasks != NULL;
   }
 }
 
 /* Dependencies that are not done yet are taken for done. */
 static void
 forget_needs(const MmNode *node) {
-  for (guint i = 0; i < node->job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->order, i);
+  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     if (job->vertex != NULL)
-      job->vertex->unmet = 0;
+      job->vertex->n_unmet = 0;
   }
 }
 
 /* What depends on a cancelled job goes on. */
 static void
 forget_ancestors(const MmNode *node) {
-  for (guint i = 0; i < node->job_table->order->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->order, i);
-    if (job->cancel_version.v == 0 && mm_job_needs_cancelled(job))
-      job->cancelled = FALSE;
+  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
+    if (job->cancel_record_version.v == 0 && mm_job_has_cancelled_dependency(job))
+      job->is_cancelled = FALSE;
   }
 }
 
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -22,7 +22,7 @@
 world_job_is_ready(const WorldJob *job) {
   for (guint i = 0; i < job->needs->len; i++) {
     const WorldJob *dependency = g_ptr_array_index(job->needs, i);
-    if (dependency->n_done < dependency->spec.tasks)
+    if (dependency->n_done < dependency->spec.n_tasks)
       return FALSE;
   }
   return TRUE;
--- a/tests/world/rules.c
+++ b/tests/world/rules.c
@@ -8,7 +8,7 @@
 
 void
 world_check_start(World *world, const WorldMachine *machine, const WorldTask *task) {
-  const MmSpec *spec = &task->job->spec;
+  const MmJobSpec *spec = &task->job->spec;
   MmName type = mm_name(machine->type);
   guint n_in_zone = 1;
 
@@ -27,17 +27,17 @@
         continue;
       /* NOLINTNEXTLINE(clang-analyzer-core.NonNullParamChecker): both are machines of the world */
       n_in_zone += strcmp(other->zone, machine->zone) == 0;
-      if (spec->one_zone && strcmp(other->zone, machine->zone) != 0)
+      if (spec->requires_one_zone && strcmp(other->zone, machine->zone) != 0)
         world_break(world, "wrong_place: %s in two zones", task->job->id);
     }
   }
   if (!world_job_is_ready(task->job))
     world_break(world, "too_early: %s/%u starts before all that its job depends on is done",
                 task->job->id, task->number);
-  if (spec->spread && n_in_zone > mm_spec_zone_limit(spec))
+  if (spec->spreads_over_zones && n_in_zone > mm_job_spec_max_tasks_per_zone(spec))
     world_break(world, "wrong_place: %u tasks of %s in zone %s", n_in_zone, task->job->id,
                 machine->zone);
-  if (!mm_spec_allows_type(spec, &type) || (machine->spot && !spec->spot)
+  if (!mm_job_spec_allows_type(spec, &type) || (machine->spot && !spec->allows_spot)
       || (spec->zone.s[0] != '\0' && strcmp(spec->zone.s, machine->zone) != 0))
     world_break(world, "wrong_place: %s/%u on %s", task->job->id, task->number, machine->id);
 }
@@ -53,7 +53,7 @@
       const WorldJob *job = task->job;
       if (!world_task_is_on(task))
         continue;
-      cores[job->spec.team.s[5] - '0'] += job->spec.need.cores;
+      cores[job->spec.team.s[5] - '0'] += job->spec.task_resources.cores;
       if (job->told == TOLD_CANCELLED
           && (double)(world->now_us - job->told_us) > world->cancel_s * G_USEC_PER_SEC)
         world_break(world, "ran_cancelled: %s/%u on %s", job->id, task->number, machine->id);
@@ -91,7 +91,7 @@
     n_over += job->told >= TOLD_CANCELLED;
     if (job->told < TOLD_CANCELLED)
       g_test_message("%s is not over: %u of %u done, %u needs", job->id, job->n_done,
-                     job->spec.tasks, job->needs->len);
+                     job->spec.n_tasks, job->needs->len);
   }
   g_assert_cmpuint(n_over, ==, world->jobs->len);
 }
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -112,7 +112,7 @@
   g_autofree char *id = g_strndup(text, strcspn(text, "/"));
   const WorldJob *job = world_find_job(world, id);
 
-  return job != NULL ? job->spec.need.cores : 0;
+  return job != NULL ? job->spec.task_resources.cores : 0;
 }
 
 static double
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -173,22 +173,22 @@
   for (guint k = 0; k < machine->tasks->len; k++) {
     const WorldTask *task = g_ptr_array_index(machine->tasks, k);
     if (task->state != MM_REPORTED_ENDED)
-      resources = mm_resources_sub(resources, task->job->spec.need);
+      resources = mm_resources_sub(resources, task->job->spec.task_resources);
   }
   return resources;
 }
 
 static gboolean
-fits_somewhere(const World *world, const MmSpec *spec) {
+fits_somewhere(const World *world, const MmJobSpec *spec) {
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     MmName type = mm_name(machine->type);
     if (machine->up && !machine->gone && machine->warned_us == 0
         && world->now_us >= MAX(machine->hung_until_us, machine->cut_until_us)
         && world->now_us >= MAX(machine->deaf_until_us, machine->mute_until_us)
-        && mm_spec_allows_type(spec, &type) && (!machine->spot || spec->spot)
+        && mm_job_spec_allows_type(spec, &type) && (!machine->spot || spec->allows_spot)
         && (mm_name_is_empty(&spec->zone) || strcmp(spec->zone.s, machine->zone) == 0)
-        && mm_resources_fits(spec->need, free_room(machine)))
+        && mm_resources_fits(spec->task_resources, free_room(machine)))
       return TRUE;
   }
   return FALSE;
@@ -209,7 +209,7 @@
         continue;
       *n_given += task->job == target_job;
       if (mm_name_equal(&task->job->spec.team, &target_job->spec.team))
-        cores += task->job->spec.need.cores;
+        cores += task->job->spec.task_resources.cores;
     }
   }
   return cores;
@@ -217,15 +217,17 @@
 
 static gboolean
 waits_needlessly(const World *world, const WorldJob *job) {
-  const MmSpec *spec = &job->spec;
+  const MmJobSpec *spec = &job->spec;
   double cores;
   guint n_given;
 
   if (job->told != ACCEPTED || world_job_may_be_cancelled(job) || !world_job_is_ready(job)
-      || spec->one_zone || spec->spread || (spec->kind == MM_KIND_GANG && spec->tasks > 1))
+      || spec->requires_one_zone || spec->spreads_over_zones
+      || (spec->kind == MM_JOB_KIND_GANG && spec->n_tasks > 1))
     return FALSE;
   cores = team_cores(world, job, &n_given);
-  return spec->tasks > job->n_done + n_given && cores + spec->need.cores <= world->team_cores + 1e-6
+  return spec->n_tasks > job->n_done + n_given
+         && cores + spec->task_resources.cores <= world->team_cores + 1e-6
          && fits_somewhere(world, spec);
 }
 
@@ -273,7 +275,7 @@
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
     if (!world_job_may_be_cancelled(job))
-      most_tasks = MAX(most_tasks, job->spec.tasks);
+      most_tasks = MAX(most_tasks, job->spec.n_tasks);
   }
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
@@ -281,7 +283,7 @@
       continue;
     count(world, &teams[job->spec.team.s[5] - '0'], NULL, job);
     count(world, &of_kind[job->spec.kind], NULL, job);
-    if (job->spec.tasks < most_tasks)
+    if (job->spec.n_tasks < most_tasks)
       continue;
     count(world, &largest, NULL, job);
     if (job->began_us - job->ready_us > LARGEST_BEGIN_US)
@@ -312,7 +314,7 @@
   world->calm_us = world->now_us + 45 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->spec.kind == MM_KIND_SERVICE && !job->asked_cancel)
+    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->asked_cancel)
       world_cancel(job);
   }
   world_run(world, 200);
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -65,9 +65,9 @@
 
   job->answered_us = world->now_us;
   if (g_strcmp0(state, WIRE_DONE) == 0) {
-    if (job->n_done < job->spec.tasks)
+    if (job->n_done < job->spec.n_tasks)
       world_break(world, "not_done: %s is called done with %u of %u tasks", job->id, job->n_done,
-                  job->spec.tasks);
+                  job->spec.n_tasks);
     if (job->told == TOLD_CANCELLED)
       world_break(world, "went_back: %s from cancelled to done", job->id);
     job->told = TOLD_DONE;
@@ -207,8 +207,8 @@
       WIRE_ESTIMATE, run_s, WIRE_CHECKPOINT, 0.0, WIRE_SAVE, 0.0);
   json_object_update(job->body, overrides);
   json_decref(overrides);
-  g_assert_true(mm_spec_parse(&job->spec, job->body, &reason));
-  job->done = g_new0(gboolean, job->spec.tasks);
+  g_assert_true(mm_job_spec_parse(&job->spec, job->body, &reason));
+  job->done = g_new0(gboolean, job->spec.n_tasks);
   job->needs = g_ptr_array_new();
   g_ptr_array_add(world->jobs, job);
   submit(job);
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -95,12 +95,12 @@
   if (was_on)
     record(machine, task, WORLD_TASK_ENDS);
   /* Of a gang, when one task is done, all of them are, also one whose machine hangs. */
-  for (guint i = 0; cause == MM_CAUSE_DONE && i < task->job->spec.tasks; i++)
-    if (i == task->number || task->job->spec.kind == MM_KIND_GANG) {
+  for (guint i = 0; cause == MM_CAUSE_DONE && i < task->job->spec.n_tasks; i++)
+    if (i == task->number || task->job->spec.kind == MM_JOB_KIND_GANG) {
       task->job->n_done += !task->job->done[i];
       task->job->done[i] = TRUE;
     }
-  if (cause == MM_CAUSE_DONE && task->job->n_done == task->job->spec.tasks && was_running
+  if (cause == MM_CAUSE_DONE && task->job->n_done == task->job->spec.n_tasks && was_running
       && !task->job->asked_cancel
       && world_uniform(machine->world, 0, 1) < machine->world->cancelled_at_end)
     world_cancel(task->job);
@@ -112,7 +112,7 @@
 /* Gangs complete together and notice a loss together. */
 static void
 end_peers(World *world, const WorldTask *task, guint8 cause) {
-  if (task->job->spec.kind != MM_KIND_GANG)
+  if (task->job->spec.kind != MM_JOB_KIND_GANG)
     return;
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *other = g_ptr_array_index(world->machines, i);
@@ -163,13 +163,14 @@
     const WorldTask *other = g_ptr_array_index(machine->tasks, i);
     if (other->state == MM_REPORTED_ENDED)
       continue;
-    cores -= other->job->spec.need.cores;
-    memory -= other->job->spec.need.memory_gb;
+    cores -= other->job->spec.task_resources.cores;
+    memory -= other->job->spec.task_resources.memory_gb;
     if (other->job == job && other->number == number)
       task->cause = MM_CAUSE_OTHER_ATTEMPT;
   }
   if (task->cause == 0
-      && (cores < job->spec.need.cores - 1e-9 || memory < job->spec.need.memory_gb - 1e-9))
+      && (cores < job->spec.task_resources.cores - 1e-9
+          || memory < job->spec.task_resources.memory_gb - 1e-9))
     task->cause = MM_CAUSE_NO_RESOURCES;
   world->no_room += task->cause == MM_CAUSE_NO_RESOURCES;
   if (task->cause == MM_CAUSE_NO_RESOURCES && world->groups > 0)
@@ -313,7 +314,7 @@
              && (peer->state == MM_REPORTED_WAITING_FOR_GANG || peer->state == MM_REPORTED_RUNNING);
     }
   }
-  return n_present == task->job->spec.tasks;
+  return n_present == task->job->spec.n_tasks;
 }
 
 static void
@@ -337,7 +338,7 @@
              machine->id, task->attempt);
     world_check_start(world, machine, task);
     record(machine, task, WORLD_TASK_STARTS);
-    if (task->job->spec.kind == MM_KIND_GANG && task->job->spec.tasks > 1) {
+    if (task->job->spec.kind == MM_JOB_KIND_GANG && task->job->spec.n_tasks > 1) {
       task->state = MM_REPORTED_WAITING_FOR_GANG;
       task->left_s = 20;
       task->at_us = world->now_us;
@@ -360,7 +361,7 @@
     }
     return;
   }
-  if (task->job->spec.kind == MM_KIND_SERVICE)
+  if (task->job->spec.kind == MM_JOB_KIND_SERVICE)
     return;
   if (!task->job->done[task->number] && world_uniform(world, 0, 1) < machine->faulty)
     end_task(machine, task, MM_CAUSE_ERROR);
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -534,7 +534,7 @@
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
     json_decref(job->body);
-    mm_spec_clear(&job->spec);
+    mm_job_spec_clear(&job->spec);
     g_ptr_array_unref(job->needs);
     g_free(job->done);
     g_free(job);
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -37,7 +37,7 @@
   World *world;
   char id[32];
   json_t *body;
-  MmSpec spec;
+  MmJobSpec spec;
   GPtrArray *needs; /* WorldJob: the jobs that it depends on */
   gint64 ready_us;  /* when the last of them was done; 0: not yet */
   WorldTold told;
