--- a/src/checkin/checkin.c
+++ b/src/checkin/checkin.c
@@ -17,7 +17,7 @@
 
 typedef struct {
   json_t *body;
-  MmExchange *exchange;
+  MmHttpExchange *exchange;
   MmTime received_at;
 } DeferredHeartbeat;
 
@@ -38,7 +38,7 @@
 
   mm_pending_responses_refuse_all(server);
   while ((deferred = g_queue_pop_head(server->deferred_heartbeats)) != NULL) {
-    mm_exchange_answer(deferred->exchange, 503, NULL, 0);
+    mm_http_exchange_respond(deferred->exchange, 503, NULL, 0);
     json_decref(deferred->body);
     g_free(deferred);
   }
@@ -51,13 +51,13 @@
 /* ---- reports ---- */
 
 static void
-redirect_worker(MmHeartbeatServer *server, MmExchange *exchange, gint peer) {
+redirect_worker(MmHeartbeatServer *server, MmHttpExchange *exchange, gint peer) {
   if (peer >= 0)
-    mm_exchange_answer(exchange, 421,
-                       json_pack("{s:s}", WIRE_REPORT_TO, server->node->links->peers[peer].label.s),
-                       0);
+    mm_http_exchange_respond(
+        exchange, 421,
+        json_pack("{s:s}", WIRE_REPORT_TO, server->node->peer_links->peers[peer].label.s), 0);
   else
-    mm_exchange_answer(exchange, 503, mm_json_error("not entitled to answer"), 0);
+    mm_http_exchange_respond(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
 
 /* Machines are spread over the nodes by moving one now and then. */
@@ -68,19 +68,19 @@
 
   if (mm_time_ms_since(now, server->last_redirect_at) < REDIRECT_INTERVAL_MS)
     return -1;
-  peer = mm_links_other(server->node->links);
-  if (peer < 0 || server->served_machines < server->node->links->peers[peer].machines + 4)
+  peer = mm_peer_links_least_loaded(server->node->peer_links);
+  if (peer < 0 || server->served_machines < server->node->peer_links->peers[peer].n_machines + 4)
     return -1;
   server->last_redirect_at = now;
   server->served_machines--;
-  server->node->links->peers[peer].machines++;
+  server->node->peer_links->peers[peer].n_machines++;
   return peer;
 }
 
 /* Each machine has one report under way, so the machine table bounds them; FALSE when it waits
  * already as long as it may. */
 static gboolean
-defer_heartbeat(MmHeartbeatServer *server, const json_t *body, MmExchange *exchange,
+defer_heartbeat(MmHeartbeatServer *server, const json_t *body, MmHttpExchange *exchange,
                 MmTime received_at) {
   guint limit = MAX(DEFERRED_HEARTBEATS_MIN, server->node->machine_table->sorted_machines->len);
   DeferredHeartbeat *deferred;
@@ -114,14 +114,15 @@
 }
 
 static void
-refuse_heartbeat(MmExchange *exchange, const char *reason) {
-  mm_exchange_answer(exchange, 503, mm_json_error(reason), 0);
+refuse_heartbeat(MmHttpExchange *exchange, const char *reason) {
+  mm_http_exchange_respond(exchange, 503, mm_json_error(reason), 0);
 }
 
 /* It gets the term to show, and stops, which are always good; not for ever, should it show nothing.
  */
 static void
-respond_unverified(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmExchange *exchange) {
+respond_unverified(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
+                   MmHttpExchange *exchange) {
   MmNode *node = server->node;
   MmMachine *machine = mm_machine_table_add_unverified(node->machine_table, heartbeat);
   json_t *commands;
@@ -132,7 +133,7 @@
   }
   mm_machine_health_record_response(node->machine_table, machine, mm_node_now(node));
   mm_machine_health_count_own_response(node->machine_table, machine);
-  mm_links_tell_unproved(node->links, &machine->id);
+  mm_peer_broadcast_unverified(node->peer_links, &machine->id);
   commands = json_array();
   mm_heartbeat_server_add_cleanup_commands(server, heartbeat->tasks, commands);
   mm_heartbeat_server_send_commands(node, exchange, commands);
@@ -141,13 +142,13 @@
 /* Reports that this node may not answer, or not yet; TRUE when the exchange is dealt with. */
 static gboolean
 reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, const json_t *body,
-                MmExchange *exchange, MmTime received_at) {
+                MmHttpExchange *exchange, MmTime received_at) {
   MmNode *node = server->node;
   gint peer;
 
   if (!mm_node_lease_may_answer_workers(node->node_lease)
       || !mm_versions_own_groups_announced(node->versions)) {
-    redirect_worker(server, exchange, mm_links_other(node->links));
+    redirect_worker(server, exchange, mm_peer_links_least_loaded(node->peer_links));
     return TRUE;
   }
   if (heartbeat->fencing_token.v > node->replica->term.v) {
@@ -160,8 +161,9 @@
   if (mm_heartbeat_server_is_settling(server)
       && defer_heartbeat(server, body, exchange, received_at))
     return TRUE;
-  peer = node->sharing->active ? mm_sharing_redirect(node->sharing, heartbeat->machine_id.s)
-                               : less_loaded_peer(server);
+  peer = node->sharing->is_active
+             ? mm_sharing_redirect_target(node->sharing, heartbeat->machine_id.s)
+             : less_loaded_peer(server);
   if (peer >= 0) {
     redirect_worker(server, exchange, peer);
     return TRUE;
@@ -185,14 +187,14 @@
                                                          mm_node_now(node), MM_SERVING_NODE_SELF);
 
   if (machine != NULL) {
-    mm_links_tell_report(node->links, machine, !heartbeat->is_unanswered);
+    mm_peer_broadcast_heartbeat(node->peer_links, machine, !heartbeat->is_unanswered);
     return machine;
   }
   /* Overtaken by a direct answer: it renews the lease if the worker still waits, so the peers must
    * know of it, whatever stamp they know. */
   machine = mm_machine_table_find(node->machine_table, heartbeat->machine_id.s);
   if (!heartbeat->is_unanswered)
-    mm_links_tell_unproved(node->links, &machine->id);
+    mm_peer_broadcast_unverified(node->peer_links, &machine->id);
   return machine;
 }
 
@@ -200,7 +202,7 @@
  * ever prove its lease over, and parts that were taken meanwhile would wait for its acknowledgement
  * without end. */
 static void
-respond_to_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmExchange *exchange) {
+respond_to_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmHttpExchange *exchange) {
   MmMachineTable *machine_table = server->node->machine_table;
   MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine_id.s);
 
@@ -218,20 +220,21 @@
 }
 
 static void
-process_heartbeat(MmHeartbeatServer *server, const json_t *body, MmExchange *exchange,
+process_heartbeat(MmHeartbeatServer *server, const json_t *body, MmHttpExchange *exchange,
                   MmTime received_at) {
   const char *reason = NULL;
   MmHeartbeat heartbeat;
 
   if (!mm_heartbeat_parse(&heartbeat, body, &reason))
-    mm_exchange_answer(exchange, 400, mm_json_error(reason), 0);
+    mm_http_exchange_respond(exchange, 400, mm_json_error(reason), 0);
   else if (!reject_or_defer(server, &heartbeat, body, exchange, received_at))
     respond_to_heartbeat(server, &heartbeat, exchange);
   mm_heartbeat_clear(&heartbeat);
 }
 
 void
-mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body, MmExchange *exchange) {
+mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body,
+                            MmHttpExchange *exchange) {
   process_heartbeat(server, body, exchange, mm_node_now(server->node));
 }
 
--- a/src/checkin/checkin.h
+++ b/src/checkin/checkin.h
@@ -22,11 +22,11 @@
 void mm_heartbeat_server_free(MmHeartbeatServer *server);
 void mm_heartbeat_server_tick(MmHeartbeatServer *server);
 void mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body,
-                                 MmExchange *exchange);
+                                 MmHttpExchange *exchange);
 void mm_heartbeat_server_replica_changed(MmHeartbeatServer *server);
 /* A peer's answer to a request for approval. */
 void mm_pending_response_start_answered(MmHeartbeatServer *server, guint peer,
-                                        const Mm__Answer *reply);
+                                        const Mm__StartResponse *reply);
 /* Parts are changing hands at the moment: what is told of terms now would soon be old. */
 gboolean mm_heartbeat_server_is_settling(const MmHeartbeatServer *server);
 /* Machines that report to this node. */
--- a/src/checkin/machine-table.c
+++ b/src/checkin/machine-table.c
@@ -127,7 +127,7 @@
   machine->queued_commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   machine->placed_tasks = g_ptr_array_new_with_free_func(g_free);
   machine->serving_node = MM_SERVING_NODE_NONE;
-  machine->group = mm_group_of_machine(machine_id, machine_table->node->sharing->groups);
+  machine->group = mm_group_of_machine(machine_id, machine_table->node->sharing->n_groups);
   /* Nothing is known of its past: it may have been answered a moment ago. */
   machine->last_possible_response_at = mm_node_now(machine_table->node);
   machine->idle_since = machine->last_seen_at = machine->last_possible_response_at;
@@ -143,14 +143,14 @@
 static void
 notify_heartbeat(const MmMachineTable *machine_table, MmMachine *machine,
                  const MmHeartbeat *heartbeat, gboolean changed) {
-  mm_scheduler_heartbeat_received(machine_table->node->owner, machine, heartbeat, changed);
-  mm_sharing_reported(machine_table->node->sharing, machine, heartbeat->heartbeat_id,
-                      heartbeat->is_direct_reply);
+  mm_scheduler_heartbeat_received(machine_table->node->scheduler, machine, heartbeat, changed);
+  mm_sharing_heartbeat_received(machine_table->node->sharing, machine, heartbeat->heartbeat_id,
+                                heartbeat->is_direct_reply);
 }
 
 static void
 notify_machine_ended(const MmMachineTable *machine_table, MmMachine *machine) {
-  mm_scheduler_machine_gone(machine_table->node->owner, machine);
+  mm_scheduler_machine_gone(machine_table->node->scheduler, machine);
   mm_sharing_machine_gone(machine_table->node->sharing, machine);
 }
 
@@ -284,7 +284,7 @@
     machine->type_name = heartbeat->type;
   if (!mm_name_is_empty(&heartbeat->zone))
     machine->zone = heartbeat->zone;
-  machine->type = mm_instance_types_find(machine_table->node->types, &machine->type_name);
+  machine->type = mm_instance_types_find(machine_table->node->instance_types, &machine->type_name);
   machine->is_spot = heartbeat->is_spot;
 }
 
@@ -456,7 +456,7 @@
   if (machine->has_reported)
     return;
   machine->type_name = entry->type;
-  machine->type = mm_instance_types_find(machine_table->node->types, &machine->type_name);
+  machine->type = mm_instance_types_find(machine_table->node->instance_types, &machine->type_name);
   machine->zone = entry->zone;
   machine->is_spot = entry->is_spot;
   memcpy(machine->addr, entry->addr, sizeof machine->addr);
@@ -505,7 +505,7 @@
 static void
 expire_leases(MmMachineTable *machine_table) {
   MmNode *node = machine_table->node;
-  MmTime responses_known_until = mm_links_settled(node->links);
+  MmTime responses_known_until = mm_peer_links_responses_known_until(node->peer_links);
   gint64 lease_ms = (gint64)(node->settings->worker_lease_s * 1000 * (1 + CLOCK_DRIFT))
                     + LEASE_EXPIRY_MARGIN_MS;
 
--- a/src/checkin/pending-answer.c
+++ b/src/checkin/pending-answer.c
@@ -41,12 +41,12 @@
 
   if (g_hash_table_size(server->jobs_being_confirmed) >= CONFIRMATIONS_MAX
       || g_hash_table_contains(server->jobs_being_confirmed, job_id->s)
-      || mm_kv_client_is_refused(server->node->store))
+      || mm_kv_client_is_refused(server->node->kv))
     return;
   g_hash_table_add(server->jobs_being_confirmed, g_strdup(job_id->s));
   confirmation = g_new(TerminalConfirmation, 1);
   *confirmation = (TerminalConfirmation){ server, *job_id };
-  mm_kv_client_get(server->node->store, MM_KEY_TERMINAL_RECORD, job_id->s, terminal_state_received,
+  mm_kv_client_get(server->node->kv, MM_KEY_TERMINAL_RECORD, job_id->s, terminal_state_received,
                    confirmation);
 }
 
@@ -90,11 +90,11 @@
 }
 
 void
-mm_heartbeat_server_send_commands(const MmNode *node, MmExchange *exchange, json_t *commands) {
-  mm_exchange_answer(exchange, 200,
-                     json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v,
-                               WIRE_COMMANDS, commands),
-                     0);
+mm_heartbeat_server_send_commands(const MmNode *node, MmHttpExchange *exchange, json_t *commands) {
+  mm_http_exchange_respond(exchange, 200,
+                           json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v,
+                                     WIRE_COMMANDS, commands),
+                           0);
 }
 
 static void
@@ -106,7 +106,7 @@
 
   /* Without the machine's entry nothing is known of what must stop there. */
   if (!mm_node_lease_may_answer_workers(node->node_lease) || machine == NULL) {
-    mm_exchange_answer(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
+    mm_http_exchange_respond(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
     pending_response_free(response);
     return;
   }
@@ -139,8 +139,8 @@
     response->available = (MmResources){ 0 };
   else if (!approval->was_reserved)
     response->available = mm_resources_sub(response->available, job->spec.task_resources);
-  mm_placement_remove_candidate(server->node->rank, (guint)response->choice.view, approval->job.s,
-                                approval->number);
+  mm_placement_remove_candidate(server->node->placement, (guint)response->choice.view,
+                                approval->job.s, approval->number);
 }
 
 static void
@@ -155,7 +155,7 @@
 send_start_request(MmPendingResponse *response) {
   MmHeartbeatServer *server = response->server;
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__Ask request = MM__ASK__INIT;
+  Mm__StartRequest request = MM__START_REQUEST__INIT;
   Mm__TaskRef task_refs[MM_PLACEMENT_CANDIDATES_MAX];
   Mm__TaskRef *ref_pointers[MM_PLACEMENT_CANDIDATES_MAX];
 
@@ -163,8 +163,8 @@
   g_hash_table_insert(server->pending_responses, &response->request_id, response);
   request.id = response->request_id;
   request.machine = response->machine_id.s;
-  request.session = response->heartbeat_id.incarnation;
-  request.seq = response->heartbeat_id.sequence;
+  request.incarnation = response->heartbeat_id.incarnation;
+  request.sequence = response->heartbeat_id.sequence;
   request.cores = response->available.cores;
   request.accelerators = response->available.accelerators;
   request.memory_gb = response->available.memory_gb;
@@ -177,9 +177,9 @@
   }
   request.candidates = ref_pointers;
   request.n_candidates = response->choice.n_tasks;
-  frame.body_case = MM__FRAME__BODY_ASK;
-  frame.ask = &request;
-  mm_links_send(server->node->links, (guint)response->choice.view - 1, &frame);
+  frame.body_case = MM__FRAME__BODY_START_REQUEST;
+  frame.start_request = &request;
+  mm_peer_links_send(server->node->peer_links, (guint)response->choice.view - 1, &frame);
 }
 
 /* ---- grants of the machine's resources ---- */
@@ -189,7 +189,7 @@
   MmHeartbeatServer *server = response->server;
   guint n_starts = response->approved_starts->len;
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__GrantAsk request = MM__GRANT_ASK__INIT;
+  Mm__GrantRequest request = MM__GRANT_REQUEST__INIT;
   g_autofree Mm__GrantStart *items = g_new(Mm__GrantStart, n_starts);
   g_autofree Mm__GrantStart **list = g_new(Mm__GrantStart *, n_starts);
 
@@ -208,14 +208,14 @@
   }
   request.id = response->request_id;
   request.machine = response->machine_id.s;
-  request.session = response->heartbeat_id.incarnation;
-  request.seq = response->heartbeat_id.sequence;
+  request.incarnation = response->heartbeat_id.incarnation;
+  request.sequence = response->heartbeat_id.sequence;
   request.term = response->grant_term.v;
   request.starts = list;
   request.n_starts = n_starts;
-  frame.body_case = MM__FRAME__BODY_GRANT_ASK;
-  frame.grant_ask = &request;
-  mm_links_send(server->node->links, response->grant_peer, &frame);
+  frame.body_case = MM__FRAME__BODY_GRANT_REQUEST;
+  frame.grant_request = &request;
+  mm_peer_links_send(server->node->peer_links, response->grant_peer, &frame);
 }
 
 static void
@@ -229,7 +229,7 @@
         = &g_array_index(response->approved_starts, MmApprovedStart, i - 1).command;
     MmGrant grant = { start->job, start->number, start->attempt, response->heartbeat_id };
     if (machine == NULL || !mm_sharing_may_grant(sharing, machine)
-        || !mm_grants_give(sharing->grants, machine, &grant))
+        || !mm_grants_try_grant(sharing->grants, machine, &grant))
       g_array_remove_index(response->approved_starts, i - 1);
   }
 }
@@ -248,7 +248,7 @@
 
 void
 mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
-                                    const Mm__GrantAnswer *reply) {
+                                    const Mm__GrantResponse *reply) {
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
@@ -279,12 +279,12 @@
         || mm_heartbeat_id_is_newer(machine->latest_message_id, response->heartbeat_id)
         || !mm_machine_is_usable(node->machine_table, machine))
       break;
-    response->choice = mm_placement_choose(node->rank, machine, response->available,
+    response->choice = mm_placement_choose(node->placement, machine, response->available,
                                            response->tried_tasks, response->exhausted_views);
     if (response->choice.view < 0)
       break;
     if (response->choice.view > 0) {
-      if (!node->links->peers[response->choice.view - 1].up) {
+      if (!node->peer_links->peers[response->choice.view - 1].is_up) {
         record_refusal(response);
         response->exhausted_views |= 1u << response->choice.view;
         continue;
@@ -299,7 +299,7 @@
                                 .is_pull = response->choice.is_pull,
                                 .n_tasks = response->choice.n_tasks };
     memcpy(request.tasks, response->choice.tasks, sizeof request.tasks);
-    if (mm_scheduler_approve_start(node->owner, &request, &approval))
+    if (mm_scheduler_approve_start(node->scheduler, &request, &approval))
       add_approved_start(response, &approval);
     else
       record_refusal(response);
@@ -308,7 +308,8 @@
 }
 
 void
-mm_pending_response_start_answered(MmHeartbeatServer *server, guint peer, const Mm__Answer *reply) {
+mm_pending_response_start_answered(MmHeartbeatServer *server, guint peer,
+                                   const Mm__StartResponse *reply) {
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
@@ -316,7 +317,7 @@
   if (response == NULL || response->awaits_grants || response->choice.view != (gint)peer + 1)
     return;
   g_hash_table_remove(server->pending_responses, &request_id);
-  server->node->rank->views[peer + 1].n_pending_tasks = reply->unfinished;
+  server->node->placement->views[peer + 1].n_pending_tasks = reply->unfinished;
   if (reply->approval != NULL) {
     MmApproval approval
         = { mm_name(reply->approval->job),  reply->approval->number,   { reply->approval->attempt },
@@ -330,7 +331,7 @@
 
 static MmPendingResponse *
 pending_response_new(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmMachine *machine,
-                     MmExchange *exchange) {
+                     MmHttpExchange *exchange) {
   MmNode *node = server->node;
   MmPendingResponse *response = g_new0(MmPendingResponse, 1);
 
@@ -349,7 +350,7 @@
 
 void
 mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
-                          MmMachine *machine, MmExchange *exchange) {
+                          MmMachine *machine, MmHttpExchange *exchange) {
   MmPendingResponse *response = pending_response_new(server, heartbeat, machine, exchange);
 
   /* Where nobody can grant resources, nothing is asked for: it would only be denied later. */
@@ -389,7 +390,7 @@
 
   g_hash_table_iter_init(&iter, server->pending_responses);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    mm_exchange_answer(((MmPendingResponse *)value)->exchange, 503, NULL, 0);
+    mm_http_exchange_respond(((MmPendingResponse *)value)->exchange, 503, NULL, 0);
     pending_response_free(value);
   }
 }
--- a/src/checkin/pending-answer.h
+++ b/src/checkin/pending-answer.h
@@ -20,7 +20,7 @@
 
 typedef struct {
   MmHeartbeatServer *server;
-  MmExchange *exchange;
+  MmHttpExchange *exchange;
   MmName machine_id;
   MmHeartbeatId heartbeat_id;
   MmResources available;
@@ -39,10 +39,10 @@
 
 /* Begins the answer to a report that was taken in; the exchange is answered once, now or later. */
 void mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
-                               MmMachine *machine, MmExchange *exchange);
+                               MmMachine *machine, MmHttpExchange *exchange);
 /* The group's owner has said which of the approved starts may have their resources. */
 void mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
-                                         const Mm__GrantAnswer *reply);
+                                         const Mm__GrantResponse *reply);
 /* Sends what there is to all whose time is up. */
 void mm_pending_responses_expire(MmHeartbeatServer *server);
 /* Answers all 503: the node ends. */
@@ -52,4 +52,5 @@
 void mm_heartbeat_server_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
                                               json_t *commands);
 /* Answers 200 with the replica's term. Takes the commands. */
-void mm_heartbeat_server_send_commands(const MmNode *node, MmExchange *exchange, json_t *commands);
+void mm_heartbeat_server_send_commands(const MmNode *node, MmHttpExchange *exchange,
+                                       json_t *commands);
--- a/src/checkin/registry.c
+++ b/src/checkin/registry.c
@@ -67,7 +67,7 @@
 /* What the entries of one pack may take. */
 static gsize
 pack_limit_bytes(const MmRegistry *registry) {
-  return MIN(mm_kv_client_max_value_bytes(registry->node->store), PACK_MAX_BYTES)
+  return MIN(mm_kv_client_max_value_bytes(registry->node->kv), PACK_MAX_BYTES)
          - PACK_OVERHEAD_BYTES;
 }
 
@@ -203,7 +203,7 @@
     MmMachine *machine = g_ptr_array_index(machines, i);
     if (!mm_machine_has_registered_incarnation(machine) && machine->has_reported
         && !machine->lease_has_expired && !machine->is_being_terminated
-        && mm_sharing_registers(registry->node->sharing, machine)
+        && mm_sharing_may_register(registry->node->sharing, machine)
         && !mm_machine_health_ignores_responses(registry->node->machine_table, machine))
       g_ptr_array_add(unregistered, machine);
   }
@@ -254,7 +254,7 @@
   MmTransaction transaction;
 
   if (registry->is_writing || mm_time_before(now, registry->next_write_at)
-      || mm_kv_client_is_refused(node->store) || !node->replica->is_loaded)
+      || mm_kv_client_is_refused(node->kv) || !node->replica->is_loaded)
     return;
   registry->next_write_at = mm_time_add_ms(now, WRITE_INTERVAL_MS);
   unregistered = machines_to_register(registry);
@@ -262,7 +262,7 @@
     return;
   transaction = mm_transaction_begin();
   for (guint pack_number = 0;
-       unregistered->len > 0 && transaction.n_operations < mm_kv_client_max_operations(node->store);
+       unregistered->len > 0 && transaction.n_operations < mm_kv_client_max_operations(node->kv);
        pack_number++) {
     g_autofree char *pack_name = g_strdup_printf("%s/%u", node->settings->label.s, pack_number);
     const MmRegistryPack *pack = g_hash_table_lookup(registry->packs, pack_name);
@@ -271,14 +271,14 @@
 
     if (unregistered->len == n_before)
       continue;
-    if (!mm_kv_client_try_spend_writes(node->store, 1))
+    if (!mm_kv_client_try_spend_writes(node->kv, 1))
       break;
     mm_transaction_require_version(&transaction, MM_KEY_REGISTRY_PACK, pack_name,
                                    pack != NULL ? pack->version : (MmKeyVersion){ 0 });
     mm_transaction_put(&transaction, MM_KEY_REGISTRY_PACK, pack_name, pack_to_json(entries), 0);
   }
   registry->is_writing = transaction.n_operations > 0;
-  mm_kv_client_commit_unless_empty(node->store, &transaction, registrations_written, registry);
+  mm_kv_client_commit_unless_empty(node->kv, &transaction, registrations_written, registry);
 }
 
 /* ---- taking off ---- */
@@ -406,14 +406,14 @@
                      MmTransaction *transaction) {
   MmTransaction guards = mm_transaction_begin();
   g_autoptr(GArray) remaining = entries_to_keep(registry, pack, &guards);
-  guint guards_limit = 4 * mm_kv_client_max_operations(registry->node->store);
+  guint guards_limit = 4 * mm_kv_client_max_operations(registry->node->kv);
   gboolean too_large = entries_bytes(remaining) > pack_limit_bytes(registry);
   gboolean needs_own_transaction = too_large || json_array_size(guards.conditions) > 0;
 
   if (remaining->len < pack->entries->len
       && !(needs_own_transaction && transaction->n_operations > 0)
       && json_array_size(guards.conditions) < guards_limit
-      && mm_kv_client_try_spend_writes(registry->node->store, 1)) {
+      && mm_kv_client_try_spend_writes(registry->node->kv, 1)) {
     json_array_extend(transaction->conditions, guards.conditions);
     if (too_large)
       copy_overflow(registry, pack_name, pack, remaining, transaction);
@@ -431,14 +431,14 @@
   gpointer pack_name, value;
   MmTransaction transaction;
 
-  if (registry->is_removing || mm_kv_client_is_refused(node->store))
+  if (registry->is_removing || mm_kv_client_is_refused(node->kv))
     return;
   transaction = mm_transaction_begin();
   g_hash_table_iter_init(&iter, registry->packs);
-  while (transaction.n_operations < mm_kv_client_max_operations(node->store)
-         && json_array_size(transaction.conditions) <= mm_kv_client_max_operations(node->store)
+  while (transaction.n_operations < mm_kv_client_max_operations(node->kv)
+         && json_array_size(transaction.conditions) <= mm_kv_client_max_operations(node->kv)
          && g_hash_table_iter_next(&iter, &pack_name, &value))
     remove_ended_entries(registry, pack_name, value, &transaction);
   registry->is_removing = transaction.n_operations > 0;
-  mm_kv_client_commit_unless_empty(node->store, &transaction, removals_written, registry);
+  mm_kv_client_commit_unless_empty(node->kv, &transaction, removals_written, registry);
 }
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -33,13 +33,13 @@
 
   for (guint i = 0; i < change->cancelled->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(change->cancelled, i);
-    mm_scheduler_job_cancelled(node->owner, vertex->job_id.s);
+    mm_scheduler_job_cancelled(node->scheduler, vertex->job_id.s);
   }
   for (guint i = 0; i < change->ready->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(change->ready, i);
     MmJob *job = mm_job_table_find(node->job_table, vertex->job_id.s);
     if (job != NULL)
-      mm_scheduler_job_ready(node->owner, job);
+      mm_scheduler_job_ready(node->scheduler, job);
   }
 }
 
@@ -79,7 +79,7 @@
   notify_scheduler(dependencies, &change);
   mm_dependency_change_clear(&change);
   if (job->spec.n_dependencies > 0 && mm_job_dependencies_are_done(job))
-    mm_scheduler_job_ready(dependencies->node->owner, job);
+    mm_scheduler_job_ready(dependencies->node->scheduler, job);
 }
 
 void
@@ -150,7 +150,7 @@
   *lookup = (TerminalLookup){ dependencies, vertex->job_id };
   vertex->is_being_looked_up = TRUE;
   dependencies->n_lookups++;
-  mm_kv_client_get(dependencies->node->store, MM_KEY_TERMINAL_RECORD, vertex->job_id.s,
+  mm_kv_client_get(dependencies->node->kv, MM_KEY_TERMINAL_RECORD, vertex->job_id.s,
                    on_terminal_record_read, lookup);
 }
 
@@ -162,7 +162,7 @@
   gint64 lookup_interval_ms
       = (gint64)(1000 / (node->settings->kv_requests_per_s * LOOKUP_REQUEST_SHARE));
 
-  if (unknown->len == 0 || mm_kv_client_is_refused(node->store)
+  if (unknown->len == 0 || mm_kv_client_is_refused(node->kv)
       || mm_time_before(now, dependencies->next_lookup_at))
     return;
   for (guint i = 0; i < unknown->len && dependencies->n_lookups < MAX_CONCURRENT_LOOKUPS; i++) {
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -108,8 +108,8 @@
       after_id != NULL ? after_id : "", after_id != NULL ? "&" : "", LIST_PAGE_SIZE);
 
   autoscaler->list_in_flight = TRUE;
-  autoscaler->node->port.request(autoscaler->node->port.self, MM_TARGET_CLOUD, NULL, "GET", path,
-                                 NULL, 3000, on_machine_list, autoscaler);
+  autoscaler->node->platform.request(autoscaler->node->platform.context, MM_TARGET_CLOUD, NULL,
+                                     "GET", path, NULL, 3000, on_machine_list, autoscaler);
 }
 
 void
@@ -125,7 +125,7 @@
     g_hash_table_remove_all(autoscaler->cloud_machines);
     mm_info("the fleet is %s", is_active ? "held here" : "no longer held here");
   }
-  if (!is_active || !mm_instance_types_are_known(node->types))
+  if (!is_active || !mm_instance_types_are_known(node->instance_types))
     return;
   if (!autoscaler->list_in_flight && !mm_time_before(now, autoscaler->next_list_at))
     request_machine_list(autoscaler, NULL);
--- a/src/fleet/renting.c
+++ b/src/fleet/renting.c
@@ -61,14 +61,14 @@
   *request = (RentRequest){ autoscaler, type->name, *zone, is_spot,
                             MIN(count, MAX_MACHINES_PER_REQUEST) };
   autoscaler->rent_in_flight = TRUE;
-  node->port.request(node->port.self, MM_TARGET_CLOUD, NULL, "POST", WIRE_MACHINES_PATH, body, 5000,
-                     on_rent_response, request);
+  node->platform.request(node->platform.context, MM_TARGET_CLOUD, NULL, "POST", WIRE_MACHINES_PATH,
+                         body, 5000, on_rent_response, request);
 }
 
 /* How many of the job's tasks one such machine holds beside the work it is kept for. */
 static guint
 slots_per_machine(MmAutoscaler *autoscaler, const MmJob *job, const MmInstanceType *type) {
-  const MmPlacement *placement = autoscaler->node->rank;
+  const MmPlacement *placement = autoscaler->node->placement;
   MmResources free_resources = type->resources;
   guint n_slots = 1000;
 
@@ -139,8 +139,8 @@
   MmNode *node = autoscaler->node;
   GArray *options = g_array_new(FALSE, TRUE, sizeof(RentOption));
 
-  for (guint i = 0; i < node->types->types->len; i++) {
-    const MmInstanceType *type = g_ptr_array_index(node->types->types, i);
+  for (guint i = 0; i < node->instance_types->types->len; i++) {
+    const MmInstanceType *type = g_ptr_array_index(node->instance_types->types, i);
     if (!mm_job_spec_allows_type(&job->spec, &type->name))
       continue;
     for (guint zone_index = 0; zone_index < type->zones->len; zone_index++) {
@@ -186,7 +186,7 @@
 void
 mm_autoscaler_scale_out(MmAutoscaler *autoscaler) {
   MmNode *node = autoscaler->node;
-  MmPlacement *placement = node->rank;
+  MmPlacement *placement = node->placement;
   MmTime now = mm_node_now(node);
   g_autoptr(GHashTable) reserved_slots = g_hash_table_new(g_direct_hash, g_direct_equal);
 
--- a/src/fleet/returns.c
+++ b/src/fleet/returns.c
@@ -62,7 +62,7 @@
     /* A 200 proves that the machine and all on it are gone. */
     mm_info("machine %s has been returned", id);
     mm_machine_table_record_termination(node->machine_table, id);
-    mm_links_tell_gone(node->links, id);
+    mm_peer_broadcast_machine_gone(node->peer_links, id);
     if (!machine->is_in_registry)
       mm_machine_table_remove(node->machine_table, machine);
   }
@@ -99,8 +99,8 @@
   autoscaler->probes_left--;
   machine->last_probed_at = now;
   machine->unanswered_probes++;
-  node->port.request(node->port.self, MM_TARGET_WORKER, machine->addr, "GET", WIRE_STATUS_PATH,
-                     NULL, 1500, on_probe_response, autoscaler);
+  node->platform.request(node->platform.context, MM_TARGET_WORKER, machine->addr, "GET",
+                         WIRE_STATUS_PATH, NULL, 1500, on_probe_response, autoscaler);
 }
 
 static gint64
@@ -253,7 +253,7 @@
   MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
   MmMachine *machine = mm_machine_table_find(node->machine_table, cloud_machine->id.s);
-  const MmInstanceType *type = mm_instance_types_find(node->types, &cloud_machine->type);
+  const MmInstanceType *type = mm_instance_types_find(node->instance_types, &cloud_machine->type);
   double patience_s = type != NULL
                           ? MAX(type->boot_s * node->operators->boot_patience, BOOT_PATIENCE_MIN_S)
                           : 600;
@@ -282,8 +282,8 @@
   if (machine->reported_tasks->len == 0 && machine->placed_tasks->len == 0
       && mm_time_ms_since(now, machine->idle_since)
              > (gint64)(node->operators->idle_return_s * 1000)) {
-    for (guint view_index = 0; view_index < node->rank->n_views; view_index++)
-      if (node->rank->views[view_index].n_pending_tasks > 0)
+    for (guint view_index = 0; view_index < node->placement->n_views; view_index++)
+      if (node->placement->views[view_index].n_pending_tasks > 0)
         return FALSE;
     return TRUE;
   }
@@ -353,8 +353,8 @@
   if (request->machine_ids->len > 0) {
     g_autoptr(json_t) body = json_pack("{s:o}", WIRE_MACHINES, json_ids);
     autoscaler->release_in_flight = TRUE;
-    node->port.request(node->port.self, MM_TARGET_CLOUD, NULL, "POST", WIRE_RELEASE_PATH, body,
-                       5000, on_release_response, request);
+    node->platform.request(node->platform.context, MM_TARGET_CLOUD, NULL, "POST", WIRE_RELEASE_PATH,
+                           body, 5000, on_release_response, request);
     return;
   }
   json_decref(json_ids);
--- a/src/fleet/types.c
+++ b/src/fleet/types.c
@@ -144,7 +144,7 @@
   if (g_strcmp0(text, instance_types->stored_text) == 0
       || !mm_node_lease_may_answer_workers(node->node_lease)
       || strlen(text) + 512 > node->settings->kv_max_value_bytes
-      || !mm_kv_client_try_spend_writes(node->store, 1))
+      || !mm_kv_client_try_spend_writes(node->kv, 1))
     return;
   transaction = mm_transaction_begin();
   /* One that is carried out late must not bring back what the cloud has changed since. */
@@ -153,7 +153,7 @@
   mm_transaction_put(&transaction, MM_KEY_INSTANCE_TYPES, "", json_pack("{s:O}", WIRE_TYPES, list),
                      0);
   /* Should it fail, the cloud's next answer is stored. */
-  mm_kv_client_commit(node->store, &transaction, NULL, NULL);
+  mm_kv_client_commit(node->kv, &transaction, NULL, NULL);
 }
 
 static void
@@ -183,7 +183,7 @@
       || mm_time_before(mm_node_now(instance_types->node), instance_types->next_fetch_at))
     return;
   instance_types->fetch_in_flight = TRUE;
-  instance_types->node->port.request(instance_types->node->port.self, MM_TARGET_CLOUD, NULL, "GET",
-                                     WIRE_MACHINE_TYPES_PATH, NULL, 3000, on_machine_types,
-                                     instance_types);
+  instance_types->node->platform.request(instance_types->node->platform.context, MM_TARGET_CLOUD,
+                                         NULL, "GET", WIRE_MACHINE_TYPES_PATH, NULL, 3000,
+                                         on_machine_types, instance_types);
 }
--- a/src/jobs/api.c
+++ b/src/jobs/api.c
@@ -24,7 +24,7 @@
 #define RATE_LIMIT_MAX_RETRIES 3
 
 MmUserRequest *
-mm_user_request_new(MmNode *node, MmExchange *exchange, const char *job_id) {
+mm_user_request_new(MmNode *node, MmHttpExchange *exchange, const char *job_id) {
   MmUserRequest *request = g_new0(MmUserRequest, 1);
 
   request->node = node;
@@ -35,7 +35,7 @@
 
 void
 mm_user_request_respond(MmUserRequest *request, int status, json_t *body, guint retry_after_s) {
-  mm_exchange_answer(request->exchange, status, body, retry_after_s);
+  mm_http_exchange_respond(request->exchange, status, body, retry_after_s);
   mm_job_spec_clear(&request->spec);
   json_decref(request->record);
   g_free(request);
@@ -43,16 +43,16 @@
 
 gboolean
 mm_user_request_kv_is_refusing(const MmNode *node) {
-  return mm_kv_client_is_silent(node->store)
-         || (mm_kv_client_is_refused(node->store)
-             && mm_time_ms_since(mm_node_now(node), node->store->last_refused_at)
+  return mm_kv_client_is_silent(node->kv)
+         || (mm_kv_client_is_refused(node->kv)
+             && mm_time_ms_since(mm_node_now(node), node->kv->last_refused_at)
                     < KV_REFUSAL_MEMORY_MS);
 }
 
 void
 mm_user_request_respond_unavailable(MmUserRequest *request) {
   mm_user_request_respond(request, 503, mm_json_error("the state service does not answer"),
-                          mm_kv_client_is_refused(request->node->store) ? 2 : 1);
+                          mm_kv_client_is_refused(request->node->kv) ? 2 : 1);
 }
 
 void
@@ -63,7 +63,7 @@
   }
   request->resume = resume;
   request->resume_at = mm_time_add_ms(mm_node_now(request->node), RATE_LIMIT_PAUSE_MS);
-  g_queue_push_tail(request->node->api->rate_limited, request);
+  g_queue_push_tail(request->node->job_api->rate_limited, request);
 }
 
 static void
@@ -107,11 +107,11 @@
     return TRUE;
   if (job->cancel_record_version.v == 0 || node->replica->revision < job->cancel_record_version.v)
     return FALSE;
-  if (node->store->available_us - job->kv_served_us_at_cancel
+  if (node->kv->available_us - job->kv_served_us_at_cancel
       >= mm_node_lease_max_staleness_us(node->node_lease) * 2)
     return TRUE;
-  for (guint i = 0; i < node->links->n_peers; i++)
-    if (g_hash_table_contains(node->replica->live_nodes, node->links->peers[i].label.s)
+  for (guint i = 0; i < node->peer_links->n_peers; i++)
+    if (g_hash_table_contains(node->replica->live_nodes, node->peer_links->peers[i].label.s)
         && (job->cancel_acked_by_peers & (G_GUINT64_CONSTANT(1) << i)) == 0)
       return FALSE;
   return TRUE;
@@ -128,8 +128,8 @@
   }
   request->deadline = mm_time_add_ms(now, CANCEL_ACK_TIMEOUT_MS);
   request->cancel_announced_at = now;
-  g_queue_push_tail(request->node->api->awaiting_cancel_acks, request);
-  mm_links_tell_cancelled(request->node->links, request->job_id.s);
+  g_queue_push_tail(request->node->job_api->awaiting_cancel_acks, request);
+  mm_peer_broadcast_cancellation(request->node->peer_links, request->job_id.s);
 }
 
 static gboolean
@@ -203,7 +203,7 @@
       mm_user_request_respond_unavailable(request);
     } else if (mm_time_ms_since(now, request->cancel_announced_at) >= CANCEL_ANNOUNCE_INTERVAL_MS) {
       request->cancel_announced_at = now;
-      mm_links_tell_cancelled(job_api->node->links, request->job_id.s);
+      mm_peer_broadcast_cancellation(job_api->node->peer_links, request->job_id.s);
     }
   }
 }
@@ -298,7 +298,7 @@
   if (revision > request->node->replica->revision && request->node->replica->is_loaded)
     mm_job_table_put(request->node->job_table, request->job_id.s, request->record,
                      (MmKeyVersion){ revision });
-  mm_scheduler_job_cancelled(request->node->owner, request->job_id.s);
+  mm_scheduler_job_cancelled(request->node->scheduler, request->job_id.s);
   answer_cancelled(request);
 }
 
@@ -309,11 +309,11 @@
   json_object_set_new(request->record, "c", json_integer(1));
   /* Written under larger limits: which of its tasks are done matters no more. */
   if (json_dumpb(request->record, NULL, 0, JSON_COMPACT)
-      > mm_kv_client_max_value_bytes(request->node->store))
+      > mm_kv_client_max_value_bytes(request->node->kv))
     json_object_del(request->record, "d");
   mm_transaction_require_version(&transaction, MM_KEY_JOB, request->job_id.s, version);
   mm_transaction_put(&transaction, MM_KEY_JOB, request->job_id.s, json_incref(request->record), 0);
-  mm_kv_client_commit(request->node->store, &transaction, on_cancel_written, request);
+  mm_kv_client_commit(request->node->kv, &transaction, on_cancel_written, request);
 }
 
 static void
@@ -322,7 +322,7 @@
 
   if (status == 404) {
     /* Finished jobs move from the one key to the other, so this order cannot miss one. */
-    mm_kv_client_get(request->node->store, MM_KEY_TERMINAL_RECORD, request->job_id.s,
+    mm_kv_client_get(request->node->kv, MM_KEY_TERMINAL_RECORD, request->job_id.s,
                      on_terminal_record_read, request);
     return;
   }
@@ -351,13 +351,12 @@
   else if (request->n_retries == 0 && mm_user_request_kv_is_refusing(request->node))
     mm_user_request_respond_unavailable(request);
   else
-    mm_kv_client_get(request->node->store, MM_KEY_JOB, request->job_id.s, on_job_record_read,
-                     request);
+    mm_kv_client_get(request->node->kv, MM_KEY_JOB, request->job_id.s, on_job_record_read, request);
 }
 
 static void
 wait_for_dependencies(MmUserRequest *request) {
-  MmJobApi *job_api = request->node->api;
+  MmJobApi *job_api = request->node->job_api;
 
   if (request->deadline.us == 0)
     request->deadline = mm_time_add_ms(mm_node_now(request->node), CANCEL_ACK_TIMEOUT_MS);
@@ -378,7 +377,7 @@
   else if (!is_current)
     mm_user_request_respond_unavailable(request);
   else if (job == NULL)
-    mm_kv_client_get(request->node->store, MM_KEY_TERMINAL_RECORD, request->job_id.s,
+    mm_kv_client_get(request->node->kv, MM_KEY_TERMINAL_RECORD, request->job_id.s,
                      on_terminal_record_read, request);
   else if (!job->is_cancelled && mm_dependencies_is_undecided(request->node->dependencies, job))
     wait_for_dependencies(request);
@@ -392,13 +391,13 @@
 }
 
 void
-mm_job_api_status(MmNode *node, const char *job_id, MmExchange *exchange) {
+mm_job_api_status(MmNode *node, const char *job_id, MmHttpExchange *exchange) {
   json_t *terminal_response = mm_job_table_terminal_response(node->job_table, job_id);
 
   if (terminal_response != NULL)
-    mm_exchange_answer(exchange, 200, terminal_response, 0);
+    mm_http_exchange_respond(exchange, 200, terminal_response, 0);
   else if (!mm_job_id_is_valid(job_id))
-    mm_exchange_answer(exchange, 404, mm_json_error("no such job"), 0);
+    mm_http_exchange_respond(exchange, 404, mm_json_error("no such job"), 0);
   else if (mm_user_request_kv_is_refusing(node))
     mm_user_request_respond_unavailable(mm_user_request_new(node, exchange, job_id));
   else
@@ -406,11 +405,11 @@
 }
 
 void
-mm_job_api_cancel(MmNode *node, const char *job_id, MmExchange *exchange) {
+mm_job_api_cancel(MmNode *node, const char *job_id, MmHttpExchange *exchange) {
   MmUserRequest *request;
 
   if (!mm_job_id_is_valid(job_id)) {
-    mm_exchange_answer(exchange, 404, mm_json_error("no such job"), 0);
+    mm_http_exchange_respond(exchange, 404, mm_json_error("no such job"), 0);
     return;
   }
   request = mm_user_request_new(node, exchange, job_id);
--- a/src/jobs/call.h
+++ b/src/jobs/call.h
@@ -7,7 +7,7 @@
 typedef struct MmUserRequest MmUserRequest;
 struct MmUserRequest {
   MmNode *node;
-  MmExchange *exchange;
+  MmHttpExchange *exchange;
   MmName job_id;
   gboolean is_cancellation;
   guint n_retries;
@@ -22,7 +22,7 @@
   MmTime resume_at;                    /* and when */
 };
 
-MmUserRequest *mm_user_request_new(MmNode *node, MmExchange *exchange, const char *job_id);
+MmUserRequest *mm_user_request_new(MmNode *node, MmHttpExchange *exchange, const char *job_id);
 /* Answers the request and frees the call. Takes the body. */
 void mm_user_request_respond(MmUserRequest *request, int status, json_t *body, guint retry_after_s);
 /* The final answer of this request: come again later. */
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -91,7 +91,7 @@
     g_ptr_array_add(job_table->by_submission, job);
     job_table->generation++;
     g_ptr_array_sort(job_table->by_submission, compare_by_submission);
-    mm_placement_note_accelerated_job(job_table->node->rank, &job->spec);
+    mm_placement_note_accelerated_job(job_table->node->placement, &job->spec);
     mm_dependencies_job_added(job_table->node->dependencies, job);
   }
   job->record_version = version;
@@ -100,9 +100,9 @@
   if (mm_json_count(json, "c", 0) != 0) {
     if (job->cancel_record_version.v == 0)
       job->cancel_record_version = version;
-    mm_scheduler_job_cancelled(job_table->node->owner, id);
+    mm_scheduler_job_cancelled(job_table->node->scheduler, id);
   }
-  mm_scheduler_job_changed(job_table->node->owner, job);
+  mm_scheduler_job_changed(job_table->node->scheduler, job);
 }
 
 static void
@@ -125,7 +125,7 @@
   add_bounded(job_table->removed_ids, job_table->removed_ids_order, REMOVED_IDS_KEPT, id, NULL);
   if (job == NULL)
     return;
-  mm_scheduler_job_removed(job_table->node->owner, job);
+  mm_scheduler_job_removed(job_table->node->scheduler, job);
   g_ptr_array_remove(job_table->by_submission, job);
   job_table->generation++;
   g_hash_table_remove(job_table->jobs, id);
--- a/src/jobs/submit.c
+++ b/src/jobs/submit.c
@@ -77,7 +77,7 @@
   mm_transaction_require_version(&transaction, MM_KEY_TERMINAL_RECORD, request->job_id.s,
                                  (MmKeyVersion){ 0 });
   mm_transaction_put(&transaction, MM_KEY_JOB, request->job_id.s, record, 0);
-  mm_kv_client_commit(node->store, &transaction, on_job_record_written, request);
+  mm_kv_client_commit(node->kv, &transaction, on_job_record_written, request);
 }
 
 /* ---- the jobs that it depends on ---- */
@@ -138,7 +138,7 @@
   if (request->next_dependency == request->spec.n_dependencies)
     write_job_record(request);
   else
-    mm_kv_client_get(request->node->store, MM_KEY_TERMINAL_RECORD,
+    mm_kv_client_get(request->node->kv, MM_KEY_TERMINAL_RECORD,
                      request->spec.dependencies[request->next_dependency].s, on_dependency_read,
                      request);
 }
@@ -193,7 +193,7 @@
           && spec->task_resources.accelerators * tasks_at_once
                  > team->limit.accelerators + MM_RESOURCES_SLACK))
     return "the job needs more than the team's limit";
-  if (!mm_instance_types_any_fits(node->types, spec))
+  if (!mm_instance_types_any_fits(node->instance_types, spec))
     return "a task fits no allowed machine type";
   return NULL;
 }
@@ -205,7 +205,7 @@
 }
 
 void
-mm_job_api_submit(MmNode *node, const json_t *json, MmExchange *exchange) {
+mm_job_api_submit(MmNode *node, const json_t *json, MmHttpExchange *exchange) {
   MmUserRequest *request = mm_user_request_new(node, exchange, "");
   const char *reason = NULL;
 
@@ -214,7 +214,7 @@
     return;
   }
   request->job_id = request->spec.id;
-  if (!mm_instance_types_are_known(node->types)) {
+  if (!mm_instance_types_are_known(node->instance_types)) {
     mm_user_request_respond(request, 503, mm_json_error("the machine types are not known yet"),
                             TYPES_UNKNOWN_RETRY_S);
     return;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -24,39 +24,39 @@
 typedef struct MmScheduler MmScheduler;
 typedef struct MmInstanceTypes MmInstanceTypes;
 typedef struct MmAutoscaler MmAutoscaler;
-typedef struct MmLinks MmLinks;
+typedef struct MmPeerLinks MmPeerLinks;
 typedef struct MmSharing MmSharing;
 
 struct MmNode {
   const MmSettings *settings;
   const MmOperators *operators;
-  MmPort port;
+  MmPlatform platform;
   GRand *rand;
-  MmTime started;
-  MmTime ticked;
-  gint64 lag_ms; /* how late ticks are, the worst of late: what waits to be done */
+  MmTime started_at;
+  MmTime last_tick_at;
+  gint64 tick_delay_ms; /* how late ticks are, the worst of late: what waits to be done */
 
-  MmKvClient *store;
+  MmKvClient *kv;
   MmReplica *replica;
   MmNodeLease *node_lease;
   MmJobTable *job_table;
-  MmJobApi *api;
+  MmJobApi *job_api;
   MmDependencies *dependencies;
   MmVersions *versions;
   MmFormat *format;
   MmMachineTable *machine_table;
   MmRegistry *registry;
-  MmHeartbeatServer *checkin;
-  MmPlacement *rank;
-  MmScheduler *owner;
-  MmInstanceTypes *types;
-  MmAutoscaler *fleet;
-  MmLinks *links;
+  MmHeartbeatServer *heartbeat_server;
+  MmPlacement *placement;
+  MmScheduler *scheduler;
+  MmInstanceTypes *instance_types;
+  MmAutoscaler *autoscaler;
+  MmPeerLinks *peer_links;
   MmSharing *sharing;
 };
 
 MmNode *mm_node_new(const MmSettings *settings, const MmOperators *operators,
-                    const MmPort *platform, guint32 seed);
+                    const MmPlatform *platform, guint32 seed);
 /* Only when no answer to one of its requests can come any more. */
 void mm_node_free(MmNode *node);
 
@@ -65,15 +65,15 @@
 #define MM_NODE_TICK_MS 50
 void mm_node_tick(MmNode *node);
 /* A request to `front`. Path without query; the body is lent and NULL when absent or not JSON. */
-void mm_node_handle(MmNode *node, const char *method, const char *path, json_t *body,
-                    MmExchange *exchange);
+void mm_node_handle_request(MmNode *node, const char *method, const char *path, json_t *body,
+                            MmHttpExchange *exchange);
 
 static inline MmTime
 mm_node_now(const MmNode *node) {
-  return node->port.now(node->port.self);
+  return node->platform.now(node->platform.context);
 }
 
 static inline gint64
 mm_node_wall_ms(const MmNode *node) {
-  return node->port.wall_ms(node->port.self);
+  return node->platform.wall_ms(node->platform.context);
 }
--- a/src/node/port.h
+++ b/src/node/port.h
@@ -8,34 +8,35 @@
 
 typedef struct Mm__Frame Mm__Frame;
 
-typedef enum { MM_TARGET_STORE, MM_TARGET_CLOUD, MM_TARGET_WORKER } MmTarget;
+typedef enum { MM_TARGET_KV_STORE, MM_TARGET_CLOUD, MM_TARGET_WORKER } MmTarget;
 
 /* status 0: no answer. The body is only lent, and NULL when there is none or it is not JSON. */
-typedef void (*MmAnswered)(gpointer data, int status, json_t *body);
+typedef void (*MmResponseCallback)(gpointer data, int status, json_t *body);
 
 typedef struct {
-  gpointer self;
+  gpointer context;
   MmTime (*now)(gpointer self);
   gint64 (*wall_ms)(gpointer self);
   /* The body is only lent; `address` is for workers alone. `answered` is called exactly once, and
    * never before this returns. */
   void (*request)(gpointer self, MmTarget target, const char *address, const char *method,
-                  const char *path, const json_t *body, guint timeout_ms, MmAnswered answered,
-                  gpointer data);
+                  const char *path, const json_t *body, guint timeout_ms,
+                  MmResponseCallback answered, gpointer data);
   void (*send)(gpointer self, guint peer, const Mm__Frame *frame);
-  /* Closes the connection to the peer, which calls mm_links_down, and opens another. */
+  /* Closes the connection to the peer, which calls mm_peer_links_disconnected, and opens another.
+   */
   void (*reconnect)(gpointer self, guint peer);
-  void (*later)(gpointer self, guint ms, void (*call)(gpointer data), gpointer data);
-} MmPort;
+  void (*call_after)(gpointer self, guint ms, void (*call)(gpointer data), gpointer data);
+} MmPlatform;
 
 /* A request that somebody made of us; answered exactly once. */
-typedef struct MmExchange MmExchange;
-struct MmExchange {
+typedef struct MmHttpExchange MmHttpExchange;
+struct MmHttpExchange {
   /* Takes the body. `retry_after_s` 0: no such header. */
-  void (*answer)(MmExchange *exchange, int status, json_t *body, guint retry_after_s);
+  void (*respond)(MmHttpExchange *exchange, int status, json_t *body, guint retry_after_s);
 };
 
 static inline void
-mm_exchange_answer(MmExchange *exchange, int status, json_t *body, guint retry_after_s) {
-  exchange->answer(exchange, status, body, retry_after_s);
+mm_http_exchange_respond(MmHttpExchange *exchange, int status, json_t *body, guint retry_after_s) {
+  exchange->respond(exchange, status, body, retry_after_s);
 }
--- a/src/owner/approve.c
+++ b/src/owner/approve.c
@@ -137,7 +137,7 @@
           = mm_resources_add(held->unacknowledged_resources, machine->type->resources);
   }
   if (held->unacknowledged_kinds->len < n_kinds_before)
-    mm_placement_backlog_changed(owner->node->rank);
+    mm_placement_backlog_changed(owner->node->placement);
 }
 
 /* Who needs nothing of what is limited takes nothing of it, however much is used or owed: a team
@@ -277,14 +277,14 @@
 reserve_allows(MmScheduler *owner, MmJob *job, const MmTask *task, const MmStartRequest *request) {
   MmNode *node = owner->node;
   MmReserveVerdict verdict
-      = mm_placement_check_reserve(node->rank, job, request->machine, request->free_resources);
+      = mm_placement_check_reserve(node->placement, job, request->machine, request->free_resources);
   const MmPlacementEstimate *estimate;
 
   if (verdict < MM_RESERVE_WOULD_SHRINK)
     return TRUE;
   if (verdict == MM_RESERVE_FORBIDDEN
       || mm_time_ms_since(mm_node_now(node), task->state_since) < RELEASE_MACHINE_AFTER_MS
-      || !mm_placement_may_release_machine(node->rank, request->machine))
+      || !mm_placement_may_release_machine(node->placement, request->machine))
     return FALSE;
   estimate = estimate_placement(owner, job);
   return estimate != NULL && estimate->soonest_delay_s < 0;
@@ -478,15 +478,15 @@
 }
 
 void
-mm_scheduler_peer_start_request(MmScheduler *owner, guint peer, const Mm__Ask *message) {
+mm_scheduler_peer_start_request(MmScheduler *owner, guint peer, const Mm__StartRequest *message) {
   MmMachine *machine = mm_machine_table_find(owner->node->machine_table, message->machine);
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__Answer answer = MM__ANSWER__INIT;
+  Mm__StartResponse answer = MM__START_RESPONSE__INIT;
   Mm__Approval approval_message = MM__APPROVAL__INIT;
   MmApproval approval;
   MmStartRequest request
       = { .machine = machine,
-          .heartbeat_id = { message->session, message->seq },
+          .heartbeat_id = { message->incarnation, message->sequence },
           .free_resources = { message->cores, message->accelerators, message->memory_gb },
           .is_pull = message->pull };
 
@@ -504,7 +504,7 @@
     answer.approval = &approval_message;
   }
   answer.unfinished = mm_scheduler_count_pending_tasks(owner);
-  frame.body_case = MM__FRAME__BODY_ANSWER;
-  frame.answer = &answer;
-  mm_links_send(owner->node->links, peer, &frame);
+  frame.body_case = MM__FRAME__BODY_START_RESPONSE;
+  frame.start_response = &answer;
+  mm_peer_links_send(owner->node->peer_links, peer, &frame);
 }
--- a/src/owner/command.c
+++ b/src/owner/command.c
@@ -70,7 +70,7 @@
   if (job->is_cancelled)
     return TRUE;
   job->is_cancelled = TRUE;
-  job->kv_served_us_at_cancel = owner->node->store->available_us;
+  job->kv_served_us_at_cancel = owner->node->kv->available_us;
   for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++) {
     if (job->tasks[i].state == MM_TASK_PLACE_RESERVED)
       mm_scheduler_unplace_task(owner, job, i);
@@ -80,7 +80,7 @@
   /* What depends on a cancelled job has never been started. */
   if (!mm_job_has_cancelled_dependency(job))
     stop_reported_tasks(owner, job);
-  mm_placement_backlog_changed(owner->node->rank);
+  mm_placement_backlog_changed(owner->node->placement);
   mm_dependencies_job_cancelled(owner->node->dependencies, job_id);
   return TRUE;
 }
@@ -103,7 +103,7 @@
                                                   mm_node_now(owner->node), MM_SERVING_NODE_NONE);
     /* Other nodes may wait for the same acknowledgement. */
     if (is_acknowledgement && machine != NULL)
-      mm_links_tell_direct(owner->node->links, machine);
+      mm_peer_broadcast_direct_reply(owner->node->peer_links, machine);
   }
   mm_heartbeat_clear(&heartbeat);
 }
@@ -117,8 +117,8 @@
 
   if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
     return;
-  node->port.request(node->port.self, MM_TARGET_WORKER, machine->addr, "POST", WIRE_DIRECT_PATH,
-                     body, 2000, direct_command_answered, owner);
+  node->platform.request(node->platform.context, MM_TARGET_WORKER, machine->addr, "POST",
+                         WIRE_DIRECT_PATH, body, 2000, direct_command_answered, owner);
 }
 
 void
@@ -154,7 +154,7 @@
   while (g_hash_table_iter_next(&iter, NULL, &value))
     if (g_hash_table_contains(((MmLedShard *)value)->unacknowledged_machines, machine->id.s))
       return TRUE;
-  return mm_sharing_waits_for(owner->node->sharing, machine);
+  return mm_sharing_awaits_acknowledgement(owner->node->sharing, machine);
 }
 
 /* Of a machine that reports, the node that it reports to asks for all: one that will not report for
@@ -167,7 +167,7 @@
   if (machine->serving_node != MM_SERVING_NODE_SELF || !machine->has_reported
       || !machine->is_in_registry
       || machine->acknowledged_term.v
-             >= MAX(newest.v, mm_sharing_term_of(node->sharing, machine).v))
+             >= MAX(newest.v, mm_sharing_group_term(node->sharing, machine).v))
     return FALSE;
   if (machine->unacknowledged_since.us != 0)
     return mm_time_ms_since(now, machine->unacknowledged_since) > TERM_REPORTED_WITHIN_MS;
@@ -187,7 +187,7 @@
   guint requests_left = (guint)CLAMP(node->settings->cpu_share * ACK_REQUESTS_PER_CORE,
                                      ACK_REQUESTS_MIN, ACK_REQUESTS_MAX);
 
-  if (mm_heartbeat_server_is_settling(node->checkin))
+  if (mm_heartbeat_server_is_settling(node->heartbeat_server))
     return;
   for (guint i = 0; i < node->machine_table->sorted_machines->len && requests_left > 0; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
--- a/src/owner/owner.c
+++ b/src/owner/owner.c
@@ -86,7 +86,7 @@
   task->state_since = mm_node_now(owner->node);
   if (state == MM_TASK_PENDING)
     job->first_pending = MIN(job->first_pending, number);
-  mm_placement_backlog_changed(owner->node->rank);
+  mm_placement_backlog_changed(owner->node->placement);
 }
 
 void
@@ -144,7 +144,7 @@
   job->is_being_written = FALSE;
   job->led_shard = NULL;
   owner->is_urgency_order_stale = TRUE;
-  mm_placement_backlog_changed(owner->node->rank);
+  mm_placement_backlog_changed(owner->node->placement);
 }
 
 static void
@@ -169,7 +169,7 @@
   }
   if (job->completed.n_completed == job->spec.n_tasks)
     job->unwritten_since = now;
-  mm_placement_backlog_changed(owner->node->rank);
+  mm_placement_backlog_changed(owner->node->placement);
 }
 
 static void
@@ -192,7 +192,7 @@
   held->is_ready = TRUE;
   mm_info("part %s is ready %" G_GINT64_FORMAT " ms after it was taken", held->name,
           mm_time_ms_since(mm_node_now(owner->node), held->acquired_at));
-  mm_placement_backlog_changed(owner->node->rank);
+  mm_placement_backlog_changed(owner->node->placement);
 }
 
 static void
@@ -267,7 +267,7 @@
         = job->record_version.v > held->version.v && owner->node->replica->is_loaded;
   }
   if (job->tasks != NULL && job->is_cancelled)
-    mm_placement_backlog_changed(owner->node->rank);
+    mm_placement_backlog_changed(owner->node->placement);
 }
 
 void
@@ -281,7 +281,7 @@
   mm_info("%s (%s) is ready: all that it depends on is done", job->spec.id.s,
           job->spec.job_class.s);
   owner->is_urgency_order_stale = TRUE;
-  mm_placement_backlog_changed(owner->node->rank);
+  mm_placement_backlog_changed(owner->node->placement);
 }
 
 void
@@ -424,8 +424,8 @@
   const MmJob *starving_gang = NULL, *waiting_gang = NULL;
   guint n_waiting_jobs = 0;
 
-  for (guint v = 0; v < node->rank->n_views; v++) {
-    const GPtrArray *pending_list = node->rank->views[v].pending;
+  for (guint v = 0; v < node->placement->n_views; v++) {
+    const GPtrArray *pending_list = node->placement->views[v].pending;
     for (guint i = 0; i < pending_list->len; i++) {
       const MmPendingTasks *pending = g_ptr_array_index(pending_list, i);
       const MmJob *job = mm_job_table_find(job_table, pending->job.s);
--- a/src/owner/owner.h
+++ b/src/owner/owner.h
@@ -105,7 +105,8 @@
 /* Lowers the request's room to what is free as seen here. */
 gboolean mm_scheduler_approve_start(MmScheduler *owner, MmStartRequest *request,
                                     MmApproval *approval);
-void mm_scheduler_peer_start_request(MmScheduler *owner, guint peer, const Mm__Ask *message);
+void mm_scheduler_peer_start_request(MmScheduler *owner, guint peer,
+                                     const Mm__StartRequest *message);
 MmLedShard *mm_scheduler_shard_of_job(const MmScheduler *owner, const MmJob *job);
 /* Whether all is known that earlier holders of its part may have started of the job: every machine
  * has been heard that it was ever allowed on. */
--- a/src/owner/preempt.c
+++ b/src/owner/preempt.c
@@ -100,7 +100,7 @@
       || !mm_scheduler_constraints_will_allow(owner, job, machine))
     return -1;
   free_resources = mm_machine_available_resources(node->machine_table, machine);
-  if (mm_placement_check_reserve(node->rank, job, machine, free_resources)
+  if (mm_placement_check_reserve(node->placement, job, machine, free_resources)
       >= MM_RESERVE_WOULD_SHRINK)
     return -1;
   if (mm_time_before(now, machine->reserved_until))
@@ -261,7 +261,7 @@
     if (!mm_machine_is_usable(node->machine_table, machine)
         || mm_time_before(now, machine->reserved_until)
         || !mm_scheduler_constraints_will_allow(owner, job, machine)
-        || mm_placement_check_reserve(node->rank, job, machine, free_resources)
+        || mm_placement_check_reserve(node->placement, job, machine, free_resources)
                >= MM_RESERVE_WOULD_SHRINK)
       continue;
     for (guint k = 0; k < machine->placed_tasks->len; k++) {
--- a/src/owner/record.c
+++ b/src/owner/record.c
@@ -72,7 +72,7 @@
   g_autoptr(json_t) bare_record
       = mm_job_record_to_json(&job->spec, job->submitted_at_ms, FALSE, NULL);
   gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + 64;
-  gsize max_bytes = mm_kv_client_max_value_bytes(owner->node->store);
+  gsize max_bytes = mm_kv_client_max_value_bytes(owner->node->kv);
 
   return mm_completed_tasks_to_text(&job->completed,
                                     max_bytes > record_bytes ? max_bytes - record_bytes : 0);
@@ -113,12 +113,12 @@
 mm_scheduler_write_jobs(MmScheduler *owner) {
   MmNode *node = owner->node;
   MmTime now = mm_node_now(node);
-  guint max_ops = mm_kv_client_max_operations(node->store);
+  guint max_ops = mm_kv_client_max_operations(node->kv);
   guint max_guards = 4 * max_ops;
   MmTransaction transaction;
   JobWrite *write;
 
-  if (owner->is_writing || mm_kv_client_is_refused(node->store))
+  if (owner->is_writing || mm_kv_client_is_refused(node->kv))
     return;
   transaction = mm_transaction_begin();
   write = g_new(JobWrite, 1);
@@ -139,21 +139,21 @@
     /* Dependents of a cancelled job show as cancelled without a record that says so: there may be
      * thousands, and their records can wait. */
     if (is_terminal && mm_job_has_cancelled_dependency(job)
-        && !mm_kv_client_try_spend_writes(node->store, 2))
+        && !mm_kv_client_try_spend_writes(node->kv, 2))
       continue;
     if (is_terminal && mm_time_ms_since(now, job->last_write_at) > 100) {
       add_to_write(owner, &transaction, write, held, job, TRUE);
     } else if (!is_terminal && !job->is_cancelled && job->unwritten_since.us != 0
                && mm_time_ms_since(now, job->unwritten_since) >= JOB_WRITE_DELAY_MS
                && mm_time_ms_since(now, job->last_write_at) >= JOB_WRITE_INTERVAL_MS
-               && mm_kv_client_try_spend_writes(node->store, 1)) {
+               && mm_kv_client_try_spend_writes(node->kv, 1)) {
       add_to_write(owner, &transaction, write, held, job, FALSE);
     }
   }
   if (transaction.n_operations > 0) {
     owner->is_writing = TRUE;
     owner->single_job_writes -= owner->single_job_writes > 0;
-    mm_kv_client_commit(node->store, &transaction, jobs_written, write);
+    mm_kv_client_commit(node->kv, &transaction, jobs_written, write);
     return;
   }
   json_decref(transaction.conditions);
--- a/src/owner/reports.c
+++ b/src/owner/reports.c
@@ -214,7 +214,8 @@
       mm_machine_queue_command(machine, machine->latest_message_id.incarnation,
                                &g_array_index(commands, MmCommand, i));
   else if (machine->serving_node >= 0)
-    mm_links_tell_commands(owner->node->links, (guint)machine->serving_node, machine, commands);
+    mm_peer_links_send_commands(owner->node->peer_links, (guint)machine->serving_node, machine,
+                                commands);
 }
 
 /* Its report acknowledgements the part's term; or it shows a newer session than any that was on the
--- a/src/parts/claims.c
+++ b/src/parts/claims.c
@@ -104,7 +104,7 @@
 gboolean
 mm_shard_ownership_is_unsettled(const MmNodeLease *ownership) {
   const MmReplica *replica = ownership->node->replica;
-  const MmLinks *peer_links = ownership->node->links;
+  const MmPeerLinks *peer_links = ownership->node->peer_links;
 
   for (guint i = 0; i < ownership->shard_names->len; i++) {
     const MmShard *shard = mm_replica_shard(replica, g_ptr_array_index(ownership->shard_names, i));
@@ -116,7 +116,7 @@
   for (guint i = 0; i < peer_links->n_peers; i++) {
     const MmLiveNode *peer_node
         = g_hash_table_lookup(replica->live_nodes, peer_links->peers[i].label.s);
-    if (peer_node != NULL && peer_node->lease_id != peer_links->peers[i].claim)
+    if (peer_node != NULL && peer_node->lease_id != peer_links->peers[i].lease_id)
       return TRUE;
   }
   return FALSE;
@@ -173,7 +173,7 @@
     mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
                        json_pack("{s:I}", "c", (json_int_t)lease_id), lease_id);
     /* `sent` stays the grant's: the lease has been running since then. */
-    mm_kv_client_commit(lease->node->store, &transaction, on_lease_announced, request);
+    mm_kv_client_commit(lease->node->kv, &transaction, on_lease_announced, request);
     return;
   }
   lease->is_request_pending = FALSE;
@@ -193,7 +193,7 @@
   }
   lease->node_key_version.v = status == 200 ? mm_json_count(body, WIRE_VERSION, 0) : 0;
   grant_request = json_pack("{s:I}", WIRE_TTL, (json_int_t)lease_ttl_ms(lease));
-  mm_kv_client_request(lease->node->store, "POST", WIRE_LEASES_PATH, grant_request, 1000,
+  mm_kv_client_request(lease->node->kv, "POST", WIRE_LEASES_PATH, grant_request, 1000,
                        on_lease_granted, lease_request_new(lease, 0));
 }
 
@@ -225,8 +225,8 @@
 static void
 extend_lease_in_outage(MmNodeLease *lease) {
   MmTime now = mm_node_now(lease->node);
-  MmTime own_refusal_at = lease->node->store->last_refused_at;
-  MmTime peer_refusal_at = mm_links_last_refused(lease->node->links);
+  MmTime own_refusal_at = lease->node->kv->last_refused_at;
+  MmTime peer_refusal_at = mm_peer_links_last_refused_at(lease->node->peer_links);
   MmTime proved_at = mm_time_min(own_refusal_at, peer_refusal_at);
 
   if (proved_at.us == 0 || mm_time_ms_since(now, proved_at) > OUTAGE_PROOF_MAX_AGE_MS
@@ -234,9 +234,9 @@
     return;
   /* Whoever is served meanwhile shows that the others are refused alone, and their claims run out.
    */
-  if (!mm_time_before(lease->node->store->last_served_at, proved_at)
-      || !mm_time_before(mm_links_last_served(lease->node->links),
-                         lease->node->store->refused_since))
+  if (!mm_time_before(lease->node->kv->last_served_at, proved_at)
+      || !mm_time_before(mm_peer_links_last_served_at(lease->node->peer_links),
+                         lease->node->kv->refused_since))
     return;
   lease->outage_proved_at = proved_at;
   lease->valid_until = mm_time_max(lease->valid_until, lease_valid_until(lease, proved_at));
@@ -269,12 +269,12 @@
   }
   lease->is_request_pending = TRUE;
   if (lease->lease_id == 0) {
-    mm_kv_client_get(lease->node->store, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
+    mm_kv_client_get(lease->node->kv, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
                      on_node_key_read, lease);
   } else {
     g_autofree char *path
         = g_strdup_printf(WIRE_LEASES_PATH "/%" G_GUINT64_FORMAT "/renew", lease->lease_id);
-    mm_kv_client_request(lease->node->store, "POST", path, NULL, 1000, on_lease_renewed,
+    mm_kv_client_request(lease->node->kv, "POST", path, NULL, 1000, on_lease_renewed,
                          lease_request_new(lease, lease->lease_id));
   }
 }
@@ -322,7 +322,7 @@
 static void
 acquire_shards(MmNodeLease *ownership, GPtrArray *wanted) {
   const MmReplica *replica = ownership->node->replica;
-  guint n_acquired = MIN(wanted->len, mm_kv_client_max_operations(ownership->node->store) - 1);
+  guint n_acquired = MIN(wanted->len, mm_kv_client_max_operations(ownership->node->kv) - 1);
   guint64 term = replica->term.v + 1;
   MmTransaction transaction = mm_transaction_begin();
 
@@ -340,7 +340,7 @@
   }
   mm_info("taking %u part(s) with term %" G_GUINT64_FORMAT, n_acquired, term);
   ownership->is_commit_pending = TRUE;
-  mm_kv_client_commit(ownership->node->store, &transaction, on_shards_committed, ownership);
+  mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
 }
 
 /* Gives up parts for which another node has room, all at once: each move costs a new term. */
@@ -355,13 +355,13 @@
     mm_transaction_require_version(&transaction, MM_KEY_SHARD, name,
                                    mm_replica_shard(ownership->node->replica, name)->version);
     mm_transaction_delete(&transaction, MM_KEY_SHARD, name);
-    if (transaction.n_operations >= mm_kv_client_max_operations(ownership->node->store))
+    if (transaction.n_operations >= mm_kv_client_max_operations(ownership->node->kv))
       break;
     surplus--;
   }
   mm_info("giving up %u part(s)", transaction.n_operations);
   ownership->is_commit_pending = TRUE;
-  mm_kv_client_commit(ownership->node->store, &transaction, on_shards_committed, ownership);
+  mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
 }
 
 /* Where the parts are, as every node sees it alike. */
@@ -482,7 +482,7 @@
   gboolean replica_moved_on
       = ownership->conflict_revision != 0 && replica->revision > ownership->conflict_revision;
 
-  return !ownership->is_commit_pending && !mm_kv_client_is_refused(ownership->node->store)
+  return !ownership->is_commit_pending && !mm_kv_client_is_refused(ownership->node->kv)
          && (replica_moved_on
              || !mm_time_before(mm_node_now(ownership->node), ownership->next_check_at));
 }
--- a/src/rank/rank.c
+++ b/src/rank/rank.c
@@ -60,8 +60,8 @@
 
   g_ptr_array_set_size(own_view->pending, 0);
   g_array_set_size(own_view->reserved_machines, 0);
-  mm_scheduler_list_backlog(rank->node->owner, own_view->pending, own_view->reserved_machines);
-  own_view->n_pending_tasks = mm_scheduler_count_pending_tasks(rank->node->owner);
+  mm_scheduler_list_backlog(rank->node->scheduler, own_view->pending, own_view->reserved_machines);
+  own_view->n_pending_tasks = mm_scheduler_count_pending_tasks(rank->node->scheduler);
 }
 
 void
@@ -70,30 +70,30 @@
   guint n_pending = own_view->pending->len;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Backlog backlog = MM__BACKLOG__INIT;
-  g_autofree Mm__Waiting *items = g_new(Mm__Waiting, MAX(n_pending, 1));
-  g_autofree Mm__Waiting **list = g_new(Mm__Waiting *, MAX(n_pending, 1));
+  g_autofree Mm__PendingTasks *items = g_new(Mm__PendingTasks, MAX(n_pending, 1));
+  g_autofree Mm__PendingTasks **list = g_new(Mm__PendingTasks *, MAX(n_pending, 1));
   g_autofree char **reserved = g_new(char *, MAX(own_view->reserved_machines->len, 1));
 
   for (guint i = 0; i < n_pending; i++) {
     MmPendingTasks *pending = g_ptr_array_index(own_view->pending, i);
-    mm__waiting__init(&items[i]);
+    mm__pending_tasks__init(&items[i]);
     items[i].job = pending->job.s;
     items[i].ranges = (guint32 *)pending->ranges->data;
     items[i].n_ranges = pending->ranges->len;
-    items[i].first = pending->has_precedence;
-    items[i].aged = pending->is_starving;
+    items[i].is_first = pending->has_precedence;
+    items[i].is_aged = pending->is_starving;
     list[i] = &items[i];
   }
   for (guint i = 0; i < own_view->reserved_machines->len; i++)
     reserved[i] = g_array_index(own_view->reserved_machines, MmName, i).s;
   backlog.reserved = reserved;
   backlog.n_reserved = own_view->reserved_machines->len;
-  backlog.waiting = list;
-  backlog.n_waiting = n_pending;
+  backlog.pending = list;
+  backlog.n_pending = n_pending;
   backlog.unfinished = own_view->n_pending_tasks;
   frame.body_case = MM__FRAME__BODY_BACKLOG;
   frame.backlog = &backlog;
-  mm_links_send(rank->node->links, (guint)peer, &frame);
+  mm_peer_links_send(rank->node->peer_links, (guint)peer, &frame);
 }
 
 void
@@ -123,15 +123,15 @@
     MmName machine = mm_name(backlog->reserved[i]);
     g_array_append_val(view->reserved_machines, machine);
   }
-  for (size_t i = 0; i < backlog->n_waiting; i++) {
-    const Mm__Waiting *item = backlog->waiting[i];
+  for (size_t i = 0; i < backlog->n_pending; i++) {
+    const Mm__PendingTasks *item = backlog->pending[i];
     MmPendingTasks *pending = g_new0(MmPendingTasks, 1);
     MmJob *job = mm_job_table_find(rank->node->job_table, item->job);
     pending->job = mm_name(item->job);
-    pending->has_precedence = item->first;
-    pending->is_starving = item->aged;
+    pending->has_precedence = item->is_first;
+    pending->is_starving = item->is_aged;
     if (job != NULL && job->tasks == NULL)
-      job->is_starving = item->aged;
+      job->is_starving = item->is_aged;
     pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
     g_array_append_vals(pending->ranges, item->ranges, (guint)(item->n_ranges & ~(size_t)1));
     g_ptr_array_add(view->pending, pending);
@@ -237,7 +237,7 @@
 static gboolean
 is_demand_unknown(const MmPlacement *rank) {
   return !rank->has_seen_accelerated_work
-         && mm_time_ms_since(mm_node_now(rank->node), rank->node->started)
+         && mm_time_ms_since(mm_node_now(rank->node), rank->node->started_at)
                 < ACCELERATED_DEMAND_UNKNOWN_MS;
 }
 
--- a/src/sharing/admin.c
+++ b/src/sharing/admin.c
@@ -15,8 +15,8 @@
   json_t *owned = json_array();
   guint64 count = 0;
 
-  for (guint i = 0; holding != NULL && i < holding->given->len; i++) {
-    const MmGroupGrant *grant = g_ptr_array_index(holding->given, i);
+  for (guint i = 0; holding != NULL && i < holding->grants->len; i++) {
+    const MmGroupGrant *grant = g_ptr_array_index(holding->grants, i);
     g_autofree char *ranges = mm_group_set_to_text(grant->groups);
     count += roaring_bitmap_get_cardinality(grant->groups);
     json_array_append_new(owned, json_pack("{s:I, s:s}", MM_ADMIN_TERM, (json_int_t)grant->term.v,
@@ -37,12 +37,12 @@
 describe_moves(const MmSharing *sharing) {
   json_t *moves = json_array();
 
-  for (guint group = 0; group < sharing->groups; group++) {
+  for (guint group = 0; group < sharing->n_groups; group++) {
     const MmOwnedGroup *owned = sharing->owned[group];
-    if (owned != NULL && owned->moving)
+    if (owned != NULL && owned->is_moving)
       append_move(moves, group, sharing->node->settings->label.s, owned->target.s);
   }
-  for (guint i = 0; i < sharing->node->links->n_peers; i++)
+  for (guint i = 0; i < sharing->node->peer_links->n_peers; i++)
     for (guint k = 0; k < sharing->peer_moves[i]->len; k++) {
       const MmGroupMove *move = &g_array_index(sharing->peer_moves[i], MmGroupMove, k);
       append_move(moves, move->group, move->from.s, move->to.s);
@@ -54,22 +54,22 @@
 describe_unowned(const MmSharing *sharing) {
   g_autoptr(MmGroupSet) unowned = roaring_bitmap_create();
 
-  for (guint group = 0; group < sharing->groups; group++)
+  for (guint group = 0; group < sharing->n_groups; group++)
     if (mm_group_map_owner(sharing->map, group).holding == NULL)
       roaring_bitmap_add(unowned, group);
   return mm_group_set_to_text(unowned);
 }
 
 static void
-answer_list(const MmSharing *sharing, MmExchange *exchange) {
+respond_list(const MmSharing *sharing, MmHttpExchange *exchange) {
   const MmSettings *settings = sharing->node->settings;
   json_t *nodes = json_array();
   g_autofree char *unowned = NULL;
 
-  if (sharing->groups == 0) {
+  if (sharing->n_groups == 0) {
     json_decref(nodes);
-    mm_exchange_answer(exchange, 200,
-                       json_pack("{s:b, s:i}", MM_ADMIN_ACTIVE, FALSE, MM_ADMIN_GROUPS, 0), 0);
+    mm_http_exchange_respond(
+        exchange, 200, json_pack("{s:b, s:i}", MM_ADMIN_ACTIVE, FALSE, MM_ADMIN_GROUPS, 0), 0);
     return;
   }
   unowned = describe_unowned(sharing);
@@ -77,17 +77,18 @@
   for (guint i = 0; i < settings->peers->len; i++)
     json_array_append_new(
         nodes, describe_node(sharing, g_array_index(settings->peers, MmPeerSettings, i).label.s));
-  mm_exchange_answer(exchange, 200,
-                     json_pack("{s:b, s:i, s:o, s:o, s:s}", MM_ADMIN_ACTIVE, sharing->active,
-                               MM_ADMIN_GROUPS, (int)sharing->groups, MM_ADMIN_NODES, nodes,
-                               MM_ADMIN_MOVES, describe_moves(sharing), MM_ADMIN_UNOWNED, unowned),
-                     0);
+  mm_http_exchange_respond(exchange, 200,
+                           json_pack("{s:b, s:i, s:o, s:o, s:s}", MM_ADMIN_ACTIVE,
+                                     sharing->is_active, MM_ADMIN_GROUPS, (int)sharing->n_groups,
+                                     MM_ADMIN_NODES, nodes, MM_ADMIN_MOVES, describe_moves(sharing),
+                                     MM_ADMIN_UNOWNED, unowned),
+                           0);
 }
 
 /* ---- a move by hand ---- */
 
 static int
-status_of(MmMoveAnswer result) {
+http_status_of(MmMoveResult result) {
   switch (result) {
   case MM_MOVE_STARTED:
     return 202;
@@ -95,7 +96,7 @@
   case MM_MOVE_UNKNOWN_NODE:
     return 404;
   case MM_MOVE_NOT_OWNER:
-  case MM_MOVE_TARGET_AWAY:
+  case MM_MOVE_TARGET_NOT_LIVE:
     return 503;
   case MM_MOVE_SHARING_OFF:
   case MM_MOVE_SAME_NODE:
@@ -108,23 +109,24 @@
 }
 
 static void
-answer_move(MmMoveAnswer result, MmExchange *exchange) {
-  int status = status_of(result);
+respond_move(MmMoveResult result, MmHttpExchange *exchange) {
+  int status = http_status_of(result);
 
-  mm_exchange_answer(exchange, status, mm_json_error(mm_sharing_move_text(result)),
-                     status == 503 ? RETRY_S : 0);
+  mm_http_exchange_respond(exchange, status, mm_json_error(mm_sharing_move_result_text(result)),
+                           status == 503 ? RETRY_S : 0);
 }
 
 /* The owner is another node: the order is passed on to it, and the list shows what comes of it. */
 static void
-pass_on(MmSharing *sharing, const MmGroupHolding *holding, guint group, const char *target,
-        MmExchange *exchange) {
-  gint peer = mm_links_find(sharing->node->links, holding->node.s);
+forward_order(MmSharing *sharing, const MmGroupHolding *holding, guint group, const char *target,
+              MmHttpExchange *exchange) {
+  gint peer = mm_peer_links_find(sharing->node->peer_links, holding->node.s);
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__MoveOrder order = MM__MOVE_ORDER__INIT;
 
-  if (peer < 0 || !sharing->node->links->peers[peer].up) {
-    mm_exchange_answer(exchange, 503, mm_json_error("the group's owner can't be reached"), RETRY_S);
+  if (peer < 0 || !sharing->node->peer_links->peers[peer].is_up) {
+    mm_http_exchange_respond(exchange, 503, mm_json_error("the group's owner can't be reached"),
+                             RETRY_S);
     return;
   }
   order.group = group;
@@ -132,26 +134,26 @@
   order.by_hand = TRUE;
   frame.body_case = MM__FRAME__BODY_MOVE_ORDER;
   frame.move_order = &order;
-  mm_links_send(sharing->node->links, (guint)peer, &frame);
-  answer_move(MM_MOVE_STARTED, exchange);
+  mm_peer_links_send(sharing->node->peer_links, (guint)peer, &frame);
+  respond_move(MM_MOVE_STARTED, exchange);
 }
 
 static void
-move_by_hand(MmSharing *sharing, guint group, const char *target, MmExchange *exchange) {
-  MmMoveAnswer result = mm_sharing_move(sharing, group, target, TRUE);
+move_by_hand(MmSharing *sharing, guint group, const char *target, MmHttpExchange *exchange) {
+  MmMoveResult result = mm_sharing_move(sharing, group, target, TRUE);
   MmGroupOwner owner;
 
   if (result != MM_MOVE_NOT_OWNER) {
-    answer_move(result, exchange);
+    respond_move(result, exchange);
     return;
   }
   owner = mm_group_map_owner(sharing->map, group);
   if (owner.holding == NULL || mm_name_equal(&owner.holding->node, &sharing->node->settings->label))
-    answer_move(result, exchange);
+    respond_move(result, exchange);
   else if (strcmp(owner.holding->node.s, target) == 0)
-    answer_move(MM_MOVE_SAME_NODE, exchange);
+    respond_move(MM_MOVE_SAME_NODE, exchange);
   else
-    pass_on(sharing, owner.holding, group, target, exchange);
+    forward_order(sharing, owner.holding, group, target, exchange);
 }
 
 /* "/NUMBER/move"; FALSE when it is something else. */
@@ -168,20 +170,21 @@
 }
 
 void
-mm_sharing_admin(MmSharing *sharing, const char *method, const char *subpath, const json_t *body,
-                 MmExchange *exchange) {
+mm_sharing_handle_admin_request(MmSharing *sharing, const char *method, const char *subpath,
+                                const json_t *body, MmHttpExchange *exchange) {
   gboolean is_list = subpath[0] == '\0';
   const char *target = mm_json_string(body, MM_ADMIN_TO);
   guint group;
 
   if (!is_list && !read_move_path(subpath, &group))
-    mm_exchange_answer(exchange, 404, mm_json_error("no such path"), 0);
+    mm_http_exchange_respond(exchange, 404, mm_json_error("no such path"), 0);
   else if (strcmp(method, is_list ? "GET" : "POST") != 0)
-    mm_exchange_answer(exchange, 405, mm_json_error("this path does not take that method"), 0);
+    mm_http_exchange_respond(exchange, 405, mm_json_error("this path does not take that method"),
+                             0);
   else if (is_list)
-    answer_list(sharing, exchange);
+    respond_list(sharing, exchange);
   else if (target == NULL)
-    mm_exchange_answer(exchange, 400, mm_json_error(MM_ADMIN_TO " must name a node"), 0);
+    mm_http_exchange_respond(exchange, 400, mm_json_error(MM_ADMIN_TO " must name a node"), 0);
   else
     move_by_hand(sharing, group, target, exchange);
 }
--- a/src/sharing/admin.h
+++ b/src/sharing/admin.h
@@ -22,5 +22,5 @@
 #define MM_ADMIN_UNOWNED "unowned"
 
 /* `rest`: the path behind MM_ADMIN_GROUPS_PATH. */
-void mm_sharing_admin(MmSharing *sharing, const char *method, const char *subpath,
-                      const json_t *body, MmExchange *exchange);
+void mm_sharing_handle_admin_request(MmSharing *sharing, const char *method, const char *subpath,
+                                     const json_t *body, MmHttpExchange *exchange);
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -8,12 +8,12 @@
 #include "sharing/shares.h"
 #include "store/replica.h"
 
-#define BALANCE_EVERY_MS 500
-#define TELL_MOVES_EVERY_MS 1000
+#define BALANCE_INTERVAL_MS 500
+#define MOVES_BROADCAST_INTERVAL_MS 1000
 /* Shares must have been uneven for so long: a node that restarts is back within this time. */
-#define UNEVEN_PATIENCE_MS 10000
+#define UNEVEN_WAIT_MS 10000
 /* One in so many groups of an even share may be missing or too many before anything moves. */
-#define SLACK_SHARE 8
+#define SLACK_DIVISOR 8
 
 struct MmSharePlan {
   GPtrArray *live; /* labels, in order */
@@ -34,12 +34,12 @@
   for (guint i = 0; i < n; i++)
     plan->shares[i].weight
         = mm_operators_group_weight(node->operators, g_ptr_array_index(plan->live, i));
-  for (guint group = 0; group < sharing->groups; group++) {
+  for (guint group = 0; group < sharing->n_groups; group++) {
     const MmGroupHolding *holding = mm_group_map_owner(sharing->map, group).holding;
     for (guint i = 0; holding != NULL && i < n; i++)
       plan->shares[i].owned += strcmp(holding->node.s, g_ptr_array_index(plan->live, i)) == 0;
   }
-  mm_shares_targets(plan->shares, n, sharing->groups, plan->targets);
+  mm_shares_targets(plan->shares, n, sharing->n_groups, plan->targets);
   return plan;
 }
 
@@ -52,7 +52,7 @@
 }
 
 const char *
-mm_share_plan_take(MmSharePlan *plan) {
+mm_share_plan_next_taker(MmSharePlan *plan) {
   guint taker = mm_shares_next_taker(plan->shares, plan->targets, plan->live->len);
 
   if (taker == G_MAXUINT)
@@ -64,7 +64,7 @@
 /* ---- the duty ---- */
 
 static gboolean
-has_duty(const MmSharing *sharing) {
+leads_sharing_shard(const MmSharing *sharing) {
   return mm_node_lease_is_valid(sharing->node->node_lease)
          && mm_shard_ownership_leads(sharing->node->node_lease, MM_SHARD_SHARING);
 }
@@ -73,16 +73,16 @@
 moves_under_way(const MmSharing *sharing) {
   guint n = sharing->n_moving;
 
-  for (guint i = 0; i < sharing->node->links->n_peers; i++)
+  for (guint i = 0; i < sharing->node->peer_links->n_peers; i++)
     n += sharing->peer_moves[i]->len;
   return n;
 }
 
 static gboolean
-is_moving(const MmSharing *sharing, guint group) {
-  if (sharing->owned[group] != NULL && sharing->owned[group]->moving)
+is_group_moving(const MmSharing *sharing, guint group) {
+  if (sharing->owned[group] != NULL && sharing->owned[group]->is_moving)
     return TRUE;
-  for (guint i = 0; i < sharing->node->links->n_peers; i++)
+  for (guint i = 0; i < sharing->node->peer_links->n_peers; i++)
     for (guint k = 0; k < sharing->peer_moves[i]->len; k++)
       if (g_array_index(sharing->peer_moves[i], MmGroupMove, k).group == group)
         return TRUE;
@@ -90,9 +90,9 @@
 }
 
 static void
-order(MmSharing *sharing, guint group, const char *from, const char *to) {
+order_move(MmSharing *sharing, guint group, const char *from, const char *to) {
   MmNode *node = sharing->node;
-  gint peer = mm_links_find(node->links, from);
+  gint peer = mm_peer_links_find(node->peer_links, from);
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__MoveOrder message = MM__MOVE_ORDER__INIT;
 
@@ -105,7 +105,7 @@
   message.term = mm_replica_shard(node->replica, MM_SHARD_SHARING)->term.v;
   frame.body_case = MM__FRAME__BODY_MOVE_ORDER;
   frame.move_order = &message;
-  mm_links_send(node->links, (guint)peer, &frame);
+  mm_peer_links_send(node->peer_links, (guint)peer, &frame);
 }
 
 /* Orders the moves that are still missing, as many as may be under way at once. */
@@ -113,10 +113,10 @@
 order_moves(MmSharing *sharing, MmSharePlan *plan) {
   guint n = plan->live->len;
   guint max_moves = (guint)sharing->node->operators->group_moves;
-  guint slack = 1 + sharing->groups / MAX(n, 1) / SLACK_SHARE;
+  guint slack = 1 + sharing->n_groups / MAX(n, 1) / SLACK_DIVISOR;
   guint under_way = moves_under_way(sharing);
 
-  for (guint group = 0; group < sharing->groups && under_way < max_moves; group++) {
+  for (guint group = 0; group < sharing->n_groups && under_way < max_moves; group++) {
     const MmGroupHolding *holding = mm_group_map_owner(sharing->map, group).holding;
     MmShareMove move;
     const char *from;
@@ -124,9 +124,9 @@
     if (!mm_shares_next_move(plan->shares, plan->targets, n, slack, &move))
       break;
     from = g_ptr_array_index(plan->live, move.from);
-    if (strcmp(holding->node.s, from) != 0 || is_moving(sharing, group))
+    if (strcmp(holding->node.s, from) != 0 || is_group_moving(sharing, group))
       continue;
-    order(sharing, group, from, g_ptr_array_index(plan->live, move.to));
+    order_move(sharing, group, from, g_ptr_array_index(plan->live, move.to));
     plan->shares[move.from].owned--;
     plan->shares[move.to].owned++;
     under_way++;
@@ -136,9 +136,9 @@
 /* What moves already counts as moved. */
 static void
 count_moves_as_made(const MmSharing *sharing, MmSharePlan *plan) {
-  for (guint group = 0; group < sharing->groups; group++) {
+  for (guint group = 0; group < sharing->n_groups; group++) {
     const MmOwnedGroup *owned = sharing->owned[group];
-    if (owned == NULL || !owned->moving)
+    if (owned == NULL || !owned->is_moving)
       continue;
     for (guint i = 0; i < plan->live->len; i++) {
       const char *label = g_ptr_array_index(plan->live, i);
@@ -146,7 +146,7 @@
       plan->shares[i].owned += strcmp(label, owned->target.s) == 0;
     }
   }
-  for (guint p = 0; p < sharing->node->links->n_peers; p++)
+  for (guint p = 0; p < sharing->node->peer_links->n_peers; p++)
     for (guint k = 0; k < sharing->peer_moves[p]->len; k++) {
       const MmGroupMove *move = &g_array_index(sharing->peer_moves[p], MmGroupMove, k);
       const MmGroupHolding *holding = mm_group_map_owner(sharing->map, move->group).holding;
@@ -165,7 +165,7 @@
   MmTime now = mm_node_now(sharing->node);
   g_autoptr(MmSharePlan) plan = mm_share_plan_new(sharing);
   MmTime since = sharing->uneven_since;
-  guint slack = 1 + sharing->groups / MAX(plan->live->len, 1) / SLACK_SHARE;
+  guint slack = 1 + sharing->n_groups / MAX(plan->live->len, 1) / SLACK_DIVISOR;
   MmShareMove move;
 
   count_moves_as_made(sharing, plan);
@@ -175,22 +175,22 @@
   }
   if (since.us == 0)
     sharing->uneven_since = now;
-  else if (mm_time_ms_since(now, since) > UNEVEN_PATIENCE_MS)
+  else if (mm_time_ms_since(now, since) > UNEVEN_WAIT_MS)
     order_moves(sharing, plan);
 }
 
 /* ---- telling peers ---- */
 
 void
-mm_sharing_tell_moves(MmSharing *sharing) {
+mm_sharing_broadcast_moves(MmSharing *sharing) {
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__GroupMoves message = MM__GROUP_MOVES__INIT;
   g_autofree guint32 *groups = g_new0(guint32, MAX(sharing->n_moving, 1));
   g_autofree char **targets = g_new0(char *, MAX(sharing->n_moving, 1));
 
-  for (guint group = 0; group < sharing->groups; group++) {
+  for (guint group = 0; group < sharing->n_groups; group++) {
     MmOwnedGroup *owned = sharing->owned[group];
-    if (owned == NULL || !owned->moving)
+    if (owned == NULL || !owned->is_moving)
       continue;
     groups[message.n_groups++] = group;
     targets[message.n_targets++] = owned->target.s;
@@ -199,21 +199,21 @@
   message.targets = targets;
   frame.body_case = MM__FRAME__BODY_GROUP_MOVES;
   frame.group_moves = &message;
-  for (guint i = 0; i < sharing->node->links->n_peers; i++)
-    mm_links_send(sharing->node->links, i, &frame);
-  sharing->moves_told = mm_node_now(sharing->node);
+  for (guint i = 0; i < sharing->node->peer_links->n_peers; i++)
+    mm_peer_links_send(sharing->node->peer_links, i, &frame);
+  sharing->moves_sent_at = mm_node_now(sharing->node);
 }
 
 void
 mm_sharing_balance(MmSharing *sharing) {
   MmTime now = mm_node_now(sharing->node);
 
-  if (mm_time_ms_since(now, sharing->moves_told) >= TELL_MOVES_EVERY_MS)
-    mm_sharing_tell_moves(sharing);
-  if (mm_time_before(now, sharing->next_balance))
+  if (mm_time_ms_since(now, sharing->moves_sent_at) >= MOVES_BROADCAST_INTERVAL_MS)
+    mm_sharing_broadcast_moves(sharing);
+  if (mm_time_before(now, sharing->next_balance_at))
     return;
-  sharing->next_balance = mm_time_add_ms(now, BALANCE_EVERY_MS);
-  if (!has_duty(sharing) || sharing->unowned_since.us != 0
+  sharing->next_balance_at = mm_time_add_ms(now, BALANCE_INTERVAL_MS);
+  if (!leads_sharing_shard(sharing) || sharing->unowned_since.us != 0
       || g_hash_table_size(sharing->map->malformed) > 0)
     sharing->uneven_since.us = 0;
   else
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -24,13 +24,13 @@
 }
 
 static gboolean
-is_shown(const MmMachine *machine, const MmGrant *grant) {
+is_in_heartbeat(const MmMachine *machine, const MmGrant *grant) {
   return mm_machine_find_reported_task(machine, &grant->job, grant->number, grant->attempt) != NULL;
 }
 
 /* Takes off what tasks that the report shows use; FALSE when one of them is of an unknown job. */
 static gboolean
-take_off_reported(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
+subtract_reported(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *task = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     const MmJob *job;
@@ -46,7 +46,7 @@
 }
 
 static void
-take_off_reserved(const MmMachine *machine, MmResources *remaining) {
+subtract_reserved(const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
     if (placed->job->tasks[placed->number].state == MM_TASK_PLACE_RESERVED)
@@ -57,7 +57,7 @@
 /* FALSE when an outstanding grant is of a job that is not known here any more: what it uses can't
  * be told. */
 static gboolean
-take_off_outstanding(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
+subtract_outstanding(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   const GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
 
   for (guint i = 0; list != NULL && i < list->len; i++) {
@@ -71,15 +71,15 @@
 }
 
 MmResources
-mm_grants_left(const MmGrants *grants, const MmMachine *machine) {
+mm_grants_free_resources(const MmGrants *grants, const MmMachine *machine) {
   MmResources remaining;
 
   if (machine->type == NULL)
     return (MmResources){ 0 };
   remaining = machine->type->resources;
-  take_off_reserved(machine, &remaining);
-  if (!take_off_reported(grants, machine, &remaining)
-      || !take_off_outstanding(grants, machine, &remaining))
+  subtract_reserved(machine, &remaining);
+  if (!subtract_reported(grants, machine, &remaining)
+      || !subtract_outstanding(grants, machine, &remaining))
     return (MmResources){ 0 };
   return remaining;
 }
@@ -98,15 +98,15 @@
 }
 
 gboolean
-mm_grants_give(MmGrants *grants, MmMachine *machine, const MmGrant *grant) {
+mm_grants_try_grant(MmGrants *grants, MmMachine *machine, const MmGrant *grant) {
   GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
   const MmJob *job = mm_job_table_find(grants->node->job_table, grant->job.s);
 
   if (is_outstanding(list, grant))
     return TRUE;
-  if (job == NULL || mm_heartbeat_id_is_newer(machine->latest_message_id, grant->stamp)
-      || !mm_resources_fits(job->spec.task_resources, mm_grants_left(grants, machine))) {
-    grants->refused++;
+  if (job == NULL || mm_heartbeat_id_is_newer(machine->latest_message_id, grant->heartbeat_id)
+      || !mm_resources_fits(job->spec.task_resources, mm_grants_free_resources(grants, machine))) {
+    grants->n_refused++;
     return FALSE;
   }
   if (list == NULL) {
@@ -114,25 +114,25 @@
     g_hash_table_insert(grants->outstanding, g_strdup(machine->id.s), list);
   }
   g_array_append_val(list, *grant);
-  grants->given++;
+  grants->n_granted++;
   return TRUE;
 }
 
 /* A direct answer of the same session may have been made before the answer with the start came. */
 static gboolean
-is_denied(const MmGrant *grant, MmHeartbeatId heartbeat_id, gboolean is_direct_reply) {
-  return heartbeat_id.incarnation > grant->stamp.incarnation
-         || (!is_direct_reply && mm_heartbeat_id_is_newer(heartbeat_id, grant->stamp));
+is_disproved(const MmGrant *grant, MmHeartbeatId heartbeat_id, gboolean is_direct_reply) {
+  return heartbeat_id.incarnation > grant->heartbeat_id.incarnation
+         || (!is_direct_reply && mm_heartbeat_id_is_newer(heartbeat_id, grant->heartbeat_id));
 }
 
 void
-mm_grants_reported(MmGrants *grants, const MmMachine *machine, MmHeartbeatId heartbeat_id,
-                   gboolean is_direct_reply) {
+mm_grants_heartbeat_received(MmGrants *grants, const MmMachine *machine, MmHeartbeatId heartbeat_id,
+                             gboolean is_direct_reply) {
   GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
 
   for (guint i = list != NULL ? list->len : 0; i > 0; i--) {
     const MmGrant *grant = &g_array_index(list, MmGrant, i - 1);
-    if (is_shown(machine, grant) || is_denied(grant, heartbeat_id, is_direct_reply))
+    if (is_in_heartbeat(machine, grant) || is_disproved(grant, heartbeat_id, is_direct_reply))
       g_array_remove_index_fast(list, i - 1);
   }
   if (list != NULL && list->len == 0)
@@ -156,7 +156,7 @@
 }
 
 guint
-mm_grants_outstanding(const MmGrants *grants, guint group, guint n_groups) {
+mm_grants_count_outstanding(const MmGrants *grants, guint group, guint n_groups) {
   GHashTableIter iter;
   gpointer machine;
   guint n = 0;
--- a/src/sharing/group-map.c
+++ b/src/sharing/group-map.c
@@ -5,8 +5,8 @@
 
 /* The names in a key's value. */
 #define FIELD_LEASE "c"
-#define FIELD_COUNT "of"
-#define FIELD_GIVEN "g"
+#define FIELD_GROUP_COUNT "of"
+#define FIELD_GRANTS "g"
 
 /* ---- what one key says ---- */
 
@@ -22,7 +22,7 @@
 holding_free(gpointer data) {
   MmGroupHolding *holding = data;
 
-  g_ptr_array_unref(holding->given);
+  g_ptr_array_unref(holding->grants);
   g_free(holding);
 }
 
@@ -46,28 +46,28 @@
 /* NULL where the value is malformed. */
 static MmGroupHolding *
 holding_from_json(const char *label, const json_t *value, MmKeyVersion version) {
-  const json_t *grants = mm_json_get(value, FIELD_GIVEN);
+  const json_t *grants = mm_json_get(value, FIELD_GRANTS);
   MmGroupHolding *holding = g_new0(MmGroupHolding, 1);
   size_t i;
   json_t *entry;
 
   holding->node = mm_name(label);
-  holding->lease = mm_json_count(value, FIELD_LEASE, 0);
+  holding->lease_id = mm_json_count(value, FIELD_LEASE, 0);
   holding->version = version;
-  holding->groups = (guint)MIN(mm_json_count(value, FIELD_COUNT, 0), G_MAXUINT);
-  holding->given = g_ptr_array_new_with_free_func(group_grant_free);
-  if (holding->lease == 0 || holding->groups == 0 || holding->groups > MM_GROUPS_MAX
+  holding->n_groups = (guint)MIN(mm_json_count(value, FIELD_GROUP_COUNT, 0), G_MAXUINT);
+  holding->grants = g_ptr_array_new_with_free_func(group_grant_free);
+  if (holding->lease_id == 0 || holding->n_groups == 0 || holding->n_groups > MM_GROUPS_MAX
       || !json_is_array(grants)) {
     holding_free(holding);
     return NULL;
   }
   json_array_foreach(grants, i, entry) {
-    MmGroupGrant *grant = grant_from_json(entry, holding->groups);
+    MmGroupGrant *grant = grant_from_json(entry, holding->n_groups);
     if (grant == NULL) {
       holding_free(holding);
       return NULL;
     }
-    g_ptr_array_add(holding->given, grant);
+    g_ptr_array_add(holding->grants, grant);
   }
   return holding;
 }
@@ -78,7 +78,7 @@
 mm_group_map_new(guint n_groups) {
   MmGroupMap *map = g_new0(MmGroupMap, 1);
 
-  map->groups = n_groups;
+  map->n_groups = n_groups;
   map->holdings = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, holding_free);
   map->malformed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   map->owners = g_new0(MmGroupOwner, n_groups);
@@ -97,11 +97,11 @@
   MmGroupMap *map;
   const MmGroupHolding *holding;
   MmTerm term;
-} Listing;
+} OwnerUpdate;
 
 static bool
-list_group(guint32 group, void *data) {
-  const Listing *update = data;
+update_owner(guint32 group, void *data) {
+  const OwnerUpdate *update = data;
   MmGroupOwner *owner = &update->map->owners[group];
 
   /* In two keys only if somebody wrote by hand: the later transaction stands. */
@@ -112,25 +112,25 @@
 
 /* Keys that divide the fleet otherwise list nothing here. */
 static void
-work_out_owners(MmGroupMap *map) {
+update_owners(MmGroupMap *map) {
   GHashTableIter iter;
   gpointer value;
 
-  memset(map->owners, 0, map->groups * sizeof *map->owners);
+  memset(map->owners, 0, map->n_groups * sizeof *map->owners);
   g_hash_table_iter_init(&iter, map->holdings);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     const MmGroupHolding *holding = value;
-    for (guint i = 0; i < holding->given->len && holding->groups == map->groups; i++) {
-      const MmGroupGrant *grant = g_ptr_array_index(holding->given, i);
-      Listing update = { map, holding, grant->term };
-      roaring_iterate(grant->groups, list_group, &update);
-      map->newest.v = MAX(map->newest.v, grant->term.v);
+    for (guint i = 0; i < holding->grants->len && holding->n_groups == map->n_groups; i++) {
+      const MmGroupGrant *grant = g_ptr_array_index(holding->grants, i);
+      OwnerUpdate update = { map, holding, grant->term };
+      roaring_iterate(grant->groups, update_owner, &update);
+      map->newest_term.v = MAX(map->newest_term.v, grant->term.v);
     }
   }
 }
 
 static void
-forget(MmGroupMap *map, const char *label) {
+remove_holding(MmGroupMap *map, const char *label) {
   g_hash_table_remove(map->holdings, label);
   g_hash_table_remove(map->malformed, label);
 }
@@ -139,7 +139,7 @@
 mm_group_map_put(MmGroupMap *map, const char *label, const json_t *value, MmKeyVersion version) {
   MmGroupHolding *holding = holding_from_json(label, value, version);
 
-  forget(map, label);
+  remove_holding(map, label);
   if (holding != NULL) {
     g_hash_table_replace(map->holdings, g_strdup(label), holding);
   } else {
@@ -148,14 +148,14 @@
     g_hash_table_replace(map->malformed, g_strdup(label), malformed_version);
     mm_error("the key of %s's machine groups is malformed: nothing is granted there", label);
   }
-  work_out_owners(map);
+  update_owners(map);
   return holding != NULL;
 }
 
 void
 mm_group_map_remove(MmGroupMap *map, const char *label) {
-  forget(map, label);
-  work_out_owners(map);
+  remove_holding(map, label);
+  update_owners(map);
 }
 
 void
@@ -188,26 +188,26 @@
 
 MmGroupOwner
 mm_group_map_owner(const MmGroupMap *map, guint group) {
-  return group < map->groups ? map->owners[group] : (MmGroupOwner){ NULL, { 0 } };
+  return group < map->n_groups ? map->owners[group] : (MmGroupOwner){ NULL, { 0 } };
 }
 
 guint
-mm_group_map_other_count(const MmGroupMap *map) {
+mm_group_map_conflicting_count(const MmGroupMap *map) {
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init(&iter, map->holdings);
   while (g_hash_table_iter_next(&iter, NULL, &value))
-    if (((const MmGroupHolding *)value)->groups != map->groups)
-      return ((const MmGroupHolding *)value)->groups;
+    if (((const MmGroupHolding *)value)->n_groups != map->n_groups)
+      return ((const MmGroupHolding *)value)->n_groups;
   return 0;
 }
 
 /* ---- a key's value under construction ---- */
 
 struct MmGroupValue {
-  guint groups;
-  guint64 lease;
+  guint n_groups;
+  guint64 lease_id;
   MmTerm *terms; /* by group; 0: not listed */
 };
 
@@ -215,8 +215,8 @@
 mm_group_value_new(guint n_groups, guint64 lease_id) {
   MmGroupValue *value = g_new0(MmGroupValue, 1);
 
-  value->groups = n_groups;
-  value->lease = lease_id;
+  value->n_groups = n_groups;
+  value->lease_id = lease_id;
   value->terms = g_new0(MmTerm, n_groups);
   return value;
 }
@@ -236,11 +236,11 @@
   MmGroupValue *value;
   const MmGroupSet *without;
   MmTerm term;
-} Copying;
+} GroupCopy;
 
 static bool
 copy_group(guint32 group, void *data) {
-  const Copying *copy = data;
+  const GroupCopy *copy = data;
 
   if (copy->without == NULL || !roaring_bitmap_contains(copy->without, group))
     mm_group_value_add(copy->value, group, copy->term);
@@ -250,16 +250,16 @@
 void
 mm_group_value_add_all(MmGroupValue *value, const MmGroupHolding *holding,
                        const MmGroupSet *without) {
-  for (guint i = 0; i < holding->given->len; i++) {
-    const MmGroupGrant *grant = g_ptr_array_index(holding->given, i);
-    Copying copy = { value, without, grant->term };
+  for (guint i = 0; i < holding->grants->len; i++) {
+    const MmGroupGrant *grant = g_ptr_array_index(holding->grants, i);
+    GroupCopy copy = { value, without, grant->term };
     roaring_iterate(grant->groups, copy_group, &copy);
   }
 }
 
 void
 mm_group_value_use_one_term(MmGroupValue *value, MmTerm term) {
-  for (guint group = 0; group < value->groups; group++)
+  for (guint group = 0; group < value->n_groups; group++)
     if (value->terms[group].v != 0)
       value->terms[group] = term;
 }
@@ -269,7 +269,7 @@
   g_autoptr(MmGroupSet) set = roaring_bitmap_create();
   g_autofree char *ranges = NULL;
 
-  for (guint group = 0; group < value->groups; group++)
+  for (guint group = 0; group < value->n_groups; group++)
     if (value->terms[group].v == term.v)
       roaring_bitmap_add(set, group);
   ranges = mm_group_set_to_text(set);
@@ -281,11 +281,11 @@
   g_autoptr(GHashTable) written = g_hash_table_new(g_int64_hash, g_int64_equal);
   json_t *grants = json_array();
 
-  for (guint group = 0; group < value->groups; group++) {
+  for (guint group = 0; group < value->n_groups; group++) {
     if (value->terms[group].v == 0 || !g_hash_table_add(written, &value->terms[group].v))
       continue;
     append_term(grants, value, value->terms[group]);
   }
-  return json_pack("{s:I, s:i, s:o}", FIELD_LEASE, (json_int_t)value->lease, FIELD_COUNT,
-                   (int)value->groups, FIELD_GIVEN, grants);
+  return json_pack("{s:I, s:i, s:o}", FIELD_LEASE, (json_int_t)value->lease_id, FIELD_GROUP_COUNT,
+                   (int)value->n_groups, FIELD_GRANTS, grants);
 }
--- a/src/sharing/group-map.h
+++ b/src/sharing/group-map.h
@@ -20,10 +20,10 @@
 /* What one node's key says. */
 typedef struct {
   MmName node;
-  guint64 lease;
+  guint64 lease_id;
   MmKeyVersion version;
-  guint groups;     /* into how many groups its writer divides the fleet */
-  GPtrArray *given; /* MmGroupGrant */
+  guint n_groups;    /* into how many groups its writer divides the fleet */
+  GPtrArray *grants; /* MmGroupGrant */
 } MmGroupHolding;
 
 typedef struct {
@@ -32,11 +32,11 @@
 } MmGroupOwner;
 
 typedef struct {
-  guint groups;
+  guint n_groups;
   GHashTable *holdings;  /* label -> MmGroupHolding */
   GHashTable *malformed; /* label -> MmKeyVersion: keys that could not be read */
   MmGroupOwner *owners;  /* by group */
-  MmTerm newest;         /* the highest term of any group */
+  MmTerm newest_term;    /* the highest term of any group */
 } MmGroupMap;
 
 /* `groups`: at least 1. */
@@ -55,7 +55,7 @@
 MmKeyVersion mm_group_map_key_version(const MmGroupMap *map, const char *label);
 MmGroupOwner mm_group_map_owner(const MmGroupMap *map, guint group);
 /* Another number of groups than this map's, as some key says; 0: none does. */
-guint mm_group_map_other_count(const MmGroupMap *map);
+guint mm_group_map_conflicting_count(const MmGroupMap *map);
 
 /* A key's value under construction. */
 typedef struct MmGroupValue MmGroupValue;
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -6,7 +6,7 @@
 #include "store/replica.h"
 
 const char *
-mm_sharing_move_text(MmMoveAnswer result) {
+mm_sharing_move_result_text(MmMoveResult result) {
   static const char *const texts[] = {
     [MM_MOVE_STARTED] = "the move has begun",
     [MM_MOVE_SHARING_OFF] = "machines are not shared out",
@@ -17,21 +17,21 @@
     [MM_MOVE_UNDER_WAY] = "a move of the group is under way",
     [MM_MOVE_TOO_SOON] = "the group has moved only just now",
     [MM_MOVE_TOO_MANY] = "too many moves are under way",
-    [MM_MOVE_TARGET_AWAY] = "the node is not there at the moment",
+    [MM_MOVE_TARGET_NOT_LIVE] = "the node is not there at the moment",
   };
 
   return texts[result];
 }
 
-static MmMoveAnswer
+static MmMoveResult
 may_move(const MmSharing *sharing, guint group, const char *target, gboolean by_hand) {
   const MmNode *node = sharing->node;
   const MmOwnedGroup *owned;
   gint64 owned_ms;
 
-  if (!sharing->active)
+  if (!sharing->is_active)
     return MM_MOVE_SHARING_OFF;
-  if (group >= sharing->groups)
+  if (group >= sharing->n_groups)
     return MM_MOVE_UNKNOWN_GROUP;
   if (!mm_settings_has_node(node->settings, target))
     return MM_MOVE_UNKNOWN_NODE;
@@ -40,11 +40,11 @@
   owned = sharing->owned[group];
   if (strcmp(target, node->settings->label.s) == 0)
     return MM_MOVE_SAME_NODE;
-  if (owned->moving)
+  if (owned->is_moving)
     return MM_MOVE_UNDER_WAY;
   if (g_hash_table_lookup(node->replica->live_nodes, target) == NULL)
-    return MM_MOVE_TARGET_AWAY;
-  owned_ms = mm_time_ms_since(mm_node_now(node), owned->acquired);
+    return MM_MOVE_TARGET_NOT_LIVE;
+  owned_ms = mm_time_ms_since(mm_node_now(node), owned->acquired_at);
   if (!by_hand && owned_ms < (gint64)(node->operators->group_hold_s * 1000))
     return MM_MOVE_TOO_SOON;
   if (!by_hand && sharing->n_moving >= (guint)node->operators->group_moves)
@@ -52,20 +52,20 @@
   return MM_MOVE_STARTED;
 }
 
-MmMoveAnswer
+MmMoveResult
 mm_sharing_move(MmSharing *sharing, guint group, const char *target, gboolean by_hand) {
-  MmMoveAnswer result = may_move(sharing, group, target, by_hand);
+  MmMoveResult result = may_move(sharing, group, target, by_hand);
   MmOwnedGroup *owned;
 
   if (result != MM_MOVE_STARTED)
     return result;
   owned = sharing->owned[group];
-  owned->moving = TRUE;
+  owned->is_moving = TRUE;
   owned->target = mm_name(target);
   owned->moving_since = mm_node_now(sharing->node);
   sharing->n_moving++;
   mm_info("group %u is to go to %s", group, target);
-  mm_sharing_tell_moves(sharing);
+  mm_sharing_broadcast_moves(sharing);
   return result;
 }
 
@@ -73,8 +73,8 @@
 void
 mm_sharing_move_ordered(MmSharing *sharing, guint peer, const Mm__MoveOrder *order) {
   const MmShard *balancer_shard = mm_replica_shard(sharing->node->replica, MM_SHARD_SHARING);
-  const MmName *sender = &sharing->node->links->peers[peer].label;
-  MmMoveAnswer result;
+  const MmName *sender = &sharing->node->peer_links->peers[peer].label;
+  MmMoveResult result;
 
   if (!order->by_hand
       && (balancer_shard == NULL || balancer_shard->term.v != order->term
@@ -84,17 +84,17 @@
   }
   result = mm_sharing_move(sharing, order->group, order->target, order->by_hand);
   if (result != MM_MOVE_STARTED)
-    mm_debug("group %u stays: %s", order->group, mm_sharing_move_text(result));
+    mm_debug("group %u stays: %s", order->group, mm_sharing_move_result_text(result));
 }
 
 void
-mm_sharing_moves_heard(MmSharing *sharing, guint peer, const Mm__GroupMoves *moves) {
+mm_sharing_moves_received(MmSharing *sharing, guint peer, const Mm__GroupMoves *moves) {
   GArray *list = sharing->peer_moves[peer];
 
   g_array_set_size(list, 0);
   for (size_t i = 0; i < MIN(moves->n_groups, moves->n_targets); i++) {
-    MmGroupMove move
-        = { moves->groups[i], sharing->node->links->peers[peer].label, mm_name(moves->targets[i]) };
+    MmGroupMove move = { moves->groups[i], sharing->node->peer_links->peers[peer].label,
+                         mm_name(moves->targets[i]) };
     g_array_append_val(list, move);
   }
 }
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -10,15 +10,15 @@
   MmSharing *sharing = g_new0(MmSharing, 1);
 
   sharing->node = node;
-  sharing->groups = (guint)node->operators->groups;
+  sharing->n_groups = (guint)node->operators->groups;
   sharing->grants = mm_grants_new(node);
   sharing->peer_moves = g_new0(GArray *, MAX(node->settings->peers->len, 1));
   for (guint i = 0; i < node->settings->peers->len; i++)
     sharing->peer_moves[i] = g_array_new(FALSE, FALSE, sizeof(MmGroupMove));
-  if (sharing->groups == 0)
+  if (sharing->n_groups == 0)
     return sharing;
-  sharing->map = mm_group_map_new(sharing->groups);
-  sharing->owned = g_new0(MmOwnedGroup *, sharing->groups);
+  sharing->map = mm_group_map_new(sharing->n_groups);
+  sharing->owned = g_new0(MmOwnedGroup *, sharing->n_groups);
   return sharing;
 }
 
@@ -33,7 +33,7 @@
   for (guint i = 0; i < sharing->node->settings->peers->len; i++)
     g_array_unref(sharing->peer_moves[i]);
   g_free(sharing->peer_moves);
-  for (guint group = 0; group < sharing->groups; group++)
+  for (guint group = 0; group < sharing->n_groups; group++)
     if (sharing->owned[group] != NULL)
       owned_free(sharing->owned[group]);
   g_free(sharing->owned);
@@ -46,19 +46,20 @@
 
 /* Whether the replica shows the group as this life of this node's. */
 static gboolean
-is_shown_here(const MmSharing *sharing, guint group) {
+is_owned_in_replica(const MmSharing *sharing, guint group) {
   const MmNode *node = sharing->node;
   MmGroupOwner owner = mm_group_map_owner(sharing->map, group);
 
   return owner.holding != NULL && node->node_lease->lease_id != 0
-         && owner.holding->lease == node->node_lease->lease_id
+         && owner.holding->lease_id == node->node_lease->lease_id
          && mm_name_equal(&owner.holding->node, &node->settings->label);
 }
 
 gboolean
 mm_sharing_owns(const MmSharing *sharing, guint group) {
-  return group < sharing->groups && sharing->owned[group] != NULL
-         && mm_node_lease_is_valid(sharing->node->node_lease) && is_shown_here(sharing, group);
+  return group < sharing->n_groups && sharing->owned[group] != NULL
+         && mm_node_lease_is_valid(sharing->node->node_lease)
+         && is_owned_in_replica(sharing, group);
 }
 
 static void
@@ -67,17 +68,17 @@
 
   mm_debug("group %u is no longer owned here", group);
   sharing->n_owned--;
-  sharing->n_moving -= owned->moving;
-  sharing->moved += owned->moving;
+  sharing->n_moving -= owned->is_moving;
+  sharing->n_moved += owned->is_moving;
   sharing->owned[group] = NULL;
   owned_free(owned);
-  mm_grants_drop_group(sharing->grants, group, sharing->groups);
+  mm_grants_drop_group(sharing->grants, group, sharing->n_groups);
 }
 
 /* A machine of an acquired group may still carry out starts of earlier owners, unless it has shown
  * the group's term. One that is registered later only gets answers of that term or a later one. */
 static void
-note_unacknowledged(MmSharing *sharing, const MmMachine *machine) {
+track_unacknowledged(MmSharing *sharing, const MmMachine *machine) {
   MmOwnedGroup *owned = sharing->owned[machine->group];
 
   if (owned == NULL || !machine->is_in_registry || machine->lease_has_expired)
@@ -93,7 +94,7 @@
 
   owned->number = group;
   owned->term = mm_group_map_owner(sharing->map, group).term;
-  owned->acquired = mm_node_now(sharing->node);
+  owned->acquired_at = mm_node_now(sharing->node);
   owned->unacknowledged = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   sharing->owned[group] = owned;
   sharing->n_owned++;
@@ -101,12 +102,12 @@
 
 /* Drops what is not owned any more, or under another term, and adopts what is new. */
 static void
-take_over_map(MmSharing *sharing) {
+apply_group_map(MmSharing *sharing) {
   const GPtrArray *machines = sharing->node->machine_table->sorted_machines;
   g_autoptr(MmGroupSet) adopted_groups = roaring_bitmap_create();
 
-  for (guint group = 0; group < sharing->groups; group++) {
-    gboolean is_owned = is_shown_here(sharing, group);
+  for (guint group = 0; group < sharing->n_groups; group++) {
+    gboolean is_owned = is_owned_in_replica(sharing, group);
     MmTerm term = mm_group_map_owner(sharing->map, group).term;
 
     if (sharing->owned[group] != NULL && (!is_owned || term.v != sharing->owned[group]->term.v))
@@ -122,7 +123,7 @@
     MmMachine *machine = g_ptr_array_index(machines, i);
     if (!roaring_bitmap_contains(adopted_groups, machine->group))
       continue;
-    note_unacknowledged(sharing, machine);
+    track_unacknowledged(sharing, machine);
     machine->acknowledgement_requested_at.us = 0;
   }
   mm_info("%u machine groups are owned here, %u of them new", sharing->n_owned,
@@ -130,8 +131,8 @@
 }
 
 static void
-watch_unowned(MmSharing *sharing) {
-  for (guint group = 0; group < sharing->groups; group++)
+update_unowned_since(MmSharing *sharing) {
+  for (guint group = 0; group < sharing->n_groups; group++)
     if (mm_group_map_owner(sharing->map, group).holding == NULL) {
       if (sharing->unowned_since.us == 0)
         sharing->unowned_since = mm_node_now(sharing->node);
@@ -142,36 +143,36 @@
 
 /* Only as this node comes: nodes that take part already keep out whoever counts otherwise. */
 static void
-compare_with_stored(MmSharing *sharing) {
-  if (!sharing->compared)
-    sharing->conflicting_groups = mm_group_map_other_count(sharing->map);
-  sharing->compared = TRUE;
+check_stored_group_count(MmSharing *sharing) {
+  if (!sharing->is_compared)
+    sharing->conflicting_groups = mm_group_map_conflicting_count(sharing->map);
+  sharing->is_compared = TRUE;
 }
 
 static void
-check_active(MmSharing *sharing) {
-  gboolean is_active = mm_versions_common_group_count(sharing->node->versions) == sharing->groups;
+update_is_active(MmSharing *sharing) {
+  gboolean is_active = mm_versions_common_group_count(sharing->node->versions) == sharing->n_groups;
 
-  if (is_active != sharing->active)
+  if (is_active != sharing->is_active)
     mm_info("machines are %s", is_active ? "shared out: every node takes part"
                                          : "not shared out: not every node takes part");
-  sharing->active = is_active;
+  sharing->is_active = is_active;
 }
 
 void
 mm_sharing_replica_changed(MmSharing *sharing) {
-  if (sharing->groups == 0)
+  if (sharing->n_groups == 0)
     return;
-  compare_with_stored(sharing);
-  check_active(sharing);
-  take_over_map(sharing);
-  watch_unowned(sharing);
+  check_stored_group_count(sharing);
+  update_is_active(sharing);
+  apply_group_map(sharing);
+  update_unowned_since(sharing);
 }
 
 void
 mm_sharing_key_changed(MmSharing *sharing, const char *label, const json_t *value,
                        MmKeyVersion version) {
-  if (sharing->groups == 0)
+  if (sharing->n_groups == 0)
     return;
   if (value != NULL)
     mm_group_map_put(sharing->map, label, value, version);
@@ -181,11 +182,11 @@
 
 void
 mm_sharing_tick(MmSharing *sharing) {
-  if (sharing->groups == 0 || !sharing->node->replica->is_loaded
+  if (sharing->n_groups == 0 || !sharing->node->replica->is_loaded
       || sharing->conflicting_groups != 0)
     return;
   mm_sharing_write(sharing);
-  if (sharing->active)
+  if (sharing->is_active)
     mm_sharing_balance(sharing);
 }
 
@@ -200,14 +201,14 @@
 }
 
 void
-mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmHeartbeatId heartbeat_id,
-                    gboolean is_direct_reply) {
+mm_sharing_heartbeat_received(MmSharing *sharing, MmMachine *machine, MmHeartbeatId heartbeat_id,
+                              gboolean is_direct_reply) {
   MmOwnedGroup *owned;
   gpointer incarnation;
 
-  if (sharing->groups == 0)
+  if (sharing->n_groups == 0)
     return;
-  mm_grants_reported(sharing->grants, machine, heartbeat_id, is_direct_reply);
+  mm_grants_heartbeat_received(sharing->grants, machine, heartbeat_id, is_direct_reply);
   owned = sharing->owned[machine->group];
   if (owned != NULL
       && g_hash_table_lookup_extended(owned->unacknowledged, machine->id.s, NULL, &incarnation)
@@ -219,7 +220,7 @@
 mm_sharing_machine_gone(MmSharing *sharing, const MmMachine *machine) {
   MmOwnedGroup *owned;
 
-  if (sharing->groups == 0)
+  if (sharing->n_groups == 0)
     return;
   mm_grants_machine_gone(sharing->grants, machine->id.s);
   owned = sharing->owned[machine->group];
@@ -228,27 +229,27 @@
 }
 
 gboolean
-mm_sharing_registers(const MmSharing *sharing, const MmMachine *machine) {
+mm_sharing_may_register(const MmSharing *sharing, const MmMachine *machine) {
   MmGroupOwner owner = { NULL, { 0 } };
 
-  if (sharing->active)
+  if (sharing->is_active)
     owner = mm_group_map_owner(sharing->map, machine->group);
   return owner.holding != NULL ? mm_sharing_owns(sharing, machine->group)
                                : machine->serving_node == MM_SERVING_NODE_SELF;
 }
 
 MmTerm
-mm_sharing_term_of(const MmSharing *sharing, const MmMachine *machine) {
-  if (!sharing->active)
+mm_sharing_group_term(const MmSharing *sharing, const MmMachine *machine) {
+  if (!sharing->is_active)
     return (MmTerm){ 0 };
   return mm_group_map_owner(sharing->map, machine->group).term;
 }
 
 gboolean
-mm_sharing_waits_for(const MmSharing *sharing, const MmMachine *machine) {
+mm_sharing_awaits_acknowledgement(const MmSharing *sharing, const MmMachine *machine) {
   const MmOwnedGroup *owned;
 
-  if (!sharing->active)
+  if (!sharing->is_active)
     return FALSE;
   owned = sharing->owned[machine->group];
   return owned != NULL && g_hash_table_contains(owned->unacknowledged, machine->id.s);
@@ -261,13 +262,13 @@
   guint group;
   const MmOwnedGroup *owned;
 
-  if (!sharing->active)
+  if (!sharing->is_active)
     return FALSE;
   group = machine->group;
   owned = sharing->owned[group];
   /* What the owner has quarantined gets nothing; nor does a session that is not registered: should
    * the group change hands, the next owner would not know to wait for it. */
-  return owned != NULL && !owned->moving && mm_sharing_owns(sharing, group)
+  return owned != NULL && !owned->is_moving && mm_sharing_owns(sharing, group)
          && mm_machine_is_usable(sharing->node->machine_table, machine)
          && mm_node_lease_may_answer_workers(sharing->node->node_lease)
          && !g_hash_table_contains(owned->unacknowledged, machine->id.s);
@@ -279,7 +280,7 @@
   MmGroupOwner owner;
   gint peer_index;
 
-  if (!sharing->active)
+  if (!sharing->is_active)
     return MM_GRANTS_NOT_NEEDED;
   owner = mm_group_map_owner(sharing->map, machine->group);
   *term = owner.term;
@@ -287,8 +288,8 @@
     return MM_GRANTS_NOWHERE;
   if (mm_name_equal(&owner.holding->node, &sharing->node->settings->label))
     return mm_sharing_may_grant(sharing, machine) ? MM_GRANTS_HERE : MM_GRANTS_NOWHERE;
-  peer_index = mm_links_find(sharing->node->links, owner.holding->node.s);
-  if (peer_index < 0 || !sharing->node->links->peers[peer_index].up)
+  peer_index = mm_peer_links_find(sharing->node->peer_links, owner.holding->node.s);
+  if (peer_index < 0 || !sharing->node->peer_links->peers[peer_index].is_up)
     return MM_GRANTS_NOWHERE;
   *peer = (guint)peer_index;
   return MM_GRANTS_AT_PEER;
@@ -298,18 +299,18 @@
 mm_sharing_grant_is_current(const MmSharing *sharing, const char *machine, MmTerm term) {
   guint group;
 
-  if (!sharing->active)
+  if (!sharing->is_active)
     return TRUE;
-  group = mm_group_of_machine(machine, sharing->groups);
+  group = mm_group_of_machine(machine, sharing->n_groups);
   return term.v != 0 && mm_group_map_owner(sharing->map, group).term.v == term.v;
 }
 
 /* The answers to an ask: one flag a start. */
 void
-mm_sharing_grant_asked(MmSharing *sharing, guint peer, const Mm__GrantAsk *request) {
+mm_sharing_grant_requested(MmSharing *sharing, guint peer, const Mm__GrantRequest *request) {
   MmMachine *machine = mm_machine_table_find(sharing->node->machine_table, request->machine);
   Mm__Frame frame = MM__FRAME__INIT;
-  Mm__GrantAnswer response = MM__GRANT_ANSWER__INIT;
+  Mm__GrantResponse response = MM__GRANT_RESPONSE__INIT;
   g_autofree protobuf_c_boolean *granted = g_new0(protobuf_c_boolean, MAX(request->n_starts, 1));
   gboolean may_grant = machine != NULL && mm_sharing_may_grant(sharing, machine)
                        && sharing->owned[machine->group]->term.v == request->term;
@@ -318,21 +319,21 @@
     MmGrant grant = { mm_name(request->starts[i]->job),
                       request->starts[i]->number,
                       { request->starts[i]->attempt },
-                      { request->session, request->seq } };
-    granted[i] = mm_grants_give(sharing->grants, machine, &grant);
+                      { request->incarnation, request->sequence } };
+    granted[i] = mm_grants_try_grant(sharing->grants, machine, &grant);
   }
   response.id = request->id;
   response.granted = granted;
   response.n_granted = request->n_starts;
-  frame.body_case = MM__FRAME__BODY_GRANT_ANSWER;
-  frame.grant_answer = &response;
-  mm_links_send(sharing->node->links, peer, &frame);
+  frame.body_case = MM__FRAME__BODY_GRANT_RESPONSE;
+  frame.grant_response = &response;
+  mm_peer_links_send(sharing->node->peer_links, peer, &frame);
 }
 
 /* ---- reports go to the owner ---- */
 
 gint
-mm_sharing_redirect(MmSharing *sharing, const char *machine_id) {
+mm_sharing_redirect_target(MmSharing *sharing, const char *machine_id) {
   MmNode *node = sharing->node;
   MmTime now = mm_node_now(node);
   MmMachine *machine = mm_machine_table_find(node->machine_table, machine_id);
@@ -344,9 +345,9 @@
   owner = mm_group_map_owner(sharing->map, machine->group);
   if (owner.holding == NULL)
     return -1;
-  peer = mm_links_find(node->links, owner.holding->node.s);
+  peer = mm_peer_links_find(node->peer_links, owner.holding->node.s);
   /* A worker that comes back so soon can't reach the owner: it is served here. */
-  if (peer < 0 || !mm_links_peer_answers(node->links, (guint)peer)
+  if (peer < 0 || !mm_peer_links_peer_serves_workers(node->peer_links, (guint)peer)
       || (machine->last_redirected_at.us != 0
           && mm_time_ms_since(now, machine->last_redirected_at)
                  < (gint64)(node->settings->worker_lease_s * 1000)))
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -16,10 +16,10 @@
 typedef struct {
   guint number;
   MmTerm term;
-  MmTime acquired;
+  MmTime acquired_at;
   /* Machines that may still carry out starts of earlier owners: id -> session as registered. */
   GHashTable *unacknowledged;
-  gboolean moving; /* nothing is granted: the group is to be given to `target` */
+  gboolean is_moving; /* nothing is granted: the group is to be given to `target` */
   MmName target;
   MmTime moving_since;
 } MmOwnedGroup;
@@ -44,8 +44,8 @@
   MM_MOVE_UNDER_WAY,
   MM_MOVE_TOO_SOON, /* the group has been here for less than the least time */
   MM_MOVE_TOO_MANY, /* as many are under way as may be */
-  MM_MOVE_TARGET_AWAY
-} MmMoveAnswer;
+  MM_MOVE_TARGET_NOT_LIVE
+} MmMoveResult;
 
 /* A move of one group that a peer has said is under way there. */
 typedef struct {
@@ -56,31 +56,31 @@
 
 struct MmSharing {
   MmNode *node;
-  guint groups;    /* 0: this node does not share machines out */
+  guint n_groups;  /* 0: this node does not share machines out */
   MmGroupMap *map; /* NULL with `groups` 0 */
   MmGrants *grants;
   MmOwnedGroup **owned; /* by group; NULL: not owned */
   guint n_owned;
   guint n_moving;
-  guint64 moved;       /* groups given to others, ever */
+  guint64 n_moved;     /* groups given to others, ever */
   GArray **peer_moves; /* by peer: MmGroupMove */
-  gboolean active;     /* every node of the settings shares machines out in as many groups */
+  gboolean is_active;  /* every node of the settings shares machines out in as many groups */
   /* Another number of groups that was stored as this node came; 0: there was none. It may not take
    * part then: the program ends with an error. */
   guint conflicting_groups;
-  gboolean compared;    /* what is stored has been looked at */
+  gboolean is_compared; /* what is stored has been looked at */
   MmTime unowned_since; /* since when some group has had no owner; 0: all have one */
 
   /* transactions.c */
-  MmGroupWrite writing;
-  gboolean move_unknown; /* a move got no answer: it is to be confirmed */
-  guint64 shown_at;      /* nothing more is written before the replica has come as far */
-  MmTime next_write;
+  MmGroupWrite write_in_flight;
+  gboolean is_move_unconfirmed; /* a move got no answer: it is to be confirmed */
+  guint64 min_revision;         /* nothing more is written before the replica has come as far */
+  MmTime next_write_at;
 
   /* balance.c */
-  MmTime next_balance;
+  MmTime next_balance_at;
   MmTime uneven_since;
-  MmTime moves_told;
+  MmTime moves_sent_at;
 };
 
 MmSharing *mm_sharing_new(MmNode *node);
@@ -92,8 +92,8 @@
                             MmKeyVersion version);
 
 /* From the machine table. */
-void mm_sharing_reported(MmSharing *sharing, MmMachine *machine, MmHeartbeatId heartbeat_id,
-                         gboolean is_direct_reply);
+void mm_sharing_heartbeat_received(MmSharing *sharing, MmMachine *machine,
+                                   MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
 void mm_sharing_machine_gone(MmSharing *sharing, const MmMachine *machine);
 
 /* Whether this node owns the group, by a lease that holds for certain. */
@@ -114,25 +114,25 @@
 /* Whether a grant of that term is good for an answer that goes out now. */
 gboolean mm_sharing_grant_is_current(const MmSharing *sharing, const char *machine, MmTerm term);
 /* Another node's worker's report should go to this peer, which owns its group; -1: it may stay. */
-gint mm_sharing_redirect(MmSharing *sharing, const char *machine);
+gint mm_sharing_redirect_target(MmSharing *sharing, const char *machine);
 /* Whether it is for this node to enter the machine in the registry: it owns the machine's group,
  * or, where nobody does, the machine reports to it. */
-gboolean mm_sharing_registers(const MmSharing *sharing, const MmMachine *machine);
+gboolean mm_sharing_may_register(const MmSharing *sharing, const MmMachine *machine);
 /* The term that the owner of the machine's group waits for; 0: none. */
-MmTerm mm_sharing_term_of(const MmSharing *sharing, const MmMachine *machine);
+MmTerm mm_sharing_group_term(const MmSharing *sharing, const MmMachine *machine);
 /* Whether this node waits for the machine to acknowledge the term of its group. */
-gboolean mm_sharing_waits_for(const MmSharing *sharing, const MmMachine *machine);
+gboolean mm_sharing_awaits_acknowledgement(const MmSharing *sharing, const MmMachine *machine);
 
 /* moves.c */
 /* Starts to give the group to another node, if this one owns it. By hand, neither the least time
  * nor the number of moves under way count. */
-MmMoveAnswer mm_sharing_move(MmSharing *sharing, guint group, const char *target, gboolean by_hand);
-const char *mm_sharing_move_text(MmMoveAnswer result);
+MmMoveResult mm_sharing_move(MmSharing *sharing, guint group, const char *target, gboolean by_hand);
+const char *mm_sharing_move_result_text(MmMoveResult result);
 
 /* From peers. */
-void mm_sharing_grant_asked(MmSharing *sharing, guint peer, const Mm__GrantAsk *request);
+void mm_sharing_grant_requested(MmSharing *sharing, guint peer, const Mm__GrantRequest *request);
 void mm_sharing_move_ordered(MmSharing *sharing, guint peer, const Mm__MoveOrder *order);
-void mm_sharing_moves_heard(MmSharing *sharing, guint peer, const Mm__GroupMoves *moves);
+void mm_sharing_moves_received(MmSharing *sharing, guint peer, const Mm__GroupMoves *moves);
 void mm_sharing_peer_down(MmSharing *sharing, guint peer);
 
 /* transactions.c */
@@ -142,11 +142,11 @@
 /* balance.c */
 /* The duty of evening the shares out, where this node has it; tells peers what moves here. */
 void mm_sharing_balance(MmSharing *sharing);
-void mm_sharing_tell_moves(MmSharing *sharing);
+void mm_sharing_broadcast_moves(MmSharing *sharing);
 /* A free group's place: the label of the node that should take it; NULL: no node is live. Nodes are
  * in the order of their labels; `owned` counts as it is assigned. Free the container only. */
 typedef struct MmSharePlan MmSharePlan;
 MmSharePlan *mm_share_plan_new(const MmSharing *sharing);
 void mm_share_plan_free(MmSharePlan *plan);
-const char *mm_share_plan_take(MmSharePlan *plan);
+const char *mm_share_plan_next_taker(MmSharePlan *plan);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmSharePlan, mm_share_plan_free)
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -10,11 +10,11 @@
 #include "store/store.h"
 
 /* Groups that lie without an owner this long are taken by anyone. */
-#define UNOWNED_PATIENCE_MS 1500
+#define UNOWNED_WAIT_MS 1500
 /* At the start all nodes should be there for the sharing out. */
-#define START_PATIENCE_MS 1000
-#define WRITE_EVERY_MS 100
-#define CONFLICT_MS 1000
+#define START_WAIT_MS 1000
+#define WRITE_INTERVAL_MS 100
+#define CONFLICT_BACKOFF_MS 1000
 /* What a move with two keys and the term puts. */
 #define MOVE_PUTS 3
 
@@ -23,7 +23,8 @@
   const MmGroupHolding *holding
       = mm_group_map_holding(sharing->map, sharing->node->settings->label.s);
 
-  return holding != NULL && holding->lease == sharing->node->node_lease->lease_id ? holding : NULL;
+  return holding != NULL && holding->lease_id == sharing->node->node_lease->lease_id ? holding
+                                                                                     : NULL;
 }
 
 static MmKeyVersion
@@ -32,55 +33,55 @@
 }
 
 static void
-wait_ms(MmSharing *sharing, gint64 ms) {
-  sharing->next_write = mm_time_add_ms(mm_node_now(sharing->node), ms);
+delay_next_write(MmSharing *sharing, gint64 ms) {
+  sharing->next_write_at = mm_time_add_ms(mm_node_now(sharing->node), ms);
 }
 
 /* The moves under way end where they are: the groups stay here. */
 static void
 abort_moves(MmSharing *sharing, const char *reason) {
-  for (guint group = 0; group < sharing->groups; group++) {
+  for (guint group = 0; group < sharing->n_groups; group++) {
     MmOwnedGroup *owned = sharing->owned[group];
-    if (owned == NULL || !owned->moving)
+    if (owned == NULL || !owned->is_moving)
       continue;
-    owned->moving = FALSE;
+    owned->is_moving = FALSE;
     sharing->n_moving--;
     mm_info("group %u stays here: %s", group, reason);
   }
-  mm_sharing_tell_moves(sharing);
+  mm_sharing_broadcast_moves(sharing);
 }
 
 static void
-written(gpointer data, int status, json_t *body) {
+on_write_response(gpointer data, int status, json_t *body) {
   MmSharing *sharing = data;
-  MmGroupWrite kind = sharing->writing;
+  MmGroupWrite kind = sharing->write_in_flight;
 
-  sharing->writing = MM_GROUP_WRITE_NONE;
-  wait_ms(sharing, WRITE_EVERY_MS);
+  sharing->write_in_flight = MM_GROUP_WRITE_NONE;
+  delay_next_write(sharing, WRITE_INTERVAL_MS);
   if (status == 200) {
-    sharing->shown_at = mm_json_count(body, WIRE_REVISION, 0);
-    sharing->move_unknown = FALSE;
+    sharing->min_revision = mm_json_count(body, WIRE_REVISION, 0);
+    sharing->is_move_unconfirmed = FALSE;
   } else if (status == 409) {
     /* Something it was built on has changed: the replica will show what. A move whose outcome was
      * unknown has then been made, or been made void by another change of this node's key. */
-    sharing->move_unknown = FALSE;
-    wait_ms(sharing, CONFLICT_MS);
+    sharing->is_move_unconfirmed = FALSE;
+    delay_next_write(sharing, CONFLICT_BACKOFF_MS);
   } else if (status == 400) {
     /* The target's lease has ended, or this node's: that is void for good. */
     if (kind == MM_GROUP_WRITE_MOVE)
       abort_moves(sharing, "the other node's lease has ended");
-    sharing->move_unknown = FALSE;
-    wait_ms(sharing, CONFLICT_MS);
+    sharing->is_move_unconfirmed = FALSE;
+    delay_next_write(sharing, CONFLICT_BACKOFF_MS);
   } else if (status == 0 && kind == MM_GROUP_WRITE_MOVE) {
     /* It may be carried out yet. Nothing is granted of those groups before that is known. */
-    sharing->move_unknown = TRUE;
+    sharing->is_move_unconfirmed = TRUE;
   }
 }
 
 static void
-commit(MmSharing *sharing, MmTransaction *txn, MmGroupWrite kind) {
-  sharing->writing = kind;
-  mm_kv_client_commit(sharing->node->store, txn, written, sharing);
+commit_write(MmSharing *sharing, MmTransaction *txn, MmGroupWrite kind) {
+  sharing->write_in_flight = kind;
+  mm_kv_client_commit(sharing->node->kv, txn, on_write_response, sharing);
 }
 
 /* Raises the global term; the new one. */
@@ -102,27 +103,26 @@
 }
 
 static gboolean
-fits(const MmSharing *sharing, const MmGroupValue *value) {
+fits_value_limit(const MmSharing *sharing, const MmGroupValue *value) {
   g_autoptr(json_t) json = mm_group_value_to_json(value);
 
-  return json_dumpb(json, NULL, 0, JSON_COMPACT)
-         <= mm_kv_client_max_value_bytes(sharing->node->store);
+  return json_dumpb(json, NULL, 0, JSON_COMPACT) <= mm_kv_client_max_value_bytes(sharing->node->kv);
 }
 
 /* The holding's groups but `without`, and `added` under the term. Where that many terms do not fit
  * into a value, all are listed under the new one: their owner then waits for the machines once
  * more. */
 static MmGroupValue *
-value_with(const MmSharing *sharing, const MmGroupHolding *holding, guint64 lease_id,
-           const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
-  MmGroupValue *value = mm_group_value_new(sharing->groups, lease_id);
+build_value(const MmSharing *sharing, const MmGroupHolding *holding, guint64 lease_id,
+            const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
+  MmGroupValue *value = mm_group_value_new(sharing->n_groups, lease_id);
 
   if (holding != NULL)
     mm_group_value_add_all(value, holding, without);
-  for (guint group = 0; group < sharing->groups; group++)
+  for (guint group = 0; group < sharing->n_groups; group++)
     if (added != NULL && roaring_bitmap_contains(added, group))
       mm_group_value_add(value, group, term);
-  if (added != NULL && !fits(sharing, value))
+  if (added != NULL && !fits_value_limit(sharing, value))
     mm_group_value_use_one_term(value, term);
   return value;
 }
@@ -137,40 +137,39 @@
 
   return holding == NULL
          || (mm_name_equal(&holding->node, &node->settings->label)
-             && holding->lease != node->node_lease->lease_id);
+             && holding->lease_id != node->node_lease->lease_id);
 }
 
 static gboolean
-anyone_may_take(const MmSharing *sharing) {
+anyone_may_acquire(const MmSharing *sharing) {
   return sharing->unowned_since.us != 0
-         && mm_time_ms_since(mm_node_now(sharing->node), sharing->unowned_since)
-                > UNOWNED_PATIENCE_MS;
+         && mm_time_ms_since(mm_node_now(sharing->node), sharing->unowned_since) > UNOWNED_WAIT_MS;
 }
 
 /* At the very start the other nodes may be about to show. */
 static gboolean
-waits_for_others(const MmSharing *sharing) {
+awaits_other_nodes(const MmSharing *sharing) {
   const MmNode *node = sharing->node;
   const MmLiveNode *own_node
       = g_hash_table_lookup(node->replica->live_nodes, node->settings->label.s);
 
   return own_node == NULL
          || (g_hash_table_size(node->replica->live_nodes) < node->settings->node_count
-             && sharing->map->newest.v == 0
-             && mm_time_ms_since(mm_node_now(node), own_node->seen_since) < START_PATIENCE_MS);
+             && sharing->map->newest_term.v == 0
+             && mm_time_ms_since(mm_node_now(node), own_node->seen_since) < START_WAIT_MS);
 }
 
 static MmGroupSet *
 groups_to_acquire(const MmSharing *sharing) {
   g_autoptr(MmSharePlan) plan = mm_share_plan_new(sharing);
   MmGroupSet *set = roaring_bitmap_create();
-  gboolean may_take_all = anyone_may_take(sharing);
+  gboolean may_take_all = anyone_may_acquire(sharing);
 
-  for (guint group = 0; group < sharing->groups; group++) {
+  for (guint group = 0; group < sharing->n_groups; group++) {
     const char *taker;
     if (!is_free(sharing, group))
       continue;
-    taker = mm_share_plan_take(plan);
+    taker = mm_share_plan_next_taker(plan);
     if (may_take_all || g_strcmp0(taker, sharing->node->settings->label.s) == 0)
       roaring_bitmap_add(set, group);
   }
@@ -178,7 +177,7 @@
 }
 
 static gboolean
-acquire(MmSharing *sharing) {
+acquire_groups(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupSet) wanted = NULL;
   g_autoptr(MmGroupValue) value = NULL;
@@ -186,7 +185,7 @@
   MmTerm term;
 
   /* What an unreadable key holds is not known to be free. Its node writes it anew. */
-  if (waits_for_others(sharing)
+  if (awaits_other_nodes(sharing)
       || (g_hash_table_size(sharing->map->malformed) > 0
           && !g_hash_table_contains(sharing->map->malformed, node->settings->label.s)))
     return FALSE;
@@ -195,11 +194,12 @@
     return FALSE;
   txn = mm_transaction_begin();
   term = raise_term(sharing, &txn);
-  value = value_with(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, wanted, term);
+  value
+      = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, wanted, term);
   put_value(sharing, &txn, node->settings->label.s, value, node->node_lease->lease_id);
   mm_info("acquiring %u machine groups with term %" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(wanted), term.v);
-  commit(sharing, &txn, MM_GROUP_WRITE_ACQUIRE);
+  commit_write(sharing, &txn, MM_GROUP_WRITE_ACQUIRE);
   return TRUE;
 }
 
@@ -207,14 +207,14 @@
 
 /* A group that can go now: nothing that was granted of its machines is under way. */
 static gboolean
-is_ready_to_go(const MmSharing *sharing, const MmOwnedGroup *owned) {
-  return owned != NULL && owned->moving
-         && mm_grants_outstanding(sharing->grants, owned->number, sharing->groups) == 0;
+is_ready_to_move(const MmSharing *sharing, const MmOwnedGroup *owned) {
+  return owned != NULL && owned->is_moving
+         && mm_grants_count_outstanding(sharing->grants, owned->number, sharing->n_groups) == 0;
 }
 
 /* The target has ended, or machines keep grants under way for longer than their leases last. */
 static const char *
-why_not(const MmSharing *sharing, const MmOwnedGroup *owned) {
+abort_reason(const MmSharing *sharing, const MmOwnedGroup *owned) {
   const MmNode *node = sharing->node;
   gint64 since_ms = mm_time_ms_since(mm_node_now(node), owned->moving_since);
 
@@ -226,31 +226,31 @@
 }
 
 static void
-abort_hopeless(MmSharing *sharing) {
-  for (guint group = 0; group < sharing->groups && sharing->n_moving > 0; group++) {
+abort_stuck_moves(MmSharing *sharing) {
+  for (guint group = 0; group < sharing->n_groups && sharing->n_moving > 0; group++) {
     MmOwnedGroup *owned = sharing->owned[group];
     const char *reason;
 
-    if (owned == NULL || !owned->moving)
+    if (owned == NULL || !owned->is_moving)
       continue;
-    reason = why_not(sharing, owned);
+    reason = abort_reason(sharing, owned);
     if (reason == NULL)
       continue;
-    owned->moving = FALSE;
+    owned->is_moving = FALSE;
     sharing->n_moving--;
     mm_info("group %u stays here: %s", group, reason);
-    mm_sharing_tell_moves(sharing);
+    mm_sharing_broadcast_moves(sharing);
   }
 }
 
 /* All that can go to the same node as the first that can. */
 static MmGroupSet *
-groups_to_give(const MmSharing *sharing, MmName *target) {
+groups_to_move(const MmSharing *sharing, MmName *target) {
   MmGroupSet *set = roaring_bitmap_create();
 
-  for (guint group = 0; group < sharing->groups; group++) {
+  for (guint group = 0; group < sharing->n_groups; group++) {
     const MmOwnedGroup *owned = sharing->owned[group];
-    if (!is_ready_to_go(sharing, owned))
+    if (!is_ready_to_move(sharing, owned))
       continue;
     if (roaring_bitmap_is_empty(set))
       *target = owned->target;
@@ -261,7 +261,7 @@
 }
 
 static gboolean
-give(MmSharing *sharing) {
+move_groups(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupSet) moved = NULL;
   g_autoptr(MmGroupValue) own_value = NULL, targets_value = NULL;
@@ -271,41 +271,41 @@
   MmTransaction txn;
   MmTerm term;
 
-  abort_hopeless(sharing);
-  if (sharing->n_moving == 0 || mm_kv_client_max_operations(node->store) < MOVE_PUTS)
+  abort_stuck_moves(sharing);
+  if (sharing->n_moving == 0 || mm_kv_client_max_operations(node->kv) < MOVE_PUTS)
     return FALSE;
-  moved = groups_to_give(sharing, &target);
+  moved = groups_to_move(sharing, &target);
   if (roaring_bitmap_is_empty(moved) || own_holding(sharing) == NULL)
     return FALSE;
   live_target = g_hash_table_lookup(node->replica->live_nodes, target.s);
   holding = mm_group_map_holding(sharing->map, target.s);
-  if (holding != NULL && holding->lease != live_target->lease_id)
+  if (holding != NULL && holding->lease_id != live_target->lease_id)
     return FALSE; /* its new life takes up what the old one had first */
   txn = mm_transaction_begin();
   term = raise_term(sharing, &txn);
   own_value
-      = value_with(sharing, own_holding(sharing), node->node_lease->lease_id, moved, NULL, term);
-  targets_value = value_with(sharing, holding, live_target->lease_id, NULL, moved, term);
+      = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, moved, NULL, term);
+  targets_value = build_value(sharing, holding, live_target->lease_id, NULL, moved, term);
   put_value(sharing, &txn, node->settings->label.s, own_value, node->node_lease->lease_id);
   put_value(sharing, &txn, target.s, targets_value, live_target->lease_id);
   mm_info("giving %u machine groups to %s with term %" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(moved), target.s, term.v);
-  commit(sharing, &txn, MM_GROUP_WRITE_MOVE);
+  commit_write(sharing, &txn, MM_GROUP_WRITE_MOVE);
   return TRUE;
 }
 
 /* A move that got no answer may be carried out late. Writing this node's key once more makes it
  * void, since it is guarded by the key's version; where that fails, the move has been made. */
 static void
-confirm(MmSharing *sharing) {
+confirm_move(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupValue) value = NULL;
   MmTransaction txn = mm_transaction_begin();
 
-  value = value_with(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, NULL,
-                     (MmTerm){ 0 });
+  value = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, NULL,
+                      (MmTerm){ 0 });
   put_value(sharing, &txn, node->settings->label.s, value, node->node_lease->lease_id);
-  commit(sharing, &txn, MM_GROUP_WRITE_CONFIRM);
+  commit_write(sharing, &txn, MM_GROUP_WRITE_CONFIRM);
 }
 
 /* ---- when not every node takes part any more ---- */
@@ -313,7 +313,7 @@
 /* Without grants, starts were given that no owner knows of: should sharing come back, groups must
  * be acquired anew, under terms that the machines have yet to show. */
 static gboolean
-release(MmSharing *sharing) {
+release_groups(MmSharing *sharing) {
   const char *label = sharing->node->settings->label.s;
   MmTransaction txn;
 
@@ -322,7 +322,7 @@
   txn = mm_transaction_begin();
   mm_transaction_require_version(&txn, MM_KEY_MACHINE_GROUPS, label, key_version(sharing, label));
   mm_transaction_delete(&txn, MM_KEY_MACHINE_GROUPS, label);
-  commit(sharing, &txn, MM_GROUP_WRITE_RELEASE);
+  commit_write(sharing, &txn, MM_GROUP_WRITE_RELEASE);
   return TRUE;
 }
 
@@ -330,20 +330,20 @@
 mm_sharing_write(MmSharing *sharing) {
   MmNode *node = sharing->node;
 
-  if (sharing->writing != MM_GROUP_WRITE_NONE || !mm_node_lease_is_valid(node->node_lease)
-      || mm_kv_client_is_refused(node->store)
-      || mm_time_before(mm_node_now(node), sharing->next_write)
-      || node->replica->revision < sharing->shown_at)
+  if (sharing->write_in_flight != MM_GROUP_WRITE_NONE || !mm_node_lease_is_valid(node->node_lease)
+      || mm_kv_client_is_refused(node->kv)
+      || mm_time_before(mm_node_now(node), sharing->next_write_at)
+      || node->replica->revision < sharing->min_revision)
     return;
-  sharing->next_write = mm_time_add_ms(mm_node_now(node), WRITE_EVERY_MS);
-  if (!sharing->active) {
-    release(sharing);
+  sharing->next_write_at = mm_time_add_ms(mm_node_now(node), WRITE_INTERVAL_MS);
+  if (!sharing->is_active) {
+    release_groups(sharing);
     return;
   }
-  if (sharing->move_unknown && own_holding(sharing) != NULL) {
-    confirm(sharing);
+  if (sharing->is_move_unconfirmed && own_holding(sharing) != NULL) {
+    confirm_move(sharing);
     return;
   }
-  if (!give(sharing))
-    acquire(sharing);
+  if (!move_groups(sharing))
+    acquire_groups(sharing);
 }
--- a/src/store/replica.c
+++ b/src/store/replica.c
@@ -102,7 +102,7 @@
     replica->term.v = MAX(replica->term.v, mm_json_count(value, "t", 0));
     replica->term_version = version;
   } else if (strcmp(key, MM_KEY_INSTANCE_TYPES) == 0) {
-    mm_instance_types_load_stored(replica->node->types, value, version);
+    mm_instance_types_load_stored(replica->node->instance_types, value, version);
   } else if (g_str_has_prefix(key, MM_KEY_SHARD)) {
     put_shard(replica, key + strlen(MM_KEY_SHARD), value, version);
   } else if (g_str_has_prefix(key, MM_KEY_LIVE_NODE)) {
@@ -213,7 +213,7 @@
   replica->is_reading_revision = TRUE;
   replica->next_revision_read_at = mm_time_add_ms(now, interval_ms);
   /* A key that never is: the answer tells the revision. */
-  mm_kv_client_get(replica->node->store, MM_KEY_NEVER_WRITTEN, "", on_revision_read, replica);
+  mm_kv_client_get(replica->node->kv, MM_KEY_NEVER_WRITTEN, "", on_revision_read, replica);
 }
 
 void
@@ -251,14 +251,15 @@
 
 static void
 notify_replica_changed(MmReplica *replica) {
-  mm_scheduler_replica_changed(replica->node->owner);
+  mm_scheduler_replica_changed(replica->node->scheduler);
   mm_sharing_replica_changed(replica->node->sharing);
-  mm_heartbeat_server_replica_changed(replica->node->checkin);
+  mm_heartbeat_server_replica_changed(replica->node->heartbeat_server);
 }
 
 static void
 schedule_load(MmReplica *replica) {
-  replica->node->port.later(replica->node->port.self, RETRY_AFTER_MS, start_load, replica);
+  replica->node->platform.call_after(replica->node->platform.context, RETRY_AFTER_MS, start_load,
+                                     replica);
 }
 
 /* After a reload: what was not met has been deleted meanwhile. */
@@ -332,7 +333,7 @@
   }
   mm_format_key_loaded(replica->node->format);
   if (mm_json_flag(body, WIRE_MORE)) {
-    mm_kv_client_list(replica->node->store, MM_KEY_ROOT, replica->last_loaded_key, KEYS_PER_PAGE,
+    mm_kv_client_list(replica->node->kv, MM_KEY_ROOT, replica->last_loaded_key, KEYS_PER_PAGE,
                       on_page_loaded, replica);
     return;
   }
@@ -352,8 +353,7 @@
   replica->load_started_at = mm_node_now(replica->node);
   replica->first_page_revision = 0;
   replica->is_loaded = FALSE;
-  mm_kv_client_list(replica->node->store, MM_KEY_ROOT, NULL, KEYS_PER_PAGE, on_page_loaded,
-                    replica);
+  mm_kv_client_list(replica->node->kv, MM_KEY_ROOT, NULL, KEYS_PER_PAGE, on_page_loaded, replica);
 }
 
 typedef struct {
@@ -378,7 +378,8 @@
     return;
   }
   if (status != 200 || mm_json_get(body, WIRE_REVISION) == NULL) {
-    replica->node->port.later(replica->node->port.self, RETRY_AFTER_MS, start_watch, replica);
+    replica->node->platform.call_after(replica->node->platform.context, RETRY_AFTER_MS, start_watch,
+                                       replica);
     return;
   }
   json_array_foreach(events, i, event) {
@@ -404,7 +405,8 @@
                        - mm_time_ms_since(mm_node_now(replica->node), sent_at)
                  : 0;
   if (pause_ms > 0)
-    replica->node->port.later(replica->node->port.self, (guint)pause_ms, start_watch, replica);
+    replica->node->platform.call_after(replica->node->platform.context, (guint)pause_ms,
+                                       start_watch, replica);
   else
     start_watch(replica);
 }
@@ -415,7 +417,7 @@
   WatchRequest *request = g_new(WatchRequest, 1);
 
   *request = (WatchRequest){ replica, mm_node_now(replica->node) };
-  mm_kv_client_watch(replica->node->store, MM_KEY_ROOT, replica->revision, WATCH_WAIT_MS,
+  mm_kv_client_watch(replica->node->kv, MM_KEY_ROOT, replica->revision, WATCH_WAIT_MS,
                      on_watch_response, request);
 }
 
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -15,7 +15,7 @@
 
 /* A transaction that this node may not send. */
 typedef struct {
-  MmAnswered on_response;
+  MmResponseCallback on_response;
   gpointer data;
 } UnsentTransaction;
 
@@ -62,7 +62,7 @@
   MmKvClient *kv;
   MmTime sent_at;
   json_t *transaction; /* NULL: it is none */
-  MmAnswered on_response;
+  MmResponseCallback on_response;
   gpointer data;
 } Request;
 
@@ -153,18 +153,18 @@
 
 static void
 send_request(MmKvClient *kv, const char *method, const char *path, const json_t *body,
-             guint timeout_ms, json_t *transaction, MmAnswered on_response, gpointer data) {
+             guint timeout_ms, json_t *transaction, MmResponseCallback on_response, gpointer data) {
   Request *request = g_new(Request, 1);
 
   *request = (Request){ kv, mm_node_now(kv->node), json_incref(transaction), on_response, data };
   kv->n_requests++;
-  kv->node->port.request(kv->node->port.self, MM_TARGET_STORE, NULL, method, path, body, timeout_ms,
-                         on_request_done, request);
+  kv->node->platform.request(kv->node->platform.context, MM_TARGET_KV_STORE, NULL, method, path,
+                             body, timeout_ms, on_request_done, request);
 }
 
 void
 mm_kv_client_request(MmKvClient *kv, const char *method, const char *path, const json_t *body,
-                     guint timeout_ms, MmAnswered on_response, gpointer data) {
+                     guint timeout_ms, MmResponseCallback on_response, gpointer data) {
   send_request(kv, method, path, body, timeout_ms, NULL, on_response, data);
 }
 
@@ -203,8 +203,8 @@
 }
 
 void
-mm_kv_client_get(MmKvClient *kv, const char *prefix, const char *key, MmAnswered on_response,
-                 gpointer data) {
+mm_kv_client_get(MmKvClient *kv, const char *prefix, const char *key,
+                 MmResponseCallback on_response, gpointer data) {
   g_autofree char *path = g_strconcat(WIRE_KEYS_PATH "/", prefix, key, NULL);
 
   mm_kv_client_request(kv, "GET", path, NULL, REQUEST_TIMEOUT_MS, on_response, data);
@@ -212,7 +212,7 @@
 
 void
 mm_kv_client_list(MmKvClient *kv, const char *prefix, const char *after_key, guint limit,
-                  MmAnswered on_response, gpointer data) {
+                  MmResponseCallback on_response, gpointer data) {
   g_autofree char *path = g_strdup_printf(
       WIRE_KEYS_PATH "?" WIRE_PREFIX "=%s%s%s&" WIRE_LIMIT "=%u", prefix,
       after_key != NULL ? "&" WIRE_AFTER "=" : "", after_key != NULL ? after_key : "", limit);
@@ -222,7 +222,7 @@
 
 void
 mm_kv_client_watch(MmKvClient *kv, const char *prefix, guint64 after_revision, guint wait_ms,
-                   MmAnswered on_response, gpointer data) {
+                   MmResponseCallback on_response, gpointer data) {
   g_autofree char *path = g_strdup_printf(WIRE_WATCH_PATH "?" WIRE_PREFIX "=%s&" WIRE_AFTER
                                                           "=%" G_GUINT64_FORMAT "&" WIRE_WAIT "=%u",
                                           prefix, after_revision, wait_ms);
@@ -231,7 +231,7 @@
 }
 
 void
-mm_kv_client_commit(MmKvClient *kv, MmTransaction *transaction, MmAnswered on_response,
+mm_kv_client_commit(MmKvClient *kv, MmTransaction *transaction, MmResponseCallback on_response,
                     gpointer data) {
   g_autoptr(json_t) body = json_pack("{s:o, s:o}", WIRE_IF, transaction->conditions, WIRE_THEN,
                                      transaction->operations);
@@ -252,8 +252,8 @@
 }
 
 void
-mm_kv_client_commit_unless_empty(MmKvClient *kv, MmTransaction *transaction, MmAnswered on_response,
-                                 gpointer data) {
+mm_kv_client_commit_unless_empty(MmKvClient *kv, MmTransaction *transaction,
+                                 MmResponseCallback on_response, gpointer data) {
   if (transaction->n_operations > 0) {
     mm_kv_client_commit(kv, transaction, on_response, data);
     return;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -61,21 +61,21 @@
                         json_t *value, guint64 lease_id);
 void mm_transaction_delete(MmTransaction *transaction, const char *prefix, const char *key);
 
-void mm_kv_client_get(MmKvClient *kv, const char *prefix, const char *key, MmAnswered on_response,
-                      gpointer data);
+void mm_kv_client_get(MmKvClient *kv, const char *prefix, const char *key,
+                      MmResponseCallback on_response, gpointer data);
 void mm_kv_client_list(MmKvClient *kv, const char *prefix, const char *after_key, guint limit,
-                       MmAnswered on_response, gpointer data);
+                       MmResponseCallback on_response, gpointer data);
 void mm_kv_client_watch(MmKvClient *kv, const char *prefix, guint64 after_revision, guint wait_ms,
-                        MmAnswered on_response, gpointer data);
+                        MmResponseCallback on_response, gpointer data);
 /* Sends and consumes the transaction. `answered` may be NULL where the replica shows the outcome.
  */
-void mm_kv_client_commit(MmKvClient *kv, MmTransaction *transaction, MmAnswered on_response,
+void mm_kv_client_commit(MmKvClient *kv, MmTransaction *transaction, MmResponseCallback on_response,
                          gpointer data);
 /* The same, or nothing at all when it changes nothing. */
 void mm_kv_client_commit_unless_empty(MmKvClient *kv, MmTransaction *transaction,
-                                      MmAnswered on_response, gpointer data);
+                                      MmResponseCallback on_response, gpointer data);
 void mm_kv_client_request(MmKvClient *kv, const char *method, const char *path, const json_t *body,
-                          guint timeout_ms, MmAnswered on_response, gpointer data);
+                          guint timeout_ms, MmResponseCallback on_response, gpointer data);
 
 /* What a value and a transaction may hold: by the settings, and less where the state service has
  * refused that much. */
--- a/src/transport/groups-command.c
+++ b/src/transport/groups-command.c
@@ -13,13 +13,13 @@
 
 typedef struct {
   char *front;
-  char *to;
+  char *target_node;
   int group;
 } Arguments;
 
 /* One line on standard error. */
 static int
-fail(int status, const char *front, const char *reason) {
+print_failure(int status, const char *front, const char *reason) {
   fprintf(stderr, "martenmount groups: %s%s%s\n", front != NULL ? front : "",
           front != NULL ? ": " : "", reason);
   return status;
@@ -33,7 +33,7 @@
   SoupMessage *message = soup_message_new(is_move ? "POST" : "GET", is_move ? move_url : list_url);
 
   if (message != NULL && is_move) {
-    g_autoptr(json_t) body = json_pack("{s:s}", MM_ADMIN_TO, arguments->to);
+    g_autoptr(json_t) body = json_pack("{s:s}", MM_ADMIN_TO, arguments->target_node);
     char *text = json_dumps(body, JSON_COMPACT);
     g_autoptr(GBytes) bytes = g_bytes_new_with_free_func(text, strlen(text), free, text);
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
@@ -43,7 +43,7 @@
 
 /* The answer's body, to be released; NULL with a reason when there is none. */
 static json_t *
-ask(const Arguments *arguments, guint *status, char **reason) {
+send_request(const Arguments *arguments, guint *status, char **reason) {
   g_autoptr(SoupSession) soup_session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
   g_autoptr(SoupMessage) message = new_message(arguments);
   g_autoptr(GError) error = NULL;
@@ -96,21 +96,22 @@
 }
 
 static int
-run(const Arguments *arguments) {
+run_command(const Arguments *arguments) {
   g_autofree char *reason = NULL;
   guint status = 0;
-  g_autoptr(json_t) body = ask(arguments, &status, &reason);
+  g_autoptr(json_t) body = send_request(arguments, &status, &reason);
   const char *error_text = mm_json_string(body, "error");
 
   if (body == NULL)
-    return fail(EXIT_FAILURE, arguments->front, reason);
+    return print_failure(EXIT_FAILURE, arguments->front, reason);
   if (status == SOUP_STATUS_OK) {
     print_list(body);
     return EXIT_SUCCESS;
   }
   if (status != SOUP_STATUS_ACCEPTED)
-    return fail(EXIT_FAILURE, arguments->front, error_text != NULL ? error_text : "refused");
-  printf("group %d goes to %s\n", arguments->group, arguments->to);
+    return print_failure(EXIT_FAILURE, arguments->front,
+                         error_text != NULL ? error_text : "refused");
+  printf("group %d goes to %s\n", arguments->group, arguments->target_node);
   return EXIT_SUCCESS;
 }
 
@@ -129,12 +130,12 @@
 
   g_option_context_add_main_entries(context, entries, NULL);
   if (!g_option_context_parse(context, &argc, &argv, &error))
-    return fail(EXIT_USAGE, NULL, error->message);
+    return print_failure(EXIT_USAGE, NULL, error->message);
   if (argc > 1)
-    return fail(EXIT_USAGE, NULL, "stray argument");
+    return print_failure(EXIT_USAGE, NULL, "stray argument");
   if (front == NULL)
-    return fail(EXIT_USAGE, NULL, "--front HOST:PORT is required");
+    return print_failure(EXIT_USAGE, NULL, "--front HOST:PORT is required");
   if ((group == NO_GROUP) != (target_node == NULL))
-    return fail(EXIT_USAGE, NULL, "--move and --to go together");
-  return run(&(Arguments){ front, target_node, group });
+    return print_failure(EXIT_USAGE, NULL, "--move and --to go together");
+  return run_command(&(Arguments){ front, target_node, group });
 }
--- a/src/transport/http-client.c
+++ b/src/transport/http-client.c
@@ -3,27 +3,27 @@
 #include <libsoup/soup.h>
 
 /* Each request to a machine that is cut off keeps one until it is given up. */
-#define CONNECTIONS_LEAST 200
-#define CONNECTIONS_A_HOST 24
+#define CONNECTIONS_MIN 200
+#define CONNECTIONS_PER_HOST 24
 /* By MmTarget: how long a connection on which nothing is under way stays open. A worker is seldom
  * asked twice in a row. */
-static const guint idle_s[] = { 60, 60, 1 };
+static const guint idle_timeout_s[] = { 60, 60, 1 };
 /* libsoup keeps a timer for each host that a session has asked within five minutes, and the main
  * loop looks at each timer in every turn: at 4,000 machines that took four tenths of a node's
  * processor time. So after so many requests to workers, and none under way, they go on with a new
  * session. */
-#define WORKER_REQUESTS_A_SESSION 64
+#define WORKER_REQUESTS_PER_SESSION 64
 
 /* The state service goes before everything else that waits: a node too busy to renew its claim
  * would lose its parts and be busier still. */
-static const int priorities[] = { G_PRIORITY_HIGH, G_PRIORITY_DEFAULT, G_PRIORITY_DEFAULT };
+static const int source_priorities[] = { G_PRIORITY_HIGH, G_PRIORITY_DEFAULT, G_PRIORITY_DEFAULT };
 
 struct MmHttpClient {
   const MmSettings *settings;
   SoupSession *sessions[3]; /* by MmTarget */
-  char *bases[3];           /* by MmTarget; none for workers */
-  guint worker_requests;    /* that the session for workers has taken, */
-  guint worker_under_way;   /* and those of them that are not over */
+  char *base_urls[3];       /* by MmTarget; none for workers */
+  guint n_worker_requests;  /* that the session for workers has taken, */
+  guint n_worker_in_flight; /* and those of them that are not over */
 };
 
 typedef struct {
@@ -31,16 +31,16 @@
   MmTarget target;
   SoupMessage *message;
   GCancellable *cancellable;
-  guint timer;
-  MmAnswered answered;
+  guint timeout_source;
+  MmResponseCallback callback;
   gpointer data;
-} Call;
+} ClientRequest;
 
 static SoupSession *
 new_session(const MmSettings *settings, MmTarget target) {
   SoupSession *session = soup_session_new_with_options(
-      "max-conns", MAX(CONNECTIONS_LEAST, settings->max_sockets / 8), "max-conns-per-host",
-      CONNECTIONS_A_HOST, "idle-timeout", idle_s[target], "proxy-resolver", NULL, NULL);
+      "max-conns", MAX(CONNECTIONS_MIN, settings->max_sockets / 8), "max-conns-per-host",
+      CONNECTIONS_PER_HOST, "idle-timeout", idle_timeout_s[target], "proxy-resolver", NULL, NULL);
 
   soup_session_remove_feature_by_type(session, SOUP_TYPE_CONTENT_DECODER);
   soup_session_remove_feature_by_type(session, SOUP_TYPE_AUTH_MANAGER);
@@ -54,39 +54,39 @@
   client->settings = settings;
   for (guint i = 0; i < G_N_ELEMENTS(client->sessions); i++)
     client->sessions[i] = new_session(settings, (MmTarget)i);
-  client->bases[MM_TARGET_STORE] = g_strconcat("http://", settings->kv_address, NULL);
-  client->bases[MM_TARGET_CLOUD] = g_strconcat("http://", settings->cloud_address, NULL);
+  client->base_urls[MM_TARGET_KV_STORE] = g_strconcat("http://", settings->kv_address, NULL);
+  client->base_urls[MM_TARGET_CLOUD] = g_strconcat("http://", settings->cloud_address, NULL);
   return client;
 }
 
 static void
 renew_worker_session(MmHttpClient *client) {
-  if (client->worker_under_way > 0 || client->worker_requests < WORKER_REQUESTS_A_SESSION)
+  if (client->n_worker_in_flight > 0 || client->n_worker_requests < WORKER_REQUESTS_PER_SESSION)
     return;
   g_object_unref(client->sessions[MM_TARGET_WORKER]);
   client->sessions[MM_TARGET_WORKER] = new_session(client->settings, MM_TARGET_WORKER);
-  client->worker_requests = 0;
+  client->n_worker_requests = 0;
 }
 
 static gboolean
-timed_out(gpointer data) {
-  Call *request = data;
+on_timeout(gpointer data) {
+  ClientRequest *request = data;
 
-  request->timer = 0;
+  request->timeout_source = 0;
   g_cancellable_cancel(request->cancellable);
   return G_SOURCE_REMOVE;
 }
 
 static void
-finished(GObject *source, GAsyncResult *result, gpointer data) {
-  Call *request = data;
+on_finished(GObject *source, GAsyncResult *result, gpointer data) {
+  ClientRequest *request = data;
   g_autoptr(GError) error = NULL;
   g_autoptr(GBytes) bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, &error);
   g_autoptr(json_t) body = NULL;
   int status = 0;
 
-  if (request->timer != 0)
-    g_source_remove(request->timer);
+  if (request->timeout_source != 0)
+    g_source_remove(request->timeout_source);
   if (bytes != NULL) {
     gsize length;
     const char *text = g_bytes_get_data(bytes, &length);
@@ -101,23 +101,23 @@
     mm_debug("no answer: %s", error->message);
   }
   if (request->target == MM_TARGET_WORKER)
-    request->client->worker_under_way--;
-  request->answered(request->data, status, body);
+    request->client->n_worker_in_flight--;
+  request->callback(request->data, status, body);
   g_object_unref(request->message);
   g_object_unref(request->cancellable);
   g_free(request);
 }
 
 typedef struct {
-  MmAnswered answered;
+  MmResponseCallback callback;
   gpointer data;
-} Refusal;
+} FailedRequest;
 
 static gboolean
-refused(gpointer data) {
-  Refusal *failure = data;
+on_failure_due(gpointer data) {
+  FailedRequest *failure = data;
 
-  failure->answered(failure->data, 0, NULL);
+  failure->callback(failure->data, 0, NULL);
   g_free(failure);
   return G_SOURCE_REMOVE;
 }
@@ -125,18 +125,18 @@
 void
 mm_http_client_request(MmHttpClient *client, MmTarget target, const char *address,
                        const char *method, const char *path, const json_t *body, guint timeout_ms,
-                       MmAnswered callback, gpointer data) {
+                       MmResponseCallback callback, gpointer data) {
   g_autofree char *uri = target == MM_TARGET_WORKER
                              ? g_strconcat("http://", address, path, NULL)
-                             : g_strconcat(client->bases[target], path, NULL);
+                             : g_strconcat(client->base_urls[target], path, NULL);
   SoupMessage *message = soup_message_new(method, uri);
-  Call *request;
+  ClientRequest *request;
 
   if (message == NULL) {
-    Refusal *failure = g_new(Refusal, 1);
-    *failure = (Refusal){ callback, data };
+    FailedRequest *failure = g_new(FailedRequest, 1);
+    *failure = (FailedRequest){ callback, data };
     mm_info("%s is not an address that can be asked", uri);
-    g_idle_add(refused, failure);
+    g_idle_add(on_failure_due, failure);
     return;
   }
   if (body != NULL) {
@@ -146,17 +146,17 @@
   }
   if (target == MM_TARGET_WORKER) {
     renew_worker_session(client);
-    client->worker_requests++;
-    client->worker_under_way++;
+    client->n_worker_requests++;
+    client->n_worker_in_flight++;
   }
-  request = g_new0(Call, 1);
+  request = g_new0(ClientRequest, 1);
   request->client = client;
   request->target = target;
   request->message = message;
   request->cancellable = g_cancellable_new();
-  request->answered = callback;
+  request->callback = callback;
   request->data = data;
-  request->timer = g_timeout_add(timeout_ms, timed_out, request);
-  soup_session_send_and_read_async(client->sessions[target], message, priorities[target],
-                                   request->cancellable, finished, request);
+  request->timeout_source = g_timeout_add(timeout_ms, on_timeout, request);
+  soup_session_send_and_read_async(client->sessions[target], message, source_priorities[target],
+                                   request->cancellable, on_finished, request);
 }
--- a/src/transport/http-server.c
+++ b/src/transport/http-server.c
@@ -6,12 +6,12 @@
 #include <microhttpd.h>
 #include <netinet/in.h>
 
-#define BODY_MAX (64 * 1024)
+#define BODY_MAX_BYTES (64 * 1024)
 /* What a connection holds for headers and reading; longer bodies arrive in pieces. */
-#define CONNECTION_MEMORY 4096
-#define IDLE_S 45
+#define CONNECTION_MEMORY_BYTES 4096
+#define IDLE_TIMEOUT_S 45
 /* Sockets kept for the state service, the cloud, the other nodes and workers. */
-#define SOCKETS_KEPT 100
+#define RESERVED_SOCKETS 100
 #define BACKLOG 256
 
 struct MmHttpServer {
@@ -21,37 +21,37 @@
 };
 
 typedef struct {
-  MmExchange exchange;
+  MmHttpExchange base;
   MmHttpServer *server;
   struct MHD_Connection *connection;
   GByteArray *body;
-  gboolean too_long;
-  gboolean handed; /* the node has it */
-  gboolean inside; /* the node is being called: an answer given now needs no waking up */
-  gboolean gone;   /* the client left before the answer */
-  int status;      /* 0: no answer yet */
-  json_t *answer;
+  gboolean is_too_long;
+  gboolean is_with_node;    /* the node has it */
+  gboolean is_in_handler;   /* the node is being called: an answer given now needs no waking up */
+  gboolean has_client_left; /* the client left before the answer */
+  int status;               /* 0: no answer yet */
+  json_t *response;
   guint retry_after_s;
-} Exchange;
+} ServerExchange;
 
 static void
-exchange_free(Exchange *exchange) {
+exchange_free(ServerExchange *exchange) {
   g_clear_pointer(&exchange->body, g_byte_array_unref);
-  json_decref(exchange->answer);
+  json_decref(exchange->response);
   g_free(exchange);
 }
 
 static void
-answer(MmExchange *base, int status, json_t *body, guint retry_after_s) {
-  Exchange *exchange = (Exchange *)base;
+respond(MmHttpExchange *base, int status, json_t *body, guint retry_after_s) {
+  ServerExchange *exchange = (ServerExchange *)base;
 
-  exchange->handed = FALSE;
+  exchange->is_with_node = FALSE;
   exchange->status = status;
-  exchange->answer = body;
+  exchange->response = body;
   exchange->retry_after_s = retry_after_s;
-  if (exchange->gone)
+  if (exchange->has_client_left)
     exchange_free(exchange);
-  else if (!exchange->inside) {
+  else if (!exchange->is_in_handler) {
     MHD_resume_connection(exchange->connection);
     /* Whatever its descriptor shows: answers once waited for the next request to come in. */
     g_source_set_ready_time(exchange->server->source, 0);
@@ -59,8 +59,8 @@
 }
 
 static enum MHD_Result
-send_answer(struct MHD_Connection *connection, int status, const json_t *body,
-            guint retry_after_s) {
+queue_response(struct MHD_Connection *connection, int status, const json_t *body,
+               guint retry_after_s) {
   char *text = body != NULL ? json_dumps(body, JSON_COMPACT) : NULL;
   struct MHD_Response *response = MHD_create_response_from_buffer(text != NULL ? strlen(text) : 0,
                                                                   text, MHD_RESPMEM_MUST_FREE);
@@ -79,23 +79,24 @@
 }
 
 static enum MHD_Result
-refuse(struct MHD_Connection *connection, int status, const char *reason) {
+queue_error(struct MHD_Connection *connection, int status, const char *reason) {
   g_autoptr(json_t) body = mm_json_error(reason);
 
-  return send_answer(connection, status, body, 0);
+  return queue_response(connection, status, body, 0);
 }
 
 /* Called once with the headers, for each piece of the body, once when all is there, and once more
  * when the node has answered a request that had to wait. */
 static enum MHD_Result
-handle(gpointer data, struct MHD_Connection *connection, const char *path, const char *method,
-       const char *version, const char *piece, size_t *length, void **request_state) {
+handle_request(gpointer data, struct MHD_Connection *connection, const char *path,
+               const char *method, const char *version, const char *piece, size_t *length,
+               void **request_state) {
   MmHttpServer *server = data;
-  Exchange *exchange = *request_state;
+  ServerExchange *exchange = *request_state;
 
   if (exchange == NULL) {
-    *request_state = exchange = g_new0(Exchange, 1);
-    exchange->exchange.answer = answer;
+    *request_state = exchange = g_new0(ServerExchange, 1);
+    exchange->base.respond = respond;
     exchange->server = server;
     exchange->connection = connection;
     return MHD_YES;
@@ -103,43 +104,43 @@
   if (*length > 0) {
     if (exchange->body == NULL)
       exchange->body = g_byte_array_new();
-    if (exchange->body->len + *length > BODY_MAX)
-      exchange->too_long = TRUE;
+    if (exchange->body->len + *length > BODY_MAX_BYTES)
+      exchange->is_too_long = TRUE;
     else
       g_byte_array_append(exchange->body, (const guint8 *)piece, (guint)*length);
     *length = 0;
     return MHD_YES;
   }
-  if (exchange->too_long)
-    return refuse(connection, 413, "the body is over 64 KiB");
+  if (exchange->is_too_long)
+    return queue_error(connection, 413, "the body is over 64 KiB");
   if (exchange->status == 0) {
     g_autoptr(json_t) body = NULL;
     if (exchange->body != NULL)
       body = json_loadb((const char *)exchange->body->data, exchange->body->len, JSON_DECODE_ANY,
                         NULL);
     g_clear_pointer(&exchange->body, g_byte_array_unref);
-    exchange->handed = TRUE;
-    exchange->inside = TRUE;
-    mm_node_handle(server->node, method, path, body, &exchange->exchange);
-    exchange->inside = FALSE;
+    exchange->is_with_node = TRUE;
+    exchange->is_in_handler = TRUE;
+    mm_node_handle_request(server->node, method, path, body, &exchange->base);
+    exchange->is_in_handler = FALSE;
     if (exchange->status == 0) {
       MHD_suspend_connection(connection);
       return MHD_YES;
     }
   }
-  return send_answer(connection, exchange->status, exchange->answer, exchange->retry_after_s);
+  return queue_response(connection, exchange->status, exchange->response, exchange->retry_after_s);
 }
 
 static void
-completed(gpointer data, struct MHD_Connection *connection, void **request_state,
-          enum MHD_RequestTerminationCode code) {
-  Exchange *exchange = *request_state;
+on_request_completed(gpointer data, struct MHD_Connection *connection, void **request_state,
+                     enum MHD_RequestTerminationCode code) {
+  ServerExchange *exchange = *request_state;
 
   *request_state = NULL;
   if (exchange == NULL)
     return;
-  if (exchange->handed)
-    exchange->gone = TRUE; /* freed with the node's answer */
+  if (exchange->is_with_node)
+    exchange->has_client_left = TRUE; /* freed with the node's answer */
   else
     exchange_free(exchange);
 }
@@ -147,7 +148,7 @@
 typedef struct {
   GSource base;
   MmHttpServer *server;
-  gpointer epoll; /* the tag of its descriptor */
+  gpointer epoll_tag; /* the tag of its descriptor */
 } DaemonSource;
 
 /* What libmicrohttpd has read but not worked off shows on no descriptor, only in its time-out. */
@@ -163,7 +164,7 @@
 
 static gboolean
 source_check(GSource *source) {
-  return g_source_query_unix_fd(source, ((DaemonSource *)source)->epoll) != 0;
+  return g_source_query_unix_fd(source, ((DaemonSource *)source)->epoll_tag) != 0;
 }
 
 static gboolean
@@ -177,19 +178,19 @@
     = { source_prepare, source_check, source_dispatch, NULL, NULL, NULL };
 
 static void
-attach(MmHttpServer *server) {
+attach_source(MmHttpServer *server) {
   const union MHD_DaemonInfo *info = MHD_get_daemon_info(server->daemon, MHD_DAEMON_INFO_EPOLL_FD);
   DaemonSource *source = (DaemonSource *)g_source_new(&source_funcs, sizeof *source);
 
   source->server = server;
-  source->epoll = g_source_add_unix_fd(&source->base, info->epoll_fd, G_IO_IN);
+  source->epoll_tag = g_source_add_unix_fd(&source->base, info->epoll_fd, G_IO_IN);
   g_source_attach(&source->base, NULL);
   server->source = &source->base;
 }
 
 MmHttpServer *
 mm_http_server_new(MmNode *node, const char *listen, GError **error) {
-  g_autoptr(GSocketAddress) address = mm_transport_address(listen);
+  g_autoptr(GSocketAddress) address = mm_transport_parse_address(listen);
   MmHttpServer *server = g_new0(MmHttpServer, 1);
   guint max_sockets = node->settings->max_sockets;
   struct sockaddr_in socket_address;
@@ -202,16 +203,17 @@
     return NULL;
   }
   server->daemon = MHD_start_daemon(
-      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle, server, MHD_OPTION_SOCK_ADDR,
-      &socket_address, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG, MHD_OPTION_LISTENING_ADDRESS_REUSE,
-      1, MHD_OPTION_CONNECTION_LIMIT, max_sockets - MIN(SOCKETS_KEPT, max_sockets / 3),
-      MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY, MHD_OPTION_CONNECTION_TIMEOUT,
-      IDLE_S, MHD_OPTION_NOTIFY_COMPLETED, completed, server, MHD_OPTION_END);
+      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle_request, server,
+      MHD_OPTION_SOCK_ADDR, &socket_address, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG,
+      MHD_OPTION_LISTENING_ADDRESS_REUSE, 1, MHD_OPTION_CONNECTION_LIMIT,
+      max_sockets - MIN(RESERVED_SOCKETS, max_sockets / 3), MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+      (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S,
+      MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, server, MHD_OPTION_END);
   if (server->daemon == NULL) {
     g_set_error(error, G_IO_ERROR, G_IO_ERROR_ADDRESS_IN_USE, "%s cannot be served", listen);
     g_free(server);
     return NULL;
   }
-  attach(server);
+  attach_source(server);
   return server;
 }
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -9,8 +9,8 @@
 #define EXIT_USAGE 2
 
 typedef struct {
-  MmHttpClient *client;
-  MmPeerSockets *peers;
+  MmHttpClient *http_client;
+  MmPeerSockets *peer_sockets;
 } Transport;
 
 static MmTime
@@ -25,42 +25,42 @@
 
 static void
 transport_request(gpointer context, MmTarget target, const char *address, const char *method,
-                  const char *path, const json_t *body, guint timeout_ms, MmAnswered callback,
-                  gpointer data) {
-  mm_http_client_request(((Transport *)context)->client, target, address, method, path, body,
+                  const char *path, const json_t *body, guint timeout_ms,
+                  MmResponseCallback callback, gpointer data) {
+  mm_http_client_request(((Transport *)context)->http_client, target, address, method, path, body,
                          timeout_ms, callback, data);
 }
 
 static void
 transport_send(gpointer context, guint peer, const Mm__Frame *frame) {
-  mm_peer_sockets_send(((Transport *)context)->peers, peer, frame);
+  mm_peer_sockets_send(((Transport *)context)->peer_sockets, peer, frame);
 }
 
 static void
 transport_reconnect(gpointer context, guint peer) {
-  mm_peer_sockets_reconnect(((Transport *)context)->peers, peer);
+  mm_peer_sockets_reconnect(((Transport *)context)->peer_sockets, peer);
 }
 
 typedef struct {
-  void (*call)(gpointer data);
+  void (*callback)(gpointer data);
   gpointer data;
-} Later;
+} Timer;
 
 static gboolean
-later_due(gpointer data) {
-  Later *timer = data;
+on_timer_due(gpointer data) {
+  Timer *timer = data;
 
-  timer->call(timer->data);
+  timer->callback(timer->data);
   g_free(timer);
   return G_SOURCE_REMOVE;
 }
 
 static void
-transport_later(gpointer context, guint ms, void (*callback)(gpointer data), gpointer data) {
-  Later *timer = g_new(Later, 1);
+transport_call_after(gpointer context, guint ms, void (*callback)(gpointer data), gpointer data) {
+  Timer *timer = g_new(Timer, 1);
 
-  *timer = (Later){ callback, data };
-  g_timeout_add(ms, later_due, timer);
+  *timer = (Timer){ callback, data };
+  g_timeout_add(ms, on_timer_due, timer);
 }
 
 static gboolean
@@ -71,7 +71,7 @@
     fprintf(stderr,
             "martenmount: <groups> is %u, but the state service holds machines shared out in %u"
             " groups\n",
-            node->sharing->groups, node->sharing->conflicting_groups);
+            node->sharing->n_groups, node->sharing->conflicting_groups);
     exit(EXIT_USAGE);
   }
   mm_node_tick(data);
@@ -81,13 +81,14 @@
 static int
 run(const MmSettings *settings, const MmOperators *operators) {
   Transport transport = { mm_http_client_new(settings), mm_peer_sockets_new(settings) };
-  MmPort platform = { &transport,     transport_now,       transport_wall_ms, transport_request,
-                      transport_send, transport_reconnect, transport_later };
+  MmPlatform platform
+      = { &transport,     transport_now,       transport_wall_ms,   transport_request,
+          transport_send, transport_reconnect, transport_call_after };
   MmNode *node = mm_node_new(settings, operators, &platform, g_random_int());
   g_autoptr(GMainLoop) loop = g_main_loop_new(NULL, FALSE);
   g_autoptr(GError) error = NULL;
 
-  if (!mm_peer_sockets_start(transport.peers, node, &error)
+  if (!mm_peer_sockets_start(transport.peer_sockets, node, &error)
       || mm_http_server_new(node, settings->front_address, &error) == NULL) {
     mm_error("cannot listen: %s", error->message);
     return EXIT_FAILURE;
--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -9,47 +9,47 @@
 #include "peers.pb-c.h"
 #include "peers/links.h"
 
-#define FRAME_MAX (1024 * 1024)
+#define FRAME_MAX_BYTES (1024 * 1024)
 /* What a new link tells at once grows with the fleet: a sixteenth of the memory may wait on it. */
-#define QUEUE_LEAST (2 * 1024 * 1024)
-#define QUEUE_SHARE (1024 * 1024 / 16.0)
-#define READ_SIZE (32 * 1024)
+#define QUEUE_MIN_BYTES (2 * 1024 * 1024)
+#define QUEUE_BYTES_PER_MB (1024 * 1024 / 16.0)
+#define READ_BYTES (32 * 1024)
 #define RETRY_MS 250
-#define CONNECT_S 2
+#define CONNECT_TIMEOUT_S 2
 
 typedef struct {
   MmPeerSockets *sockets;
   guint peer;
   char *endpoint;
   GSocketConnection *connection;
-  GByteArray *queue; /* to be written */
-  GSource *flush;    /* set to the end of this turn while something is queued */
-  GSource *writable; /* only while the socket is full */
-  GSource *readable; /* the peer never writes here: its end shows this way */
-} Out;
+  GByteArray *queue;        /* to be written */
+  GSource *flush_source;    /* set to the end of this turn while something is queued */
+  GSource *writable_source; /* only while the socket is full */
+  GSource *readable_source; /* the peer never writes here: its end shows this way */
+} OutboundLink;
 
 typedef struct {
   MmPeerSockets *sockets;
   GSocketConnection *connection;
   GByteArray *buffer;
-  GSource *readable;
+  GSource *readable_source;
   gint peer; /* -1 until its hello */
-} In;
+} InboundLink;
 
 struct MmPeerSockets {
   MmNode *node;
   const MmSettings *settings;
   GSocketService *service;
   GSocketClient *client;
-  Out *outs;
-  In **ins; /* by peer, the connection that said hello last; may be NULL */
-  guint n;
+  OutboundLink *outbound;
+  InboundLink **inbound; /* by peer, the connection that said hello last; may be NULL */
+  guint n_peers;
 };
 
-static void connect_out(Out *outbound);
+static void connect_outbound(OutboundLink *outbound);
 
 GSocketAddress *
-mm_transport_address(const char *text) {
+mm_transport_parse_address(const char *text) {
   const char *colon = strrchr(text, ':');
   g_autofree char *host = NULL;
 
@@ -77,13 +77,13 @@
 /* ---- sending ---- */
 
 static gboolean
-reconnect(gpointer data) {
-  connect_out(data);
+on_retry_due(gpointer data) {
+  connect_outbound(data);
   return G_SOURCE_REMOVE;
 }
 
 static void
-drop_source(GSource **source) {
+clear_source(GSource **source) {
   if (*source == NULL)
     return;
   g_source_destroy(*source);
@@ -91,26 +91,27 @@
 }
 
 static void
-drop_out(Out *outbound) {
+close_outbound(OutboundLink *outbound) {
   if (outbound->connection == NULL)
     return;
-  drop_source(&outbound->writable);
-  drop_source(&outbound->readable);
+  clear_source(&outbound->writable_source);
+  clear_source(&outbound->readable_source);
   close_connection(g_steal_pointer(&outbound->connection));
   g_byte_array_set_size(outbound->queue, 0);
-  mm_links_down(outbound->sockets->node->links, outbound->peer);
-  g_timeout_add(RETRY_MS, reconnect, outbound);
+  mm_peer_links_disconnected(outbound->sockets->node->peer_links, outbound->peer);
+  g_timeout_add(RETRY_MS, on_retry_due, outbound);
 }
 
-static gboolean write_again(GSocket *socket, GIOCondition condition, gpointer data);
+static gboolean on_writable(GSocket *socket, GIOCondition condition, gpointer data);
 
 static void
-write_out(Out *outbound) {
+write_queue(OutboundLink *outbound) {
   g_autoptr(GError) error = NULL;
   GSocket *socket;
   gssize n_written;
 
-  if (outbound->connection == NULL || outbound->queue->len == 0 || outbound->writable != NULL)
+  if (outbound->connection == NULL || outbound->queue->len == 0
+      || outbound->writable_source != NULL)
     return;
   socket = g_socket_connection_get_socket(outbound->connection);
   n_written = g_socket_send(socket, (const char *)outbound->queue->data, outbound->queue->len, NULL,
@@ -118,132 +119,133 @@
   if (n_written > 0)
     g_byte_array_remove_range(outbound->queue, 0, (guint)n_written);
   else if (!g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
-    drop_out(outbound);
+    close_outbound(outbound);
     return;
   }
   if (outbound->queue->len == 0)
     return;
-  outbound->writable = g_socket_create_source(socket, G_IO_OUT, NULL);
-  g_source_set_callback(outbound->writable, G_SOURCE_FUNC(write_again), outbound, NULL);
-  g_source_attach(outbound->writable, NULL);
+  outbound->writable_source = g_socket_create_source(socket, G_IO_OUT, NULL);
+  g_source_set_callback(outbound->writable_source, G_SOURCE_FUNC(on_writable), outbound, NULL);
+  g_source_attach(outbound->writable_source, NULL);
 }
 
 static gboolean
-write_again(GSocket *socket, GIOCondition condition, gpointer data) {
-  Out *outbound = data;
+on_writable(GSocket *socket, GIOCondition condition, gpointer data) {
+  OutboundLink *outbound = data;
 
-  g_clear_pointer(&outbound->writable, g_source_unref);
-  write_out(outbound);
+  g_clear_pointer(&outbound->writable_source, g_source_unref);
+  write_queue(outbound);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-flush_due(GSource *source, GSourceFunc callback, gpointer data) {
+dispatch_flush(GSource *source, GSourceFunc callback, gpointer data) {
   g_source_set_ready_time(source, -1);
   return callback(data);
 }
 
 static gboolean
-flush(gpointer data) {
-  write_out(data);
+flush_queue(gpointer data) {
+  write_queue(data);
   return G_SOURCE_CONTINUE;
 }
 
-static GSourceFuncs flush_funcs = { NULL, NULL, flush_due, NULL, NULL, NULL };
+static GSourceFuncs flush_funcs = { NULL, NULL, dispatch_flush, NULL, NULL, NULL };
 
 MmPeerSockets *
 mm_peer_sockets_new(const MmSettings *settings) {
   MmPeerSockets *sockets = g_new0(MmPeerSockets, 1);
 
   sockets->settings = settings;
-  sockets->n = settings->peers->len;
-  sockets->outs = g_new0(Out, sockets->n);
-  sockets->ins = g_new0(In *, sockets->n);
+  sockets->n_peers = settings->peers->len;
+  sockets->outbound = g_new0(OutboundLink, sockets->n_peers);
+  sockets->inbound = g_new0(InboundLink *, sockets->n_peers);
   sockets->client = g_socket_client_new();
   g_socket_client_set_enable_proxy(sockets->client, FALSE);
-  g_socket_client_set_timeout(sockets->client, CONNECT_S);
-  for (guint i = 0; i < sockets->n; i++) {
-    Out *outbound = &sockets->outs[i];
+  g_socket_client_set_timeout(sockets->client, CONNECT_TIMEOUT_S);
+  for (guint i = 0; i < sockets->n_peers; i++) {
+    OutboundLink *outbound = &sockets->outbound[i];
     outbound->sockets = sockets;
     outbound->peer = i;
     outbound->endpoint = g_array_index(settings->peers, MmPeerSettings, i).endpoint;
     outbound->queue = g_byte_array_new();
-    outbound->flush = g_source_new(&flush_funcs, sizeof(GSource));
-    g_source_set_callback(outbound->flush, flush, outbound, NULL);
-    g_source_attach(outbound->flush, NULL);
+    outbound->flush_source = g_source_new(&flush_funcs, sizeof(GSource));
+    g_source_set_callback(outbound->flush_source, flush_queue, outbound, NULL);
+    g_source_attach(outbound->flush_source, NULL);
   }
   return sockets;
 }
 
 void
 mm_peer_sockets_send(MmPeerSockets *sockets, guint peer, const Mm__Frame *frame) {
-  Out *outbound = &sockets->outs[peer];
+  OutboundLink *outbound = &sockets->outbound[peer];
   guint32 length = (guint32)mm__frame__get_packed_size(frame);
   guint32 length_be = g_htonl(length);
   guint offset = outbound->queue->len;
 
   if (outbound->connection == NULL)
     return;
-  if (offset + length > MAX(QUEUE_LEAST, sockets->settings->memory_mb * QUEUE_SHARE)) {
+  if (offset + length > MAX(QUEUE_MIN_BYTES, sockets->settings->memory_mb * QUEUE_BYTES_PER_MB)) {
     mm_info("peer %u does not read: its link is closed", peer);
-    drop_out(outbound);
+    close_outbound(outbound);
     return;
   }
   g_byte_array_set_size(outbound->queue, offset + 4 + length);
   memcpy(outbound->queue->data + offset, &length_be, 4);
   mm__frame__pack(frame, outbound->queue->data + offset + 4);
-  g_source_set_ready_time(outbound->flush, 0);
+  g_source_set_ready_time(outbound->flush_source, 0);
 }
 
 void
 mm_peer_sockets_reconnect(MmPeerSockets *sockets, guint peer) {
-  drop_out(&sockets->outs[peer]);
+  close_outbound(&sockets->outbound[peer]);
 }
 
 static gboolean
-out_read(GSocket *socket, GIOCondition condition, gpointer data) {
-  drop_out(data);
+on_outbound_readable(GSocket *socket, GIOCondition condition, gpointer data) {
+  close_outbound(data);
   return G_SOURCE_REMOVE;
 }
 
 static void
-connected(GObject *source, GAsyncResult *result, gpointer data) {
-  Out *outbound = data;
+on_connected(GObject *source, GAsyncResult *result, gpointer data) {
+  OutboundLink *outbound = data;
   GSocketConnection *connection
       = g_socket_client_connect_finish(G_SOCKET_CLIENT(source), result, NULL);
 
   if (connection == NULL) {
-    g_timeout_add(RETRY_MS, reconnect, outbound);
+    g_timeout_add(RETRY_MS, on_retry_due, outbound);
     return;
   }
   prepare_socket(connection);
   outbound->connection = connection;
-  outbound->readable
+  outbound->readable_source
       = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
-  g_source_set_callback(outbound->readable, G_SOURCE_FUNC(out_read), outbound, NULL);
-  g_source_attach(outbound->readable, NULL);
-  mm_links_connected(outbound->sockets->node->links, outbound->peer);
+  g_source_set_callback(outbound->readable_source, G_SOURCE_FUNC(on_outbound_readable), outbound,
+                        NULL);
+  g_source_attach(outbound->readable_source, NULL);
+  mm_peer_links_connected(outbound->sockets->node->peer_links, outbound->peer);
 }
 
 static void
-connect_out(Out *outbound) {
-  g_autoptr(GSocketAddress) address = mm_transport_address(outbound->endpoint);
+connect_outbound(OutboundLink *outbound) {
+  g_autoptr(GSocketAddress) address = mm_transport_parse_address(outbound->endpoint);
 
   if (address == NULL) {
     mm_error("peer address %s is not usable", outbound->endpoint);
     return;
   }
   g_socket_client_connect_async(outbound->sockets->client, G_SOCKET_CONNECTABLE(address), NULL,
-                                connected, outbound);
+                                on_connected, outbound);
 }
 
 /* ---- receiving ---- */
 
 static void
-drop_in(In *inbound) {
-  if (inbound->peer >= 0 && inbound->sockets->ins[inbound->peer] == inbound)
-    inbound->sockets->ins[inbound->peer] = NULL;
-  drop_source(&inbound->readable);
+close_inbound(InboundLink *inbound) {
+  if (inbound->peer >= 0 && inbound->sockets->inbound[inbound->peer] == inbound)
+    inbound->sockets->inbound[inbound->peer] = NULL;
+  clear_source(&inbound->readable_source);
   close_connection(inbound->connection);
   g_byte_array_unref(inbound->buffer);
   g_free(inbound);
@@ -252,20 +254,20 @@
 /* The peer has opened a new connection: should the one before be half-open, nothing would ever show
  * its end. */
 static void
-note_hello(In *inbound, const char *label) {
+register_hello(InboundLink *inbound, const char *label) {
   MmPeerSockets *sockets = inbound->sockets;
 
-  inbound->peer = mm_links_find(sockets->node->links, label);
-  if (inbound->peer < 0 || sockets->ins[inbound->peer] == inbound)
+  inbound->peer = mm_peer_links_find(sockets->node->peer_links, label);
+  if (inbound->peer < 0 || sockets->inbound[inbound->peer] == inbound)
     return;
-  if (sockets->ins[inbound->peer] != NULL)
-    drop_in(sockets->ins[inbound->peer]);
-  sockets->ins[inbound->peer] = inbound;
+  if (sockets->inbound[inbound->peer] != NULL)
+    close_inbound(sockets->inbound[inbound->peer]);
+  sockets->inbound[inbound->peer] = inbound;
 }
 
 /* FALSE when the stream makes no sense. */
 static gboolean
-take_frames(In *inbound) {
+receive_frames(InboundLink *inbound) {
   guint offset = 0;
   MmNode *node = inbound->sockets->node;
 
@@ -274,7 +276,7 @@
     Mm__Frame *frame;
     memcpy(&length, inbound->buffer->data + offset, 4);
     length = g_ntohl(length);
-    if (length > FRAME_MAX)
+    if (length > FRAME_MAX_BYTES)
       return FALSE;
     if (inbound->buffer->len - offset - 4 < length)
       break;
@@ -283,9 +285,9 @@
       return FALSE;
     offset += 4 + length;
     if (frame->body_case == MM__FRAME__BODY_HELLO)
-      note_hello(inbound, frame->hello->label);
+      register_hello(inbound, frame->hello->label);
     if (inbound->peer >= 0)
-      mm_links_frame(node->links, (guint)inbound->peer, frame);
+      mm_peer_links_receive(node->peer_links, (guint)inbound->peer, frame);
     mm__frame__free_unpacked(frame, NULL);
     if (inbound->peer < 0)
       return FALSE;
@@ -295,49 +297,52 @@
 }
 
 static gboolean
-in_read(GSocket *socket, GIOCondition condition, gpointer data) {
-  In *inbound = data;
+on_inbound_readable(GSocket *socket, GIOCondition condition, gpointer data) {
+  InboundLink *inbound = data;
   g_autoptr(GError) error = NULL;
   guint old_length = inbound->buffer->len;
   gssize n_read;
 
-  g_byte_array_set_size(inbound->buffer, old_length + READ_SIZE);
-  n_read = g_socket_receive(socket, (char *)inbound->buffer->data + old_length, READ_SIZE, NULL,
+  g_byte_array_set_size(inbound->buffer, old_length + READ_BYTES);
+  n_read = g_socket_receive(socket, (char *)inbound->buffer->data + old_length, READ_BYTES, NULL,
                             &error);
   g_byte_array_set_size(inbound->buffer, old_length + (guint)MAX(n_read, 0));
   if (n_read < 0 && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
     return G_SOURCE_CONTINUE;
-  if (n_read > 0 && take_frames(inbound))
+  if (n_read > 0 && receive_frames(inbound))
     return G_SOURCE_CONTINUE;
   if (n_read > 0)
     mm_info("a peer's link makes no sense and is closed");
-  drop_in(inbound);
+  close_inbound(inbound);
   return G_SOURCE_REMOVE;
 }
 
 static gboolean
-incoming(GSocketService *service, GSocketConnection *connection, GObject *source, gpointer data) {
-  In *inbound = g_new0(In, 1);
+on_connection_accepted(GSocketService *service, GSocketConnection *connection, GObject *source,
+                       gpointer data) {
+  InboundLink *inbound = g_new0(InboundLink, 1);
 
   inbound->sockets = data;
   inbound->connection = g_object_ref(connection);
   inbound->buffer = g_byte_array_new();
   inbound->peer = -1;
   prepare_socket(connection);
-  inbound->readable
+  inbound->readable_source
       = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
-  g_source_set_callback(inbound->readable, G_SOURCE_FUNC(in_read), inbound, NULL);
-  g_source_attach(inbound->readable, NULL);
+  g_source_set_callback(inbound->readable_source, G_SOURCE_FUNC(on_inbound_readable), inbound,
+                        NULL);
+  g_source_attach(inbound->readable_source, NULL);
   return TRUE;
 }
 
 gboolean
 mm_peer_sockets_start(MmPeerSockets *sockets, MmNode *node, GError **error) {
-  g_autoptr(GSocketAddress) address = mm_transport_address(sockets->settings->peer_listen_address);
+  g_autoptr(GSocketAddress) address
+      = mm_transport_parse_address(sockets->settings->peer_listen_address);
 
   sockets->node = node;
   sockets->service = g_socket_service_new();
-  g_signal_connect(sockets->service, "incoming", G_CALLBACK(incoming), sockets);
+  g_signal_connect(sockets->service, "incoming", G_CALLBACK(on_connection_accepted), sockets);
   if (address == NULL) {
     g_set_error(error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an address",
                 sockets->settings->peer_listen_address);
@@ -347,7 +352,7 @@
                                      G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL, NULL,
                                      error))
     return FALSE;
-  for (guint i = 0; i < sockets->n; i++)
-    connect_out(&sockets->outs[i]);
+  for (guint i = 0; i < sockets->n_peers; i++)
+    connect_outbound(&sockets->outbound[i]);
   return TRUE;
 }
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -10,14 +10,14 @@
 typedef struct MmPeerSockets MmPeerSockets;
 
 /* "10.0.0.1:8080" as an address; NULL when it is not one. */
-GSocketAddress *mm_transport_address(const char *text);
+GSocketAddress *mm_transport_parse_address(const char *text);
 
 MmHttpServer *mm_http_server_new(MmNode *node, const char *listen, GError **error);
 
 MmHttpClient *mm_http_client_new(const MmSettings *settings);
 void mm_http_client_request(MmHttpClient *client, MmTarget target, const char *address,
                             const char *method, const char *path, const json_t *body,
-                            guint timeout_ms, MmAnswered callback, gpointer data);
+                            guint timeout_ms, MmResponseCallback callback, gpointer data);
 
 MmPeerSockets *mm_peer_sockets_new(const MmSettings *settings);
 gboolean mm_peer_sockets_start(MmPeerSockets *sockets, MmNode *node, GError **error);
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -95,7 +95,7 @@
   MmTransaction transaction;
 
   if (versions->is_writing || !node->replica->is_loaded
-      || mm_time_before(now, versions->next_write_at) || mm_kv_client_is_refused(node->store)
+      || mm_time_before(now, versions->next_write_at) || mm_kv_client_is_refused(node->kv)
       || node->sharing->conflicting_groups != 0
       || (version_of(versions, own_label) >= MM_VERSION_CURRENT
           && mm_versions_own_groups_announced(versions)))
@@ -106,7 +106,7 @@
   mm_transaction_require_version(&transaction, MM_KEY_NODE_VERSION, own_label->s,
                                  versions->own_key_version);
   mm_transaction_put(&transaction, MM_KEY_NODE_VERSION, own_label->s, own_key_value(versions), 0);
-  mm_kv_client_commit(node->store, &transaction, on_key_written, versions);
+  mm_kv_client_commit(node->kv, &transaction, on_key_written, versions);
 }
 
 gboolean
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -72,7 +72,7 @@
                          "[settings.state]\nrps = 400.0\nwrite_rps = 60.0\nvalue_kb = 4.0\n"
                          "txn_ops = 12\n[settings.cloud]\nrps = 6.0\nlist_lag_s = 2.0\n"
                          "[settings.resources]\ncpu = 1.0\nram_mb = 512.0\nmax_sockets = 1000\n",
-                         world->report_s, world->lease_s, world->cancel_s);
+                         world->heartbeat_interval_s, world->lease_s, world->cancel_s);
   return g_string_free(text, FALSE);
 }
 
