--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -65,8 +65,10 @@
 }
 
 static HistoryKind
-kind_of(WorldTold told) {
-  return told == ACCEPTED ? HISTORY_ACCEPTED : told == TOLD_DONE ? HISTORY_DONE : HISTORY_CANCELLED;
+kind_of(WorldUserView told) {
+  return told == USER_SEES_ACCEPTED ? HISTORY_ACCEPTED
+         : told == USER_SEES_DONE   ? HISTORY_DONE
+                                    : HISTORY_CANCELLED;
 }
 
 /* What users have been told since this was last looked at. */
@@ -79,10 +81,11 @@
                            .tasks = job->spec.kind == MM_JOB_KIND_SERVICE ? 0 : job->spec.n_tasks };
 
     g_strlcpy(event.job, job->id, sizeof event.job);
-    for (guint told = MAX(before, ACCEPTED); told <= (guint)job->told && before <= told; told++) {
-      if (told == TOLD_CANCELLED && job->told == TOLD_DONE)
+    for (guint told = MAX(before, USER_SEES_ACCEPTED);
+         told <= (guint)job->user_view && before <= told; told++) {
+      if (told == USER_SEES_CANCELLED && job->user_view == USER_SEES_DONE)
         continue;
-      event.kind = kind_of((WorldTold)told);
+      event.kind = kind_of((WorldUserView)told);
       g_array_append_val(run->history, event);
       g_hash_table_replace(run->told, g_strdup(job->id), GUINT_TO_POINTER(told + 1));
     }
@@ -142,7 +145,7 @@
 static gboolean
 is_over(const World *world) {
   for (guint i = 0; i < world->jobs->len; i++)
-    if (((const WorldJob *)g_ptr_array_index(world->jobs, i))->told < TOLD_CANCELLED)
+    if (((const WorldJob *)g_ptr_array_index(world->jobs, i))->user_view < USER_SEES_CANCELLED)
       return FALSE;
   return TRUE;
 }
@@ -151,7 +154,7 @@
 cancel_services(World *world) {
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->asked_cancel)
+    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->is_cancel_requested)
       world_cancel(job);
   }
 }
@@ -226,7 +229,7 @@
   Run *run = data;
 
   note_told(run);
-  world_check_all(run->world);
+  world_check_invariants(run->world);
   if (goes_on(run))
     return G_SOURCE_CONTINUE;
   processes_continue_all(run->processes);
@@ -261,14 +264,14 @@
 
   for (guint i = 0; i < wrong->len; i++)
     printf("# wrong: %s\n", (char *)g_ptr_array_index(wrong, i));
-  for (guint i = 0; i < run->world->broken->len; i++)
-    printf("# broken: %s\n", (char *)g_ptr_array_index(run->world->broken, i));
+  for (guint i = 0; i < run->world->violations->len; i++)
+    printf("# broken: %s\n", (char *)g_ptr_array_index(run->world->violations, i));
   printf("# %u jobs, %u events, %u moves begun, %u kills, %u pauses, %u ends unasked\n",
-         run->world->jobs->len, run->history->len, run->world->moves_begun, run->kills, run->pauses,
-         run->processes->ends);
-  return wrong->len == 0 && run->world->broken->len == 0 && run->processes->ends == 0
+         run->world->jobs->len, run->history->len, run->world->n_moves_started, run->kills,
+         run->pauses, run->processes->ends);
+  return wrong->len == 0 && run->world->violations->len == 0 && run->processes->ends == 0
                  && run->wrong_programs == 0 && run->history->len > 0
-                 && (without_groups || run->world->moves_begun > 0)
+                 && (without_groups || run->world->n_moves_started > 0)
              ? EXIT_SUCCESS
              : EXIT_FAILURE;
 }
@@ -308,8 +311,8 @@
 
   run.world->groups = GROUPS;
   run.world->team_cores = 60;
-  run.world->record = note_task;
-  run.world->record_data = &run;
+  run.world->observe_task = note_task;
+  run.world->observer_data = &run;
   run.stand_ins = stand_ins_new(run.world, (const char *const *)run.processes->fronts, &error);
   if (run.stand_ins == NULL)
     g_error("%s", error->message);
@@ -318,7 +321,7 @@
   g_main_loop_run(run.loop);
   status = report(&run);
   write_record(&run);
-  run.world->closing = TRUE;
+  run.world->is_closing = TRUE;
   processes_stop(run.processes);
   stand_ins_stop(run.stand_ins);
   world_free(run.world);
--- a/tests/loopback/stand-ins.c
+++ b/tests/loopback/stand-ins.c
@@ -63,11 +63,11 @@
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
     const char *rest = path + 1 + strlen(machine->id);
-    if (!machine->up || !g_str_has_prefix(path + 1, machine->id) || rest[0] != '/')
+    if (!machine->is_up || !g_str_has_prefix(path + 1, machine->id) || rest[0] != '/')
       continue;
     if (strcmp(rest, WIRE_DIRECT_PATH) == 0)
-      return world_machine_direct(machine, body, reply);
-    *reply = world_machine_report(machine);
+      return world_machine_handle_direct(machine, body, reply);
+    *reply = world_machine_heartbeat(machine);
     return 200;
   }
   return 404;
@@ -91,7 +91,7 @@
   stand_ins_catch_up(stand_ins);
   if (strcmp(path, WIRE_WATCH_PATH) == 0) {
     soup_server_message_pause(message);
-    world_store_add_watch(world, 0, full, watch_answered, g_object_ref(message));
+    world_kv_add_watch(world, 0, full, watch_answered, g_object_ref(message));
     return;
   }
   if (g_str_has_prefix(path, WIRE_MACHINES_PATH) || strcmp(path, WIRE_MACHINE_TYPES_PATH) == 0)
@@ -99,7 +99,7 @@
   else if (g_str_has_prefix(path, "/m-"))
     status = ask_worker(world, path, body, &reply);
   else
-    status = world_store_handle(world, method, full, body, &reply);
+    status = world_kv_handle(world, method, full, body, &reply);
   answer(message, status, reply);
 }
 
@@ -110,7 +110,7 @@
   SoupMessage *message;
   GCancellable *cancellable;
   guint timer;
-  MmAnswered answered;
+  MmResponseCallback answered;
   gpointer data;
 } Request;
 
@@ -146,8 +146,8 @@
 
 static void
 ask_node(World *world, guint index, const char *method, const char *path, json_t *body,
-         gint64 timeout_us, MmAnswered answered, gpointer data) {
-  StandIns *stand_ins = world->ask_data;
+         gint64 timeout_us, MmResponseCallback answered, gpointer data) {
+  StandIns *stand_ins = world->request_handler_data;
   g_autofree char *uri = g_strconcat("http://", stand_ins->fronts[index], path, NULL);
   Request *request = g_new0(Request, 1);
 
@@ -191,8 +191,8 @@
   g_slist_free_full(uris, (GDestroyNotify)g_uri_unref);
   stand_ins->offset_us = world->now_us - mm_clock_now().us;
   stand_ins->timer = g_timeout_add(STEP_MS, step, stand_ins);
-  world->ask_data = stand_ins;
-  world->ask = ask_node;
+  world->request_handler_data = stand_ins;
+  world->request_handler = ask_node;
   return stand_ins;
 }
 
--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -44,13 +44,13 @@
 new_world(guint size, gboolean shared) {
   World *world = world_new(17);
 
-  world->unchecked = TRUE;
+  world->skips_checks = TRUE;
   world->capacity = 0;
   world->team_cores = 2000;
   world->groups = shared ? GROUPS : 0;
   world->group_hold_s = 1;
   if (size > 100) {
-    world->report_s = 5;
+    world->heartbeat_interval_s = 5;
     world->lease_s = 26.5;
     world->cancel_s = 51.5;
   }
@@ -60,7 +60,7 @@
                       : i % 3 == 1 ? "b"
                                    : "c",
                       FALSE, 0.1)
-        ->faulty
+        ->failure_rate
         = 0;
   world_start(world);
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -84,9 +84,9 @@
 static Cost
 measure_cost(guint size, gboolean shared) {
   World *world = new_world(size, shared);
-  guint64 frames = world->frames, bytes = world->frame_bytes, reports = world->reports;
-  guint64 writes = world->writes;
-  guint starts = world->starts;
+  guint64 frames = world->n_frames, bytes = world->n_frame_bytes, reports = world->n_heartbeats;
+  guint64 writes = world->n_writes;
+  guint starts = world->n_starts;
   clock_t began = clock();
   double scale = 1.0 / (MEASURED_S * (double)size);
   Cost cost;
@@ -95,11 +95,12 @@
     submit_some(world);
     world_run(world, 1);
   }
-  cost = (Cost){
-    (double)(world->frames - frames) * scale,      (double)(world->frame_bytes - bytes) * scale,
-    (double)(world->reports - reports) * scale,    (double)(world->writes - writes) / MEASURED_S,
-    (double)(world->starts - starts) / MEASURED_S, (double)(clock() - began) / CLOCKS_PER_SEC
-  };
+  cost = (Cost){ (double)(world->n_frames - frames) * scale,
+                 (double)(world->n_frame_bytes - bytes) * scale,
+                 (double)(world->n_heartbeats - reports) * scale,
+                 (double)(world->n_writes - writes) / MEASURED_S,
+                 (double)(world->n_starts - starts) / MEASURED_S,
+                 (double)(clock() - began) / CLOCKS_PER_SEC };
   world_free(world);
   return cost;
 }
@@ -124,7 +125,8 @@
 
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    if (machine->up && world_group_of(world, machine) == group && some_node_grants(world, machine))
+    if (machine->is_up && world_group_of_machine(world, machine) == group
+        && some_node_grants(world, machine))
       g_ptr_array_add(machines, machine);
   }
   return machines;
@@ -188,25 +190,25 @@
     submit_some(world);
     world_run(world, 1);
   }
-  writes = world->writes;
-  frames = world->frames;
+  writes = world->n_writes;
+  frames = world->n_frames;
   began_us = world->now_us;
   for (guint i = 0; i < MOVES; i++) {
     submit_some(world);
     measure_move(world, (i * 37) % GROUPS, cost.gaps);
   }
   seconds = (double)(world->now_us - began_us) / G_USEC_PER_SEC;
-  cost.writes = (double)(world->writes - writes) / MOVES;
-  cost.frames = (double)(world->frames - frames) / MOVES;
+  cost.writes = (double)(world->n_writes - writes) / MOVES;
+  cost.frames = (double)(world->n_frames - frames) / MOVES;
   /* The same time again without moves. */
-  writes = world->writes;
-  frames = world->frames;
+  writes = world->n_writes;
+  frames = world->n_frames;
   for (guint i = 0; i < MOVES; i++) {
     submit_some(world);
     world_run(world, seconds / MOVES);
   }
-  cost.writes -= (double)(world->writes - writes) / MOVES;
-  cost.frames -= (double)(world->frames - frames) / MOVES;
+  cost.writes -= (double)(world->n_writes - writes) / MOVES;
+  cost.frames -= (double)(world->n_frames - frames) / MOVES;
   g_array_sort(cost.gaps, smaller_first);
   world_free(world);
   return cost;
--- a/tests/test-broken.c
+++ b/tests/test-broken.c
@@ -10,7 +10,7 @@
   for (guint seed = 1; seed <= 8 && !broken; seed++) {
     World *world = world_new(seed);
     world->ignore_acknowledgements = ignore_acknowledgements;
-    world->believed_lease_s = believed_lease_s;
+    world->configured_lease_s = believed_lease_s;
     for (guint i = 0; i < 6; i++)
       world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
     world_start(world);
@@ -27,7 +27,7 @@
       for (guint i = 0; i < WORLD_NODES; i++)
         world_kill_node(world, i, world_uniform(world, 0.1, 0.5));
       world_run(world, 10);
-      broken = world->broken->len > 0;
+      broken = world->violations->len > 0;
     }
     world_free(world);
   }
@@ -58,8 +58,8 @@
 
   for (guint seed = 1; seed <= 6 && !broken; seed++) {
     World *world = world_new(seed);
-    world->copies = 0.3;
-    world->believe_copies = believe;
+    world->duplicate_rate = 0.3;
+    world->accept_duplicates = believe;
     for (guint i = 0; i < 6; i++)
       world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
     world_start(world);
@@ -70,7 +70,7 @@
       if (second % 20 == 10)
         world_kill_node(world, second / 20, 0.3);
       world_run(world, 1);
-      broken = world->broken->len > 0;
+      broken = world->violations->len > 0;
     }
     world_free(world);
   }
@@ -102,7 +102,7 @@
   WorldJob *service, *later;
   gboolean over;
 
-  world->answer_deaf = answer_deaf;
+  world->respond_to_unacknowledging = answer_deaf;
   for (guint i = 0; i < 6; i++)
     world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
   world_start(world);
@@ -111,18 +111,19 @@
                          json_pack("{s:i, s:s}", WIRE_TASKS, 8, WIRE_KIND, WIRE_KIND_SERVICE), 0);
   world_run(world, 12);
   deaf = first_that_runs(world);
-  deaf->deaf_until_us = world->now_us + 3600 * (gint64)G_USEC_PER_SEC;
+  deaf->inbound_lost_until_us = world->now_us + 3600 * (gint64)G_USEC_PER_SEC;
   /* Else the cloud would be asked to return it, which proves it gone sooner. */
-  world->cloud_down_until_us = deaf->deaf_until_us;
+  world->cloud_down_until_us = deaf->inbound_lost_until_us;
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.2);
   /* An older job needs the parts to be taken in full: nothing of it runs, all machines are heard.
    */
   later = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 3), 2);
   world_run(world, 90);
-  g_assert_cmpuint(world->broken->len, ==, 0);
+  g_assert_cmpuint(world->violations->len, ==, 0);
   /* No task runs twice, as the rules' check has shown: so many are all of them. */
-  over = later->told == TOLD_DONE && world_running(world, service, deaf) == service->spec.n_tasks;
+  over = later->user_view == USER_SEES_DONE
+         && world_count_running(world, service, deaf) == service->spec.n_tasks;
   world_free(world);
   return over;
 }
@@ -150,7 +151,7 @@
 
   for (guint seed = 1; seed <= 4 && !broken; seed++) {
     World *world = world_new(seed);
-    world->claim_for_ever = claim_for_ever;
+    world->lease_never_expires = claim_for_ever;
     for (guint i = 0; i < 6; i++)
       world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
     world_start(world);
@@ -165,7 +166,7 @@
       else
         world_cut_zone(world, i, 25, FALSE);
       world_run(world, 35);
-      broken = world->broken->len > 0;
+      broken = world->violations->len > 0;
     }
     world_free(world);
   }
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -15,7 +15,7 @@
 fleet_world(void) {
   World *world = world_new(17);
 
-  world->report_s = REPORT_S;
+  world->heartbeat_interval_s = REPORT_S;
   world->lease_s = 3 * REPORT_S;
   world->cancel_s = world->lease_s + 25;
   world->capacity = 40;
@@ -35,7 +35,7 @@
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    n += machine->up && !machine->gone;
+    n += machine->is_up && !machine->is_gone;
   }
   return n;
 }
@@ -62,7 +62,7 @@
   for (guint i = 0; i < WORLD_NODES; i++) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->led_shards);
+    g_hash_table_iter_init(&iter, world->nodes[i].node->scheduler->led_shards);
     while (g_hash_table_iter_next(&iter, NULL, &value))
       n += g_hash_table_size(((const MmLedShard *)value)->unacknowledged_machines);
   }
@@ -74,7 +74,7 @@
   guint n = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++)
-    n += g_hash_table_size(world->nodes[i].node->owner->led_shards);
+    n += g_hash_table_size(world->nodes[i].node->scheduler->led_shards);
   return n;
 }
 
@@ -110,7 +110,7 @@
 static gboolean
 all_done(const World *world) {
   for (guint i = 0; i < world->jobs->len; i++)
-    if (((const WorldJob *)g_ptr_array_index(world->jobs, i))->told != TOLD_DONE)
+    if (((const WorldJob *)g_ptr_array_index(world->jobs, i))->user_view != USER_SEES_DONE)
       return FALSE;
   return TRUE;
 }
@@ -146,17 +146,18 @@
   world_cut_zone(world, 1, world->lease_s + REPORT_S, FALSE);
   submit_arrays(world, 4, 400);
   world_run(world, world->lease_s + 2 * REPORT_S);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   run_until_all_known(world);
   submit_arrays(world, 4, 400);
   run_until_all_done(world);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   g_test_message("%" G_GUINT64_FORMAT " reports, %" G_GUINT64_FORMAT " frames, %.0f bytes a report,"
                  " %" G_GUINT64_FORMAT " writes, %" G_GUINT64_FORMAT " direct commands",
-                 world->reports, world->frames, (double)world->frame_bytes / (double)world->reports,
-                 world->writes, world->directs);
-  g_assert_cmpuint(world->frame_bytes, <, BYTES_A_REPORT * world->reports);
-  g_assert_cmpuint(world->writes, <, MACHINES);
+                 world->n_heartbeats, world->n_frames,
+                 (double)world->n_frame_bytes / (double)world->n_heartbeats, world->n_writes,
+                 world->n_direct_commands);
+  g_assert_cmpuint(world->n_frame_bytes, <, BYTES_A_REPORT * world->n_heartbeats);
+  g_assert_cmpuint(world->n_writes, <, MACHINES);
   world_free(world);
 }
 
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -26,7 +26,7 @@
   for (guint i = 0; i < seconds; i++) {
     world_submit(world, world_random_job(world), world_uniform(world, 1, 6));
     world_run(world, 1);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
 }
 
@@ -34,7 +34,8 @@
 ask(World *world, guint node, const char *method, const char *path, json_t *body) {
   int status = -1;
 
-  world_ask_node(world, node, NULL, method, path, body, 2 * SECOND, world_note_status, &status);
+  world_send_request(world, node, NULL, method, path, body, 2 * SECOND, world_record_status,
+                     &status);
   world_run(world, 2.5);
   return status;
 }
@@ -53,8 +54,8 @@
   first = g_ptr_array_index(world->jobs, 0);
   world_set_format(world, json_loads(data, 0, NULL));
   world_run(world, 3);
-  writes = world->writes;
-  starts = world->starts;
+  writes = world->n_writes;
+  starts = world->n_starts;
   for (guint i = 0; i < WORLD_NODES; i++) {
     g_autofree char *path = g_strconcat(WIRE_JOBS_PATH "/", first->id, NULL);
     g_assert_cmpint(ask(world, i, "GET", "/healthz", NULL), ==, 503);
@@ -64,8 +65,8 @@
   }
   world_kill_node(world, 1, 0.2);
   world_run(world, 10);
-  g_assert_cmpuint(world->writes, ==, writes);
-  g_assert_cmpuint(world->starts, <=, starts + 2); /* images that were being fetched */
+  g_assert_cmpuint(world->n_writes, ==, writes);
+  g_assert_cmpuint(world->n_starts, <=, starts + 2); /* images that were being fetched */
   world_set_format(world, NULL);
   run_under_load(world, 10);
   g_assert_cmpint(ask(world, 1, "GET", "/healthz", NULL), ==, 200);
@@ -102,20 +103,20 @@
 a_day(gconstpointer data) {
   World *world = format_world(GPOINTER_TO_UINT(data), 2);
 
-  world->copies = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
+  world->duplicate_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
   world_run(world, 3);
   for (guint second = 0; second < 90; second++) {
     if (second % 3 == 0)
       world_submit(world, world_random_job(world), world_uniform(world, 1, 12));
     if (second > 5 && world_uniform(world, 0, 1) < 0.1)
-      world_random_trouble(world);
+      world_inject_random_fault(world);
     if (second % 17 == 9)
       world_set_format(world,
                        g_rand_boolean(world->rand) ? NULL : json_pack("{s:i}", "f", NEXT_FORMAT));
     world_run(world, 1);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
-  g_assert_cmpuint(world->starts, >, 20);
+  g_assert_cmpuint(world->n_starts, >, 20);
   world_set_format(world, NULL);
   world_finish_day(world);
 }
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -195,7 +195,7 @@
     mm__frame__free_unpacked(frame, NULL);
   }
   /* All but `gone`, which no machine of that day was. */
-  g_assert_cmpuint(kinds, ==, 0x1ffe & ~(1u << MM__FRAME__BODY_GONE));
+  g_assert_cmpuint(kinds, ==, 0x1ffe & ~(1u << MM__FRAME__BODY_MACHINE_GONE));
 }
 
 /* Each field of the version before is there with its type and number: it reads what is sent now. */
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -12,7 +12,7 @@
 grown_world(guint32 seed, guint machines) {
   World *world = world_new(seed);
 
-  world->report_s = 2;
+  world->heartbeat_interval_s = 2;
   world->lease_s = 12;
   world->cancel_s = 37;
   world->capacity = machines / 2;
@@ -60,7 +60,7 @@
     if (second % 10 == 0)
       submit_service(world, sizes[second / 10 % 4]);
     world_run(world, 1);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
 }
 
@@ -69,7 +69,8 @@
   double n = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++)
-    n += world->nodes[i].node != NULL ? (double)world->nodes[i].node->owner->n_machines_scanned : 0;
+    n += world->nodes[i].node != NULL ? (double)world->nodes[i].node->scheduler->n_machines_scanned
+                                      : 0;
   return n;
 }
 
@@ -83,12 +84,12 @@
   PerReport per;
 
   load(world, machines, 40);
-  per = (PerReport){ (double)world->frames / (double)world->reports,
-                     looked(world) / (double)world->reports,
-                     (double)world->writes / (double)world->reports };
+  per = (PerReport){ (double)world->n_frames / (double)world->n_heartbeats,
+                     looked(world) / (double)world->n_heartbeats,
+                     (double)world->n_writes / (double)world->n_heartbeats };
   g_test_message("%u machines: %.2f frames, %.1f looks, %.3f writes a report; %u starts", machines,
-                 per.frames, per.looked, per.writes, world->starts);
-  g_assert_cmpuint(world->starts, >, machines * 2);
+                 per.frames, per.looked, per.writes, world->n_starts);
+  g_assert_cmpuint(world->n_starts, >, machines * 2);
   world_free(world);
   return per;
 }
@@ -112,7 +113,7 @@
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    n += machine->up && !machine->gone && strcmp(machine->zone, zone) == 0;
+    n += machine->is_up && !machine->is_gone && strcmp(machine->zone, zone) == 0;
   }
   return n;
 }
@@ -128,16 +129,16 @@
   before = up_in_zone(world, "c");
   world_cut_zone(world, 2, 60, FALSE);
   world_run(world, 58);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   g_assert_cmpuint(up_in_zone(world, "c") + 4, >=, before);
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->spec.kind == MM_JOB_KIND_SERVICE && job->told == ACCEPTED)
-      g_assert_cmpuint(world_running(world, job, NULL), ==, job->spec.n_tasks);
+    if (job->spec.kind == MM_JOB_KIND_SERVICE && job->user_view == USER_SEES_ACCEPTED)
+      g_assert_cmpuint(world_count_running(world, job, NULL), ==, job->spec.n_tasks);
   }
-  starts = world->starts;
+  starts = world->n_starts;
   load(world, 60, 25);
-  g_assert_cmpuint(world->starts, >, starts + 100);
+  g_assert_cmpuint(world->n_starts, >, starts + 100);
   world_free(world);
 }
 
@@ -150,7 +151,7 @@
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (world->nodes[i].node == NULL)
       continue;
-    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->led_shards);
+    g_hash_table_iter_init(&iter, world->nodes[i].node->scheduler->led_shards);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
       held++;
       if (!((MmLedShard *)value)->is_ready)
@@ -175,20 +176,20 @@
   world_kill_node(world, 0, 30);
   while (g_hash_table_size(world->nodes[1].node->replica->live_nodes) == WORLD_NODES)
     world_run(world, 0.1);
-  first = world->directs;
+  first = world->n_direct_commands;
   for (; tenths < 70 && (tenths < 3 || !all_ready(world)); tenths++) {
-    before = world->directs;
+    before = world->n_direct_commands;
     world_run(world, 0.1);
-    most = MAX(most, world->directs - before);
+    most = MAX(most, world->n_direct_commands - before);
   }
-  world_assert_rules(world);
+  world_assert_invariants(world);
   g_test_message("%" G_GUINT64_FORMAT " direct commands, %" G_GUINT64_FORMAT
                  " in a tenth, ready after %u tenths",
-                 world->directs - first, most, tenths);
+                 world->n_direct_commands - first, most, tenths);
   /* Four a node in a tenth of a second, and the stops of that time. */
   g_assert_cmpuint(most, <=, 16);
   /* Not one for each machine, all in all. */
-  g_assert_cmpuint(world->directs - first, <,
+  g_assert_cmpuint(world->n_direct_commands - first, <,
                    world->nodes[1].node->machine_table->sorted_machines->len);
   g_assert_cmpuint(tenths, <, 70);
   world_free(world);
@@ -204,23 +205,23 @@
   world_run(world, 3);
   array = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 40), 4);
   world_run(world, 4);
-  g_assert_cmpint(array->told, ==, ACCEPTED);
+  g_assert_cmpint(array->user_view, ==, USER_SEES_ACCEPTED);
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 1);
   for (guint i = 0; i < 5; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
     world_kill_machine(world, machine);
-    machine->gone = TRUE;
+    machine->is_gone = TRUE;
   }
   world_run(world, 10);
   for (guint i = 0; i < WORLD_NODES; i++) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, world->nodes[i].node->owner->led_shards);
+    g_hash_table_iter_init(&iter, world->nodes[i].node->scheduler->led_shards);
     while (g_hash_table_iter_next(&iter, NULL, &value))
       g_assert_true(((MmLedShard *)value)->is_ready);
   }
-  world_assert_rules(world);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -233,10 +234,10 @@
   world_run(world, 10);
   world_cut_node(world, 1, 12, FALSE);
   world_run(world, 11);
-  before = world->conflicts;
+  before = world->n_conflicts;
   world_run(world, 8);
-  g_assert_cmpuint(world->conflicts - before, <=, 6);
-  world_assert_rules(world);
+  g_assert_cmpuint(world->n_conflicts - before, <=, 6);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -258,12 +259,12 @@
   g_assert_cmpint(owner, >=, 0);
   world_cut_node(world, (guint)owner, 20, FALSE);
   world_cancel(job);
-  for (guint i = 0; i < 200 && job->told != TOLD_CANCELLED; i++)
+  for (guint i = 0; i < 200 && job->user_view != USER_SEES_CANCELLED; i++)
     world_run(world, 0.1);
-  g_assert_cmpint(job->told, ==, TOLD_CANCELLED);
+  g_assert_cmpint(job->user_view, ==, USER_SEES_CANCELLED);
   g_assert_false(mm_node_lease_is_valid(world->nodes[owner].node->node_lease));
   world_run(world, 45);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -305,13 +306,13 @@
       big[i] = world_submit(world, job, 20);
     }
     world_run(world, 1);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
   for (guint i = 0; i < 6; i++) {
     g_test_message("job %u of 6 began after %.0f s", i,
-                   (double)(big[i]->began_us - big[i]->submitted_us) / G_USEC_PER_SEC);
-    g_assert_cmpint(big[i]->began_us, !=, 0);
-    g_assert_cmpint(big[i]->began_us - big[i]->submitted_us, <, 240 * (gint64)G_USEC_PER_SEC);
+                   (double)(big[i]->first_start_us - big[i]->submitted_us) / G_USEC_PER_SEC);
+    g_assert_cmpint(big[i]->first_start_us, !=, 0);
+    g_assert_cmpint(big[i]->first_start_us - big[i]->submitted_us, <, 240 * (gint64)G_USEC_PER_SEC);
   }
   world_free(world);
 }
@@ -366,7 +367,7 @@
   g_assert_cmpuint(idle, ==, 4);
   /* One of the twelve runs the accelerated task. */
   g_assert_cmpuint(lent, ==, 12 - 1 - idle - with_services);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -378,12 +379,12 @@
   World *world = world_new(13);
   guint starts;
 
-  world->report_s = 5;
+  world->heartbeat_interval_s = 5;
   world->lease_s = 26.5;
   world->cancel_s = 51.5;
   world->capacity = 40;
   world->team_cores = 2000;
-  world->copies = 0.005;
+  world->duplicate_rate = 0.005;
   for (guint i = 0; i < 1900; i++)
     world_add_machine(world, i % 12 == 11 ? "big" : "small", zones[i % 3], FALSE, 0.1);
   world_start(world);
@@ -396,17 +397,17 @@
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.2);
   world_run(world, 14);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   for (guint i = 0; i < WORLD_NODES; i++)
     g_assert_cmpuint(world->nodes[i].node->machine_table->sorted_machines->len, >=, 1750);
   world_cut_zone(world, 1, 35, TRUE);
   world_run(world, 40);
-  world_assert_rules(world);
-  starts = world->starts;
+  world_assert_invariants(world);
+  starts = world->n_starts;
   load(world, 60, 15);
   world_run(world, 10);
-  world_assert_rules(world);
-  g_assert_cmpuint(world->starts, >, starts + 50);
+  world_assert_invariants(world);
+  g_assert_cmpuint(world->n_starts, >, starts + 50);
   world_free(world);
 }
 
--- a/tests/test-links.c
+++ b/tests/test-links.c
@@ -83,7 +83,7 @@
                   ==, 0);
   g_assert_cmpint(machine->last_possible_response_at.us, ==, loaded.us);
   world_run(world, 4);
-  g_assert_true(node->links->peers[0].up && node->links->peers[1].up);
+  g_assert_true(node->peer_links->peers[0].is_up && node->peer_links->peers[1].is_up);
   g_assert_cmpint(machine->last_possible_response_at.us, >, loaded.us + 6 * G_USEC_PER_SEC);
   world_free(world);
 }
@@ -99,22 +99,22 @@
   Mm__Pong pong = MM__PONG__INIT;
   MmTime asked = mm_time_add_ms(mm_node_now(node), -5000);
 
-  pong.at_us = (guint64)asked.us;
-  pong.outage_ms = 1;
+  pong.ping_sent_at_us = (guint64)asked.us;
+  pong.refused_age_plus_one_ms = 1;
   frame.body_case = MM__FRAME__BODY_PONG;
   frame.pong = &pong;
-  g_assert_cmpint(mm_links_last_refused(node->links).us, ==, 0);
-  mm_links_frame(node->links, 0, &frame);
-  g_assert_cmpint(mm_links_last_refused(node->links).us, >, 0);
-  g_assert_cmpint(mm_links_last_refused(node->links).us, <=, asked.us);
+  g_assert_cmpint(mm_peer_links_last_refused_at(node->peer_links).us, ==, 0);
+  mm_peer_links_receive(node->peer_links, 0, &frame);
+  g_assert_cmpint(mm_peer_links_last_refused_at(node->peer_links).us, >, 0);
+  g_assert_cmpint(mm_peer_links_last_refused_at(node->peer_links).us, <=, asked.us);
 
-  world->nodes[0].refused_until_us = world->now_us + G_USEC_PER_SEC;
+  world->nodes[0].kv_refuses_until_us = world->now_us + G_USEC_PER_SEC;
   world_run(world, 0.9);
-  mm_kv_client_get(node->store, MM_KEY_NEVER_WRITTEN, "", NULL, NULL);
+  mm_kv_client_get(node->kv, MM_KEY_NEVER_WRITTEN, "", NULL, NULL);
   world_freeze_node(world, 0, 5);
   world_run(world, 5.02);
-  g_assert_cmpint(node->store->last_refused_at.us, >, 0);
-  g_assert_cmpint(mm_time_ms_since(mm_node_now(node), node->store->last_refused_at), >=, 4900);
+  g_assert_cmpint(node->kv->last_refused_at.us, >, 0);
+  g_assert_cmpint(mm_time_ms_since(mm_node_now(node), node->kv->last_refused_at), >=, 4900);
   world_free(world);
 }
 
@@ -175,7 +175,7 @@
   mm_machine_table_record_heartbeat(node->machine_table, &report, mm_node_now(node),
                                     MM_SERVING_NODE_NONE);
   for (guint i = 0; i < WORLD_NODES - 1; i++)
-    node->port.reconnect(node->port.self, i);
+    node->platform.reconnect(node->platform.context, i);
   world_run(world, 1.5);
   g_assert_cmpuint(there->latest_message_id.sequence, ==, report.heartbeat_id.sequence);
   g_assert_true(mm_heartbeat_id_is_newer(report.heartbeat_id, there->latest_heartbeat_id));
@@ -192,18 +192,19 @@
 static void
 test_half_open(void) {
   World *world = two_machines(5);
-  const MmLinks *links;
+  const MmPeerLinks *links;
 
-  world->silent_ends = TRUE;
+  world->ends_leave_half_open = TRUE;
   world_kill_node(world, 2, 40);
   world_run(world, 39);
-  g_assert_cmpuint(world->reopened, >=, 2);
+  g_assert_cmpuint(world->n_reconnects, >=, 2);
   world_run(world, 3.5);
-  links = world->nodes[2].node->links;
-  g_assert_true(links->peers[0].up && links->peers[1].up);
-  g_assert_cmpint(mm_time_ms_since(mm_node_now(world->nodes[2].node), mm_links_settled(links)), <,
-                  3000);
-  world_assert_rules(world);
+  links = world->nodes[2].node->peer_links;
+  g_assert_true(links->peers[0].is_up && links->peers[1].is_up);
+  g_assert_cmpint(mm_time_ms_since(mm_node_now(world->nodes[2].node),
+                                   mm_peer_links_responses_known_until(links)),
+                  <, 3000);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -218,24 +219,24 @@
   guint64 frames;
 
   for (guint i = 0; i < WORLD_NODES - 1; i++)
-    if (mm_name_equal(&world->nodes[host].node->links->peers[i].label,
+    if (mm_name_equal(&world->nodes[host].node->peer_links->peers[i].label,
                       &world->nodes[still].node->settings->label))
-      peer = &world->nodes[host].node->links->peers[i];
+      peer = &world->nodes[host].node->peer_links->peers[i];
   world_freeze_node(world, still, 20);
   world_run(world, 12);
-  g_assert_cmpuint(world->reopened, >=, 2);
-  g_assert_true(peer->connected && !peer->up);
-  frames = world->nodes[host].node->links->frames_out;
+  g_assert_cmpuint(world->n_reconnects, >=, 2);
+  g_assert_true(peer->is_connected && !peer->is_up);
+  frames = world->nodes[host].node->peer_links->n_frames_sent;
   world_run(world, 1);
-  g_assert_cmpuint(world->nodes[host].node->links->frames_out - frames, <, 40);
+  g_assert_cmpuint(world->nodes[host].node->peer_links->n_frames_sent - frames, <, 40);
   world_run(world, 9);
-  g_assert_true(peer->up);
+  g_assert_true(peer->is_up);
   g_assert_cmpint(
       mm_time_ms_since(mm_node_now(world->nodes[still].node),
                        mm_machine_table_find(world->nodes[still].node->machine_table, id)
                            ->last_possible_response_at),
       <, 4000);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   world_free(world);
 }
 
--- a/tests/test-meetings.c
+++ b/tests/test-meetings.c
@@ -40,16 +40,16 @@
 static void
 cancel_all(World *world) {
   for (guint i = 0; i < world->jobs->len; i++)
-    if (!job_at(world, i)->asked_cancel)
+    if (!job_at(world, i)->is_cancel_requested)
       world_cancel(job_at(world, i));
 }
 
 static guint
-told(const World *world, WorldTold what) {
+told(const World *world, WorldUserView what) {
   guint n = 0;
 
   for (guint i = 0; i < world->jobs->len; i++)
-    n += job_at(world, i)->told == what;
+    n += job_at(world, i)->user_view == what;
   return n;
 }
 
@@ -59,7 +59,7 @@
   guint n = 0;
 
   for (guint i = 0; i < world->machines->len; i++)
-    n += machine_at(world, i)->session > 1
+    n += machine_at(world, i)->incarnation > 1
          && (zone == NULL || strcmp(machine_at(world, i)->zone, zone) == 0);
   return n;
 }
@@ -102,17 +102,17 @@
 
 static void
 deafen(WorldMachine *machine, gint64 until_us) {
-  machine->deaf_until_us = until_us;
+  machine->inbound_lost_until_us = until_us;
 }
 
 static void
 silence(WorldMachine *machine, gint64 until_us) {
-  machine->mute_until_us = until_us;
+  machine->outbound_lost_until_us = until_us;
 }
 
 static void
 refuse(World *world, guint node, double seconds) {
-  world->nodes[node].refused_until_us = world->now_us + (gint64)(seconds * SECOND);
+  world->nodes[node].kv_refuses_until_us = world->now_us + (gint64)(seconds * SECOND);
 }
 
 /* ---- the meetings ---- */
@@ -127,7 +127,7 @@
   world_run(world, 2);
   with_tasks(world, 6, hang, 5);
   world_run(world, 10);
-  return world->held;
+  return world->n_delayed_commands;
 }
 
 static guint
@@ -167,7 +167,7 @@
   world_run(world, 6);
   before = newest_term(world);
   for (guint round = 0; round < 3; round++) {
-    world_kill_node(world, world_leader(world), 0.2);
+    world_kill_node(world, world_node_leading_most_shards(world), 0.2);
     world_run(world, 4);
     for (guint i = 0; i < WORLD_NODES; i++)
       world_kill_node(world, i, i == round ? 0.3 : 4);
@@ -179,7 +179,7 @@
 /* Reports come again after newer ones, also of earlier sessions and attempts. */
 static guint
 old_reports(World *world) {
-  world->copies = 0.3;
+  world->duplicate_rate = 0.3;
   submit_many(world, 6, WIRE_KIND_ARRAY, 3, 12);
   for (guint round = 0; round < 3; round++) {
     world_run(world, 6);
@@ -187,27 +187,27 @@
     world_kill_node(world, round, 0.3);
     world_run(world, 8);
   }
-  world->copies = 0;
-  return world->old_sessions;
+  world->duplicate_rate = 0;
+  return world->n_stale_incarnations;
 }
 
 /* Transactions get no answer and are carried out late, after newer ones of the same node, also in
  * its next life. */
 static guint
 late_writes(World *world) {
-  world->late_writes = 0.3;
+  world->late_write_rate = 0.3;
   for (guint round = 0; round < 8; round++) {
     submit_many(world, 2, WIRE_KIND_ARRAY, 3, 5);
     world_run(world, 4);
     world_cancel(job_at(world, round * 2));
     if (round % 3 == 1)
-      world_kill_node(world, world_leader(world), 0.3);
+      world_kill_node(world, world_node_leading_most_shards(world), 0.3);
     if (round % 3 == 2)
       with_tasks(world, 1, cut, world->lease_s + 2);
     world_run(world, 2);
   }
-  world->late_writes = 0;
-  return world->late_taken > 0 && world->late_void > 0;
+  world->late_write_rate = 0;
+  return world->n_late_applied > 0 && world->n_late_rejected > 0;
 }
 
 /* A node's claim is announced twice, and the first announcement is carried out last. The key once
@@ -218,18 +218,18 @@
 
   submit_many(world, 3, WIRE_KIND_ARRAY, 4, 20);
   world_run(world, 6);
-  before = world->late_void;
+  before = world->n_late_rejected;
   for (guint round = 0; round < 8; round++) {
     guint node = round % WORLD_NODES;
     world_kill_node(world, node, 0.2);
     world_run(world, 0.2);
-    world->late_writes = 1;
+    world->late_write_rate = 1;
     world_run(world, 0.15);
-    world->late_writes = 0;
+    world->late_write_rate = 0;
     world_run(world, 20);
     g_assert_true(mm_node_lease_may_answer_workers(world->nodes[node].node->node_lease));
   }
-  return world->late_void - before;
+  return world->n_late_rejected - before;
 }
 
 /* Machines reach no node, while direct commands reach them; a job on them is called off. */
@@ -245,28 +245,29 @@
   world_cancel(job_at(world, 1));
   world_run(world, world->lease_s + 14);
   for (guint i = 0; i < world->machines->len; i++)
-    heard += machine_at(world, i)->heard_mute;
+    heard += machine_at(world, i)->n_direct_while_mute;
   return heard;
 }
 
 /* A copy of a report comes to a new leader that has acted already. */
 static guint
 held_report(World *world) {
-  guint old = world_leader(world), met = 0;
+  guint old = world_node_leading_most_shards(world), met = 0;
   guint64 before = newest_term(world);
 
   submit_many(world, 5, WIRE_KIND_ARRAY, 3, 6);
   world_run(world, 4);
   for (guint i = 0; i < world->machines->len; i++) {
-    machine_at(world, i)->copy_at_us = world->now_us + 9 * SECOND + (gint64)i * SECOND / 3;
-    machine_at(world, i)->copy_to = (old + 1 + i % 2) % WORLD_NODES;
+    machine_at(world, i)->duplicate_at_us = world->now_us + 9 * SECOND + (gint64)i * SECOND / 3;
+    machine_at(world, i)->duplicate_to = (old + 1 + i % 2) % WORLD_NODES;
   }
   world_run(world, 1.5);
   world_kill_node(world, old, 20);
   world_run(world, 6.5);
   submit_many(world, 5, WIRE_KIND_ARRAY, 3, 6);
   for (guint i = 0; i < world->machines->len; i++)
-    met += machine_at(world, i)->copy_at_us == 0 && machine_at(world, i)->token > before;
+    met += machine_at(world, i)->duplicate_at_us == 0
+           && machine_at(world, i)->fencing_token > before;
   world_run(world, 20);
   return newest_term(world) > before ? met : 0;
 }
@@ -278,17 +279,17 @@
   guint met = 0;
 
   for (guint i = 0; i < world->machines->len; i++)
-    machine_at(world, i)->faulty = 0;
+    machine_at(world, i)->failure_rate = 0;
   for (guint i = 0; i < 6; i++)
     world_submit(world, json_pack("{s:i}", WIRE_TASKS, 2 + i % 2), 2)->stagger_s = 14;
   for (guint i = 0; i < 3; i++) {
     world_run(world, 8);
-    world_kill_node(world, world_leader(world), i % 2 == 0 ? 0.3 : 3);
+    world_kill_node(world, world_node_leading_most_shards(world), i % 2 == 0 ? 0.3 : 3);
   }
   world_run(world, 30);
   for (guint i = 0; i < 6; i++) {
-    g_assert_cmpint(job_at(world, i)->told, ==, TOLD_DONE);
-    met += job_at(world, i)->starts == job_at(world, i)->spec.n_tasks;
+    g_assert_cmpint(job_at(world, i)->user_view, ==, USER_SEES_DONE);
+    met += job_at(world, i)->n_starts == job_at(world, i)->spec.n_tasks;
   }
   g_assert_cmpuint(met, ==, 6);
   return met;
@@ -299,19 +300,19 @@
 called_off_at_the_end(World *world) {
   guint done = 0, cancelled = 0;
 
-  world->cancelled_at_end = 0.7;
+  world->cancel_at_end_rate = 0.7;
   for (guint i = 0; i < 12; i++) {
     submit_many(world, 2, WIRE_KIND_ARRAY, 1 + i % 3, 1 + i % 4);
     world_run(world, 2);
-    world_odd_requests(world);
+    world_send_odd_requests(world);
   }
   world_run(world, 10);
   for (guint i = 0; i < world->jobs->len; i++) {
-    done += job_at(world, i)->asked_cancel && job_at(world, i)->told == TOLD_DONE;
-    cancelled += job_at(world, i)->told == TOLD_CANCELLED;
+    done += job_at(world, i)->is_cancel_requested && job_at(world, i)->user_view == USER_SEES_DONE;
+    cancelled += job_at(world, i)->user_view == USER_SEES_CANCELLED;
   }
   g_test_message("%u called off after all, %u were done", cancelled, done);
-  return MIN(world->odd_right, cancelled + done);
+  return MIN(world->n_odd_correct, cancelled + done);
 }
 
 /* The state service refuses the leader alone, the others confirm cancellations, and then it is out
@@ -323,16 +324,16 @@
   submit_many(world, 6, WIRE_KIND_ARRAY, 4, 300);
   submit_many(world, 2, WIRE_KIND_SERVICE, 2, 0);
   world_run(world, 8);
-  leader = world_leader(world);
+  leader = world_node_leading_most_shards(world);
   refuse(world, leader, 14);
   world_run(world, 1.5);
   /* The first commands to these are lost. */
   with_tasks(world, 4, deafen, 4);
   cancel_all(world);
   world_run(world, 0.4);
-  world_store_outage(world, world->cancel_s + 12);
+  world_kv_outage(world, world->cancel_s + 12);
   world_run(world, 0.5);
-  met = world_cancelled_tasks(world);
+  met = world_count_cancelled_tasks(world);
   world_run(world, world->cancel_s + 20);
   return met;
 }
@@ -347,7 +348,7 @@
 
   submit_many(world, 8, WIRE_KIND_ARRAY, 3, 300);
   world_run(world, 8);
-  leader = world_leader(world);
+  leader = world_node_leading_most_shards(world);
   other = world->nodes[(leader + 1) % WORLD_NODES].node;
   key = g_strconcat(MM_KEY_LIVE_NODE, world->nodes[leader].settings->label.s, NULL);
   refuse(world, leader, 14);
@@ -355,14 +356,14 @@
     world_run(world, 0.01);
   with_tasks(world, 4, deafen, 3);
   cancel_all(world);
-  world->late_takings = TRUE;
+  world->delays_acquisitions = TRUE;
   world_run(world, 0.3);
-  world->late_takings = FALSE;
-  world_store_outage(world, world->cancel_s + 12);
+  world->delays_acquisitions = FALSE;
+  world_kv_outage(world, world->cancel_s + 12);
   world_run(world, 0.5);
   for (guint i = 0; i < world->jobs->len; i++) {
     g_autofree char *part = mm_shard_ownership_shard_of_team(&job_at(world, i)->spec.team);
-    met += job_at(world, i)->told == TOLD_CANCELLED
+    met += job_at(world, i)->user_view == USER_SEES_CANCELLED
            && mm_replica_shard(other->replica, part) == NULL;
   }
   world_run(world, world->cancel_s + 20);
@@ -399,14 +400,14 @@
 
   submit_many(world, 6, WIRE_KIND_ARRAY, 4, 300);
   world_run(world, 8);
-  leader = world_leader(world);
+  leader = world_node_leading_most_shards(world);
   world_cut_node(world, leader, world->cancel_s + 10, FALSE);
   world_run(world, 1);
   with_tasks(world, 4, deafen, 6);
   cancel_all(world);
   for (guint i = 0; i < 60; i++) {
     world_run(world, 0.1);
-    met = MAX(met, world_cancelled_tasks(world));
+    met = MAX(met, world_count_cancelled_tasks(world));
   }
   world_run(world, world->cancel_s + 10);
   return met;
@@ -429,8 +430,8 @@
   }
   world_run(world, 30);
   for (guint i = 0; i < world->jobs->len; i++)
-    waiting += job_at(world, i)->began_us == 0;
-  world_kill_node(world, world_leader(world), 0.5);
+    waiting += job_at(world, i)->first_start_us == 0;
+  world_kill_node(world, world_node_leading_most_shards(world), 0.5);
   world_run(world, 60);
   world->slow_links_s = 0;
   return waiting;
@@ -447,7 +448,7 @@
   before = newest_term(world);
   met += with_tasks(world, 2, cut, world->lease_s - 2);
   met += with_tasks(world, 4, deafen, 6);
-  world_kill_node(world, world_leader(world), 15);
+  world_kill_node(world, world_node_leading_most_shards(world), 15);
   world_run(world, 1);
   world_cancel(job_at(world, 0));
   world_run(world, 30);
@@ -464,16 +465,16 @@
   world_run(world, 6);
   before = newest_term(world);
   for (guint i = 0; i < 11; i++) {
-    world_kill_node(world, world_leader(world), i % 2 == 0 ? 0.3 : 3);
+    world_kill_node(world, world_node_leading_most_shards(world), i % 2 == 0 ? 0.3 : 3);
     if (i == 4)
-      world_store_outage(world, 8);
+      world_kv_outage(world, 8);
     /* So that machines are kept. */
     submit_many(world, 2, WIRE_KIND_ARRAY, 2, 5);
     world_run(world, 10.5);
   }
   after = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 2), 3);
   world_run(world, 25);
-  g_assert_cmpint(after->began_us, >, 0);
+  g_assert_cmpint(after->first_start_us, >, 0);
   return newest_term(world) >= before + 10;
 }
 
@@ -483,18 +484,18 @@
 slow_then_refused(World *world) {
   guint met;
 
-  world->slow_s = 0.8;
-  world->slow_until_us = world->now_us + 30 * SECOND;
+  world->kv_slow_s = 0.8;
+  world->kv_slow_until_us = world->now_us + 30 * SECOND;
   submit_many(world, 6, WIRE_KIND_ARRAY, 4, 200);
   world_run(world, 15);
   cancel_all(world);
-  refuse(world, world_leader(world), 10);
+  refuse(world, world_node_leading_most_shards(world), 10);
   world_run(world, 2);
-  world_odd_requests(world);
-  world_store_outage(world, world->cancel_s + 10);
+  world_send_odd_requests(world);
+  world_kv_outage(world, world->cancel_s + 10);
   world_run(world, 1);
-  met = told(world, TOLD_CANCELLED) + world_cancelled_tasks(world);
-  world_odd_requests(world);
+  met = told(world, USER_SEES_CANCELLED) + world_count_cancelled_tasks(world);
+  world_send_odd_requests(world);
   world_run(world, world->cancel_s + 20);
   return met;
 }
@@ -520,9 +521,9 @@
     world_submit(world, json_pack("{s:i}", WIRE_TASKS, 6), 25);
   world_run(world, 10);
   for (guint i = 0; i < 5; i++)
-    running += world_running(world, job_at(world, i), NULL);
+    running += world_count_running(world, job_at(world, i), NULL);
   with_tasks(world, 3, cut, world->lease_s + 4);
-  world_kill_node(world, world_leader(world), 5);
+  world_kill_node(world, world_node_leading_most_shards(world), 5);
   world_run(world, 0.5);
   world_cancel(job_at(world, 0));
   world_run(world, 40);
@@ -551,16 +552,16 @@
 
   submit_many(world, 6, WIRE_KIND_ARRAY, 4, 300);
   world_run(world, 8);
-  node = world_leader(world);
-  world->nodes[node].unread_until_us = world->now_us + 60 * SECOND;
+  node = world_node_leading_most_shards(world);
+  world->nodes[node].watches_lost_until_us = world->now_us + 60 * SECOND;
   world_refuse_links(world, 60);
   /* Else it would be told of by its own users. */
-  world->users_shun = node;
+  world->avoided_node = node;
   world_run(world, 0.5);
   cancel_all(world);
   world_run(world, 58);
-  world->users_shun = -1;
-  return told(world, TOLD_CANCELLED);
+  world->avoided_node = -1;
+  return told(world, USER_SEES_CANCELLED);
 }
 
 /* The node that rents and returns machines loses the workers, and some of them, which reach no node
@@ -572,16 +573,16 @@
 
   submit_many(world, 6, WIRE_KIND_SERVICE, 2, 0);
   world_run(world, 8);
-  while (!world->nodes[holder].node->fleet->is_active)
+  while (!world->nodes[holder].node->autoscaler->is_active)
     holder++;
   for (guint i = 0; i < 9; i++)
-    up += machine_at(world, i)->up;
+    up += machine_at(world, i)->is_up;
   world->nodes[holder].workers_cut_until_us = world->now_us + 20 * SECOND;
   world_run(world, 5);
   n = with_tasks(world, 1, silence, world->lease_s - 1.5);
   world_run(world, 15);
   for (guint i = 0; i < 9; i++)
-    left += machine_at(world, i)->up;
+    left += machine_at(world, i)->is_up;
   g_assert_cmpuint(left, ==, up);
   return n;
 }
@@ -627,18 +628,20 @@
 /* What is left gets done once the troubles are over, and users are served. */
 static void
 settle(World *world) {
-  world->calm_us = world->now_us + 30 * SECOND;
+  world->faults_ended_us = world->now_us + 30 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++)
-    if (job_at(world, i)->spec.kind == MM_JOB_KIND_SERVICE && !job_at(world, i)->asked_cancel)
+    if (job_at(world, i)->spec.kind == MM_JOB_KIND_SERVICE
+        && !job_at(world, i)->is_cancel_requested)
       world_cancel(job_at(world, i));
   world_run(world, 150);
   world_check_served(world);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   for (guint i = 0; i < world->jobs->len; i++)
-    if (job_at(world, i)->told < TOLD_CANCELLED)
+    if (job_at(world, i)->user_view < USER_SEES_CANCELLED)
       g_test_message("%s is not over: %u of %u done", job_at(world, i)->id,
                      job_at(world, i)->n_done, job_at(world, i)->spec.n_tasks);
-  g_assert_cmpuint(told(world, TOLD_DONE) + told(world, TOLD_CANCELLED), ==, world->jobs->len);
+  g_assert_cmpuint(told(world, USER_SEES_DONE) + told(world, USER_SEES_CANCELLED), ==,
+                   world->jobs->len);
 }
 
 static void
@@ -668,11 +671,11 @@
 
   for (guint32 seed = 1; seed <= 4 && !broken; seed++) {
     World *world = meeting_world(seed);
-    world->judge_alone = judge_alone;
-    world->never_stale = never_stale;
+    world->only_leader_knows_cancelled = judge_alone;
+    world->view_never_stale = never_stale;
     play(world);
-    for (guint i = 0; i < world->broken->len; i++)
-      broken = broken || g_str_has_prefix(g_ptr_array_index(world->broken, i), "ran_cancelled");
+    for (guint i = 0; i < world->violations->len; i++)
+      broken = broken || g_str_has_prefix(g_ptr_array_index(world->violations, i), "ran_cancelled");
     world_free(world);
   }
   return broken;
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -30,9 +30,9 @@
     MmNode *node = s.world->nodes[i].node;
     MmJob *known = mm_job_table_find(node->job_table, job->id);
     g_assert_nonnull(known);
-    if (mm_scheduler_shard_of_job(node->owner, known) == NULL)
+    if (mm_scheduler_shard_of_job(node->scheduler, known) == NULL)
       continue;
-    s.owner = node->owner;
+    s.owner = node->scheduler;
     s.job = known;
     s.machines[0] = mm_machine_table_find(node->machine_table, "m-000001");
     s.machines[1] = mm_machine_table_find(node->machine_table, "m-000002");
@@ -237,7 +237,7 @@
   g_assert_cmpuint(silent->tasks->len, ==, 0);
   silent->cut_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 7.5);
-  g_assert_true(silent->gone);
+  g_assert_true(silent->is_gone);
   world_free(world);
 }
 
@@ -336,7 +336,7 @@
   WorldJob *job;
 
   world->capacity = 0; /* nothing can be rented */
-  world_add_machine(world, "small", "a", FALSE, 0.1)->faulty = 0;
+  world_add_machine(world, "small", "a", FALSE, 0.1)->failure_rate = 0;
   world_start(world);
   world_run(world, 5);
   world_submit(world,
@@ -347,10 +347,10 @@
   job = world_submit(world,
                      json_pack("{s:i, s:s}", WIRE_TASKS, (int)tasks, WIRE_PRIORITY, priority), 30);
   world_run(world, wait_s);
-  g_assert_cmpuint(world_running(world, job, NULL), >, 0);
-  g_assert_cmpuint(world->stops, >, 0);
-  grace_s = world->stop_grace_s;
-  world_assert_rules(world);
+  g_assert_cmpuint(world_count_running(world, job, NULL), >, 0);
+  g_assert_cmpuint(world->n_stops, >, 0);
+  grace_s = world->last_stop_grace_s;
+  world_assert_invariants(world);
   world_free(world);
   return grace_s;
 }
@@ -378,7 +378,7 @@
   guint own = 0;
 
   for (guint i = 0; i < 2; i++)
-    world_add_machine(world, "big", "a", FALSE, 0.1)->faulty = 0;
+    world_add_machine(world, "big", "a", FALSE, 0.1)->failure_rate = 0;
   world_start(world);
   world_run(world, 5);
   for (guint team = 0; team < 4; team++) {
@@ -388,7 +388,7 @@
                                            WIRE_KIND_GANG, WIRE_TEAM, name, WIRE_CORES, 12.0),
                                  60);
     world_run(world, 8);
-    g_assert_cmpuint(world_running(world, job, NULL), ==, 2);
+    g_assert_cmpuint(world_count_running(world, job, NULL), ==, 2);
     for (guint i = 0; i < WORLD_NODES; i++) {
       const MmJob *known = mm_job_table_find(world->nodes[i].node->job_table, job->id);
       for (guint k = 0; known->tasks != NULL && k < 2; k++)
@@ -398,7 +398,7 @@
     world_run(world, 4);
   }
   g_assert_cmpuint(own, >, 0);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -421,7 +421,7 @@
   world->capacity = 0; /* nothing can be rented */
   world->team_cores = 1000;
   for (guint i = 0; i < 7; i++)
-    world_add_machine(world, "big", "a", FALSE, 0.1)->faulty = 0;
+    world_add_machine(world, "big", "a", FALSE, 0.1)->failure_rate = 0;
   world_start(world);
   world_run(world, 5);
   first = world_submit(world,
@@ -432,7 +432,7 @@
   g_assert_cmpuint(first->n_done, ==, 1);
   array = world_submit(world, json_pack("{s:i, s:s}", WIRE_TASKS, 60, WIRE_TEAM, "team-1"), 300);
   world_run(world, 12);
-  g_assert_cmpuint(world_running(world, array, NULL), >, 0);
+  g_assert_cmpuint(world_count_running(world, array, NULL), >, 0);
   g_assert_cmpuint(machines_in_use(world), <=, 3);
   gang = world_submit(world,
                       json_pack("{s:i, s:s, s:s, s:f, s:f}", WIRE_TASKS, 6, WIRE_KIND,
@@ -440,8 +440,8 @@
                                 WIRE_ACCELERATORS, 2.0),
                       30);
   world_run(world, 10);
-  g_assert_cmpuint(world_running(world, gang, NULL), ==, 6);
-  world_assert_rules(world);
+  g_assert_cmpuint(world_count_running(world, gang, NULL), ==, 6);
+  world_assert_invariants(world);
   world_free(world);
 }
 
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -19,7 +19,7 @@
                       : i % 3 == 1 ? "b"
                                    : "c",
                       FALSE, 0.1)
-        ->faulty
+        ->failure_rate
         = 0;
   world_start(world);
   world_run(world, 4);
@@ -40,26 +40,26 @@
 
 static WorldJob *
 next_job(World *world, guint team, guint tasks, double run_s, WorldJob *need) {
-  return world_submit_after(world, of_team(team, tasks), run_s, &need, 1);
+  return world_submit_dependent(world, of_team(team, tasks), run_s, &need, 1);
 }
 
 static void
 run_until_accepted(World *world, const WorldJob *job) {
-  for (guint i = 0; i < 600 && !job->ever_accepted; i++)
+  for (guint i = 0; i < 600 && !job->was_accepted; i++)
     world_run(world, 0.05);
-  g_assert_true(job->ever_accepted);
+  g_assert_true(job->was_accepted);
 }
 
 static void
-run_until_told(World *world, const WorldJob *job, WorldTold told, double most_s) {
-  for (double s = 0; s < most_s && job->told != told; s += 0.2)
+run_until_told(World *world, const WorldJob *job, WorldUserView told, double most_s) {
+  for (double s = 0; s < most_s && job->user_view != told; s += 0.2)
     world_run(world, 0.2);
-  g_assert_cmpint(job->told, ==, told);
+  g_assert_cmpint(job->user_view, ==, told);
 }
 
 static void
 finish_world(World *world) {
-  world_assert_rules(world);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -76,10 +76,10 @@
   arms[1] = next_job(world, 2, 2, 9, start);
   run_until_accepted(world, arms[0]);
   run_until_accepted(world, arms[1]);
-  end = world_submit_after(world, of_team(3, 2), 2, arms, 2);
-  run_until_told(world, end, TOLD_DONE, 60);
-  g_assert_cmpint(arms[0]->began_us, <, arms[0]->ready_us + 5 * SECOND);
-  g_assert_cmpint(end->began_us, <, end->ready_us + 5 * SECOND);
+  end = world_submit_dependent(world, of_team(3, 2), 2, arms, 2);
+  run_until_told(world, end, USER_SEES_DONE, 60);
+  g_assert_cmpint(arms[0]->first_start_us, <, arms[0]->ready_us + 5 * SECOND);
+  g_assert_cmpint(end->first_start_us, <, end->ready_us + 5 * SECOND);
   finish_world(world);
 }
 
@@ -116,8 +116,8 @@
     int status = -1;
     json_object_set_new(body, WIRE_JOB_ID, json_string("run-900001"));
     json_object_set_new(body, WIRE_NEEDS, cases[i].needs);
-    world_ask_node(world, i % WORLD_NODES, NULL, "POST", WIRE_JOBS_PATH, body, 4 * SECOND,
-                   world_note_status, &status);
+    world_send_request(world, i % WORLD_NODES, NULL, "POST", WIRE_JOBS_PATH, body, 4 * SECOND,
+                       world_record_status, &status);
     world_run(world, 3);
     g_assert_cmpint(status, ==, cases[i].status);
   }
@@ -134,26 +134,26 @@
   wide = next_job(world, 0, 12, 2, slow); /* the whole limit of the team */
   run_until_accepted(world, wide);
   other = first_job(world, 0, 10, 3);
-  run_until_told(world, other, TOLD_DONE, 25);
-  g_assert_cmpint(wide->told, ==, ACCEPTED);
-  g_assert_cmpuint(wide->starts, ==, 0);
+  run_until_told(world, other, USER_SEES_DONE, 25);
+  g_assert_cmpint(wide->user_view, ==, USER_SEES_ACCEPTED);
+  g_assert_cmpuint(wide->n_starts, ==, 0);
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmJob *job = mm_job_table_find(world->nodes[i].node->job_table, wide->id);
     g_assert_false(mm_job_dependencies_are_done(job));
     g_assert_false(job->is_within_quota);
     g_assert_false(job->is_starving);
   }
-  run_until_told(world, wide, TOLD_DONE, 60);
+  run_until_told(world, wide, USER_SEES_DONE, 60);
   finish_world(world);
 }
 
 static WorldJob *
 critical_after(World *world, WorldJob *need, double deadline_s) {
   WorldJob *job
-      = world_submit_after(world,
-                           json_pack("{s:s, s:s, s:f}", WIRE_TEAM, "team-2", WIRE_PRIORITY,
-                                     "critical", WIRE_DEADLINE, deadline_s),
-                           3, &need, 1);
+      = world_submit_dependent(world,
+                               json_pack("{s:s, s:s, s:f}", WIRE_TEAM, "team-2", WIRE_PRIORITY,
+                                         "critical", WIRE_DEADLINE, deadline_s),
+                               3, &need, 1);
 
   run_until_accepted(world, job);
   world_run(world, 2);
@@ -196,11 +196,11 @@
   hurried = critical_after(world, middle, 100);
   assert_priority(world, start, MM_PRIORITY_CRITICAL, MM_PRIORITY_CRITICAL);
   world_cancel(hurried);
-  run_until_told(world, hurried, TOLD_CANCELLED, 20);
+  run_until_told(world, hurried, USER_SEES_CANCELLED, 20);
   world_run(world, 4);
   assert_priority(world, start, MM_PRIORITY_CRITICAL, MM_PRIORITY_NORMAL);
   world_cancel(relaxed);
-  run_until_told(world, relaxed, TOLD_CANCELLED, 20);
+  run_until_told(world, relaxed, USER_SEES_CANCELLED, 20);
   world_run(world, 4);
   assert_priority(world, start, MM_PRIORITY_NORMAL, MM_PRIORITY_NORMAL);
   finish_world(world);
@@ -221,11 +221,11 @@
   world->value_bytes = 4096;
   world->txn_ops = 12;
   world_cancel(start);
-  run_until_told(world, start, TOLD_CANCELLED, 20);
+  run_until_told(world, start, USER_SEES_CANCELLED, 20);
   world_run(world, world->cancel_s);
   for (guint i = 0; i < G_N_ELEMENTS(after); i++) {
-    g_assert_cmpint(after[i]->told, ==, TOLD_CANCELLED);
-    g_assert_cmpuint(after[i]->starts, ==, 0);
+    g_assert_cmpint(after[i]->user_view, ==, USER_SEES_CANCELLED);
+    g_assert_cmpuint(after[i]->n_starts, ==, 0);
   }
   finish_world(world);
 }
@@ -253,7 +253,7 @@
     }
     g_assert_cmpuint(owner, <, WORLD_NODES);
     world_kill_node(world, owner, 5);
-    run_until_told(world, end, TOLD_DONE, 60);
+    run_until_told(world, end, USER_SEES_DONE, 60);
     finish_world(world);
   }
 }
@@ -270,14 +270,14 @@
   end = next_job(world, 2, 2, 3, middle);
   run_until_accepted(world, end);
   world_cancel(start);
-  run_until_told(world, start, TOLD_CANCELLED, 20);
-  world_store_outage(world, 12);
+  run_until_told(world, start, USER_SEES_CANCELLED, 20);
+  world_kv_outage(world, 12);
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 1);
   world_run(world, 14);
-  run_until_told(world, end, TOLD_CANCELLED, 15);
-  run_until_told(world, middle, TOLD_CANCELLED, 15);
-  g_assert_cmpuint(middle->starts + end->starts, ==, 0);
+  run_until_told(world, end, USER_SEES_CANCELLED, 15);
+  run_until_told(world, middle, USER_SEES_CANCELLED, 15);
+  g_assert_cmpuint(middle->n_starts + end->n_starts, ==, 0);
   finish_world(world);
 }
 
@@ -294,8 +294,8 @@
     world_run(world, seed * 0.004);
     end = next_job(world, 1, 2, 3, start);
     run_until_accepted(world, end);
-    run_until_told(world, end, TOLD_CANCELLED, 25);
-    g_assert_cmpuint(end->starts, ==, 0);
+    run_until_told(world, end, USER_SEES_CANCELLED, 25);
+    g_assert_cmpuint(end->n_starts, ==, 0);
     finish_world(world);
   }
 }
@@ -309,8 +309,8 @@
 
   run_until_accepted(world, gone);
   world_cancel(gone);
-  run_until_told(world, done, TOLD_DONE, 30);
-  run_until_told(world, gone, TOLD_CANCELLED, 30);
+  run_until_told(world, done, USER_SEES_DONE, 30);
+  run_until_told(world, gone, USER_SEES_CANCELLED, 30);
   world_run(world, 10);
   /* New processes have seen neither end. */
   for (guint i = 0; i < WORLD_NODES; i++)
@@ -320,9 +320,9 @@
   after_gone = next_job(world, 2, 1, 2, gone);
   /* Never called queued: the user was told of the cancellation long ago (day 124). */
   run_until_accepted(world, after_gone);
-  g_assert_cmpint(after_gone->told, ==, TOLD_CANCELLED);
-  run_until_told(world, after_done, TOLD_DONE, 30);
-  run_until_told(world, after_gone, TOLD_CANCELLED, 30);
+  g_assert_cmpint(after_gone->user_view, ==, USER_SEES_CANCELLED);
+  run_until_told(world, after_done, USER_SEES_DONE, 30);
+  run_until_told(world, after_gone, USER_SEES_CANCELLED, 30);
   finish_world(world);
 }
 
@@ -342,17 +342,17 @@
     after[1] = next_job(world, 3, 1, 2, gone);
     run_until_accepted(world, after[0]);
     run_until_accepted(world, after[1]);
-    world->nodes[1].unread_until_us = world->now_us + 30 * SECOND;
+    world->nodes[1].watches_lost_until_us = world->now_us + 30 * SECOND;
     world_cancel(gone);
     /* How soon hangs on which nodes its user happens to ask. */
-    run_until_told(world, done, TOLD_DONE, 25);
-    world->nodes[1].unread_until_us = world->now_us + 2 * SECOND;
+    run_until_told(world, done, USER_SEES_DONE, 25);
+    world->nodes[1].watches_lost_until_us = world->now_us + 2 * SECOND;
     g_assert_nonnull(mm_job_table_find(world->nodes[1].node->job_table, done->id));
     late[0] = next_job(world, 2, 1, 2, done);
     late[1] = next_job(world, 3, 1, 2, gone);
     for (guint i = 0; i < 2; i++) {
-      run_until_told(world, after[i], i == 0 ? TOLD_DONE : TOLD_CANCELLED, 60);
-      run_until_told(world, late[i], i == 0 ? TOLD_DONE : TOLD_CANCELLED, 60);
+      run_until_told(world, after[i], i == 0 ? USER_SEES_DONE : USER_SEES_CANCELLED, 60);
+      run_until_told(world, late[i], i == 0 ? USER_SEES_DONE : USER_SEES_CANCELLED, 60);
     }
     finish_world(world);
   }
@@ -367,18 +367,18 @@
     World *world = pipeline_world(seed);
     WorldJob *start, *end;
 
-    world->cancelled_at_end = 1;
+    world->cancel_at_end_rate = 1;
     start = first_job(world, 0, 1, 3);
     run_until_accepted(world, start);
     end = next_job(world, 1, 1, 2, start);
     run_until_accepted(world, end);
     world_run(world, 8);
-    world->cancelled_at_end = 0;
+    world->cancel_at_end_rate = 0;
     world_run(world, 25);
-    g_assert_cmpint(start->told, >=, TOLD_CANCELLED);
-    g_assert_cmpint(end->told, ==, start->told);
-    done += start->told == TOLD_DONE;
-    cancelled += start->told == TOLD_CANCELLED;
+    g_assert_cmpint(start->user_view, >=, USER_SEES_CANCELLED);
+    g_assert_cmpint(end->user_view, ==, start->user_view);
+    done += start->user_view == USER_SEES_DONE;
+    cancelled += start->user_view == USER_SEES_CANCELLED;
     finish_world(world);
   }
   g_test_message("%u done, %u cancelled", done, cancelled);
@@ -393,16 +393,16 @@
     WorldJob *start = first_job(world, 0, 4, 3), *gang, *end;
 
     run_until_accepted(world, start);
-    gang = world_submit_after(
+    gang = world_submit_dependent(
         world,
         json_pack("{s:s, s:i, s:s}", WIRE_KIND, WIRE_KIND_GANG, WIRE_TASKS, 3, WIRE_TEAM, "team-1"),
         8, &start, 1);
     run_until_accepted(world, gang);
     end = next_job(world, 2, 2, 2, gang);
     run_until_accepted(world, end);
-    for (guint i = 0; i < 200 && gang->began_us == 0; i++)
+    for (guint i = 0; i < 200 && gang->first_start_us == 0; i++)
       world_run(world, 0.2);
-    g_assert_cmpint(gang->began_us, !=, 0);
+    g_assert_cmpint(gang->first_start_us, !=, 0);
     for (guint i = 0; i < world->machines->len; i++) {
       WorldMachine *machine = g_ptr_array_index(world->machines, i);
       if (machine->tasks->len > 0
@@ -413,7 +413,7 @@
     }
     for (guint i = 0; i < WORLD_NODES; i++)
       world_kill_node(world, i, 0.3 + 0.3 * i);
-    run_until_told(world, end, TOLD_DONE, 120);
+    run_until_told(world, end, USER_SEES_DONE, 120);
     finish_world(world);
   }
 }
@@ -425,7 +425,7 @@
 any_need(World *world) {
   for (guint tries = 0; tries < 20; tries++) {
     WorldJob *job = world_any_job(world);
-    if (job->ever_accepted && job->spec.kind != MM_JOB_KIND_SERVICE)
+    if (job->was_accepted && job->spec.kind != MM_JOB_KIND_SERVICE)
       return job;
   }
   return NULL;
@@ -446,7 +446,7 @@
     if (need != NULL)
       needs[found++] = need;
   }
-  world_submit_after(world, body, world_uniform(world, 1, 10), needs, found);
+  world_submit_dependent(world, body, world_uniform(world, 1, 10), needs, found);
 }
 
 /* A job every other second, three of four with dependencies; some are called off. */
@@ -458,9 +458,9 @@
     if (second % 9 == 5)
       world_cancel(world_any_job(world));
     if (troubled && second > 8 && world_uniform(world, 0, 1) < 0.12)
-      world_random_trouble(world);
+      world_inject_random_fault(world);
     world_run(world, 1);
-    if (stop_when_broken && world->broken->len > 0)
+    if (stop_when_broken && world->violations->len > 0)
       return;
   }
 }
@@ -470,18 +470,18 @@
   World *world = pipeline_world(GPOINTER_TO_UINT(data));
   guint dependents = 0;
 
-  world->copies = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
+  world->duplicate_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
   play_day(world, TRUE, 100, FALSE);
-  world->calm_us = world->now_us + 45 * SECOND;
+  world->faults_ended_us = world->now_us + 45 * SECOND;
   world_run(world, 260);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    dependents += job->needs->len > 0;
+    dependents += job->dependencies->len > 0;
   }
   g_test_message("%u jobs, %u with dependencies", world->jobs->len, dependents);
   g_assert_cmpuint(dependents, >, 20);
-  world_assert_all_over(world);
+  world_assert_all_jobs_over(world);
   world_free(world);
 }
 
@@ -493,13 +493,13 @@
 
   for (guint32 seed = 1; seed <= 4 && !broken; seed++) {
     World *world = pipeline_world(seed);
-    world->ignore_needs = ignore_needs;
+    world->ignore_dependencies = ignore_needs;
     world->ignore_ancestors = ignore_ancestors;
     play_day(world, FALSE, 60, TRUE);
     if (ignore_ancestors)
       world_run(world, 60);
-    for (guint i = 0; i < world->broken->len; i++)
-      broken = broken || g_str_has_prefix(g_ptr_array_index(world->broken, i), rule);
+    for (guint i = 0; i < world->violations->len; i++)
+      broken = broken || g_str_has_prefix(g_ptr_array_index(world->violations, i), rule);
     world_free(world);
   }
   return broken;
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -30,15 +30,15 @@
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = world->nodes[i].node;
-    moved += node != NULL ? node->sharing->moved : 0;
-    given += node != NULL ? node->sharing->grants->given : 0;
-    refused += node != NULL ? node->sharing->grants->refused : 0;
+    moved += node != NULL ? node->sharing->n_moved : 0;
+    given += node != NULL ? node->sharing->grants->n_granted : 0;
+    refused += node != NULL ? node->sharing->grants->n_refused : 0;
   }
   g_test_message("%u moves begun, %u starts, %u without room, %" G_GUINT64_FORMAT
                  " writes; in these lives %" G_GUINT64_FORMAT " moves made, %" G_GUINT64_FORMAT
                  " grants, %" G_GUINT64_FORMAT " refused, %u times two owners",
-                 world->moves_begun, world->starts, world->no_room, world->writes, moved, given,
-                 refused, world->double_owners);
+                 world->n_moves_started, world->n_starts, world->n_no_resources, world->n_writes,
+                 moved, given, refused, world->n_double_owners);
 }
 
 static void
@@ -46,12 +46,12 @@
   guint seed = GPOINTER_TO_UINT(data);
   World *world = sharing_world(seed);
 
-  world->copies = seed % 3 == 0 ? 0 : 0.02;
-  world->stalls = seed % 2 == 0 ? 0 : 0.01;
-  world->cancelled_at_end = 0.1;
-  world->silent_ends = seed % 4 == 0;
-  world->late_writes = seed % 5 == 0 ? 0.1 : 0;
-  world->late_takings = seed % 7 == 3;
+  world->duplicate_rate = seed % 3 == 0 ? 0 : 0.02;
+  world->stall_rate = seed % 2 == 0 ? 0 : 0.01;
+  world->cancel_at_end_rate = 0.1;
+  world->ends_leave_half_open = seed % 4 == 0;
+  world->late_write_rate = seed % 5 == 0 ? 0.1 : 0;
+  world->delays_acquisitions = seed % 7 == 3;
   world_start(world);
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
@@ -60,15 +60,15 @@
     if (second % 13 == 7)
       world_cancel(world_any_job(world));
     if (second > 10 && world_uniform(world, 0, 1) < 0.15)
-      world_random_trouble(world);
+      world_inject_random_fault(world);
     world_random_move(world);
     mm_debug("second %u", second);
     world_run(world, 1);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
   message(world);
-  g_assert_cmpuint(world->moves_begun, >, 10);
-  g_assert_cmpuint(world->starts, >, 20);
+  g_assert_cmpuint(world->n_moves_started, >, 10);
+  g_assert_cmpuint(world->n_starts, >, 20);
   world_finish_day(world);
 }
 
@@ -111,7 +111,7 @@
   for (guint i = 0; i < seconds; i++) {
     submit_small(world);
     world_run(world, 1);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
 }
 
@@ -122,10 +122,10 @@
 
   for (guint i = 0; move.machine == NULL; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    if (machine->up)
+    if (machine->is_up)
       move.machine = machine;
   }
-  move.group = world_group_of(world, move.machine);
+  move.group = world_group_of_machine(world, move.machine);
   move.source = world_group_owner(world, 0, move.group);
   g_assert_cmpuint(move.source, <, WORLD_NODES);
   move.target = other_node(world, move.source);
@@ -179,17 +179,17 @@
 
 static void
 source_is_refused(Move *move) {
-  move->world->nodes[move->source].refused_until_us = move->world->now_us + 8 * SECOND;
+  move->world->nodes[move->source].kv_refuses_until_us = move->world->now_us + 8 * SECOND;
 }
 
 static void
 target_is_refused(Move *move) {
-  move->world->nodes[move->target].refused_until_us = move->world->now_us + 8 * SECOND;
+  move->world->nodes[move->target].kv_refuses_until_us = move->world->now_us + 8 * SECOND;
 }
 
 static void
 store_is_down(Move *move) {
-  world_store_outage(move->world, 8);
+  world_kv_outage(move->world, 8);
 }
 
 static void
@@ -199,21 +199,21 @@
 
 static void
 source_is_unread(Move *move) {
-  move->world->nodes[move->source].unread_until_us = move->world->now_us + 5 * SECOND;
+  move->world->nodes[move->source].watches_lost_until_us = move->world->now_us + 5 * SECOND;
 }
 
 /* Of the machine's next report a copy reaches the former owner well over a lease later. */
 static void
 report_comes_again(Move *move) {
-  move->machine->copy_at_us
+  move->machine->duplicate_at_us
       = move->world->now_us + (gint64)(1.5 * move->world->lease_s * (double)SECOND);
-  move->machine->copy_to = move->source;
+  move->machine->duplicate_to = move->source;
 }
 
 /* The owner of most teams' shards ends, and its groups and shards change hands at once. */
 static void
 shards_change_hands(Move *move) {
-  world_kill_node(move->world, world_leader(move->world), 3);
+  world_kill_node(move->world, world_node_leading_most_shards(move->world), 3);
 }
 
 static void
@@ -230,12 +230,12 @@
 /* The transactions of moves are carried out seconds after nobody waits for them any more. */
 static void
 writes_are_late(Move *move) {
-  move->world->late_takings = TRUE;
+  move->world->delays_acquisitions = TRUE;
 }
 
 static void
 writes_are_late_no_more(Move *move) {
-  move->world->late_takings = FALSE;
+  move->world->delays_acquisitions = FALSE;
 }
 
 static void
@@ -245,7 +245,7 @@
                                      path, WIRE_VALUE, "g", "nonsense");
   g_autoptr(json_t) answer = NULL;
 
-  g_assert_cmpint(world_store_handle(move->world, "POST", WIRE_TXN_PATH, body, &answer), ==, 200);
+  g_assert_cmpint(world_kv_handle(move->world, "POST", WIRE_TXN_PATH, body, &answer), ==, 200);
 }
 
 static const HardCase hard_cases[] = {
@@ -303,7 +303,7 @@
   if (hard->amid != NULL)
     hard->amid(&move);
   run_under_load(world, 25);
-  g_assert_cmpuint(world->moves_begun, >, 0);
+  g_assert_cmpuint(world->n_moves_started, >, 0);
   assert_groups_are_owned(world);
   given = world_group_owner(world, 0, move.group) == move.target;
   world_finish_day(world);
@@ -331,7 +331,7 @@
   guint n = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++)
-    n += world->nodes[i].node != NULL && world->nodes[i].node->sharing->active;
+    n += world->nodes[i].node != NULL && world->nodes[i].node->sharing->is_active;
   return n;
 }
 
@@ -368,7 +368,7 @@
   run_under_load(world, 8);
   g_assert_cmpuint(n_active(world), ==, 0);
   g_assert_cmpuint(n_group_keys(world), ==, 0);
-  g_assert_cmpuint(world->starts, >, 20);
+  g_assert_cmpuint(world->n_starts, >, 20);
   /* To the byte what a node without sharing always wrote. */
   key = g_tree_lookup(world->keys, "mm/r/v/n-2");
   g_assert_cmpuint(json_object_size(key->value), ==, 1);
@@ -395,8 +395,8 @@
   world_run(world, 6);
   g_assert_cmpuint(world->nodes[1].node->sharing->conflicting_groups, ==, GROUPS);
   g_assert_cmpuint(world->nodes[0].node->sharing->conflicting_groups, ==, 0);
-  g_assert_true(world->nodes[0].node->sharing->active);
-  g_assert_cmpuint(mm_group_map_other_count(world->nodes[0].node->sharing->map), ==, 0);
+  g_assert_true(world->nodes[0].node->sharing->is_active);
+  g_assert_cmpuint(mm_group_map_conflicting_count(world->nodes[0].node->sharing->map), ==, 0);
   restart_with_groups(world, 1, GROUPS);
   world_finish_day(world);
 }
@@ -406,7 +406,7 @@
 test_falling_limits(void) {
   World *world = sharing_world(33);
 
-  world->announce_next = TRUE;
+  world->announces_next_limits = TRUE;
   world_start(world);
   world_run(world, 4);
   for (guint i = 0; i < 40; i++) {
@@ -415,9 +415,9 @@
     world_random_move(world);
     submit_small(world);
     world_run(world, 0.5);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
-  g_assert_cmpuint(world->moves_begun, >, 10);
+  g_assert_cmpuint(world->n_moves_started, >, 10);
   world_finish_day(world);
 }
 
@@ -442,29 +442,29 @@
   WorldJob *gang, *late;
 
   for (guint i = 0; i < world->machines->len; i++)
-    ((WorldMachine *)g_ptr_array_index(world->machines, i))->faulty = 0;
+    ((WorldMachine *)g_ptr_array_index(world->machines, i))->failure_rate = 0;
   world_start(world);
   world_run(world, 5);
   gang = submit_gang(world, 15);
   world_run(world, 10);
-  g_assert_cmpuint(world_running(world, gang, NULL), ==, 4);
+  g_assert_cmpuint(world_count_running(world, gang, NULL), ==, 4);
   for (guint i = 0; i < 40; i++) {
     move_all_groups(world, i);
     world_run(world, 0.5);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
   world_run(world, 5);
-  g_assert_cmpuint(world->stops, ==, 0);
-  g_assert_cmpuint(gang->starts, ==, 4);
-  g_assert_cmpint(gang->told, ==, TOLD_DONE);
-  g_assert_cmpuint(world->moves_begun, >, 100);
+  g_assert_cmpuint(world->n_stops, ==, 0);
+  g_assert_cmpuint(gang->n_starts, ==, 4);
+  g_assert_cmpint(gang->user_view, ==, USER_SEES_DONE);
+  g_assert_cmpuint(world->n_moves_started, >, 100);
   /* One that starts meanwhile may need more than one try for its places, and runs all the same. */
   late = submit_gang(world, 5);
   for (guint i = 0; i < 40; i++) {
     move_all_groups(world, i);
     world_run(world, 2);
   }
-  g_assert_cmpint(late->told, ==, TOLD_DONE);
+  g_assert_cmpint(late->user_view, ==, USER_SEES_DONE);
   world_finish_day(world);
 }
 
@@ -485,11 +485,11 @@
     world->nodes[i].operators.n_group_weights = 0;
   run_under_load(world, 40);
   g_assert_cmpuint(world->nodes[1].node->sharing->n_owned, >=, GROUPS / WORLD_NODES - 2);
-  moved = world->nodes[0].node->sharing->moved + world->nodes[2].node->sharing->moved;
+  moved = world->nodes[0].node->sharing->n_moved + world->nodes[2].node->sharing->n_moved;
   g_assert_cmpuint(moved, <=, GROUPS / WORLD_NODES + 1);
   run_under_load(world, 30);
-  g_assert_cmpuint(world->nodes[0].node->sharing->moved + world->nodes[2].node->sharing->moved, ==,
-                   moved);
+  g_assert_cmpuint(world->nodes[0].node->sharing->n_moved + world->nodes[2].node->sharing->n_moved,
+                   ==, moved);
   world_finish_day(world);
 }
 
@@ -501,8 +501,8 @@
 copy_reports(World *world, gint64 later_us) {
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    machine->copy_at_us = machine->next_report_us + later_us;
-    machine->copy_to = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
+    machine->duplicate_at_us = machine->next_heartbeat_us + later_us;
+    machine->duplicate_to = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
   }
 }
 
@@ -519,7 +519,7 @@
   world->ignore_group_acknowledgements = fault == IGNORES_ACKNOWLEDGEMENTS;
   world_start(world);
   world_run(world, 3);
-  for (guint second = 0; second < 60 && world->broken->len == 0; second++) {
+  for (guint second = 0; second < 60 && world->violations->len == 0; second++) {
     submit_small(world);
     submit_small(world);
     if (second % 4 == 0)
@@ -531,9 +531,9 @@
     copy_reports(world, restarts ? COPY_LATE_US : COPY_SOON_US);
     world_run(world, 1);
   }
-  broken = world->broken->len > 0;
+  broken = world->violations->len > 0;
   if (broken)
-    g_test_message("seed %u: %s", seed, (char *)g_ptr_array_index(world->broken, 0));
+    g_test_message("seed %u: %s", seed, (char *)g_ptr_array_index(world->violations, 0));
   world_free(world);
   return broken;
 }
--- a/tests/test-sharing.c
+++ b/tests/test-sharing.c
@@ -98,10 +98,10 @@
 
   g_assert_true(mm_group_map_put(map, "n-0", a, (MmKeyVersion){ 11 }));
   /* A key that divides the fleet otherwise owns nothing, and is told of. */
-  g_assert_cmpuint(mm_group_map_other_count(map), ==, 0);
+  g_assert_cmpuint(mm_group_map_conflicting_count(map), ==, 0);
   g_assert_true(mm_group_map_put(map, "n-0", other, (MmKeyVersion){ 15 }));
   g_assert_null(owner_of(map, 0));
-  g_assert_cmpuint(mm_group_map_other_count(map), ==, 128);
+  g_assert_cmpuint(mm_group_map_conflicting_count(map), ==, 128);
   mm_group_map_free(map);
 }
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -15,10 +15,10 @@
 old_world(guint32 seed, guint machines) {
   World *world = world_new(seed);
 
-  world->announce_next = TRUE;
+  world->announces_next_limits = TRUE;
   world->team_cores = 4 * MAX(machines, 6);
   for (guint i = 0; i < WORLD_NODES; i++)
-    world->nodes[i].old = TRUE;
+    world->nodes[i].is_old_version = TRUE;
   for (guint i = 0; i < machines; i++)
     world_add_machine(world, "small", i % 3 == 0 ? "a" : i % 3 == 1 ? "b" : "c", FALSE, 0.1);
   world_start(world);
@@ -44,25 +44,25 @@
   WorldJob *first = world_submit(world, json_object(), 2), *after;
 
   world_run(world, 6);
-  g_assert_cmpint(first->told, >=, ACCEPTED);
-  after = world_submit_after(world, json_object(), 2, &first, 1);
+  g_assert_cmpint(first->user_view, >=, USER_SEES_ACCEPTED);
+  after = world_submit_dependent(world, json_object(), 2, &first, 1);
   for (guint i = 0; i < WORLD_NODES; i++) {
     world_run(world, 3);
-    g_assert_false(after->ever_accepted);
+    g_assert_false(after->was_accepted);
     g_assert_cmpuint(nodes_knowing_all_new(world), ==, 0);
     world_upgrade_node(world, i, 0.5);
   }
   world_run(world, 12); /* a request to a node that has just ended waits for five */
   g_assert_cmpuint(nodes_knowing_all_new(world), ==, WORLD_NODES);
-  g_assert_true(after->ever_accepted);
+  g_assert_true(after->was_accepted);
   /* What was said stays said while a node is away. */
   world_kill_node(world, 2, 60);
   world_run(world, 6);
   g_assert_cmpuint(nodes_knowing_all_new(world), ==, WORLD_NODES - 1);
-  after = world_submit_after(world, json_object(), 2, &first, 1);
+  after = world_submit_dependent(world, json_object(), 2, &first, 1);
   world_run(world, 30);
-  g_assert_cmpint(after->told, ==, TOLD_DONE);
-  world_assert_rules(world);
+  g_assert_cmpint(after->user_view, ==, USER_SEES_DONE);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -115,13 +115,13 @@
   for (guint i = 0; i < world->machines->len; i += 4)
     world_kill_machine(world, g_ptr_array_index(world->machines, i));
   world_run(world, 60);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   g_assert_cmpuint(largest_pack(world), <=, WORLD_NEXT_VALUE_BYTES);
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     const MmMachine *seen = mm_machine_table_find(world->nodes[0].node->machine_table, machine->id);
     gboolean known = seen != NULL && seen->is_in_registry;
-    if (machine->up)
+    if (machine->is_up)
       registered += known;
     else
       g_assert_false(known);
@@ -137,8 +137,8 @@
       = json_pack("{s:s, s:i}", WIRE_TEAM, team, WIRE_TASKS, g_rand_int_range(world->rand, 1, 9));
   WorldJob *need = pipelines ? world_any_job(world) : NULL;
 
-  if (need != NULL && need->ever_accepted && need->spec.kind != MM_JOB_KIND_SERVICE)
-    world_submit_after(world, body, world_uniform(world, 1, 8), &need, 1);
+  if (need != NULL && need->was_accepted && need->spec.kind != MM_JOB_KIND_SERVICE)
+    world_submit_dependent(world, body, world_uniform(world, 1, 8), &need, 1);
   else
     world_submit(world, body, world_uniform(world, 1, 8));
 }
@@ -150,7 +150,7 @@
   World *world = world_new(3);
   guint refused;
 
-  world->unannounced = TRUE;
+  world->has_unannounced_limits = TRUE;
   world->team_cores = 4 * 120;
   for (guint i = 0; i < 120; i++)
     world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
@@ -170,15 +170,16 @@
     submit_something(world, FALSE);
     world_run(world, 1);
   }
-  refused = world->refused;
+  refused = world->n_too_large;
   g_assert_cmpuint(refused, >, 0);
   world_run(world, 60);
-  world_assert_rules(world);
-  g_test_message("%u transactions refused, %u of them in the last minute", world->refused,
-                 world->refused - refused);
-  g_assert_cmpuint(world->refused - refused, <=, 6);
+  world_assert_invariants(world);
+  g_test_message("%u transactions refused, %u of them in the last minute", world->n_too_large,
+                 world->n_too_large - refused);
+  g_assert_cmpuint(world->n_too_large - refused, <=, 6);
   for (guint i = 0; i < world->jobs->len; i++)
-    g_assert_cmpint(((const WorldJob *)g_ptr_array_index(world->jobs, i))->told, ==, TOLD_DONE);
+    g_assert_cmpint(((const WorldJob *)g_ptr_array_index(world->jobs, i))->user_view, ==,
+                    USER_SEES_DONE);
   world_free(world);
 }
 
@@ -205,15 +206,15 @@
     if (second == fall)
       world_lower_limits(world);
     if (second > 5 && world_uniform(world, 0, 1) < 0.12)
-      world_random_trouble(world);
+      world_inject_random_fault(world);
     world_run(world, 1);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
-  world->calm_us = world->now_us + 45 * SECOND;
+  world->faults_ended_us = world->now_us + 45 * SECOND;
   world_run(world, 240);
-  world_assert_rules(world);
-  g_test_message("%u requests over the rate", world->limited);
-  world_assert_all_over(world);
+  world_assert_invariants(world);
+  g_test_message("%u requests over the rate", world->n_rate_limited);
+  world_assert_all_jobs_over(world);
   world_free(world);
 }
 
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -9,7 +9,7 @@
   for (guint tries = 0; tries < 50; tries++) {
     WorldMachine *machine = g_ptr_array_index(
         world->machines, (guint)g_rand_int_range(world->rand, 0, (gint32)world->machines->len));
-    if (machine->up)
+    if (machine->is_up)
       return machine;
   }
   return NULL;
@@ -47,12 +47,12 @@
 
 static void
 store_is_down(Victims *v) {
-  world_store_outage(v->world, world_uniform(v->world, 1, 15));
+  world_kv_outage(v->world, world_uniform(v->world, 1, 15));
 }
 
 static void
 node_is_refused(Victims *v) {
-  v->world->nodes[v->node].refused_until_us = later(v->world, 1, 12);
+  v->world->nodes[v->node].kv_refuses_until_us = later(v->world, 1, 12);
 }
 
 static void
@@ -77,7 +77,7 @@
 
 static void
 machine_is_deaf(Victims *v) {
-  v->machine->deaf_until_us = later(v->world, 2, 40);
+  v->machine->inbound_lost_until_us = later(v->world, 2, 40);
 }
 
 static void
@@ -109,27 +109,27 @@
 machine_is_to_be_taken(Victims *v) {
   WorldMachine *machine = v->machine;
 
-  if (!machine->spot || machine->warned_us != 0)
+  if (!machine->spot || machine->notice_us != 0)
     return;
-  machine->warned_us = v->world->now_us;
-  machine->taken_us = v->world->now_us + 5 * SECOND;
-  machine->changed = TRUE;
+  machine->notice_us = v->world->now_us;
+  machine->reclaimed_at_us = v->world->now_us + 5 * SECOND;
+  machine->has_changed = TRUE;
 }
 
 static void
 machine_is_mute(Victims *v) {
-  v->machine->mute_until_us = later(v->world, 2, 30);
+  v->machine->outbound_lost_until_us = later(v->world, 2, 30);
 }
 
 static void
 store_is_slow(Victims *v) {
-  v->world->slow_s = world_uniform(v->world, 0.1, 1.2);
-  v->world->slow_until_us = v->world->now_us + 15 * SECOND;
+  v->world->kv_slow_s = world_uniform(v->world, 0.1, 1.2);
+  v->world->kv_slow_until_us = v->world->now_us + 15 * SECOND;
 }
 
 static void
 odd_requests(Victims *v) {
-  world_odd_requests(v->world);
+  world_send_odd_requests(v->world);
 }
 
 /* One is refused alone, then all are. */
@@ -137,9 +137,9 @@
 refused_then_down(Victims *v) {
   World *world = v->world;
 
-  world->nodes[v->node].refused_until_us = world->now_us + 14 * SECOND;
+  world->nodes[v->node].kv_refuses_until_us = world->now_us + 14 * SECOND;
   world_run(world, world_uniform(world, 0.5, 4));
-  world_store_outage(world, world_uniform(world, 5, world->cancel_s + 5));
+  world_kv_outage(world, world_uniform(world, 5, world->cancel_s + 5));
 }
 
 static void
@@ -155,7 +155,7 @@
 
 static void
 writes_get_late(Victims *v) {
-  v->world->late_writes = v->world->late_writes > 0 ? 0 : 0.2;
+  v->world->late_write_rate = v->world->late_write_rate > 0 ? 0 : 0.2;
 }
 
 typedef struct {
@@ -212,11 +212,11 @@
   guint started_half;
 
   /* On two days of three, late copies of requests come as well. */
-  world->copies = GPOINTER_TO_UINT(data) % 3 == 0 ? 0 : 0.02;
-  world->stalls = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.01;
-  world->cancelled_at_end = rough ? 0.2 : 0;
+  world->duplicate_rate = GPOINTER_TO_UINT(data) % 3 == 0 ? 0 : 0.02;
+  world->stall_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.01;
+  world->cancel_at_end_rate = rough ? 0.2 : 0;
   /* Nodes' machines may go away without a word to their peers. */
-  world->silent_ends = rough && GPOINTER_TO_UINT(data) % 2 == 0;
+  world->ends_leave_half_open = rough && GPOINTER_TO_UINT(data) % 2 == 0;
   for (guint i = 0; i < 9; i++)
     world_add_machine(world, i % 4 == 3 ? "big" : "small",
                       i % 3 == 0   ? "a"
@@ -235,23 +235,23 @@
       some_trouble(world, rough);
     mm_debug("second %u", second);
     world_run(world, 1);
-    world_assert_rules(world);
+    world_assert_invariants(world);
   }
-  started_half = world->starts;
-  world->late_writes = 0;
+  started_half = world->n_starts;
+  world->late_write_rate = 0;
   /* Troubles over: what is left gets done. */
-  world->calm_us = world->now_us + 45 * (gint64)G_USEC_PER_SEC;
+  world->faults_ended_us = world->now_us + 45 * (gint64)G_USEC_PER_SEC;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->asked_cancel)
+    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->is_cancel_requested)
       world_cancel(job);
   }
   world_run(world, 240);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   g_assert_cmpuint(started_half, >, 20);
   g_test_message("%u jobs, %u starts, %" G_GUINT64_FORMAT " writes", world->jobs->len,
-                 world->starts, world->writes);
-  world_assert_all_over(world);
+                 world->n_starts, world->n_writes);
+  world_assert_all_jobs_over(world);
   world_free(world);
 }
 
@@ -264,7 +264,7 @@
 
   /* None is faulty: how often tasks fail is not what is asked here. */
   for (guint i = 0; i < 3; i++)
-    world_add_machine(world, "small", "a", FALSE, 0.1)->faulty = 0;
+    world_add_machine(world, "small", "a", FALSE, 0.1)->failure_rate = 0;
   world_start(world);
   world_run(world, 10);
   world->cloud_down_until_us = world->now_us + 600 * (gint64)G_USEC_PER_SEC;
@@ -273,8 +273,8 @@
   world_run(world, 3);
   job = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 4), 2);
   world_run(world, 25);
-  world_assert_rules(world);
-  g_assert_cmpint(job->told, ==, TOLD_DONE);
+  world_assert_invariants(world);
+  g_assert_cmpint(job->user_view, ==, USER_SEES_DONE);
   world_free(world);
 }
 
@@ -291,14 +291,15 @@
   world_run(world, 3);
   world_submit(world, json_pack("{s:i, s:s}", WIRE_TASKS, 6, WIRE_KIND, WIRE_KIND_SERVICE), 0);
   world_run(world, 10);
-  world->nodes[0].refused_until_us = world->nodes[1].refused_until_us = world->now_us + 30 * second;
+  world->nodes[0].kv_refuses_until_us = world->nodes[1].kv_refuses_until_us
+      = world->now_us + 30 * second;
   world_run(world, 8);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   g_assert_false(mm_node_lease_may_answer_workers(world->nodes[0].node->node_lease));
   g_assert_false(mm_node_lease_may_answer_workers(world->nodes[1].node->node_lease));
   g_assert_true(mm_node_lease_may_answer_workers(world->nodes[2].node->node_lease));
   world_run(world, 40);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   g_assert_true(mm_node_lease_may_answer_workers(world->nodes[0].node->node_lease));
   world_free(world);
 }
@@ -322,14 +323,14 @@
     world_run(world, 0.02);
     for (guint i = 0; i < G_N_ELEMENTS(tokens); i++) {
       const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-      changes += machine->token > tokens[i] && step > 0;
-      tokens[i] = machine->token;
+      changes += machine->fencing_token > tokens[i] && step > 0;
+      tokens[i] = machine->fencing_token;
     }
   }
-  world_assert_rules(world);
+  world_assert_invariants(world);
   g_test_message("%u changes of term on %u machines", changes, (guint)G_N_ELEMENTS(tokens));
   for (guint i = 0; i < G_N_ELEMENTS(tokens); i++)
-    if (((WorldMachine *)g_ptr_array_index(world->machines, i))->up)
+    if (((WorldMachine *)g_ptr_array_index(world->machines, i))->is_up)
       g_assert_cmpuint(tokens[i], ==, world->nodes[0].node->replica->term.v);
   g_assert_cmpuint(changes, <=, G_N_ELEMENTS(tokens) + 2);
   world_free(world);
@@ -354,18 +355,18 @@
   world_cut_node(world, 1, 20, FALSE);
   world_run(world, 4);
   g_assert_false(mm_node_lease_may_answer_workers(world->nodes[1].node->node_lease));
-  world_ask_node(world, 1, NULL, "POST", WIRE_JOBS_PATH, body, 100000, world_note_status,
-                 &submitted);
-  world_ask_node(world, 1, NULL, "GET", WIRE_JOBS_PATH "/run-000001", NULL, 100000,
-                 world_note_status, &polled);
-  world_ask_node(world, 1, NULL, "GET", "/healthz", NULL, 100000, world_note_status, &health);
+  world_send_request(world, 1, NULL, "POST", WIRE_JOBS_PATH, body, 100000, world_record_status,
+                     &submitted);
+  world_send_request(world, 1, NULL, "GET", WIRE_JOBS_PATH "/run-000001", NULL, 100000,
+                     world_record_status, &polled);
+  world_send_request(world, 1, NULL, "GET", "/healthz", NULL, 100000, world_record_status, &health);
   world_run(world, 0.2);
   g_assert_cmpint(submitted, ==, 503);
   g_assert_cmpint(polled, ==, 503);
   g_assert_cmpint(health, ==, 503);
   world_run(world, 25);
   g_assert_true(mm_node_lease_may_answer_workers(world->nodes[1].node->node_lease));
-  world_assert_rules(world);
+  world_assert_invariants(world);
   world_free(world);
 }
 
@@ -374,9 +375,9 @@
 status_late(World *world, gint64 lag_ms, const char *method, const char *path, json_t *body) {
   int status = -1;
 
-  world_ask_node(world, 0, NULL, method, path, body, 4000000, world_note_status, &status);
+  world_send_request(world, 0, NULL, method, path, body, 4000000, world_record_status, &status);
   /* It comes within 6 ms, and a tick on time would halve the lag. */
-  world->nodes[0].node->lag_ms = MAX(world->nodes[0].node->lag_ms, lag_ms);
+  world->nodes[0].node->tick_delay_ms = MAX(world->nodes[0].node->tick_delay_ms, lag_ms);
   world_run(world, 2);
   return status;
 }
@@ -410,14 +411,14 @@
     world_add_machine(world, "small", "a", FALSE, 0.1);
   world_start(world);
   world_run(world, 10);
-  world_store_outage(world, 25);
+  world_kv_outage(world, 25);
   for (guint i = 0; i < 24; i++) {
     world_run(world, 1);
     for (guint n = 0; n < WORLD_NODES; n++)
       g_assert_true(mm_node_lease_may_answer_workers(world->nodes[n].node->node_lease));
   }
   world_run(world, 10);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   world_free(world);
 }
 
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -51,17 +51,17 @@
 size_t real_pack(const Mm__Frame *frame, uint8_t *out) __asm__("__real_mm__frame__pack");
 size_t digest_pack(const Mm__Frame *frame, uint8_t *out) __asm__("__wrap_mm__frame__pack");
 int real_store(World *world, const char *method, const char *path, const json_t *body,
-               json_t **answer) __asm__("__real_world_store_handle");
+               json_t **answer) __asm__("__real_world_kv_handle");
 int digest_store(World *world, const char *method, const char *path, const json_t *body,
-                 json_t **answer) __asm__("__wrap_world_store_handle");
+                 json_t **answer) __asm__("__wrap_world_kv_handle");
 int real_cloud(World *world, const char *method, const char *path, const json_t *body,
                json_t **answer) __asm__("__real_world_cloud_handle");
 int digest_cloud(World *world, const char *method, const char *path, const json_t *body,
                  json_t **answer) __asm__("__wrap_world_cloud_handle");
 int real_direct(WorldMachine *machine, const json_t *body,
-                json_t **answer) __asm__("__real_world_machine_direct");
+                json_t **answer) __asm__("__real_world_machine_handle_direct");
 int digest_direct(WorldMachine *machine, const json_t *body,
-                  json_t **answer) __asm__("__wrap_world_machine_direct");
+                  json_t **answer) __asm__("__wrap_world_machine_handle_direct");
 
 size_t
 digest_pack(const Mm__Frame *frame, uint8_t *out) {
@@ -134,12 +134,12 @@
     world->groups = GROUPS;
     world->group_hold_s = 2;
   }
-  world->copies = 0.02;
-  world->stalls = seed % 3 == 0 ? 0.01 : 0;
-  world->cancelled_at_end = 0.1;
-  world->silent_ends = seed % 4 == 0;
-  world->late_writes = seed % 5 == 0 ? 0.1 : 0;
-  world->record = add_task_event;
+  world->duplicate_rate = 0.02;
+  world->stall_rate = seed % 3 == 0 ? 0.01 : 0;
+  world->cancel_at_end_rate = 0.1;
+  world->ends_leave_half_open = seed % 4 == 0;
+  world->late_write_rate = seed % 5 == 0 ? 0.1 : 0;
+  world->observe_task = add_task_event;
   world_add_nine_machines(world);
   return world;
 }
@@ -154,7 +154,7 @@
     if (second % 13 == 7)
       world_cancel(world_any_job(world));
     if (second > 10 && world_uniform(world, 0, 1) < 0.15)
-      world_random_trouble(world);
+      world_inject_random_fault(world);
     if (world->groups > 0)
       world_random_move(world);
     world_run(world, 1);
@@ -167,7 +167,7 @@
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
     add_text(job->id);
-    add_number(job->told);
+    add_number(job->user_view);
     add_number(job->n_done);
   }
 }
@@ -180,12 +180,12 @@
   day_is_over = FALSE;
   world = new_world(seed);
   play_day(world);
-  world_assert_rules(world);
+  world_assert_invariants(world);
   add_end(world);
   day_is_over = TRUE;
   printf("seed %u: %s starts=%u writes=%" G_GUINT64_FORMAT " frames=%" G_GUINT64_FORMAT
          " events=%" G_GUINT64_FORMAT "\n",
-         seed, g_checksum_get_string(digest), world->starts, world->writes, world->frames,
+         seed, g_checksum_get_string(digest), world->n_starts, world->n_writes, world->n_frames,
          world->n_events);
   world_free(world);
   g_checksum_free(digest);
--- a/tests/world/broken.c
+++ b/tests/world/broken.c
@@ -21,7 +21,7 @@
 
 /* A node that is broken on purpose: it takes late copies of reports for newer ones. */
 static void
-forget_stamps(MmMachineTable *machine_table) {
+forget_heartbeat_ids(MmMachineTable *machine_table) {
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machine_table->sorted_machines, i);
     machine->latest_message_id.sequence = machine->latest_heartbeat_id.sequence = 0;
@@ -31,14 +31,14 @@
 /* Another: it answers every machine on, and waits for the acknowledgement of each that reports,
  * whatever else its reports prove. */
 static void
-forget_deafness(const MmNode *node) {
+ignore_unacknowledging(const MmNode *node) {
   GHashTableIter iter;
   gpointer value;
 
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     machine->unacknowledged_responses = 0;
-    g_hash_table_iter_init(&iter, node->owner->led_shards);
+    g_hash_table_iter_init(&iter, node->scheduler->led_shards);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
       MmLedShard *led_shard = value;
       if (!machine->has_reported || machine->lease_has_expired
@@ -62,7 +62,7 @@
 
 /* Dependencies that are not done yet are taken for done. */
 static void
-forget_needs(const MmNode *node) {
+forget_dependencies(const MmNode *node) {
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     if (job->vertex != NULL)
@@ -89,15 +89,15 @@
 
 /* And one that goes on as if its claim could not end either. */
 static void
-forget_claim_ends(const MmNode *node, MmTime now) {
+extend_lease_forever(const MmNode *node, MmTime now) {
   node->node_lease->valid_until = mm_time_add_ms(now, 60000);
   forget_staleness(node, now);
 }
 
 /* An owner of machine groups that takes every machine for heard, or forgets what it has granted. */
 static void
-break_sharing(const World *world, MmSharing *sharing) {
-  for (guint group = 0; group < sharing->groups && world->ignore_group_acknowledgements; group++)
+make_sharing_faulty(const World *world, MmSharing *sharing) {
+  for (guint group = 0; group < sharing->n_groups && world->ignore_group_acknowledgements; group++)
     if (sharing->owned[group] != NULL)
       g_hash_table_remove_all(sharing->owned[group]->unacknowledged);
   if (world->forget_grants)
@@ -105,22 +105,22 @@
 }
 
 void
-world_break_node(const World *world, MmNode *node, MmTime now) {
-  break_sharing(world, node->sharing);
+world_make_node_faulty(const World *world, MmNode *node, MmTime now) {
+  make_sharing_faulty(world, node->sharing);
   if (world->ignore_acknowledgements)
-    forget_unacknowledged(node->owner);
-  if (world->believe_copies)
-    forget_stamps(node->machine_table);
-  if (world->answer_deaf)
-    forget_deafness(node);
-  if (world->claim_for_ever && node->node_lease->lease_id != 0)
-    forget_claim_ends(node, now);
-  if (world->never_stale)
+    forget_unacknowledged(node->scheduler);
+  if (world->accept_duplicates)
+    forget_heartbeat_ids(node->machine_table);
+  if (world->respond_to_unacknowledging)
+    ignore_unacknowledging(node);
+  if (world->lease_never_expires && node->node_lease->lease_id != 0)
+    extend_lease_forever(node, now);
+  if (world->view_never_stale)
     forget_staleness(node, now);
-  if (world->ignore_needs)
-    forget_needs(node);
+  if (world->ignore_dependencies)
+    forget_dependencies(node);
   if (world->ignore_ancestors)
     forget_ancestors(node);
-  if (world->judge_alone)
+  if (world->only_leader_knows_cancelled)
     forget_cancelled(node->job_table);
 }
--- a/tests/world/calls.c
+++ b/tests/world/calls.c
@@ -7,28 +7,28 @@
 typedef struct {
   World *world;
   guint node;
-  guint life;
-  MmAnswered answered;
+  guint generation;
+  MmResponseCallback callback;
   gpointer data;
   int status;
-  json_t *body;
-  gboolean over;
-  gboolean late; /* a transaction that its sender has no answer to */
-  gboolean held; /* a command that was held up on its way */
+  json_t *response_body;
+  gboolean is_over;
+  gboolean is_late;     /* a transaction that its sender has no answer to */
+  gboolean was_delayed; /* a command that was held up on its way */
   /* the request */
   MmTarget target;
   char *address;
   char *method;
   char *path;
-  json_t *request;
-} Call;
+  json_t *request_body;
+} NodeRequest;
 
 static void
-call_clear(gpointer data) {
-  Call *request = data;
+node_request_clear(gpointer data) {
+  NodeRequest *request = data;
 
-  json_decref(request->body);
-  json_decref(request->request);
+  json_decref(request->response_body);
+  json_decref(request->request_body);
   g_free(request->address);
   g_free(request->method);
   g_free(request->path);
@@ -36,113 +36,117 @@
 
 /* Every event that is to come holds on to the call. */
 static void
-call_at(Call *request, gint64 us, WorldCall callback) {
-  world_at(request->world, us, callback, g_rc_box_acquire(request));
+node_request_schedule(NodeRequest *request, gint64 us, WorldCallback callback) {
+  world_schedule(request->world, us, callback, g_rc_box_acquire(request));
 }
 
 static void
-call_release(Call *request) {
-  g_rc_box_release_full(request, call_clear);
+node_request_release(NodeRequest *request) {
+  g_rc_box_release_full(request, node_request_clear);
 }
 
 /* The one answer; what comes later is dropped. */
 static void
-call_answer(gpointer data) {
-  Call *request = data;
+node_request_respond(gpointer data) {
+  NodeRequest *request = data;
 
-  if (world_node_stands_still(&request->world->nodes[request->node], request->life, call_answer,
-                              request))
+  if (world_defer_while_frozen(&request->world->nodes[request->node], request->generation,
+                               node_request_respond, request))
     return;
-  if (!request->over) {
-    request->over = TRUE;
-    request->answered(request->data, request->status, request->body);
+  if (!request->is_over) {
+    request->is_over = TRUE;
+    request->callback(request->data, request->status, request->response_body);
   }
-  call_release(request);
+  node_request_release(request);
 }
 
 static void
-call_timeout(gpointer data) {
-  Call *request = data;
+node_request_time_out(gpointer data) {
+  NodeRequest *request = data;
 
-  if (world_node_stands_still(&request->world->nodes[request->node], request->life, call_timeout,
-                              request))
+  if (world_defer_while_frozen(&request->world->nodes[request->node], request->generation,
+                               node_request_time_out, request))
     return;
-  if (!request->over) {
-    request->over = TRUE;
-    request->answered(request->data, 0, NULL);
+  if (!request->is_over) {
+    request->is_over = TRUE;
+    request->callback(request->data, 0, NULL);
   }
-  call_release(request);
+  node_request_release(request);
 }
 
-static void call_arrives(gpointer data);
+static void node_request_arrive(gpointer data);
 
 static gboolean
-alive(const Call *request) {
+is_sender_alive(const NodeRequest *request) {
   return request->world->nodes[request->node].node != NULL
-         && request->world->nodes[request->node].life == request->life;
+         && request->world->nodes[request->node].generation == request->generation;
 }
 
 static void
-watch_answered(gpointer data, int status, json_t *body) {
-  Call *request = data;
-
-  if (!request->over && request->world->now_us >= request->world->nodes[request->node].cut_until_us
-      && request->world->now_us >= request->world->nodes[request->node].unread_until_us) {
-    request->status = alive(request) ? status : 0;
-    request->body = json_incref(body);
-    call_at(request, request->world->now_us + world_delay(request->world), call_answer);
+on_watch_response(gpointer data, int status, json_t *body) {
+  NodeRequest *request = data;
+
+  if (!request->is_over
+      && request->world->now_us >= request->world->nodes[request->node].cut_until_us
+      && request->world->now_us >= request->world->nodes[request->node].watches_lost_until_us) {
+    request->status = is_sender_alive(request) ? status : 0;
+    request->response_body = json_incref(body);
+    node_request_schedule(request, request->world->now_us + world_network_delay(request->world),
+                          node_request_respond);
   }
-  call_release(request);
+  node_request_release(request);
 }
 
 /* Carries the request out at its target; FALSE when no answer follows from here. */
 static gboolean
-carry_out(Call *request) {
+node_request_execute(NodeRequest *request) {
   World *world = request->world;
   WorldNode *world_node = &world->nodes[request->node];
   gboolean is_refused
-      = world->now_us < world->outage_until_us || world->now_us < world_node->refused_until_us;
+      = world->now_us < world->outage_until_us || world->now_us < world_node->kv_refuses_until_us;
   gboolean is_watch
-      = request->target == MM_TARGET_STORE && g_str_has_prefix(request->path, WIRE_WATCH_PATH);
+      = request->target == MM_TARGET_KV_STORE && g_str_has_prefix(request->path, WIRE_WATCH_PATH);
   WorldMachine *machine;
   gint64 held_until;
 
   switch (request->target) {
-  case MM_TARGET_STORE:
+  case MM_TARGET_KV_STORE:
     if (is_watch && !is_refused)
-      world_store_add_watch(world, request->node, request->path, watch_answered,
-                            g_rc_box_acquire(request));
+      world_kv_add_watch(world, request->node, request->path, on_watch_response,
+                         g_rc_box_acquire(request));
     else if (is_refused)
       request->status = 503;
     else
-      request->status = world_store_handle(world, request->method, request->path, request->request,
-                                           &request->body);
+      request->status = world_kv_handle(world, request->method, request->path,
+                                        request->request_body, &request->response_body);
     return !is_watch;
   case MM_TARGET_CLOUD:
-    request->status = world_cloud_handle(world, request->method, request->path, request->request,
-                                         &request->body);
+    request->status = world_cloud_handle(world, request->method, request->path,
+                                         request->request_body, &request->response_body);
     return TRUE;
   case MM_TARGET_WORKER:
   default:
-    machine = world_find_machine(world, request->address);
+    machine = world_find_machine_by_address(world, request->address);
     if (machine == NULL)
       return FALSE;
-    if (world->now_us < machine->deaf_until_us || world_is_apart(world, request->node, machine))
+    if (world->now_us < machine->inbound_lost_until_us
+        || world_is_partitioned(world, request->node, machine))
       return FALSE;
     held_until = MAX(machine->cut_until_us, machine->hung_until_us);
     if (world->now_us < held_until) {
       /* Held back, and executed when it arrives at last, whether or not anybody still waits. */
-      request->held = TRUE;
-      call_at(request, held_until + world_delay(world), call_arrives);
+      request->was_delayed = TRUE;
+      node_request_schedule(request, held_until + world_network_delay(world), node_request_arrive);
       return FALSE;
     }
-    world->held += request->held;
-    machine->heard_mute += world->now_us < machine->mute_until_us;
+    world->n_delayed_commands += request->was_delayed;
+    machine->n_direct_while_mute += world->now_us < machine->outbound_lost_until_us;
     if (strcmp(request->path, WIRE_STATUS_PATH) == 0) {
       request->status = 200;
-      request->body = world_machine_report(machine);
+      request->response_body = world_machine_heartbeat(machine);
     } else {
-      request->status = world_machine_direct(machine, request->request, &request->body);
+      request->status
+          = world_machine_handle_direct(machine, request->request_body, &request->response_body);
     }
     return TRUE;
   }
@@ -151,38 +155,39 @@
 /* Requests of a node that is cut off are lost, or held until the cut is over and carried out then,
  * whether or not anybody still waits. */
 static gboolean
-stopped_by_cut(Call *request) {
+is_stopped_by_cut(NodeRequest *request) {
   WorldNode *world_node = &request->world->nodes[request->node];
 
   if (request->target == MM_TARGET_WORKER || request->world->now_us >= world_node->cut_until_us)
     return FALSE;
-  if (world_node->cut_holds && request->target == MM_TARGET_STORE)
-    call_at(request, world_node->cut_until_us + world_delay(request->world), call_arrives);
+  if (world_node->cut_delays_messages && request->target == MM_TARGET_KV_STORE)
+    node_request_schedule(request, world_node->cut_until_us + world_network_delay(request->world),
+                          node_request_arrive);
   return TRUE;
 }
 
 static void
-call_arrives(gpointer data) {
-  Call *request = data;
-
-  if (!stopped_by_cut(request) && carry_out(request)) {
-    gint64 at = request->world->now_us + world_delay(request->world);
-    if (request->late) {
-      request->world->late_taken += request->status == 200;
-      request->world->late_void += request->status == 409 || request->status == 400;
+node_request_arrive(gpointer data) {
+  NodeRequest *request = data;
+
+  if (!is_stopped_by_cut(request) && node_request_execute(request)) {
+    gint64 at = request->world->now_us + world_network_delay(request->world);
+    if (request->is_late) {
+      request->world->n_late_applied += request->status == 200;
+      request->world->n_late_rejected += request->status == 409 || request->status == 400;
     }
-    if (!alive(request))
+    if (!is_sender_alive(request))
       request->status = 0;
-    if (request->target == MM_TARGET_STORE
-        && request->world->now_us < request->world->slow_until_us)
-      at += (gint64)(world_uniform(request->world, 0, request->world->slow_s) * G_USEC_PER_SEC);
-    call_at(request, at, call_answer);
+    if (request->target == MM_TARGET_KV_STORE
+        && request->world->now_us < request->world->kv_slow_until_us)
+      at += (gint64)(world_uniform(request->world, 0, request->world->kv_slow_s) * G_USEC_PER_SEC);
+    node_request_schedule(request, at, node_request_respond);
   }
-  call_release(request);
+  node_request_release(request);
 }
 
 static gboolean
-is_to_be_late(World *world, const char *path, const json_t *body) {
+is_delayed(World *world, const char *path, const json_t *body) {
   const json_t *changes = mm_json_get(body, WIRE_THEN);
   size_t i;
   json_t *item;
@@ -191,65 +196,68 @@
     return FALSE;
   json_array_foreach(changes, i, item) {
     const char *key = mm_json_string(item, WIRE_PUT);
-    if (world->late_takings && key != NULL
+    if (world->delays_acquisitions && key != NULL
         && (g_str_has_prefix(key, MM_KEY_SHARD) || g_str_has_prefix(key, MM_KEY_MACHINE_GROUPS)))
       return TRUE;
   }
-  return world->late_writes > 0 && world_uniform(world, 0, 1) < world->late_writes;
+  return world->late_write_rate > 0 && world_uniform(world, 0, 1) < world->late_write_rate;
 }
 
 void
-world_port_request(gpointer data, MmTarget target, const char *address, const char *method,
-                   const char *path, const json_t *body, guint timeout_ms, MmAnswered callback,
-                   gpointer callback_data) {
+world_platform_request(gpointer data, MmTarget target, const char *address, const char *method,
+                       const char *path, const json_t *body, guint timeout_ms,
+                       MmResponseCallback callback, gpointer callback_data) {
   WorldNode *world_node = data;
   World *world = world_node->world;
-  Call *request = g_rc_box_new0(Call);
+  NodeRequest *request = g_rc_box_new0(NodeRequest);
 
-  if (target == MM_TARGET_STORE && strcmp(path, WIRE_TXN_PATH) == 0)
+  if (target == MM_TARGET_KV_STORE && strcmp(path, WIRE_TXN_PATH) == 0)
     world_check_write(world, world_node->index);
-  world->directs += target == MM_TARGET_WORKER && strcmp(method, "POST") == 0;
+  world->n_direct_commands += target == MM_TARGET_WORKER && strcmp(method, "POST") == 0;
 
   request->world = world;
   request->node = world_node->index;
-  request->life = world_node->life;
-  request->answered = callback;
+  request->generation = world_node->generation;
+  request->callback = callback;
   request->data = callback_data;
   request->target = target;
   request->address = g_strdup(address);
   request->method = g_strdup(method);
   request->path = g_strdup(path);
-  request->request = json_deep_copy(body);
-  if (world_node->old && target == MM_TARGET_STORE)
-    world_as_old_version(world, world_node->index, request->request);
+  request->request_body = json_deep_copy(body);
+  if (world_node->is_old_version && target == MM_TARGET_KV_STORE)
+    world_downgrade_request(world, world_node->index, request->request_body);
   /* Now and then a request is lost, or so late that its sender has given up. */
-  if (world_node->node != NULL || target == MM_TARGET_STORE) {
-    gint64 delay = world_delay(world);
+  if (world_node->node != NULL || target == MM_TARGET_KV_STORE) {
+    gint64 delay = world_network_delay(world);
     if (world_uniform(world, 0, 1) < 0.002)
       delay += (gint64)timeout_ms * 1000 / 2 + 500000;
-    if (is_to_be_late(world, path, body)) {
-      request->late = TRUE;
-      call_at(request, world->now_us + (gint64)(world_uniform(world, 2, 12) * G_USEC_PER_SEC),
-              call_arrives);
+    if (is_delayed(world, path, body)) {
+      request->is_late = TRUE;
+      node_request_schedule(request,
+                            world->now_us + (gint64)(world_uniform(world, 2, 12) * G_USEC_PER_SEC),
+                            node_request_arrive);
     } else if (world_uniform(world, 0, 1) >= 0.001
                && world->now_us + delay < world->now_us + (gint64)timeout_ms * 1000)
-      call_at(request, world->now_us + delay, call_arrives);
+      node_request_schedule(request, world->now_us + delay, node_request_arrive);
   }
   /* A late copy of what changes something; nobody waits for its answer. */
-  if (strcmp(method, "GET") != 0 && world_uniform(world, 0, 1) < world->copies) {
-    Call *duplicate = g_rc_box_new0(Call);
+  if (strcmp(method, "GET") != 0 && world_uniform(world, 0, 1) < world->duplicate_rate) {
+    NodeRequest *duplicate = g_rc_box_new0(NodeRequest);
     duplicate->world = world;
     duplicate->node = world_node->index;
-    duplicate->life = world_node->life;
-    duplicate->over = TRUE;
+    duplicate->generation = world_node->generation;
+    duplicate->is_over = TRUE;
     duplicate->target = target;
     duplicate->address = g_strdup(address);
     duplicate->method = g_strdup(method);
     duplicate->path = g_strdup(path);
-    duplicate->request = json_deep_copy(request->request);
-    call_at(duplicate, world->now_us + world_lateness(world), call_arrives);
-    call_release(duplicate);
+    duplicate->request_body = json_deep_copy(request->request_body);
+    node_request_schedule(duplicate, world->now_us + world_duplicate_delay(world),
+                          node_request_arrive);
+    node_request_release(duplicate);
   }
-  call_at(request, world->now_us + (gint64)timeout_ms * 1000 + 1000, call_timeout);
-  call_release(request);
+  node_request_schedule(request, world->now_us + (gint64)timeout_ms * 1000 + 1000,
+                        node_request_time_out);
+  node_request_release(request);
 }
--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -6,7 +6,7 @@
 static const struct {
   const char *name;
   double cores, accelerators, memory_gb, boot_s;
-} types[] = { { "small", 4, 0, 16, 6 }, { "big", 16, 2, 64, 8 } };
+} machine_types[] = { { "small", 4, 0, 16, 6 }, { "big", 16, 2, 64, 8 } };
 
 static const char *const zones[] = { "a", "b", "c" };
 
@@ -22,57 +22,58 @@
   g_strlcpy(machine->zone, zone, sizeof machine->zone);
   machine->spot = spot;
   machine->tasks = g_ptr_array_new();
-  machine->rented_us = world->now_us;
-  machine->faulty = world_uniform(world, 0, 1) < 0.05 ? 0.6 : 0.005;
-  machine->boots_us = world->now_us + (gint64)(boot_s * G_USEC_PER_SEC);
+  machine->launched_us = world->now_us;
+  machine->failure_rate = world_uniform(world, 0, 1) < 0.05 ? 0.6 : 0.005;
+  machine->boots_at_us = world->now_us + (gint64)(boot_s * G_USEC_PER_SEC);
   g_ptr_array_add(world->machines, machine);
   /* A few never come up. */
   if (world_uniform(world, 0, 1) > 0.03)
-    world_at(world, machine->boots_us, world_machine_up, machine);
+    world_schedule(world, machine->boots_at_us, world_machine_boot, machine);
   return machine;
 }
 
 static void
-back_up(gpointer data) {
+on_restart_due(gpointer data) {
   WorldMachine *machine = data;
 
-  if (!machine->failed && !machine->gone && !machine->up)
-    world_machine_up(machine);
+  if (!machine->has_failed && !machine->is_gone && !machine->is_up)
+    world_machine_boot(machine);
 }
 
 void
 world_restart_machine(World *world, WorldMachine *machine, double down_s) {
-  world_machine_wipe(machine);
-  machine->up = FALSE;
-  machine->in_flight = FALSE;
-  machine->flight++;
-  world_at(world, world->now_us + (gint64)(down_s * G_USEC_PER_SEC), back_up, machine);
+  world_machine_clear_tasks(machine);
+  machine->is_up = FALSE;
+  machine->is_heartbeat_in_flight = FALSE;
+  machine->heartbeat_number++;
+  world_schedule(world, world->now_us + (gint64)(down_s * G_USEC_PER_SEC), on_restart_due, machine);
 }
 
 void
 world_kill_machine(World *world, WorldMachine *machine) {
-  world_machine_wipe(machine);
-  machine->up = FALSE;
-  machine->failed = TRUE;
+  world_machine_clear_tasks(machine);
+  machine->is_up = FALSE;
+  machine->has_failed = TRUE;
 }
 
 static json_t *
 type_list(void) {
   json_t *list = json_array();
 
-  for (guint i = 0; i < G_N_ELEMENTS(types); i++)
+  for (guint i = 0; i < G_N_ELEMENTS(machine_types); i++)
     json_array_append_new(
-        list, json_pack("{s:s, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:[s,s,s]}", WIRE_TYPE_NAME,
-                        types[i].name, WIRE_CORES, types[i].cores, WIRE_ACCELERATORS,
-                        types[i].accelerators, WIRE_MEMORY, types[i].memory_gb, WIRE_CACHE_GB, 10.0,
-                        WIRE_FETCH_RATE, 1.0, WIRE_PRICE, types[i].cores * 0.05, WIRE_SPOT_PRICE,
-                        types[i].cores * 0.02, WIRE_BOOT, types[i].boot_s, WIRE_ZONES, zones[0],
-                        zones[1], zones[2]));
+        list,
+        json_pack("{s:s, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:f, s:[s,s,s]}", WIRE_TYPE_NAME,
+                  machine_types[i].name, WIRE_CORES, machine_types[i].cores, WIRE_ACCELERATORS,
+                  machine_types[i].accelerators, WIRE_MEMORY, machine_types[i].memory_gb,
+                  WIRE_CACHE_GB, 10.0, WIRE_FETCH_RATE, 1.0, WIRE_PRICE,
+                  machine_types[i].cores * 0.05, WIRE_SPOT_PRICE, machine_types[i].cores * 0.02,
+                  WIRE_BOOT, machine_types[i].boot_s, WIRE_ZONES, zones[0], zones[1], zones[2]));
   return json_pack("{s:o}", WIRE_TYPES, list);
 }
 
 static int
-rent(World *world, const json_t *body, json_t **response) {
+launch_machines(World *world, const json_t *body, json_t **response) {
   const char *launch_id = mm_json_string(body, WIRE_REQUEST),
              *type = mm_json_string(body, WIRE_TYPE);
   const char *zone = mm_json_string(body, WIRE_ZONE);
@@ -82,16 +83,16 @@
   double boot_s = 0;
 
   g_assert_true(launch_id != NULL && type != NULL && zone != NULL && count >= 1 && count <= 50);
-  if (g_hash_table_contains(world->hires, launch_id)) {
-    *response = json_incref(g_hash_table_lookup(world->hires, launch_id));
+  if (g_hash_table_contains(world->launches, launch_id)) {
+    *response = json_incref(g_hash_table_lookup(world->launches, launch_id));
     return 200;
   }
-  for (guint i = 0; i < G_N_ELEMENTS(types); i++)
-    if (strcmp(types[i].name, type) == 0)
-      boot_s = types[i].boot_s;
+  for (guint i = 0; i < G_N_ELEMENTS(machine_types); i++)
+    if (strcmp(machine_types[i].name, type) == 0)
+      boot_s = machine_types[i].boot_s;
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    n_existing += !machine->gone && strcmp(machine->type, type) == 0
+    n_existing += !machine->is_gone && strcmp(machine->type, type) == 0
                   && strcmp(machine->zone, zone) == 0 && machine->spot == spot;
   }
   if (n_existing >= world->capacity) {
@@ -105,12 +106,12 @@
                                                         boot_s * world_uniform(world, 0.6, 1.5))
                                           ->id));
   *response = json_pack("{s:o}", WIRE_MACHINES, names);
-  g_hash_table_insert(world->hires, g_strdup(launch_id), json_incref(*response));
+  g_hash_table_insert(world->launches, g_strdup(launch_id), json_incref(*response));
   return 200;
 }
 
 static int
-release(World *world, const json_t *body, json_t **response) {
+release_machines(World *world, const json_t *body, json_t **response) {
   size_t i;
   json_t *name;
 
@@ -119,7 +120,7 @@
       WorldMachine *machine = g_ptr_array_index(world->machines, k);
       if (strcmp(machine->id, json_string_value(name)) == 0) {
         world_kill_machine(world, machine);
-        machine->gone = TRUE;
+        machine->is_gone = TRUE;
       }
     }
   }
@@ -133,17 +134,17 @@
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    double age_s = (double)(world->now_us - machine->rented_us) / G_USEC_PER_SEC;
+    double age_s = (double)(world->now_us - machine->launched_us) / G_USEC_PER_SEC;
     /* The list lags. */
-    if (machine->gone || age_s < 2)
+    if (machine->is_gone || age_s < 2)
       continue;
     json_array_append_new(list,
                           json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", WIRE_JOB_ID, machine->id,
                                     WIRE_ADDR, machine->addr, WIRE_TYPE, machine->type, WIRE_ZONE,
                                     machine->zone, WIRE_SPOT, machine->spot, WIRE_STATE,
-                                    machine->failed ? WIRE_FAILED
-                                    : machine->up   ? WIRE_RUNNING
-                                                    : WIRE_BOOTING,
+                                    machine->has_failed ? WIRE_FAILED
+                                    : machine->is_up    ? WIRE_RUNNING
+                                                        : WIRE_BOOTING,
                                     WIRE_AGE, age_s));
   }
   return json_pack("{s:o, s:b}", WIRE_MACHINES, list, WIRE_MORE, FALSE);
@@ -161,9 +162,9 @@
     return 200;
   }
   if (strcmp(path, WIRE_RELEASE_PATH) == 0)
-    return release(world, body, response);
+    return release_machines(world, body, response);
   if (strcmp(method, "POST") == 0)
-    return rent(world, body, response);
+    return launch_machines(world, body, response);
   *response = machine_list(world);
   return 200;
 }
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -18,7 +18,7 @@
   g_autoptr(json_t) body = json_pack("{s:[], s:[o]}", WIRE_IF, WIRE_THEN, change);
   g_autoptr(json_t) answer = NULL;
 
-  g_assert_cmpint(world_store_handle(world, "POST", WIRE_TXN_PATH, body, &answer), ==, 200);
+  g_assert_cmpint(world_kv_handle(world, "POST", WIRE_TXN_PATH, body, &answer), ==, 200);
   world->format = value == NULL
                       ? MM_FORMAT_LOWEST
                       : (json_is_integer(number) ? (guint64)json_integer_value(number) : 0);
@@ -35,14 +35,14 @@
   /* A node that is kept from reading can't know; what it writes meanwhile the guards decide on. */
   if ((world->format >= MM_FORMAT_LOWEST && world->format <= highest)
       || world->now_us < world->format_set_us + SEEN_US || world->format_set_us == 0
-      || world->now_us < world_node->unread_until_us + SEEN_US
+      || world->now_us < world_node->watches_lost_until_us + SEEN_US
       || world->now_us < world_node->cut_until_us + SEEN_US
-      || world->now_us < world_node->refused_until_us + SEEN_US
+      || world->now_us < world_node->kv_refuses_until_us + SEEN_US
       || world->now_us < world_node->frozen_until_us + SEEN_US
       || world->now_us < world->outage_until_us + SEEN_US
-      || world->now_us < world->slow_until_us + SEEN_US)
+      || world->now_us < world->kv_slow_until_us + SEEN_US)
     return;
-  world_break((World *)world,
-              "format: node %u writes though the active format is %" G_GUINT64_FORMAT, node,
-              world->format);
+  world_report_violation((World *)world,
+                         "format: node %u writes though the active format is %" G_GUINT64_FORMAT,
+                         node, world->format);
 }
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -4,8 +4,8 @@
 #include "base/wire.h"
 
 WorldJob *
-world_submit_after(World *world, json_t *overrides, double run_s, WorldJob *const *needs,
-                   guint n_dependencies) {
+world_submit_dependent(World *world, json_t *overrides, double run_s, WorldJob *const *needs,
+                       guint n_dependencies) {
   json_t *list = json_array();
   WorldJob *job;
 
@@ -14,14 +14,14 @@
   json_object_set_new(overrides, WIRE_NEEDS, list);
   job = world_submit(world, overrides, run_s);
   for (guint i = 0; i < n_dependencies; i++)
-    g_ptr_array_add(job->needs, needs[i]);
+    g_ptr_array_add(job->dependencies, needs[i]);
   return job;
 }
 
 gboolean
 world_job_is_ready(const WorldJob *job) {
-  for (guint i = 0; i < job->needs->len; i++) {
-    const WorldJob *dependency = g_ptr_array_index(job->needs, i);
+  for (guint i = 0; i < job->dependencies->len; i++) {
+    const WorldJob *dependency = g_ptr_array_index(job->dependencies, i);
     if (dependency->n_done < dependency->spec.n_tasks)
       return FALSE;
   }
@@ -30,15 +30,15 @@
 
 /* The job and all that it depends on, directly or not. */
 static GPtrArray *
-with_ancestors(const WorldJob *job) {
+list_with_ancestors(const WorldJob *job) {
   GPtrArray *all = g_ptr_array_new();
 
   g_ptr_array_add(all, (gpointer)job);
   for (guint next = 0; next < all->len; next++) {
     const WorldJob *current = g_ptr_array_index(all, next);
-    for (guint i = 0; i < current->needs->len; i++)
-      if (!g_ptr_array_find(all, g_ptr_array_index(current->needs, i), NULL))
-        g_ptr_array_add(all, g_ptr_array_index(current->needs, i));
+    for (guint i = 0; i < current->dependencies->len; i++)
+      if (!g_ptr_array_find(all, g_ptr_array_index(current->dependencies, i), NULL))
+        g_ptr_array_add(all, g_ptr_array_index(current->dependencies, i));
   }
   return all;
 }
@@ -47,33 +47,34 @@
 world_job_may_be_cancelled(const WorldJob *job) {
   g_autoptr(GPtrArray) all = NULL;
 
-  if (job->asked_cancel || job->needs->len == 0)
-    return job->asked_cancel;
-  all = with_ancestors(job);
+  if (job->is_cancel_requested || job->dependencies->len == 0)
+    return job->is_cancel_requested;
+  all = list_with_ancestors(job);
   for (guint i = 0; i < all->len; i++)
-    if (((const WorldJob *)g_ptr_array_index(all, i))->asked_cancel)
+    if (((const WorldJob *)g_ptr_array_index(all, i))->is_cancel_requested)
       return TRUE;
   return FALSE;
 }
 
 gint64
-world_job_orphaned_us(const WorldJob *job) {
-  g_autoptr(GPtrArray) all = with_ancestors(job);
+world_job_ancestor_cancelled_us(const WorldJob *job) {
+  g_autoptr(GPtrArray) all = list_with_ancestors(job);
   gint64 first_us = 0;
 
   for (guint i = 1; i < all->len; i++) {
     const WorldJob *ancestor = g_ptr_array_index(all, i);
-    if (ancestor->told == TOLD_CANCELLED && (first_us == 0 || ancestor->told_us < first_us))
-      first_us = ancestor->told_us;
+    if (ancestor->user_view == USER_SEES_CANCELLED
+        && (first_us == 0 || ancestor->cancel_seen_us < first_us))
+      first_us = ancestor->cancel_seen_us;
   }
   return first_us != 0 ? MAX(first_us, job->submitted_us) : 0;
 }
 
 void
-world_watch_ready(World *world) {
+world_note_ready_jobs(World *world) {
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
     if (job->ready_us == 0 && world_job_is_ready(job))
-      job->ready_us = job->needs->len == 0 ? job->submitted_us : world->now_us;
+      job->ready_us = job->dependencies->len == 0 ? job->submitted_us : world->now_us;
   }
 }
--- a/tests/world/rules.c
+++ b/tests/world/rules.c
@@ -2,7 +2,7 @@
 #include "world/world.h"
 
 static gboolean
-same_task(const WorldTask *a, const WorldTask *b) {
+is_same_task(const WorldTask *a, const WorldTask *b) {
   return a->job == b->job && a->number == b->number;
 }
 
@@ -12,38 +12,40 @@
   MmName type = mm_name(machine->type);
   guint n_in_zone = 1;
 
-  if (task->job->began_us == 0)
-    task->job->began_us = world->now_us;
+  if (task->job->first_start_us == 0)
+    task->job->first_start_us = world->now_us;
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *other = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < other->tasks->len; k++) {
       const WorldTask *other_task = g_ptr_array_index(other->tasks, k);
-      if (other_task == task || !world_task_is_on(other_task))
+      if (other_task == task || !world_task_is_on_machine(other_task))
         continue;
-      if (same_task(other_task, task))
-        world_break(world, "ran_twice: %s/%u starts on %s while on %s", task->job->id, task->number,
-                    machine->id, other->id);
+      if (is_same_task(other_task, task))
+        world_report_violation(world, "ran_twice: %s/%u starts on %s while on %s", task->job->id,
+                               task->number, machine->id, other->id);
       if (other_task->job != task->job)
         continue;
       /* NOLINTNEXTLINE(clang-analyzer-core.NonNullParamChecker): both are machines of the world */
       n_in_zone += strcmp(other->zone, machine->zone) == 0;
       if (spec->requires_one_zone && strcmp(other->zone, machine->zone) != 0)
-        world_break(world, "wrong_place: %s in two zones", task->job->id);
+        world_report_violation(world, "wrong_place: %s in two zones", task->job->id);
     }
   }
   if (!world_job_is_ready(task->job))
-    world_break(world, "too_early: %s/%u starts before all that its job depends on is done",
-                task->job->id, task->number);
+    world_report_violation(world,
+                           "too_early: %s/%u starts before all that its job depends on is done",
+                           task->job->id, task->number);
   if (spec->spreads_over_zones && n_in_zone > mm_job_spec_max_tasks_per_zone(spec))
-    world_break(world, "wrong_place: %u tasks of %s in zone %s", n_in_zone, task->job->id,
-                machine->zone);
+    world_report_violation(world, "wrong_place: %u tasks of %s in zone %s", n_in_zone,
+                           task->job->id, machine->zone);
   if (!mm_job_spec_allows_type(spec, &type) || (machine->spot && !spec->allows_spot)
       || (spec->zone.s[0] != '\0' && strcmp(spec->zone.s, machine->zone) != 0))
-    world_break(world, "wrong_place: %s/%u on %s", task->job->id, task->number, machine->id);
+    world_report_violation(world, "wrong_place: %s/%u on %s", task->job->id, task->number,
+                           machine->id);
 }
 
 void
-world_check_all(World *world) {
+world_check_invariants(World *world) {
   double cores[4] = { 0 };
 
   for (guint i = 0; i < world->machines->len; i++) {
@@ -51,53 +53,54 @@
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
       const WorldJob *job = task->job;
-      if (!world_task_is_on(task))
+      if (!world_task_is_on_machine(task))
         continue;
       cores[job->spec.team.s[5] - '0'] += job->spec.task_resources.cores;
-      if (job->told == TOLD_CANCELLED
-          && (double)(world->now_us - job->told_us) > world->cancel_s * G_USEC_PER_SEC)
-        world_break(world, "ran_cancelled: %s/%u on %s", job->id, task->number, machine->id);
+      if (job->user_view == USER_SEES_CANCELLED
+          && (double)(world->now_us - job->cancel_seen_us) > world->cancel_s * G_USEC_PER_SEC)
+        world_report_violation(world, "ran_cancelled: %s/%u on %s", job->id, task->number,
+                               machine->id);
     }
   }
   world_check_sharing(world);
-  world_watch_ready(world);
-  world_watch_waiting(world);
+  world_note_ready_jobs(world);
+  world_check_waiting(world);
   /* Troubles over, each job that was accepted has some question answered within 75 s. */
-  for (guint i = 0; i < world->jobs->len && world->calm_us != 0; i++) {
+  for (guint i = 0; i < world->jobs->len && world->faults_ended_us != 0; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    gint64 since = MAX(job->answered_us, world->calm_us);
-    if (job->ever_accepted && job->told != TOLD_CANCELLED
+    gint64 since = MAX(job->last_answer_us, world->faults_ended_us);
+    if (job->was_accepted && job->user_view != USER_SEES_CANCELLED
         && world->now_us - since > 75 * (gint64)G_USEC_PER_SEC)
-      world_break(world, "forgotten: no question about %s is answered", job->id);
+      world_report_violation(world, "forgotten: no question about %s is answered", job->id);
   }
   for (guint i = 0; i < 4; i++)
     if (cores[i] > world->team_cores + 1e-6)
-      world_break(world, "quota: team-%u uses %g cores", i, cores[i]);
+      world_report_violation(world, "quota: team-%u uses %g cores", i, cores[i]);
 }
 
 void
-world_assert_rules(const World *world) {
-  for (guint i = 0; i < world->broken->len; i++)
-    g_test_message("%s", (char *)g_ptr_array_index(world->broken, i));
-  g_assert_cmpuint(world->broken->len, ==, 0);
+world_assert_invariants(const World *world) {
+  for (guint i = 0; i < world->violations->len; i++)
+    g_test_message("%s", (char *)g_ptr_array_index(world->violations, i));
+  g_assert_cmpuint(world->violations->len, ==, 0);
 }
 
 void
-world_assert_all_over(const World *world) {
+world_assert_all_jobs_over(const World *world) {
   guint n_over = 0;
 
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    n_over += job->told >= TOLD_CANCELLED;
-    if (job->told < TOLD_CANCELLED)
+    n_over += job->user_view >= USER_SEES_CANCELLED;
+    if (job->user_view < USER_SEES_CANCELLED)
       g_test_message("%s is not over: %u of %u done, %u needs", job->id, job->n_done,
-                     job->spec.n_tasks, job->needs->len);
+                     job->spec.n_tasks, job->dependencies->len);
   }
   g_assert_cmpuint(n_over, ==, world->jobs->len);
 }
 
 guint
-world_running(const World *world, const WorldJob *job, const WorldMachine *except) {
+world_count_running(const World *world, const WorldJob *job, const WorldMachine *except) {
   guint n_running = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -9,11 +9,11 @@
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 /* Troubles over: a lease, the patience with whoever should take a group, and two transactions. */
-#define UNOWNED_MOST_US (8 * SECOND)
+#define UNOWNED_MAX_US (8 * SECOND)
 
 /* The map as the state service has it. Free with mm_group_map_free. */
 static MmGroupMap *
-true_map(const World *world) {
+stored_group_map(const World *world) {
   MmGroupMap *map = mm_group_map_new(world->groups);
 
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -32,10 +32,10 @@
  * has shown the later term, and from then on the worker drops what that node's grants travel in. */
 static gboolean
 takes_effect(const MmGroupMap *map, guint node, const WorldMachine *machine) {
-  MmGroupOwner owner = mm_group_map_owner(map, mm_group_of_machine(machine->id, map->groups));
+  MmGroupOwner owner = mm_group_map_owner(map, mm_group_of_machine(machine->id, map->n_groups));
   g_autofree char *label = g_strdup_printf("n-%u", node);
 
-  return machine->token < owner.term.v
+  return machine->fencing_token < owner.term.v
          || (owner.holding != NULL && strcmp(owner.holding->node.s, label) == 0);
 }
 
@@ -55,8 +55,8 @@
   }
   if (n_granting < 2)
     return;
-  world->double_owners++;
-  map = true_map(world);
+  world->n_double_owners++;
+  map = stored_group_map(world);
   for (guint i = 0; i < WORLD_NODES; i++)
     if (may_grant[i] && takes_effect(map, i, machine))
       g_string_append_printf(granting, " n-%u", i);
@@ -64,15 +64,15 @@
       n_granting -= may_grant[i];
   mm_group_map_free(map);
   if (n_granting > 1)
-    world_break(world, "two owners at %.3f s:%s grant resources of %s",
-                (double)world->now_us / SECOND, granting->str, machine->id);
+    world_report_violation(world, "two owners at %.3f s:%s grant resources of %s",
+                           (double)world->now_us / SECOND, granting->str, machine->id);
 }
 
 static gboolean
 some_group_is_unowned(const World *world) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = world->nodes[i].node;
-    if (node != NULL && node->replica->is_loaded && node->sharing->active
+    if (node != NULL && node->replica->is_loaded && node->sharing->is_active
         && node->sharing->unowned_since.us != 0)
       return TRUE;
   }
@@ -89,12 +89,12 @@
   }
   if (world->unowned_since_us == 0)
     world->unowned_since_us = world->now_us;
-  if (world->calm_us == 0 || world->now_us < world->calm_us)
+  if (world->faults_ended_us == 0 || world->now_us < world->faults_ended_us)
     return;
-  since = world->now_us - MAX(world->unowned_since_us, world->calm_us);
+  since = world->now_us - MAX(world->unowned_since_us, world->faults_ended_us);
   world->worst_unowned_us = MAX(world->worst_unowned_us, since);
-  if (since > UNOWNED_MOST_US)
-    world_break(world, "a group has had no owner for %.1f s", (double)since / SECOND);
+  if (since > UNOWNED_MAX_US)
+    world_report_violation(world, "a group has had no owner for %.1f s", (double)since / SECOND);
 }
 
 void
@@ -107,7 +107,7 @@
 }
 
 static double
-cores_of(World *world, const json_t *task) {
+task_cores(World *world, const json_t *task) {
   const char *text = mm_json_string(task, WIRE_TASK);
   g_autofree char *id = g_strndup(text, strcspn(text, "/"));
   const WorldJob *job = world_find_job(world, id);
@@ -123,7 +123,7 @@
 
   json_array_foreach(json_object_get(heartbeat, "kits"), i, task) {
     if (g_strcmp0(mm_json_string(task, WIRE_STATE), "ended") != 0)
-      cores -= cores_of(world, task);
+      cores -= task_cores(world, task);
   }
   return cores;
 }
@@ -136,42 +136,43 @@
 
   json_array_foreach(json_object_get(response, WIRE_COMMANDS), i, command) {
     if (g_strcmp0(mm_json_string(command, WIRE_OP), WIRE_START) == 0)
-      cores += cores_of(world, command);
+      cores += task_cores(world, command);
   }
   return cores;
 }
 
 void
-world_check_answer(World *world, guint node, const json_t *heartbeat, const json_t *response) {
+world_check_heartbeat_response(World *world, guint node, const json_t *heartbeat,
+                               const json_t *response) {
   const MmNode *controller = world->nodes[node].node;
   double cores = started_cores(world, response);
   char *key;
   double *granted;
 
-  if (world->groups == 0 || controller == NULL || !controller->sharing->active || cores == 0)
+  if (world->groups == 0 || controller == NULL || !controller->sharing->is_active || cores == 0)
     return;
   key = g_strdup_printf(
       "%s/%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT, mm_json_string(heartbeat, WIRE_MACHINE),
       mm_json_count(heartbeat, WIRE_SESSION, 0), mm_json_count(heartbeat, WIRE_SEQ, 0));
-  granted = g_hash_table_lookup(world->granted, key);
+  granted = g_hash_table_lookup(world->cores_granted, key);
   if (granted == NULL) {
     granted = g_new0(double, 1);
-    g_hash_table_insert(world->granted, g_strdup(key), granted);
+    g_hash_table_insert(world->cores_granted, g_strdup(key), granted);
   }
   *granted += cores;
   if (*granted > free_cores(world, heartbeat) + MM_RESOURCES_SLACK)
-    world_break(world, "granted twice: answers to %s start %g cores, %g were free", key, *granted,
-                free_cores(world, heartbeat));
+    world_report_violation(world, "granted twice: answers to %s start %g cores, %g were free", key,
+                           *granted, free_cores(world, heartbeat));
   g_free(key);
 }
 
 static void
-move_answered(gpointer data, int status, json_t *body) {
+on_move_response(gpointer data, int status, json_t *body) {
   World *world = data;
 
-  world->moves_begun += status == 202;
+  world->n_moves_started += status == 202;
   if (status != 0 && status != 202 && status != 409 && status != 503)
-    world_break(world, "a move by hand is answered %d", status);
+    world_report_violation(world, "a move by hand is answered %d", status);
 }
 
 void
@@ -179,8 +180,8 @@
   g_autofree char *path = g_strdup_printf(MM_ADMIN_GROUPS_PATH "/%u/move", group);
   g_autofree char *label = g_strdup_printf("n-%u", target);
 
-  world_ask_node(world, via_node, NULL, "POST", path, json_pack("{s:s}", MM_ADMIN_TO, label),
-                 2 * SECOND, move_answered, world);
+  world_send_request(world, via_node, NULL, "POST", path, json_pack("{s:s}", MM_ADMIN_TO, label),
+                     2 * SECOND, on_move_response, world);
 }
 
 void
@@ -200,6 +201,6 @@
 }
 
 guint
-world_group_of(const World *world, const WorldMachine *machine) {
+world_group_of_machine(const World *world, const WorldMachine *machine) {
   return mm_group_of_machine(machine->id, world->groups);
 }
--- a/tests/world/store.c
+++ b/tests/world/store.c
@@ -8,18 +8,18 @@
 typedef struct {
   guint node;
   char *prefix;
-  guint64 since;
-  gint64 until_us;
-  MmAnswered answered;
+  guint64 after_revision;
+  gint64 expires_us;
+  MmResponseCallback callback;
   gpointer data;
-  gboolean over;
+  gboolean is_over;
 } Watch;
 
 typedef struct {
   guint64 version;
   char *path;
   json_t *event;
-} Change;
+} KeyChange;
 
 static void
 key_free(gpointer data) {
@@ -29,8 +29,8 @@
 
 static void
 change_free(gpointer data) {
-  json_decref(((Change *)data)->event);
-  g_free(((Change *)data)->path);
+  json_decref(((KeyChange *)data)->event);
+  g_free(((KeyChange *)data)->path);
   g_free(data);
 }
 
@@ -41,26 +41,26 @@
 }
 
 static gint
-compare(gconstpointer a, gconstpointer b, gpointer data) {
+compare_paths(gconstpointer a, gconstpointer b, gpointer data) {
   return strcmp(a, b);
 }
 
-static void sweep(gpointer data);
+static void expire_leases(gpointer data);
 
 void
-world_store_init(World *world) {
-  world->keys = g_tree_new_full(compare, NULL, g_free, key_free);
+world_kv_init(World *world) {
+  world->keys = g_tree_new_full(compare_paths, NULL, g_free, key_free);
   world->changes = g_ptr_array_new_with_free_func(change_free);
   world->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
   world->watches = g_ptr_array_new_with_free_func(watch_free);
-  world_at(world, world->now_us, sweep, world);
+  world_schedule(world, world->now_us, expire_leases, world);
 }
 
 void
-world_store_free(World *world) {
+world_kv_free(World *world) {
   for (guint i = 0; i < world->watches->len; i++) {
     Watch *watch = g_ptr_array_index(world->watches, i);
-    watch->answered(watch->data, 0, NULL);
+    watch->callback(watch->data, 0, NULL);
   }
   g_tree_unref(world->keys);
   g_ptr_array_unref(world->changes);
@@ -69,18 +69,18 @@
 }
 
 static void
-record(World *world, const char *path, json_t *event) {
-  Change *change = g_new(Change, 1);
+record_change(World *world, const char *path, json_t *event) {
+  KeyChange *change = g_new(KeyChange, 1);
 
   json_object_set_new(event, WIRE_VERSION, json_integer((json_int_t)world->revision));
-  *change = (Change){ world->revision, g_strdup(path), event };
+  *change = (KeyChange){ world->revision, g_strdup(path), event };
   g_ptr_array_add(world->changes, change);
 }
 
 static void
 delete_key(World *world, const char *path) {
   if (g_tree_remove(world->keys, path))
-    record(world, path, json_pack("{s:s}", WIRE_DELETE, path));
+    record_change(world, path, json_pack("{s:s}", WIRE_DELETE, path));
 }
 
 static void
@@ -89,7 +89,7 @@
 
   *key = (WorldKey){ json_incref(value), world->revision, lease_id };
   g_tree_replace(world->keys, g_strdup(path), key);
-  record(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
+  record_change(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
 }
 
 static void
@@ -99,33 +99,33 @@
     g_autoptr(json_t) response = NULL;
     json_t *events;
 
-    if (watch->over || world->now_us < world->outage_until_us
-        || world->now_us < world->nodes[watch->node].refused_until_us)
+    if (watch->is_over || world->now_us < world->outage_until_us
+        || world->now_us < world->nodes[watch->node].kv_refuses_until_us)
       continue;
     events = json_array();
     for (guint k = world->changes->len; k > 0; k--) {
-      const Change *change = g_ptr_array_index(world->changes, k - 1);
-      if (change->version <= watch->since)
+      const KeyChange *change = g_ptr_array_index(world->changes, k - 1);
+      if (change->version <= watch->after_revision)
         break;
       if (g_str_has_prefix(change->path, watch->prefix))
         json_array_insert(events, 0, change->event);
     }
-    if (json_array_size(events) == 0 && world->now_us < watch->until_us) {
+    if (json_array_size(events) == 0 && world->now_us < watch->expires_us) {
       json_decref(events);
       continue;
     }
     response
         = json_pack("{s:I, s:o}", WIRE_REVISION, (json_int_t)world->revision, WIRE_EVENTS, events);
-    watch->over = TRUE;
-    watch->answered(watch->data, 200, response);
+    watch->is_over = TRUE;
+    watch->callback(watch->data, 200, response);
   }
   for (guint i = world->watches->len; i > 0; i--)
-    if (((Watch *)g_ptr_array_index(world->watches, i - 1))->over)
+    if (((Watch *)g_ptr_array_index(world->watches, i - 1))->is_over)
       g_ptr_array_remove_index_fast(world->watches, i - 1);
 }
 
 static const char *
-query(const char *path, const char *name) {
+find_query_value(const char *path, const char *name) {
   g_autofree char *find = g_strconcat(name, "=", NULL);
   const char *at = strchr(path, '?');
 
@@ -140,22 +140,23 @@
 
 static char *
 query_text(const char *path, const char *name) {
-  const char *value = query(path, name);
+  const char *value = find_query_value(path, name);
 
   return value != NULL ? g_strndup(value, strcspn(value, "&")) : NULL;
 }
 
 void
-world_store_add_watch(World *world, guint node, const char *path, MmAnswered callback,
-                      gpointer data) {
+world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
+                   gpointer data) {
   Watch *watch = g_new0(Watch, 1);
 
   watch->node = node;
   watch->prefix = query_text(path, WIRE_PREFIX);
-  watch->since = g_ascii_strtoull(query(path, WIRE_AFTER), NULL, 10);
-  watch->until_us
-      = world->now_us + (gint64)g_ascii_strtoull(query(path, WIRE_WAIT), NULL, 10) * 1000;
-  watch->answered = callback;
+  watch->after_revision = g_ascii_strtoull(find_query_value(path, WIRE_AFTER), NULL, 10);
+  watch->expires_us
+      = world->now_us
+        + (gint64)g_ascii_strtoull(find_query_value(path, WIRE_WAIT), NULL, 10) * 1000;
+  watch->callback = callback;
   watch->data = data;
   g_ptr_array_add(world->watches, watch);
   answer_watches(world);
@@ -163,23 +164,23 @@
 
 typedef struct {
   GPtrArray *paths;
-  guint64 lease;
-} Attached;
+  guint64 lease_id;
+} LeasedKeys;
 
 static gboolean
-collect(gpointer path, gpointer value, gpointer data) {
-  Attached *leased_keys = data;
+collect_leased_key(gpointer path, gpointer value, gpointer data) {
+  LeasedKeys *leased_keys = data;
 
-  if (((WorldKey *)value)->lease == leased_keys->lease)
+  if (((WorldKey *)value)->lease_id == leased_keys->lease_id)
     g_ptr_array_add(leased_keys->paths, g_strdup(path));
   return FALSE;
 }
 
 static void
 end_lease(World *world, guint64 id) {
-  Attached leased_keys = { g_ptr_array_new_with_free_func(g_free), id };
+  LeasedKeys leased_keys = { g_ptr_array_new_with_free_func(g_free), id };
 
-  g_tree_foreach(world->keys, collect, &leased_keys);
+  g_tree_foreach(world->keys, collect_leased_key, &leased_keys);
   if (leased_keys.paths->len > 0)
     world->revision++;
   for (guint i = 0; i < leased_keys.paths->len; i++)
@@ -189,7 +190,7 @@
 }
 
 static void
-sweep(gpointer data) {
+expire_leases(gpointer data) {
   World *world = data;
   GHashTableIter iter;
   gpointer value;
@@ -198,17 +199,17 @@
   if (world->now_us >= world->outage_until_us) {
     g_hash_table_iter_init(&iter, world->leases);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-      if (world->now_us >= ((WorldLease *)value)->ends_us)
+      if (world->now_us >= ((WorldLease *)value)->expires_us)
         g_array_append_val(ended, ((WorldLease *)value)->id);
     for (guint i = 0; i < ended->len; i++)
       end_lease(world, g_array_index(ended, guint64, i));
     answer_watches(world);
   }
-  world_at(world, world->now_us + 20000, sweep, world);
+  world_schedule(world, world->now_us + 20000, expire_leases, world);
 }
 
 static void
-outage_over(gpointer data) {
+on_outage_over(gpointer data) {
   World *world = data;
   GHashTableIter iter;
   gpointer value;
@@ -216,29 +217,30 @@
   /* Every lease has its full time again. */
   g_hash_table_iter_init(&iter, world->leases);
   while (g_hash_table_iter_next(&iter, NULL, &value))
-    ((WorldLease *)value)->ends_us = world->now_us + ((WorldLease *)value)->ttl_us;
+    ((WorldLease *)value)->expires_us = world->now_us + ((WorldLease *)value)->ttl_us;
 }
 
 void
-world_store_outage(World *world, double seconds) {
+world_kv_outage(World *world, double seconds) {
   world->outage_from_us = world->now_us;
   world->outage_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
-  world_at(world, world->outage_until_us, outage_over, world);
+  world_schedule(world, world->outage_until_us, on_outage_over, world);
 }
 
 /* Whether the changes are within the rate, with one second's worth of burst. */
 static gboolean
-takes_writes(World *world, gsize n_changes) {
+is_within_write_rate(World *world, gsize n_changes) {
   double max_rps = world->write_rps;
 
   if (max_rps <= 0)
     return TRUE;
   world->write_tokens
-      = MIN(max_rps, world->write_tokens
-                         + max_rps * (double)(world->now_us - world->tokens_us) / G_USEC_PER_SEC);
-  world->tokens_us = world->now_us;
+      = MIN(max_rps,
+            world->write_tokens
+                + max_rps * (double)(world->now_us - world->write_tokens_at_us) / G_USEC_PER_SEC);
+  world->write_tokens_at_us = world->now_us;
   if (world->write_tokens < (double)n_changes) {
-    world->limited++;
+    world->n_rate_limited++;
     return FALSE;
   }
   world->write_tokens -= (double)n_changes;
@@ -259,20 +261,20 @@
 }
 
 static int
-transact(World *world, const json_t *body, json_t **response) {
+commit_transaction(World *world, const json_t *body, json_t **response) {
   const json_t *guards = json_object_get(body, WIRE_IF),
                *changes = json_object_get(body, WIRE_THEN);
   json_t *failed;
   size_t i;
   json_t *item;
 
-  if (world->unannounced && is_too_large(world, guards, changes)) {
-    world->refused++;
+  if (world->has_unannounced_limits && is_too_large(world, guards, changes)) {
+    world->n_too_large++;
     *response = mm_json_error("too large");
     return 400;
   }
   g_assert_false(is_too_large(world, guards, changes));
-  if (!takes_writes(world, json_array_size(changes))) {
+  if (!is_within_write_rate(world, json_array_size(changes))) {
     *response = mm_json_error("too many changes");
     return 429;
   }
@@ -286,7 +288,7 @@
   if (json_array_size(failed) > 0) {
     *response = json_pack("{s:o, s:I}", WIRE_CONFLICT, failed, WIRE_REVISION,
                           (json_int_t)world->revision);
-    world->conflicts++;
+    world->n_conflicts++;
     return 409;
   }
   json_decref(failed);
@@ -300,7 +302,7 @@
   if (json_array_size(changes) > 0)
     world->revision++;
   json_array_foreach(changes, i, item) {
-    world->writes++;
+    world->n_writes++;
     if (mm_json_string(item, WIRE_PUT) != NULL)
       put_key(world, mm_json_string(item, WIRE_PUT), json_object_get(item, WIRE_VALUE),
               mm_json_count(item, WIRE_LEASE, 0));
@@ -315,21 +317,21 @@
 typedef struct {
   const char *prefix;
   const char *after;
-  guint64 most;
+  guint64 max_items;
   json_t *items;
-  gboolean more;
-} Listing;
+  gboolean has_more;
+} KeyPage;
 
 static gboolean
-list_key(gpointer path, gpointer value, gpointer data) {
-  Listing *page = data;
+append_key(gpointer path, gpointer value, gpointer data) {
+  KeyPage *page = data;
   const WorldKey *key = value;
 
   if (!g_str_has_prefix(path, page->prefix)
       || (page->after != NULL && strcmp(path, page->after) <= 0))
     return FALSE;
-  if (json_array_size(page->items) >= page->most) {
-    page->more = TRUE;
+  if (json_array_size(page->items) >= page->max_items) {
+    page->has_more = TRUE;
     return TRUE;
   }
   json_array_append_new(page->items, json_pack("{s:s, s:O, s:I}", WIRE_KEY, path, WIRE_VALUE,
@@ -338,17 +340,17 @@
 }
 
 int
-world_store_handle(World *world, const char *method, const char *path, const json_t *body,
-                   json_t **response) {
+world_kv_handle(World *world, const char *method, const char *path, const json_t *body,
+                json_t **response) {
   if (strcmp(path, WIRE_TXN_PATH) == 0)
-    return transact(world, body, response);
+    return commit_transaction(world, body, response);
   if (g_str_has_prefix(path, WIRE_KEYS_PATH "?")) {
     g_autofree char *prefix = query_text(path, WIRE_PREFIX);
     g_autofree char *after = query_text(path, WIRE_AFTER);
     /* Small pages, so that reading goes on over several. */
-    Listing page = { prefix, after, 7, json_array(), FALSE };
-    g_tree_foreach(world->keys, list_key, &page);
-    *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.more,
+    KeyPage page = { prefix, after, 7, json_array(), FALSE };
+    g_tree_foreach(world->keys, append_key, &page);
+    *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.has_more,
                           WIRE_REVISION, (json_int_t)world->revision);
     return 200;
   }
@@ -366,7 +368,7 @@
     WorldLease *lease = g_new(WorldLease, 1);
     *lease
         = (WorldLease){ ++world->next_lease, (gint64)mm_json_count(body, WIRE_TTL, 0) * 1000, 0 };
-    lease->ends_us = world->now_us + lease->ttl_us;
+    lease->expires_us = world->now_us + lease->ttl_us;
     g_hash_table_insert(world->leases, &lease->id, lease);
     *response = json_pack("{s:I}", WIRE_LEASE, (json_int_t)lease->id);
     return 200;
@@ -376,7 +378,7 @@
     WorldLease *lease = g_hash_table_lookup(world->leases, &id);
     if (lease == NULL)
       return 404;
-    lease->ends_us = world->now_us + lease->ttl_us;
+    lease->expires_us = world->now_us + lease->ttl_us;
     *response = json_object();
     return 200;
   }
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -5,8 +5,8 @@
 #include "parts/claims.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
-#define WAIT_US (90 * (gint64)G_USEC_PER_SEC)
-#define LARGEST_BEGIN_US (240 * (gint64)G_USEC_PER_SEC)
+#define WAIT_MAX_US (90 * (gint64)G_USEC_PER_SEC)
+#define LARGEST_JOB_WAIT_MAX_US (240 * (gint64)G_USEC_PER_SEC)
 
 WorldJob *
 world_any_job(World *world) {
@@ -15,7 +15,7 @@
 }
 
 void
-world_random_trouble(World *world) {
+world_inject_random_fault(World *world) {
   guint node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
   WorldMachine *machine = g_ptr_array_index(
       world->machines, (guint)g_rand_int_range(world->rand, 0, (gint32)world->machines->len));
@@ -25,10 +25,10 @@
     world_kill_node(world, node, world_uniform(world, 0, 1) < 0.3 ? 0.2 : 3);
     break;
   case 1:
-    world_store_outage(world, world_uniform(world, 1, 10));
+    world_kv_outage(world, world_uniform(world, 1, 10));
     break;
   case 2:
-    world->nodes[node].refused_until_us
+    world->nodes[node].kv_refuses_until_us
         = world->now_us + (gint64)(world_uniform(world, 1, 10) * SECOND);
     break;
   case 3:
@@ -44,11 +44,11 @@
     world_cut_zone(world, node, world_uniform(world, 1, 20), g_rand_boolean(world->rand));
     break;
   case 7:
-    world->slow_s = world_uniform(world, 0.1, 1);
-    world->slow_until_us = world->now_us + 10 * SECOND;
+    world->kv_slow_s = world_uniform(world, 0.1, 1);
+    world->kv_slow_until_us = world->now_us + 10 * SECOND;
     break;
   case 8:
-    if (machine->up)
+    if (machine->is_up)
       world_kill_machine(world, machine);
     break;
   default:
@@ -58,7 +58,7 @@
 }
 
 guint
-world_leader(World *world) {
+world_node_leading_most_shards(World *world) {
   guint leader = G_MAXUINT, most_led = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -77,14 +77,14 @@
 }
 
 guint
-world_cancelled_tasks(const World *world) {
+world_count_cancelled_tasks(const World *world) {
   guint n_cancelled = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
-      n_cancelled += world_task_is_on(task) && task->job->told == TOLD_CANCELLED;
+      n_cancelled += world_task_is_on_machine(task) && task->job->user_view == USER_SEES_CANCELLED;
     }
   }
   return n_cancelled;
@@ -96,32 +96,33 @@
   World *world;
   int status;
   const char *state; /* NULL: any */
-  char *what;
-} Expected;
+  char *description;
+} ExpectedResponse;
 
 static void
-odd_answered(gpointer data, int status, json_t *body) {
-  Expected *expected = data;
+on_odd_response(gpointer data, int status, json_t *body) {
+  ExpectedResponse *expected = data;
   const char *state = mm_json_string(body, WIRE_STATE);
 
   if (status == expected->status
       && (expected->state == NULL || g_strcmp0(state, expected->state) == 0))
-    expected->world->odd_right++;
+    expected->world->n_odd_correct++;
   else if (status != 0 && status != 503)
-    world_break(expected->world, "odd: %s gets %d %s", expected->what, status, state);
-  g_free(expected->what);
+    world_report_violation(expected->world, "odd: %s gets %d %s", expected->description, status,
+                           state);
+  g_free(expected->description);
   g_free(expected);
 }
 
 static void
-ask_odd(World *world, const char *method, const char *path, json_t *body, int status,
-        const char *state, const char *description) {
-  Expected *expected = g_new(Expected, 1);
+send_odd_request(World *world, const char *method, const char *path, json_t *body, int status,
+                 const char *state, const char *description) {
+  ExpectedResponse *expected = g_new(ExpectedResponse, 1);
   guint node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
 
-  *expected = (Expected){ world, status, state, g_strdup(description) };
-  world_ask_node(world, node, NULL, method, path, body, 2 * (gint64)G_USEC_PER_SEC, odd_answered,
-                 expected);
+  *expected = (ExpectedResponse){ world, status, state, g_strdup(description) };
+  world_send_request(world, node, NULL, method, path, body, 2 * (gint64)G_USEC_PER_SEC,
+                     on_odd_response, expected);
 }
 
 static json_t *
@@ -134,39 +135,41 @@
 }
 
 void
-world_odd_requests(World *world) {
+world_send_odd_requests(World *world) {
   WorldJob *template = g_ptr_array_index(world->jobs, 0);
   json_t *body = fresh_body(world, template);
   const char *field;
   json_t *value;
 
   json_object_set_new(body, WIRE_CORES, json_real(17));
-  ask_odd(world, "POST", WIRE_JOBS_PATH, body, 422, NULL, "a job that fits no machine");
+  send_odd_request(world, "POST", WIRE_JOBS_PATH, body, 422, NULL, "a job that fits no machine");
   json_object_foreach(template->body, field, value) {
     /* May be null, so absent too. */
     if (strcmp(field, WIRE_ZONE) == 0 || strcmp(field, WIRE_NEEDS) == 0)
       continue;
     body = fresh_body(world, template);
     json_object_del(body, field);
-    ask_odd(world, "POST", WIRE_JOBS_PATH, body, 400, NULL, field);
+    send_odd_request(world, "POST", WIRE_JOBS_PATH, body, 400, NULL, field);
   }
-  ask_odd(world, "GET", WIRE_JOBS_PATH "/run-555555555", NULL, 404, NULL, "a job nobody submitted");
-  ask_odd(world, "POST", WIRE_JOBS_PATH "/run-555555555/" WIRE_CANCEL_WORD, NULL, 404, NULL,
-          "a cancellation of a job nobody submitted");
+  send_odd_request(world, "GET", WIRE_JOBS_PATH "/run-555555555", NULL, 404, NULL,
+                   "a job nobody submitted");
+  send_odd_request(world, "POST", WIRE_JOBS_PATH "/run-555555555/" WIRE_CANCEL_WORD, NULL, 404,
+                   NULL, "a cancellation of a job nobody submitted");
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
     g_autofree char *path = g_strdup_printf(WIRE_JOBS_PATH "/%s/" WIRE_CANCEL_WORD, job->id);
-    if (job->told == TOLD_DONE)
-      ask_odd(world, "POST", path, NULL, 200, WIRE_DONE, job->id);
-    else if (job->ever_accepted)
-      ask_odd(world, "POST", WIRE_JOBS_PATH, json_deep_copy(job->body), 200, NULL, job->id);
+    if (job->user_view == USER_SEES_DONE)
+      send_odd_request(world, "POST", path, NULL, 200, WIRE_DONE, job->id);
+    else if (job->was_accepted)
+      send_odd_request(world, "POST", WIRE_JOBS_PATH, json_deep_copy(job->body), 200, NULL,
+                       job->id);
   }
 }
 
 /* ---- waiting ---- */
 
 static MmResources
-free_room(const WorldMachine *machine) {
+free_resources(const WorldMachine *machine) {
   double cores = strcmp(machine->type, "small") == 0 ? 4 : 16;
   MmResources resources = { cores, 0, cores * 4 };
 
@@ -183,12 +186,12 @@
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     MmName type = mm_name(machine->type);
-    if (machine->up && !machine->gone && machine->warned_us == 0
+    if (machine->is_up && !machine->is_gone && machine->notice_us == 0
         && world->now_us >= MAX(machine->hung_until_us, machine->cut_until_us)
-        && world->now_us >= MAX(machine->deaf_until_us, machine->mute_until_us)
+        && world->now_us >= MAX(machine->inbound_lost_until_us, machine->outbound_lost_until_us)
         && mm_job_spec_allows_type(spec, &type) && (!machine->spot || spec->allows_spot)
         && (mm_name_is_empty(&spec->zone) || strcmp(spec->zone.s, machine->zone) == 0)
-        && mm_resources_fits(spec->task_resources, free_room(machine)))
+        && mm_resources_fits(spec->task_resources, free_resources(machine)))
       return TRUE;
   }
   return FALSE;
@@ -216,13 +219,13 @@
 }
 
 static gboolean
-waits_needlessly(const World *world, const WorldJob *job) {
+is_waiting_needlessly(const World *world, const WorldJob *job) {
   const MmJobSpec *spec = &job->spec;
   double cores;
   guint n_given;
 
-  if (job->told != ACCEPTED || world_job_may_be_cancelled(job) || !world_job_is_ready(job)
-      || spec->requires_one_zone || spec->spreads_over_zones
+  if (job->user_view != USER_SEES_ACCEPTED || world_job_may_be_cancelled(job)
+      || !world_job_is_ready(job) || spec->requires_one_zone || spec->spreads_over_zones
       || (spec->kind == MM_JOB_KIND_GANG && spec->n_tasks > 1))
     return FALSE;
   cores = team_cores(world, job, &n_given);
@@ -232,44 +235,46 @@
 }
 
 void
-world_watch_waiting(World *world) {
-  if (world->calm_us == 0 || world->now_us < world->calm_us
-      || world->now_us - world->watched_us < G_USEC_PER_SEC)
+world_check_waiting(World *world) {
+  if (world->faults_ended_us == 0 || world->now_us < world->faults_ended_us
+      || world->now_us - world->waiting_checked_us < G_USEC_PER_SEC)
     return;
-  world->watched_us = world->now_us;
+  world->waiting_checked_us = world->now_us;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (!waits_needlessly(world, job))
-      job->waits_us = 0;
-    else if (job->waits_us == 0)
-      job->waits_us = world->now_us;
-    else if (world->now_us - MAX(job->waits_us, job->begun_us) > WAIT_US)
-      world_break(world, "waits: %s has waited 90 s beside a machine that fits it", job->id);
+    if (!is_waiting_needlessly(world, job))
+      job->waiting_since_us = 0;
+    else if (job->waiting_since_us == 0)
+      job->waiting_since_us = world->now_us;
+    else if (world->now_us - MAX(job->waiting_since_us, job->last_start_us) > WAIT_MAX_US)
+      world_report_violation(world, "waits: %s has waited 90 s beside a machine that fits it",
+                             job->id);
   }
 }
 
 /* ---- who is served ---- */
 
 typedef struct {
-  guint all;
-  guint served;
-} Share;
+  guint n_jobs;
+  guint n_served;
+} ServedCount;
 
 static void
-count(World *world, Share *served_count, const char *description, const WorldJob *job) {
+count_served(World *world, ServedCount *served_count, const char *description,
+             const WorldJob *job) {
   if (job != NULL) {
-    served_count->all++;
-    served_count->served += job->began_us != 0;
-  } else if (served_count->served * 2 < served_count->all) {
-    world_break(world, "served: %u of %u jobs of %s", served_count->served, served_count->all,
-                description);
+    served_count->n_jobs++;
+    served_count->n_served += job->first_start_us != 0;
+  } else if (served_count->n_served * 2 < served_count->n_jobs) {
+    world_report_violation(world, "served: %u of %u jobs of %s", served_count->n_served,
+                           served_count->n_jobs, description);
   }
 }
 
 void
 world_check_served(World *world) {
   static const char *const kinds[] = { "arrays", "gangs", "services" };
-  Share teams[4] = { 0 }, of_kind[3] = { 0 }, largest = { 0 };
+  ServedCount teams[4] = { 0 }, of_kind[3] = { 0 }, largest = { 0 };
   guint most_tasks = 0;
 
   for (guint i = 0; i < world->jobs->len; i++) {
@@ -279,22 +284,23 @@
   }
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (world_job_may_be_cancelled(job) || !job->ever_accepted || job->ready_us == 0)
+    if (world_job_may_be_cancelled(job) || !job->was_accepted || job->ready_us == 0)
       continue;
-    count(world, &teams[job->spec.team.s[5] - '0'], NULL, job);
-    count(world, &of_kind[job->spec.kind], NULL, job);
+    count_served(world, &teams[job->spec.team.s[5] - '0'], NULL, job);
+    count_served(world, &of_kind[job->spec.kind], NULL, job);
     if (job->spec.n_tasks < most_tasks)
       continue;
-    count(world, &largest, NULL, job);
-    if (job->began_us - job->ready_us > LARGEST_BEGIN_US)
-      world_break(world, "served: %s, one of the largest, began after %" G_GINT64_FORMAT " s",
-                  job->id, (job->began_us - job->ready_us) / G_USEC_PER_SEC);
+    count_served(world, &largest, NULL, job);
+    if (job->first_start_us - job->ready_us > LARGEST_JOB_WAIT_MAX_US)
+      world_report_violation(world,
+                             "served: %s, one of the largest, began after %" G_GINT64_FORMAT " s",
+                             job->id, (job->first_start_us - job->ready_us) / G_USEC_PER_SEC);
   }
   for (guint i = 0; i < 4; i++)
-    count(world, &teams[i], "a team", NULL);
+    count_served(world, &teams[i], "a team", NULL);
   for (guint i = 0; i < 3; i++)
-    count(world, &of_kind[i], kinds[i], NULL);
-  count(world, &largest, "the largest", NULL);
+    count_served(world, &of_kind[i], kinds[i], NULL);
+  count_served(world, &largest, "the largest", NULL);
 }
 
 void
@@ -309,16 +315,16 @@
 
 void
 world_finish_day(World *world) {
-  world->late_writes = 0;
-  world->late_takings = FALSE;
-  world->calm_us = world->now_us + 45 * SECOND;
+  world->late_write_rate = 0;
+  world->delays_acquisitions = FALSE;
+  world->faults_ended_us = world->now_us + 45 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->asked_cancel)
+    if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->is_cancel_requested)
       world_cancel(job);
   }
   world_run(world, 200);
-  world_assert_rules(world);
-  world_assert_all_over(world);
+  world_assert_invariants(world);
+  world_assert_all_jobs_over(world);
   world_free(world);
 }
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -6,7 +6,7 @@
 #include "store/store.h"
 
 void
-world_as_old_version(const World *world, guint node, json_t *request) {
+world_downgrade_request(const World *world, guint node, json_t *request) {
   json_t *changes = json_object_get(request, WIRE_THEN);
   size_t i;
   json_t *item;
@@ -25,8 +25,9 @@
       json_object_del(value, "t");
     /* It would drop what it does not know of. */
     if (g_str_has_prefix(key, MM_KEY_JOB) && mm_json_get(value, "w") != NULL)
-      world_break(((WorldNode *)&world->nodes[node])->world,
-                  "upgrade: the old node %u rewrites %s, which depends on others", node, key);
+      world_report_violation(((WorldNode *)&world->nodes[node])->world,
+                             "upgrade: the old node %u rewrites %s, which depends on others", node,
+                             key);
   }
 }
 
@@ -35,10 +36,10 @@
   WorldNode *world_node = &world->nodes[index];
 
   world_kill_node(world, index, down_s);
-  world_node->old = FALSE;
+  world_node->is_old_version = FALSE;
   world_node->operators.groups = world->groups;
   /* Its last life may still read the old ones. */
-  g_ptr_array_add(world->settings_kept, world_node->settings);
+  g_ptr_array_add(world->retired_settings, world_node->settings);
   world_node->settings = world_node_settings(world, index);
 }
 
@@ -48,5 +49,5 @@
   world->txn_ops = WORLD_NEXT_TXN_OPS;
   world->write_rps = WORLD_NEXT_WRITE_RPS;
   world->write_tokens = world->write_rps;
-  world->tokens_us = world->now_us;
+  world->write_tokens_at_us = world->now_us;
 }
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -5,11 +5,11 @@
 #include "base/wire.h"
 
 /* How old an answer may be by the time that its user has it. */
-#define ANSWER_S 2
+#define ANSWER_MAX_AGE_S 2
 
-static void submit(gpointer data);
-static void poll(gpointer data);
-static void cancel(gpointer data);
+static void submit_job(gpointer data);
+static void poll_job(gpointer data);
+static void cancel_job(gpointer data);
 
 WorldJob *
 world_find_job(World *world, const char *id) {
@@ -22,172 +22,179 @@
 }
 
 static guint
-any_node(World *world) {
+pick_node(World *world) {
   guint node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
 
-  return (gint)node == world->users_shun ? (node + 1) % WORLD_NODES : node;
+  return (gint)node == world->avoided_node ? (node + 1) % WORLD_NODES : node;
 }
 
 /* A request, with what its user had been told when it was sent: of two under way at once either may
  * be answered first, so only what was known before binds. */
 typedef struct {
   WorldJob *job;
-  WorldTold told;
-  gboolean accepted;
-} Ask;
+  WorldUserView user_view;
+  gboolean was_accepted;
+} UserQuestion;
 
-static Ask *
-ask_new(WorldJob *job) {
-  Ask *question = g_new(Ask, 1);
+static UserQuestion *
+user_question_new(WorldJob *job) {
+  UserQuestion *question = g_new(UserQuestion, 1);
 
-  *question = (Ask){ job, job->told, job->ever_accepted };
+  *question = (UserQuestion){ job, job->user_view, job->was_accepted };
   return question;
 }
 
 static void
-check_orphaned(const WorldJob *job, const char *state) {
+check_ancestor_cancelled(const WorldJob *job, const char *state) {
   World *world = job->world;
-  gint64 cancelled_us = world_job_orphaned_us(job);
+  gint64 cancelled_us = world_job_ancestor_cancelled_us(job);
 
   if (cancelled_us != 0
-      && (double)(world->now_us - cancelled_us) > (world->cancel_s + ANSWER_S) * G_USEC_PER_SEC)
-    world_break(world,
-                "orphaned: %s is still called %s %.1f s after its user or that of one before it"
-                " was told",
-                job->id, state, (double)(world->now_us - cancelled_us) / G_USEC_PER_SEC);
+      && (double)(world->now_us - cancelled_us)
+             > (world->cancel_s + ANSWER_MAX_AGE_S) * G_USEC_PER_SEC)
+    world_report_violation(
+        world,
+        "orphaned: %s is still called %s %.1f s after its user or that of one before it"
+        " was told",
+        job->id, state, (double)(world->now_us - cancelled_us) / G_USEC_PER_SEC);
 }
 
 static void
-told(const Ask *question, const json_t *body) {
+record_job_state(const UserQuestion *question, const json_t *body) {
   WorldJob *job = question->job;
   World *world = job->world;
   const char *state = mm_json_string(body, WIRE_STATE);
 
-  job->answered_us = world->now_us;
+  job->last_answer_us = world->now_us;
   if (g_strcmp0(state, WIRE_DONE) == 0) {
     if (job->n_done < job->spec.n_tasks)
-      world_break(world, "not_done: %s is called done with %u of %u tasks", job->id, job->n_done,
-                  job->spec.n_tasks);
-    if (job->told == TOLD_CANCELLED)
-      world_break(world, "went_back: %s from cancelled to done", job->id);
-    job->told = TOLD_DONE;
+      world_report_violation(world, "not_done: %s is called done with %u of %u tasks", job->id,
+                             job->n_done, job->spec.n_tasks);
+    if (job->user_view == USER_SEES_CANCELLED)
+      world_report_violation(world, "went_back: %s from cancelled to done", job->id);
+    job->user_view = USER_SEES_DONE;
   } else if (g_strcmp0(state, WIRE_CANCELLED) == 0) {
-    if (!world_job_may_be_cancelled(job) || job->told == TOLD_DONE)
-      world_break(world, "went_back: %s is called cancelled", job->id);
-    if (job->told != TOLD_CANCELLED)
-      job->told_us = world->now_us;
-    job->told = TOLD_CANCELLED;
+    if (!world_job_may_be_cancelled(job) || job->user_view == USER_SEES_DONE)
+      world_report_violation(world, "went_back: %s is called cancelled", job->id);
+    if (job->user_view != USER_SEES_CANCELLED)
+      job->cancel_seen_us = world->now_us;
+    job->user_view = USER_SEES_CANCELLED;
   } else {
-    if (question->told == TOLD_DONE || question->told == TOLD_CANCELLED)
-      world_break(world, "went_back: %s is %s after it was over", job->id, state);
-    check_orphaned(job, state);
-    job->told = MAX(job->told, ACCEPTED);
+    if (question->user_view == USER_SEES_DONE || question->user_view == USER_SEES_CANCELLED)
+      world_report_violation(world, "went_back: %s is %s after it was over", job->id, state);
+    check_ancestor_cancelled(job, state);
+    job->user_view = MAX(job->user_view, USER_SEES_ACCEPTED);
   }
 }
 
 static void
-submitted(gpointer data, int status, json_t *body) {
-  g_autofree Ask *question = data;
+on_submit_response(gpointer data, int status, json_t *body) {
+  g_autofree UserQuestion *question = data;
   WorldJob *job = question->job;
   World *world = job->world;
 
   if (status == 200 || status == 201) {
-    told(question, body);
-    job->ever_accepted = TRUE;
-    world_at(world, world->now_us + G_USEC_PER_SEC, poll, job);
+    record_job_state(question, body);
+    job->was_accepted = TRUE;
+    world_schedule(world, world->now_us + G_USEC_PER_SEC, poll_job, job);
     return;
   }
-  if (question->accepted && (status == 400 || status == 422 || status == 404))
-    world_break(world, "forgotten: %s gets %d", job->id, status);
+  if (question->was_accepted && (status == 400 || status == 422 || status == 404))
+    world_report_violation(world, "forgotten: %s gets %d", job->id, status);
   g_assert_true(status == 0 || status == 503 || status == 429);
-  world_at(world, world->now_us + G_USEC_PER_SEC, submit, job);
+  world_schedule(world, world->now_us + G_USEC_PER_SEC, submit_job, job);
 }
 
 static void
-submit(gpointer data) {
+submit_job(gpointer data) {
   WorldJob *job = data;
 
-  if (job->world->closing)
+  if (job->world->is_closing)
     return;
-  world_ask_node(job->world, any_node(job->world), NULL, "POST", WIRE_JOBS_PATH,
-                 json_deep_copy(job->body), 5 * (gint64)G_USEC_PER_SEC, submitted, ask_new(job));
+  world_send_request(job->world, pick_node(job->world), NULL, "POST", WIRE_JOBS_PATH,
+                     json_deep_copy(job->body), 5 * (gint64)G_USEC_PER_SEC, on_submit_response,
+                     user_question_new(job));
 }
 
 static void
-ignore_submitted(gpointer data, int status, json_t *body) {
-  g_autofree Ask *question = data;
+on_resubmit_response(gpointer data, int status, json_t *body) {
+  g_autofree UserQuestion *question = data;
   WorldJob *job = question->job;
 
   if (status == 200 || status == 201)
-    told(question, body);
+    record_job_state(question, body);
   else if (status == 400 || status == 422 || status == 404)
-    world_break(job->world, "forgotten: a repeated submission of %s gets %d", job->id, status);
+    world_report_violation(job->world, "forgotten: a repeated submission of %s gets %d", job->id,
+                           status);
 }
 
 static void
-polled(gpointer data, int status, json_t *body) {
-  g_autofree Ask *question = data;
+on_poll_response(gpointer data, int status, json_t *body) {
+  g_autofree UserQuestion *question = data;
   WorldJob *job = question->job;
   World *world = job->world;
 
   if (status == 200)
-    told(question, body);
+    record_job_state(question, body);
   else if (status == 404)
-    world_break(world, "forgotten: %s gets 404", job->id);
+    world_report_violation(world, "forgotten: %s gets 404", job->id);
   /* Those that are over are asked for again, more rarely, and now and then submitted again. */
   if (world_uniform(world, 0, 1) < 0.05)
-    world_ask_node(world, any_node(world), NULL, "POST", WIRE_JOBS_PATH, json_deep_copy(job->body),
-                   5 * (gint64)G_USEC_PER_SEC, ignore_submitted, ask_new(job));
-  world_at(world, world->now_us + (job->told >= TOLD_CANCELLED ? 9 : 3) * (gint64)G_USEC_PER_SEC,
-           poll, job);
+    world_send_request(world, pick_node(world), NULL, "POST", WIRE_JOBS_PATH,
+                       json_deep_copy(job->body), 5 * (gint64)G_USEC_PER_SEC, on_resubmit_response,
+                       user_question_new(job));
+  world_schedule(world,
+                 world->now_us
+                     + (job->user_view >= USER_SEES_CANCELLED ? 9 : 3) * (gint64)G_USEC_PER_SEC,
+                 poll_job, job);
 }
 
 static void
-poll(gpointer data) {
+poll_job(gpointer data) {
   WorldJob *job = data;
   g_autofree char *path = g_strdup_printf(WIRE_JOBS_PATH "/%s", job->id);
 
-  if (!job->world->closing)
-    world_ask_node(job->world, any_node(job->world), NULL, "GET", path, NULL,
-                   2 * (gint64)G_USEC_PER_SEC, polled, ask_new(job));
+  if (!job->world->is_closing)
+    world_send_request(job->world, pick_node(job->world), NULL, "GET", path, NULL,
+                       2 * (gint64)G_USEC_PER_SEC, on_poll_response, user_question_new(job));
 }
 
 static void
-cancel_answered(gpointer data, int status, json_t *body) {
-  g_autofree Ask *question = data;
+on_cancel_response(gpointer data, int status, json_t *body) {
+  g_autofree UserQuestion *question = data;
   WorldJob *job = question->job;
 
   if (status == 200)
-    told(question, body);
+    record_job_state(question, body);
   else
-    world_at(job->world, job->world->now_us + G_USEC_PER_SEC, cancel, job);
+    world_schedule(job->world, job->world->now_us + G_USEC_PER_SEC, cancel_job, job);
 }
 
 static void
-cancel(gpointer data) {
+cancel_job(gpointer data) {
   WorldJob *job = data;
   g_autofree char *path = g_strdup_printf(WIRE_JOBS_PATH "/%s/" WIRE_CANCEL_WORD, job->id);
 
-  if (job->world->closing)
+  if (job->world->is_closing)
     return;
-  if (!job->ever_accepted) {
-    world_at(job->world, job->world->now_us + G_USEC_PER_SEC, cancel, job);
+  if (!job->was_accepted) {
+    world_schedule(job->world, job->world->now_us + G_USEC_PER_SEC, cancel_job, job);
     return;
   }
-  job->asked_cancel = TRUE;
-  world_ask_node(job->world, any_node(job->world), NULL, "POST", path, NULL,
-                 5 * (gint64)G_USEC_PER_SEC, cancel_answered, ask_new(job));
+  job->is_cancel_requested = TRUE;
+  world_send_request(job->world, pick_node(job->world), NULL, "POST", path, NULL,
+                     5 * (gint64)G_USEC_PER_SEC, on_cancel_response, user_question_new(job));
 }
 
 void
 world_cancel(WorldJob *job) {
-  cancel(job);
+  cancel_job(job);
 }
 
 static void
-nobody_submitted(gpointer data, int status, json_t *body) {
+on_unknown_job_response(gpointer data, int status, json_t *body) {
   if (status == 200)
-    world_break(data, "invented: a job nobody submitted is answered 200");
+    world_report_violation(data, "invented: a job nobody submitted is answered 200");
 }
 
 WorldJob *
@@ -208,12 +215,12 @@
   json_object_update(job->body, overrides);
   json_decref(overrides);
   g_assert_true(mm_job_spec_parse(&job->spec, job->body, &reason));
-  job->done = g_new0(gboolean, job->spec.n_tasks);
-  job->needs = g_ptr_array_new();
+  job->is_task_done = g_new0(gboolean, job->spec.n_tasks);
+  job->dependencies = g_ptr_array_new();
   g_ptr_array_add(world->jobs, job);
-  submit(job);
-  world_ask_node(world, any_node(world), NULL, "GET", WIRE_JOBS_PATH "/run-77777777", NULL,
-                 2 * (gint64)G_USEC_PER_SEC, nobody_submitted, world);
+  submit_job(job);
+  world_send_request(world, pick_node(world), NULL, "GET", WIRE_JOBS_PATH "/run-77777777", NULL,
+                     2 * (gint64)G_USEC_PER_SEC, on_unknown_job_response, world);
   return job;
 }
 
