--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -11,39 +11,39 @@
 static const char *const causes[]
     = { "", "done", "halted", "peers", "alone", "error", "no_room", "busy", "no_such" };
 
-static void beat(gpointer data);
+static void worker_tick(gpointer data);
 
 WorldMachine *
-world_find_machine(World *world, const char *addr) {
+world_find_machine_by_address(World *world, const char *addr) {
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    if (machine->up && strcmp(machine->addr, addr) == 0)
+    if (machine->is_up && strcmp(machine->addr, addr) == 0)
       return machine;
   }
   return NULL;
 }
 
 void
-world_machine_up(gpointer data) {
+world_machine_boot(gpointer data) {
   WorldMachine *machine = data;
   World *world = machine->world;
 
-  if (machine->gone || machine->failed)
+  if (machine->is_gone || machine->has_failed)
     return;
-  machine->up = TRUE;
-  machine->session++;
-  machine->lease_from_us = world->now_us;
+  machine->is_up = TRUE;
+  machine->incarnation++;
+  machine->lease_renewed_us = world->now_us;
   machine->node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
-  beat(machine);
+  worker_tick(machine);
 }
 
 json_t *
-world_machine_report(WorldMachine *machine) {
+world_machine_heartbeat(WorldMachine *machine) {
   World *world = machine->world;
   json_t *tasks = json_array();
   json_t *heartbeat;
 
-  machine->seq++;
+  machine->sequence++;
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WorldTask *task = g_ptr_array_index(machine->tasks, i);
     g_autofree char *name = g_strdup_printf("%s/%u", task->job->id, task->number);
@@ -53,20 +53,21 @@
       json_object_set_new(item, WIRE_CAUSE, json_string(causes[task->cause]));
     json_array_append_new(tasks, item);
   }
-  heartbeat
-      = json_pack("{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:o}", WIRE_MACHINE, machine->id,
-                  WIRE_ADDR, machine->addr, WIRE_TYPE, machine->type, WIRE_ZONE, machine->zone,
-                  WIRE_SPOT, machine->spot, WIRE_SESSION, (json_int_t)machine->session, WIRE_SEQ,
-                  (json_int_t)machine->seq, WIRE_TOKEN, (json_int_t)machine->token, "kits", tasks);
-  if (machine->warned_us != 0)
-    json_object_set_new(heartbeat, WIRE_NOTICE,
-                        json_real((double)(machine->taken_us - world->now_us) / G_USEC_PER_SEC));
+  heartbeat = json_pack("{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:o}", WIRE_MACHINE, machine->id,
+                        WIRE_ADDR, machine->addr, WIRE_TYPE, machine->type, WIRE_ZONE,
+                        machine->zone, WIRE_SPOT, machine->spot, WIRE_SESSION,
+                        (json_int_t)machine->incarnation, WIRE_SEQ, (json_int_t)machine->sequence,
+                        WIRE_TOKEN, (json_int_t)machine->fencing_token, "kits", tasks);
+  if (machine->notice_us != 0)
+    json_object_set_new(
+        heartbeat, WIRE_NOTICE,
+        json_real((double)(machine->reclaimed_at_us - world->now_us) / G_USEC_PER_SEC));
   return heartbeat;
 }
 
 static WorldTask *
-find(WorldMachine *machine, const WorldJob *job, guint number, guint64 attempt,
-     gboolean any_attempt) {
+find_task(WorldMachine *machine, const WorldJob *job, guint number, guint64 attempt,
+          gboolean any_attempt) {
   for (guint i = 0; i < machine->tasks->len; i++) {
     WorldTask *task = g_ptr_array_index(machine->tasks, i);
     if (task->job == job && task->number == number && (any_attempt || task->attempt == attempt))
@@ -75,43 +76,43 @@
   return NULL;
 }
 
-static void end_peers(World *world, const WorldTask *task, guint8 cause);
+static void end_gang_peers(World *world, const WorldTask *task, guint8 cause);
 
 static void
-record(const WorldMachine *machine, const WorldTask *task, WorldTaskEvent event) {
-  if (machine->world->record != NULL)
-    machine->world->record(machine->world->record_data, machine, task, event);
+notify_observer(const WorldMachine *machine, const WorldTask *task, WorldTaskEvent event) {
+  if (machine->world->observe_task != NULL)
+    machine->world->observe_task(machine->world->observer_data, machine, task, event);
 }
 
 static void
 end_task(WorldMachine *machine, WorldTask *task, guint8 cause) {
   gboolean was_running = task->state == MM_REPORTED_RUNNING;
-  gboolean was_on = world_task_is_on(task);
+  gboolean was_on = world_task_is_on_machine(task);
 
   mm_debug("world: %s/%u ends on %s: %s", task->job->id, task->number, machine->id, causes[cause]);
   task->state = MM_REPORTED_ENDED;
   task->cause = cause;
-  machine->changed = TRUE;
+  machine->has_changed = TRUE;
   if (was_on)
-    record(machine, task, WORLD_TASK_ENDS);
+    notify_observer(machine, task, WORLD_TASK_ENDS);
   /* Of a gang, when one task is done, all of them are, also one whose machine hangs. */
   for (guint i = 0; cause == MM_CAUSE_DONE && i < task->job->spec.n_tasks; i++)
     if (i == task->number || task->job->spec.kind == MM_JOB_KIND_GANG) {
-      task->job->n_done += !task->job->done[i];
-      task->job->done[i] = TRUE;
+      task->job->n_done += !task->job->is_task_done[i];
+      task->job->is_task_done[i] = TRUE;
     }
   if (cause == MM_CAUSE_DONE && task->job->n_done == task->job->spec.n_tasks && was_running
-      && !task->job->asked_cancel
-      && world_uniform(machine->world, 0, 1) < machine->world->cancelled_at_end)
+      && !task->job->is_cancel_requested
+      && world_uniform(machine->world, 0, 1) < machine->world->cancel_at_end_rate)
     world_cancel(task->job);
   if (was_running)
-    end_peers(machine->world, task,
-              cause == MM_CAUSE_DONE ? MM_CAUSE_DONE : MM_CAUSE_GANG_PEER_ENDED);
+    end_gang_peers(machine->world, task,
+                   cause == MM_CAUSE_DONE ? MM_CAUSE_DONE : MM_CAUSE_GANG_PEER_ENDED);
 }
 
 /* Gangs complete together and notice a loss together. */
 static void
-end_peers(World *world, const WorldTask *task, guint8 cause) {
+end_gang_peers(World *world, const WorldTask *task, guint8 cause) {
   if (task->job->spec.kind != MM_JOB_KIND_GANG)
     return;
   for (guint i = 0; i < world->machines->len; i++) {
@@ -126,35 +127,37 @@
 }
 
 void
-world_machine_wipe(WorldMachine *machine) {
+world_machine_clear_tasks(WorldMachine *machine) {
   g_autoptr(GPtrArray) tasks = machine->tasks;
 
   /* The peers of a gang task notice its end. */
   machine->tasks = g_ptr_array_new();
   for (guint i = 0; i < tasks->len; i++) {
     WorldTask *task = g_ptr_array_index(tasks, i);
-    if (world_task_is_on(task))
-      record(machine, task, WORLD_TASK_ENDS);
+    if (world_task_is_on_machine(task))
+      notify_observer(machine, task, WORLD_TASK_ENDS);
     if (task->state == MM_REPORTED_RUNNING)
-      end_peers(machine->world, task, MM_CAUSE_GANG_PEER_ENDED);
+      end_gang_peers(machine->world, task, MM_CAUSE_GANG_PEER_ENDED);
     g_free(task);
   }
 }
 
 static void
-command_start(WorldMachine *machine, WorldJob *job, guint number, guint64 attempt) {
+execute_start(WorldMachine *machine, WorldJob *job, guint number, guint64 attempt) {
   World *world = machine->world;
   WorldTask *task;
   double cores = strcmp(machine->type, "small") == 0 ? 4 : 16;
   double memory = cores * 4;
 
-  if (job == NULL || find(machine, job, number, attempt, FALSE) != NULL)
+  if (job == NULL || find_task(machine, job, number, attempt, FALSE) != NULL)
     return;
   /* Workers drop answers after 4 s: none that was under way then comes so late. */
-  if (job->told == TOLD_CANCELLED && world->now_us - job->told_us > TIMEOUT_US + 100000)
-    world_break(world, "ran_cancelled: %s/%u is started after it was called off", job->id, number);
-  job->starts++;
-  job->begun_us = world->now_us;
+  if (job->user_view == USER_SEES_CANCELLED
+      && world->now_us - job->cancel_seen_us > TIMEOUT_US + 100000)
+    world_report_violation(world, "ran_cancelled: %s/%u is started after it was called off",
+                           job->id, number);
+  job->n_starts++;
+  job->last_start_us = world->now_us;
   task = g_new0(WorldTask, 1);
   task->job = job;
   task->number = number;
@@ -172,23 +175,23 @@
       && (cores < job->spec.task_resources.cores - 1e-9
           || memory < job->spec.task_resources.memory_gb - 1e-9))
     task->cause = MM_CAUSE_NO_RESOURCES;
-  world->no_room += task->cause == MM_CAUSE_NO_RESOURCES;
+  world->n_no_resources += task->cause == MM_CAUSE_NO_RESOURCES;
   if (task->cause == MM_CAUSE_NO_RESOURCES && world->groups > 0)
-    world_break(world, "granted twice: %s has no resources for %s/%u", machine->id, job->id,
-                number);
+    world_report_violation(world, "granted twice: %s has no resources for %s/%u", machine->id,
+                           job->id, number);
   g_ptr_array_add(machine->tasks, task);
-  machine->changed = TRUE;
+  machine->has_changed = TRUE;
   if (task->cause != 0) {
     task->state = MM_REPORTED_ENDED;
-    record(machine, task, WORLD_TASK_REFUSED);
+    notify_observer(machine, task, WORLD_TASK_REFUSED);
     return;
   }
   task->state = MM_REPORTED_FETCHING;
-  task->at_us = world->now_us + (gint64)(world_uniform(world, 0.05, 1.5) * G_USEC_PER_SEC);
+  task->next_change_us = world->now_us + (gint64)(world_uniform(world, 0.05, 1.5) * G_USEC_PER_SEC);
 }
 
 static void
-carry_out(WorldMachine *machine, const json_t *commands) {
+execute_commands(WorldMachine *machine, const json_t *commands) {
   size_t i;
   json_t *item;
 
@@ -199,25 +202,25 @@
     guint number = (guint)atoi(slash + 1);
     guint64 attempt = mm_json_count(item, WIRE_ATTEMPT, 0);
     WorldJob *job = world_find_job(machine->world, id);
-    WorldTask *task = job != NULL ? find(machine, job, number, attempt, FALSE) : NULL;
+    WorldTask *task = job != NULL ? find_task(machine, job, number, attempt, FALSE) : NULL;
 
     if (strcmp(op, WIRE_START) == 0) {
-      command_start(machine, job, number, attempt);
+      execute_start(machine, job, number, attempt);
     } else if (task != NULL && strcmp(op, WIRE_STOP) == 0) {
-      machine->world->stops++;
-      machine->world->stop_grace_s = mm_json_number(item, WIRE_GRACE, 0);
+      machine->world->n_stops++;
+      machine->world->last_stop_grace_s = mm_json_number(item, WIRE_GRACE, 0);
       if (task->state != MM_REPORTED_ENDED)
         end_task(machine, task, MM_CAUSE_STOPPED);
     } else if (task != NULL && strcmp(op, WIRE_FORGET) == 0 && task->state == MM_REPORTED_ENDED) {
       g_ptr_array_remove(machine->tasks, task);
       g_free(task);
-      machine->changed = TRUE;
+      machine->has_changed = TRUE;
     }
   }
 }
 
 int
-world_machine_direct(WorldMachine *machine, const json_t *body, json_t **response) {
+world_machine_handle_direct(WorldMachine *machine, const json_t *body, json_t **response) {
   guint64 fencing_token = mm_json_count(body, WIRE_TOKEN, 0);
   size_t i;
   json_t *item;
@@ -225,15 +228,17 @@
   /* Starts never travel this way: one could be carried out minutes late. */
   json_array_foreach(json_object_get(body, WIRE_COMMANDS), i,
                      item) if (g_strcmp0(mm_json_string(item, WIRE_OP), WIRE_START) == 0)
-      world_break(machine->world, "a start was sent as a direct command to %s", machine->id);
-  if (fencing_token < machine->token || mm_json_count(body, WIRE_SESSION, 0) != machine->session) {
-    *response = world_machine_report(machine);
+      world_report_violation(machine->world, "a start was sent as a direct command to %s",
+                             machine->id);
+  if (fencing_token < machine->fencing_token
+      || mm_json_count(body, WIRE_SESSION, 0) != machine->incarnation) {
+    *response = world_machine_heartbeat(machine);
     return 409;
   }
-  machine->changed = machine->changed || fencing_token > machine->token;
-  machine->token = fencing_token;
-  carry_out(machine, json_object_get(body, WIRE_COMMANDS));
-  *response = world_machine_report(machine);
+  machine->has_changed = machine->has_changed || fencing_token > machine->fencing_token;
+  machine->fencing_token = fencing_token;
+  execute_commands(machine, json_object_get(body, WIRE_COMMANDS));
+  *response = world_machine_heartbeat(machine);
   return 200;
 }
 
@@ -241,68 +246,70 @@
 
 typedef struct {
   WorldMachine *machine;
-  guint64 flight;
-  guint64 session;
+  guint64 heartbeat_number;
+  guint64 incarnation;
   gint64 sent_us;
-} Flight;
+} HeartbeatRequest;
 
 static void
-report_answered(gpointer data, int status, json_t *body) {
-  Flight *request = data;
+on_heartbeat_response(gpointer data, int status, json_t *body) {
+  HeartbeatRequest *request = data;
   WorldMachine *machine = request->machine;
   World *world = machine->world;
   guint64 fencing_token = mm_json_count(body, WIRE_TOKEN, 0);
   const char *redirect_label = mm_json_string(body, WIRE_REPORT_TO);
 
-  if (machine->up && machine->flight == request->flight) {
-    machine->in_flight = FALSE;
+  if (machine->is_up && machine->heartbeat_number == request->heartbeat_number) {
+    machine->is_heartbeat_in_flight = FALSE;
     if (status == 200) {
-      if (machine->session == request->session && fencing_token != 0
-          && fencing_token >= machine->token) {
-        machine->token = fencing_token;
-        machine->lease_from_us = request->sent_us;
-        carry_out(machine, json_object_get(body, WIRE_COMMANDS));
+      if (machine->incarnation == request->incarnation && fencing_token != 0
+          && fencing_token >= machine->fencing_token) {
+        machine->fencing_token = fencing_token;
+        machine->lease_renewed_us = request->sent_us;
+        execute_commands(machine, json_object_get(body, WIRE_COMMANDS));
       }
     } else if (status == 421 && redirect_label != NULL) {
       machine->node = (guint)atoi(redirect_label + 2);
-      machine->next_report_us = world->now_us + 100000;
+      machine->next_heartbeat_us = world->now_us + 100000;
     } else {
       machine->node = (machine->node + 1) % WORLD_NODES;
-      machine->next_report_us = world->now_us + G_USEC_PER_SEC;
+      machine->next_heartbeat_us = world->now_us + G_USEC_PER_SEC;
     }
   }
   g_free(request);
 }
 
 static void
-unconnected(gpointer data) {
-  report_answered(data, 0, NULL);
+on_connect_failure(gpointer data) {
+  on_heartbeat_response(data, 0, NULL);
 }
 
 static void
-send_report(WorldMachine *machine) {
+send_heartbeat(WorldMachine *machine) {
   World *world = machine->world;
-  Flight *request = g_new(Flight, 1);
-
-  *request = (Flight){ machine, ++machine->flight, machine->session, world->now_us };
-  world->reports++;
-  machine->in_flight = TRUE;
-  machine->changed = FALSE;
-  machine->last_report_us = world->now_us;
-  machine->next_report_us
+  HeartbeatRequest *request = g_new(HeartbeatRequest, 1);
+
+  *request = (HeartbeatRequest){ machine, ++machine->heartbeat_number, machine->incarnation,
+                                 world->now_us };
+  world->n_heartbeats++;
+  machine->is_heartbeat_in_flight = TRUE;
+  machine->has_changed = FALSE;
+  machine->last_heartbeat_us = world->now_us;
+  machine->next_heartbeat_us
       = world->now_us
-        + (gint64)(world->report_s * world_uniform(world, 0.75, 1.25) * G_USEC_PER_SEC);
-  if (world->now_us < machine->mute_until_us)
-    world_at(world, world->now_us + 500000, unconnected, request);
+        + (gint64)(world->heartbeat_interval_s * world_uniform(world, 0.75, 1.25) * G_USEC_PER_SEC);
+  if (world->now_us < machine->outbound_lost_until_us)
+    world_schedule(world, world->now_us + 500000, on_connect_failure, request);
   else
-    world_ask_node(world, machine->node, machine, "POST", WIRE_REPORT_PATH,
-                   world_machine_report(machine), TIMEOUT_US, report_answered, request);
+    world_send_request(world, machine->node, machine, "POST", WIRE_REPORT_PATH,
+                       world_machine_heartbeat(machine), TIMEOUT_US, on_heartbeat_response,
+                       request);
 }
 
 /* ---- running ---- */
 
 static gboolean
-gang_complete(World *world, const WorldTask *task) {
+is_gang_complete(World *world, const WorldTask *task) {
   guint n_present = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
@@ -318,85 +325,85 @@
 }
 
 static void
-advance(WorldMachine *machine, WorldTask *task) {
+advance_task(WorldMachine *machine, WorldTask *task) {
   World *world = machine->world;
 
-  if (world->now_us < task->at_us || task->state == MM_REPORTED_ENDED)
+  if (world->now_us < task->next_change_us || task->state == MM_REPORTED_ENDED)
     return;
-  if (task->state == MM_REPORTED_FETCHING && task->job->done[task->number]) {
-    world->starts++;
+  if (task->state == MM_REPORTED_FETCHING && task->job->is_task_done[task->number]) {
+    world->n_starts++;
     world_check_start(world, machine, task);
-    record(machine, task, WORLD_TASK_STARTS);
+    notify_observer(machine, task, WORLD_TASK_STARTS);
     task->state = MM_REPORTED_WAITING_FOR_GANG;
     end_task(machine, task, MM_CAUSE_DONE);
     return;
   }
   if (task->state == MM_REPORTED_FETCHING) {
-    machine->changed = TRUE;
-    world->starts++;
+    machine->has_changed = TRUE;
+    world->n_starts++;
     mm_debug("world: %s/%u is on %s, attempt %" G_GUINT64_FORMAT, task->job->id, task->number,
              machine->id, task->attempt);
     world_check_start(world, machine, task);
-    record(machine, task, WORLD_TASK_STARTS);
+    notify_observer(machine, task, WORLD_TASK_STARTS);
     if (task->job->spec.kind == MM_JOB_KIND_GANG && task->job->spec.n_tasks > 1) {
       task->state = MM_REPORTED_WAITING_FOR_GANG;
-      task->left_s = 20;
-      task->at_us = world->now_us;
+      task->remaining_s = 20;
+      task->next_change_us = world->now_us;
       return;
     }
     task->state = MM_REPORTED_RUNNING;
-    task->left_s
+    task->remaining_s
         = task->job->run_s * world_uniform(world, 0.8, 1.2) + task->number * task->job->stagger_s;
-    task->at_us = world->now_us + (gint64)(task->left_s * G_USEC_PER_SEC);
+    task->next_change_us = world->now_us + (gint64)(task->remaining_s * G_USEC_PER_SEC);
     return;
   }
   if (task->state == MM_REPORTED_WAITING_FOR_GANG) {
-    task->left_s -= 0.05;
-    if (gang_complete(world, task)) {
-      machine->changed = TRUE;
+    task->remaining_s -= 0.05;
+    if (is_gang_complete(world, task)) {
+      machine->has_changed = TRUE;
       task->state = MM_REPORTED_RUNNING;
-      task->at_us = world->now_us + (gint64)(task->job->run_s * G_USEC_PER_SEC);
-    } else if (task->left_s < 0) {
+      task->next_change_us = world->now_us + (gint64)(task->job->run_s * G_USEC_PER_SEC);
+    } else if (task->remaining_s < 0) {
       end_task(machine, task, MM_CAUSE_GANG_INCOMPLETE);
     }
     return;
   }
   if (task->job->spec.kind == MM_JOB_KIND_SERVICE)
     return;
-  if (!task->job->done[task->number] && world_uniform(world, 0, 1) < machine->faulty)
+  if (!task->job->is_task_done[task->number] && world_uniform(world, 0, 1) < machine->failure_rate)
     end_task(machine, task, MM_CAUSE_ERROR);
   else
     end_task(machine, task, MM_CAUSE_DONE);
 }
 
 static void
-beat(gpointer data) {
+worker_tick(gpointer data) {
   WorldMachine *machine = data;
   World *world = machine->world;
 
-  if (!machine->up)
+  if (!machine->is_up)
     return;
-  world_at(world, world->now_us + 50000, beat, machine);
-  if (machine->warned_us != 0 && world->now_us >= machine->taken_us) {
+  world_schedule(world, world->now_us + 50000, worker_tick, machine);
+  if (machine->notice_us != 0 && world->now_us >= machine->reclaimed_at_us) {
     world_kill_machine(world, machine);
-    machine->gone = TRUE;
+    machine->is_gone = TRUE;
     return;
   }
-  if ((double)(world->now_us - machine->lease_from_us) > world->lease_s * G_USEC_PER_SEC) {
+  if ((double)(world->now_us - machine->lease_renewed_us) > world->lease_s * G_USEC_PER_SEC) {
     mm_debug("world: the lease of %s has run out", machine->id);
-    world_machine_wipe(machine);
-    machine->session++;
-    machine->lease_from_us = world->now_us;
-    machine->changed = TRUE;
+    world_machine_clear_tasks(machine);
+    machine->incarnation++;
+    machine->lease_renewed_us = world->now_us;
+    machine->has_changed = TRUE;
   }
   /* The lease ends also while the machine hangs: it may resume within its lease only. */
   if (world->now_us < machine->hung_until_us)
     return;
   for (guint i = 0; i < machine->tasks->len; i++)
-    advance(machine, g_ptr_array_index(machine->tasks, i));
-  if (machine->in_flight)
+    advance_task(machine, g_ptr_array_index(machine->tasks, i));
+  if (machine->is_heartbeat_in_flight)
     return;
-  if (world->now_us >= machine->next_report_us
-      || (machine->changed && world->now_us - machine->last_report_us >= 500000))
-    send_report(machine);
+  if (world->now_us >= machine->next_heartbeat_us
+      || (machine->has_changed && world->now_us - machine->last_heartbeat_us >= 500000))
+    send_heartbeat(machine);
 }
