--- a/src/fleet/fleet.c
+++ b/src/autoscaler/autoscaler.c
@@ -1,8 +1,8 @@
-#include "fleet/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 #include "base/wire.h"
-#include "checkin/registry.h"
-#include "parts/claims.h"
+#include "machines/registry.h"
+#include "leases/node-lease.h"
 
 #define PLAN_INTERVAL_MS 500
 #define LIST_PAGE_SIZE 500
--- a/src/fleet/fleet.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,7 +1,7 @@
 /* The one part that talks to the cloud about machines: what should be rented or returned. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "node/node.h"
 
 /* A machine that has not been listed for so long is gone. */
@@ -65,13 +65,13 @@
 MmMachineOffer *mm_autoscaler_offer_for(MmAutoscaler *autoscaler, const MmName *type,
                                         const MmName *zone, gboolean is_spot);
 
-/* returns.c */
+/* scale-in.c */
 /* Counts which machines are silent, by zone: to be done before anything is returned or rented. */
 void mm_autoscaler_count_silent(MmAutoscaler *autoscaler);
 /* Most of the zone's machines are silent: it is taken to be cut off. */
 gboolean mm_autoscaler_zone_is_cut_off(MmAutoscaler *autoscaler, const MmName *zone_name);
 void mm_autoscaler_scale_in(MmAutoscaler *autoscaler);
 
-/* renting.c */
+/* scale-out.c */
 /* Rents for what waits, one kind of machine at a time. */
 void mm_autoscaler_scale_out(MmAutoscaler *autoscaler);
--- a/src/fleet/types.c
+++ b/src/autoscaler/instance-types.c
@@ -1,10 +1,10 @@
-#include "fleet/types.h"
+#include "autoscaler/instance-types.h"
 
 #include <stdlib.h>
 
 #include "base/wire.h"
-#include "parts/claims.h"
-#include "store/store.h"
+#include "leases/node-lease.h"
+#include "kv/kv-client.h"
 
 #define TYPES_REFRESH_MS 60000
 #define TYPES_RETRY_MS 1000
--- a/src/fleet/types.h
+++ b/src/autoscaler/instance-types.h
@@ -1,7 +1,7 @@
 /* The cloud's machine types, which every node needs to judge submissions and rooms. */
 #pragma once
 
-#include "jobs/spec.h"
+#include "jobs/job-spec.h"
 #include "node/node.h"
 
 typedef struct {
--- a/src/fleet/returns.c
+++ b/src/autoscaler/scale-in.c
@@ -1,9 +1,9 @@
 /* Which machines are returned: what never came up, what is idle, and what is silent. */
-#include "fleet/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 #include "base/wire.h"
-#include "peers/links.h"
-#include "rank/rank.h"
+#include "peers/peer-links.h"
+#include "placement/placement.h"
 
 #define MAX_RELEASES_PER_REQUEST 100
 #define BOOT_PATIENCE_MIN_S 30
--- a/src/fleet/renting.c
+++ b/src/autoscaler/scale-out.c
@@ -1,9 +1,9 @@
 /* Which machines are rented: what waits beyond what is coming, cheapest slot first. */
-#include "fleet/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 #include "base/wire.h"
-#include "parts/claims.h"
-#include "rank/rank.h"
+#include "leases/node-lease.h"
+#include "placement/placement.h"
 
 #define MAX_MACHINES_PER_REQUEST 50
 #define REFUSAL_BACKOFF_MS 8000
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -1,9 +1,9 @@
 #include "dependencies/dependencies.h"
 
 #include "base/wire.h"
-#include "owner/owner.h"
-#include "rank/rank.h"
-#include "store/store.h"
+#include "scheduler/scheduler.h"
+#include "placement/placement.h"
+#include "kv/kv-client.h"
 
 /* Reads of final states at once, and the share of the state service's requests that they take. */
 #define MAX_CONCURRENT_LOOKUPS 4
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -3,7 +3,7 @@
  * service, a few at a time. */
 #pragma once
 
-#include "dependencies/graph.h"
+#include "dependencies/dependency-graph.h"
 #include "jobs/job-table.h"
 #include "node/node.h"
 
--- a/src/dependencies/graph.c
+++ b/src/dependencies/dependency-graph.c
@@ -1,4 +1,4 @@
-#include "dependencies/graph.h"
+#include "dependencies/dependency-graph.h"
 
 static void
 vertex_free(gpointer data) {
--- a/src/checkin/checkin.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -1,14 +1,14 @@
 /* Which reports this node may answer, and when. */
-#include "checkin/checkin.h"
-#include "checkin/health.h"
-#include "checkin/pending-answer.h"
+#include "heartbeat/heartbeat-server.h"
+#include "machines/machine-health.h"
+#include "heartbeat/pending-response.h"
 
 #include "base/wire.h"
-#include "checkin/machine-table.h"
-#include "parts/claims.h"
-#include "peers/links.h"
+#include "machines/machine-table.h"
+#include "leases/node-lease.h"
+#include "peers/peer-links.h"
 #include "sharing/sharing.h"
-#include "store/replica.h"
+#include "kv/replica.h"
 #include "upgrade/versions.h"
 
 #define DEFER_MAX_MS 800
--- a/src/checkin/report.c
+++ b/src/heartbeat/heartbeat.c
@@ -1,4 +1,4 @@
-#include "checkin/report.h"
+#include "heartbeat/heartbeat.h"
 
 #include <stdlib.h>
 
--- a/src/checkin/pending-answer.c
+++ b/src/heartbeat/pending-response.c
@@ -1,11 +1,11 @@
-#include "checkin/pending-answer.h"
+#include "heartbeat/pending-response.h"
 
 #include "base/wire.h"
-#include "owner/owner.h"
-#include "parts/claims.h"
-#include "peers/links.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "scheduler/scheduler.h"
+#include "leases/node-lease.h"
+#include "peers/peer-links.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 
 #define FAILED_REQUESTS_MAX 4
 #define CONFIRMATIONS_MAX 16
--- a/src/checkin/pending-answer.h
+++ b/src/heartbeat/pending-response.h
@@ -6,9 +6,9 @@
  */
 #pragma once
 
-#include "checkin/checkin.h"
-#include "checkin/machine-table.h"
-#include "rank/rank.h"
+#include "heartbeat/heartbeat-server.h"
+#include "machines/machine-table.h"
+#include "placement/placement.h"
 #include "sharing/sharing.h"
 
 /* A start that its owner has approved. */
--- a/src/jobs/doneset.c
+++ b/src/jobs/completed-tasks.c
@@ -1,4 +1,4 @@
-#include "jobs/doneset.h"
+#include "jobs/completed-tasks.h"
 
 #include <string.h>
 
--- a/src/jobs/api.c
+++ b/src/jobs/job-api.c
@@ -1,18 +1,18 @@
 /* Nothing is said to a user that the state service does not hold: a job is written before 201, a
  * cancellation before it is told. Answers that may still change are read through the state service;
  * final ones never change, so they may come from memory. */
-#include "jobs/api.h"
+#include "jobs/job-api.h"
 
 #include "base/wire.h"
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "dependencies/dependencies.h"
 #include "jobs/job-table.h"
-#include "jobs/call.h"
-#include "owner/owner.h"
-#include "parts/claims.h"
-#include "peers/links.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "jobs/user-request.h"
+#include "scheduler/scheduler.h"
+#include "leases/node-lease.h"
+#include "peers/peer-links.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 
 #define CANCEL_MAX_TRIES 6
 #define KV_REFUSAL_MEMORY_MS 500
--- a/src/jobs/api.h
+++ b/src/jobs/job-api.h
@@ -17,7 +17,7 @@
 void mm_job_api_tick(MmJobApi *job_api);
 /* The peer knows that the job is cancelled. */
 void mm_job_api_cancel_acked(MmJobApi *job_api, guint peer, const char *job_id);
-/* submit.c */
+/* submission.c */
 void mm_job_api_submit(MmNode *node, const json_t *json, MmHttpExchange *exchange);
 void mm_job_api_status(MmNode *node, const char *job_id, MmHttpExchange *exchange);
 void mm_job_api_cancel(MmNode *node, const char *job_id, MmHttpExchange *exchange);
--- a/src/jobs/spec.c
+++ b/src/jobs/job-spec.c
@@ -1,4 +1,4 @@
-#include "jobs/spec.h"
+#include "jobs/job-spec.h"
 
 #include <math.h>
 
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -2,9 +2,9 @@
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
-#include "owner/owner.h"
-#include "parts/claims.h"
-#include "rank/rank.h"
+#include "scheduler/scheduler.h"
+#include "leases/node-lease.h"
+#include "placement/placement.h"
 
 #define TERMINAL_STATES_KEPT 4096
 #define REMOVED_IDS_KEPT 8192
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -2,8 +2,8 @@
  * that are over. */
 #pragma once
 
-#include "jobs/doneset.h"
-#include "jobs/spec.h"
+#include "jobs/completed-tasks.h"
+#include "jobs/job-spec.h"
 #include "node/node.h"
 
 typedef struct MmMachine MmMachine;
--- a/src/jobs/submit.c
+++ b/src/jobs/submission.c
@@ -1,11 +1,11 @@
 /* Submissions: checked, then written before they are answered. */
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
-#include "fleet/types.h"
-#include "jobs/api.h"
-#include "jobs/call.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "autoscaler/instance-types.h"
+#include "jobs/job-api.h"
+#include "jobs/user-request.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 #include "upgrade/versions.h"
 
 /* Of a record, what the set of done tasks and a cancellation may take: so much, and at most this
--- a/src/store/store.c
+++ b/src/kv/kv-client.c
@@ -1,4 +1,4 @@
-#include "store/store.h"
+#include "kv/kv-client.h"
 
 #include "base/wire.h"
 #include "upgrade/format.h"
--- a/src/parts/claims.c
+++ b/src/leases/node-lease.c
@@ -1,10 +1,10 @@
-#include "parts/claims.h"
+#include "leases/node-lease.h"
 
 #include "base/wire.h"
-#include "checkin/machine-table.h"
-#include "peers/links.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "machines/machine-table.h"
+#include "peers/peer-links.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 #include "upgrade/format.h"
 
 /* Steady clocks diverge by at most 0.05%; twice that, against two clocks, and a little more. */
--- a/src/checkin/health.c
+++ b/src/machines/machine-health.c
@@ -1,7 +1,7 @@
-#include "checkin/health.h"
+#include "machines/machine-health.h"
 
 #include "jobs/job-table.h"
-#include "store/replica.h"
+#include "kv/replica.h"
 
 /* Errors of so many different jobs, with no success between them, are the machine's fault. */
 #define FAILED_JOBS_TO_QUARANTINE 2
--- a/src/checkin/health.h
+++ b/src/machines/machine-health.h
@@ -2,7 +2,7 @@
  * node is told of every report, so all come to the same view. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 
 /* Counts the errors that the report shows for the first time; a machine on which tasks of several
  * jobs fail in a row is quarantined. Call it before the report's tasks replace the machine's. */
--- a/src/checkin/machine-table.c
+++ b/src/machines/machine-table.c
@@ -1,15 +1,15 @@
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 
 #include <math.h>
 #include <stdlib.h>
 
 #include "base/wire.h"
-#include "checkin/health.h"
-#include "checkin/registry.h"
-#include "owner/owner.h"
-#include "peers/links.h"
+#include "machines/machine-health.h"
+#include "machines/registry.h"
+#include "scheduler/scheduler.h"
+#include "peers/peer-links.h"
 #include "sharing/sharing.h"
-#include "store/replica.h"
+#include "kv/replica.h"
 
 /* It looks at every machine. */
 #define MACHINE_SCAN_INTERVAL_MS 150
--- a/src/checkin/machine-table.h
+++ b/src/machines/machine-table.h
@@ -2,8 +2,8 @@
  * may still have been answered. */
 #pragma once
 
-#include "checkin/report.h"
-#include "fleet/types.h"
+#include "heartbeat/heartbeat.h"
+#include "autoscaler/instance-types.h"
 #include "jobs/job-table.h"
 #include "node/node.h"
 
--- a/src/checkin/machine.c
+++ b/src/machines/machine.c
@@ -1,8 +1,8 @@
 /* What is known of one machine: its tasks, images, free resources, and commands that wait for it.
  */
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 
-#include "checkin/health.h"
+#include "machines/machine-health.h"
 
 #define QUEUED_COMMANDS_MAX 256
 
--- a/src/checkin/registry.c
+++ b/src/machines/registry.c
@@ -1,10 +1,10 @@
-#include "checkin/registry.h"
+#include "machines/registry.h"
 
 #include "base/wire.h"
-#include "checkin/health.h"
+#include "machines/machine-health.h"
 #include "sharing/sharing.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 
 #define WRITE_INTERVAL_MS 250
 /* All nodes read a pack anew whenever it changes: a few dozen machines each. */
--- a/src/checkin/registry.h
+++ b/src/machines/registry.h
@@ -4,7 +4,7 @@
  * change of sessions. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "node/node.h"
 
 struct MmRegistryEntry {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -6,7 +6,7 @@
 #include "base/types.h"
 #include "config/operators.h"
 #include "config/settings.h"
-#include "node/port.h"
+#include "node/platform.h"
 
 typedef struct MmNode MmNode;
 typedef struct MmKvClient MmKvClient;
--- a/src/peers/telling.c
+++ b/src/peers/peer-broadcast.c
@@ -1,7 +1,7 @@
 /* What peers are told: of answers to workers, cancellations, machines that are gone, commands. */
-#include "peers/links.h"
+#include "peers/peer-links.h"
 
-#include "store/replica.h"
+#include "kv/replica.h"
 
 /* Of reports that show nothing new, so many in one message. */
 #define REPEAT_HEARTBEATS_MAX 1024
--- a/src/peers/links.c
+++ b/src/peers/peer-links.c
@@ -1,16 +1,16 @@
-#include "peers/links.h"
+#include "peers/peer-links.h"
 
-#include "checkin/checkin.h"
-#include "checkin/health.h"
-#include "checkin/pending-answer.h"
+#include "heartbeat/heartbeat-server.h"
+#include "machines/machine-health.h"
+#include "heartbeat/pending-response.h"
 #include "dependencies/dependencies.h"
-#include "jobs/api.h"
-#include "owner/owner.h"
-#include "parts/claims.h"
-#include "rank/rank.h"
+#include "jobs/job-api.h"
+#include "scheduler/scheduler.h"
+#include "leases/node-lease.h"
+#include "placement/placement.h"
 #include "sharing/sharing.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 
 /* How long reports that show nothing new may wait to be told together. */
 #define REPEAT_HEARTBEATS_INTERVAL_MS 200
--- a/src/peers/links.h
+++ b/src/peers/peer-links.h
@@ -2,7 +2,7 @@
  * to when all its answers are known here, and whether it too is refused by the state service. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "node/node.h"
 #include "peers.pb-c.h"
 
@@ -71,7 +71,7 @@
                                  const GArray *commands);
 void mm_peer_links_send(MmPeerLinks *links, guint peer, Mm__Frame *frame);
 
-/* telling.c, for links.c alone */
+/* peer-broadcast.c, for links.c alone */
 /* Tells all of whom this node has answered since it last did. */
 void mm_peer_broadcast_repeat_heartbeats(MmPeerLinks *links);
 /* Tells a peer of everything that this node has answered within two leases. */
--- a/src/rank/modulo.c
+++ b/src/placement/modulo-priority.c
@@ -1,4 +1,4 @@
-#include "rank/modulo.h"
+#include "placement/modulo-priority.h"
 
 /* prio(z) = b * ((y + n - i) % n) + (x + b - i % m) % b, with x = ceil(z / n),
  * y = (z - 1) % n + 1 and b = ceil(f / n). As z runs over n consecutive tasks, y takes each
--- a/src/rank/rank.c
+++ b/src/placement/placement.c
@@ -1,8 +1,8 @@
-#include "rank/rank.h"
+#include "placement/placement.h"
 
-#include "owner/owner.h"
-#include "peers/links.h"
-#include "rank/modulo.h"
+#include "scheduler/scheduler.h"
+#include "peers/peer-links.h"
+#include "placement/modulo-priority.h"
 
 #define BACKLOG_SEND_INTERVAL_MS 50
 #define RELEASE_CHECK_INTERVAL_MS 100
--- a/src/rank/rank.h
+++ b/src/placement/placement.h
@@ -2,7 +2,7 @@
  * owners last said of their unassigned tasks, the machine's room and its cached images. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "node/node.h"
 #include "peers.pb-c.h"
 
--- a/src/owner/approve.c
+++ b/src/scheduler/admission.c
@@ -1,10 +1,10 @@
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
-#include "parts/claims.h"
-#include "peers/links.h"
-#include "store/replica.h"
+#include "leases/node-lease.h"
+#include "peers/peer-links.h"
+#include "kv/replica.h"
 
 #define KEPT_TASKS_MAX 64
 #define AVOID_FAILED_MACHINE_MS 60000
--- a/src/owner/gang.c
+++ b/src/scheduler/gang.c
@@ -1,8 +1,8 @@
 /* Gangs of several tasks: the owner picks all places at once or none, then gives the starts out as
  * the machines report. A gang that is not complete in time is stopped and planned anew. */
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
-#include "parts/claims.h"
+#include "leases/node-lease.h"
 
 /* Several report periods: within them every machine asks for work. */
 #define RESERVATION_PERIODS 3
--- a/src/owner/reports.c
+++ b/src/scheduler/heartbeats.c
@@ -1,10 +1,10 @@
 /* What machines' reports say of the tasks of the parts held here, and what follows for the
  * machines.
  */
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
-#include "checkin/health.h"
-#include "peers/links.h"
+#include "machines/machine-health.h"
+#include "peers/peer-links.h"
 
 /* Old days weigh less and less: guesses may be too high on one day and too low on the next. */
 static void
--- a/src/owner/record.c
+++ b/src/scheduler/job-writer.c
@@ -1,9 +1,9 @@
 /* Writing what is done, and jobs' ends, into their records. */
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
-#include "store/store.h"
+#include "kv/kv-client.h"
 
 #define JOB_WRITE_INTERVAL_MS 1000
 #define JOB_WRITE_DELAY_MS 300
--- a/src/owner/preempt.c
+++ b/src/scheduler/preemption.c
@@ -1,10 +1,10 @@
 /* Making room for urgent work where no fitting machine is free: work of lower priority is stopped.
  */
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
 #include <stdlib.h>
 
-#include "parts/claims.h"
+#include "leases/node-lease.h"
 
 #define TASKS_PER_ROUND 16
 #define PREEMPTIONS_PER_ROUND 6
--- a/src/owner/guarantee.c
+++ b/src/scheduler/quota.c
@@ -1,7 +1,7 @@
 /* Teams' guarantees: which jobs lie within them, and which teams run more than theirs, so that work
  * of these may be stopped for work of those. Every node works it out from what it knows; nothing
  * safety-critical hangs on it. */
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
 #include "dependencies/dependencies.h"
 
--- a/src/owner/owner.c
+++ b/src/scheduler/scheduler.c
@@ -1,8 +1,8 @@
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
 #include "dependencies/dependencies.h"
-#include "parts/claims.h"
-#include "store/replica.h"
+#include "leases/node-lease.h"
+#include "kv/replica.h"
 
 #define SLOW_TICK_MS 100
 /* At all machines, in a slow tick. */
--- a/src/owner/owner.h
+++ b/src/scheduler/scheduler.h
@@ -6,11 +6,11 @@
  * unacknowledged machine might hold. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "jobs/job-table.h"
 #include "node/node.h"
 #include "peers.pb-c.h"
-#include "rank/rank.h"
+#include "placement/placement.h"
 
 struct MmLedShard {
   char *name;
@@ -101,7 +101,7 @@
 void mm_scheduler_list_backlog(MmScheduler *owner, GPtrArray *pending, GArray *reserved_machines);
 guint mm_scheduler_count_pending_tasks(const MmScheduler *owner);
 
-/* approve.c */
+/* admission.c */
 /* Lowers the request's room to what is free as seen here. */
 gboolean mm_scheduler_approve_start(MmScheduler *owner, MmStartRequest *request,
                                     MmApproval *approval);
@@ -128,7 +128,7 @@
                                    guint tasks);
 MmAttempt mm_scheduler_next_attempt(MmScheduler *owner, const MmLedShard *held);
 
-/* owner.c */
+/* scheduler.c */
 static inline gboolean
 mm_task_is_live(guint8 state) {
   return state != MM_TASK_PENDING && state != MM_TASK_DONE;
@@ -140,15 +140,15 @@
 /* Notes when nothing is left to hear for the part. */
 void mm_scheduler_check_shard_ready(MmScheduler *owner, MmLedShard *held);
 
-/* reports.c */
+/* heartbeats.c */
 /* Places what the machine's newest report shows, of one part only unless that is NULL. */
 void mm_scheduler_apply_reported_tasks(MmScheduler *owner, MmMachine *machine,
                                        const char *only_shard);
 
-/* record.c */
+/* job-writer.c */
 void mm_scheduler_write_jobs(MmScheduler *owner);
 
-/* command.c */
+/* stop-commands.c */
 /* Tells a task's machine to stop it, at once and with every answer until it is gone. */
 void mm_scheduler_send_stop(MmScheduler *owner, MmMachine *machine, const MmName *job, guint number,
                             MmAttempt attempt, double grace_s);
@@ -171,7 +171,7 @@
   return job->spec.kind == MM_JOB_KIND_GANG && job->spec.n_tasks > 1;
 }
 
-/* guarantee.c */
+/* quota.c */
 void mm_scheduler_update_guarantees(MmScheduler *owner);
 /* Whether a task of `from` may be stopped to give the job, of another team, what that is
  * guaranteed. */
@@ -187,7 +187,7 @@
  * Jobs past all their aims come last, until they starve. */
 gint mm_scheduler_compare_urgency(gconstpointer a, gconstpointer b);
 
-/* preempt.c */
+/* preemption.c */
 void mm_scheduler_preempt(MmScheduler *owner);
 /* Stops work of lower priority on as many machines, each of which could then take a task of the
  * gang. Not again within a report period. */
--- a/src/owner/command.c
+++ b/src/scheduler/stop-commands.c
@@ -1,16 +1,16 @@
 /* Direct commands: stops, cancellations, and empty ones that spread the term. */
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
 #include "dependencies/dependencies.h"
 
 #include "base/wire.h"
-#include "checkin/checkin.h"
-#include "checkin/health.h"
-#include "parts/claims.h"
-#include "peers/links.h"
+#include "heartbeat/heartbeat-server.h"
+#include "machines/machine-health.h"
+#include "leases/node-lease.h"
+#include "peers/peer-links.h"
 #include "sharing/sharing.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 
 #define ACK_REQUEST_INTERVAL_MS 3000
 /* In a slow tick: each takes about half a millisecond. */
--- a/src/owner/urgency.c
+++ b/src/scheduler/urgency.c
@@ -2,7 +2,7 @@
  * that others depend on takes over the priority of these, and must be done in time for their
  * deadlines. All this decides on order and preemption only, never on a team's limit or guarantee.
  */
-#include "owner/owner.h"
+#include "scheduler/scheduler.h"
 
 #include <math.h>
 
--- a/src/sharing/admin.c
+++ b/src/sharing/admin.c
@@ -1,8 +1,8 @@
 #include "sharing/admin.h"
 
 #include "base/json.h"
-#include "peers/links.h"
-#include "store/replica.h"
+#include "peers/peer-links.h"
+#include "kv/replica.h"
 
 #define MOVE_SUFFIX "/move"
 #define RETRY_S 1
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -3,10 +3,10 @@
  * followed. */
 #include "sharing/sharing.h"
 
-#include "parts/claims.h"
-#include "peers/links.h"
+#include "leases/node-lease.h"
+#include "peers/peer-links.h"
 #include "sharing/shares.h"
-#include "store/replica.h"
+#include "kv/replica.h"
 
 #define BALANCE_INTERVAL_MS 500
 #define MOVES_BROADCAST_INTERVAL_MS 1000
--- a/src/sharing/grants.h
+++ b/src/sharing/grants.h
@@ -2,7 +2,7 @@
  * machine are granted by its group's owner alone, so no two starts are given the same ones. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "node/node.h"
 
 /* A start that may use resources of a machine, in the answer to one report. */
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -1,9 +1,9 @@
 /* Giving a group to another node, up to the transaction: whether it may go, and what peers say. */
 #include "sharing/sharing.h"
 
-#include "parts/claims.h"
-#include "peers/links.h"
-#include "store/replica.h"
+#include "leases/node-lease.h"
+#include "peers/peer-links.h"
+#include "kv/replica.h"
 
 const char *
 mm_sharing_move_result_text(MmMoveResult result) {
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -1,8 +1,8 @@
 #include "sharing/sharing.h"
 
-#include "parts/claims.h"
-#include "peers/links.h"
-#include "store/replica.h"
+#include "leases/node-lease.h"
+#include "peers/peer-links.h"
+#include "kv/replica.h"
 #include "upgrade/versions.h"
 
 MmSharing *
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -6,7 +6,7 @@
  * the rules hold while groups move. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "node/node.h"
 #include "peers.pb-c.h"
 #include "sharing/grants.h"
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -5,9 +5,9 @@
 #include "sharing/sharing.h"
 
 #include "base/wire.h"
-#include "parts/claims.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "leases/node-lease.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 
 /* Groups that lie without an owner this long are taken by anyone. */
 #define UNOWNED_WAIT_MS 1500
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -1,8 +1,8 @@
 #include "upgrade/versions.h"
 
 #include "sharing/sharing.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 
 #define RETRY_AFTER_MS 500
 /* The names in a node's key. */
--- a/tests/test-doneset.c
+++ b/tests/test-completed-tasks.c
@@ -1,4 +1,4 @@
-#include "jobs/doneset.h"
+#include "jobs/completed-tasks.h"
 
 static void
 test_round_trip(void) {
--- a/tests/test-meetings.c
+++ b/tests/test-concurrent-faults.c
@@ -1,10 +1,10 @@
 /* Two troubles at once: each test brings one such meeting about, shows that it happened, and then
  * that the rules held and everything got done. */
 #include "base/wire.h"
-#include "parts/claims.h"
-#include "store/replica.h"
-#include "fleet/fleet.h"
-#include "store/store.h"
+#include "leases/node-lease.h"
+#include "kv/replica.h"
+#include "autoscaler/autoscaler.h"
+#include "kv/kv-client.h"
 #include "world/world.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
--- a/tests/test-graph.c
+++ b/tests/test-dependency-graph.c
@@ -1,5 +1,5 @@
 /* The dependency graph by itself: seeded random histories against a plain model, and sizes. */
-#include "dependencies/graph.h"
+#include "dependencies/dependency-graph.h"
 
 typedef struct {
   MmDependencyGraph *graph;
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -1,9 +1,9 @@
 /* Half as many machines again as the largest fleet that is in sight: no limit is met below it. What
  * it costs is counted in messages and bytes. */
 #include "base/wire.h"
-#include "owner/owner.h"
-#include "parts/claims.h"
-#include "store/replica.h"
+#include "scheduler/scheduler.h"
+#include "leases/node-lease.h"
+#include "kv/replica.h"
 #include "world/world.h"
 
 #define MACHINES 6000
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -1,7 +1,7 @@
 /* The active format: a node that does not know it does nothing at all, and the others go on. */
 #include "base/wire.h"
-#include "parts/claims.h"
-#include "store/replica.h"
+#include "leases/node-lease.h"
+#include "kv/replica.h"
 #include "upgrade/format.h"
 #include "world/world.h"
 
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -1,11 +1,11 @@
 /* What the version in production stores and sends is read by the present code, and what the present
  * code writes of the same jobs is what that version wrote: tests/golden. */
 #include "base/wire.h"
-#include "checkin/registry.h"
+#include "machines/registry.h"
 #include "jobs/job-table.h"
 #include "peers.pb-c.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 #include "upgrade/versions.h"
 #include "world/world.h"
 
--- a/tests/test-spec.c
+++ b/tests/test-job-spec.c
@@ -1,8 +1,8 @@
 #include <math.h>
 
 #include "base/wire.h"
-#include "checkin/machine-table.h"
-#include "jobs/spec.h"
+#include "machines/machine-table.h"
+#include "jobs/job-spec.h"
 
 static const char good[]
     = "{\"nameId\":\"run-000412\",\"guild\":\"train\",\"flock\":\"vision\",\"gait\":\"group\","
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -1,8 +1,8 @@
 /* A world of the grown size: over two hundred machines in three zones. */
 #include "base/wire.h"
-#include "owner/owner.h"
-#include "parts/claims.h"
-#include "store/replica.h"
+#include "scheduler/scheduler.h"
+#include "leases/node-lease.h"
+#include "kv/replica.h"
 #include "world/world.h"
 
 static const char *const zones[] = { "a", "b", "c" };
--- a/tests/test-health.c
+++ b/tests/test-machine-health.c
@@ -1,6 +1,6 @@
 /* Which machines are set aside: those at fault, and no others. */
 #include "base/wire.h"
-#include "checkin/health.h"
+#include "machines/machine-health.h"
 #include "jobs/job-table.h"
 #include "world/world.h"
 
--- a/tests/test-modulo.c
+++ b/tests/test-modulo-priority.c
@@ -1,4 +1,4 @@
-#include "rank/modulo.h"
+#include "placement/modulo-priority.h"
 
 /* Worked by hand from equation 1 with n = 6 workers, f = 12 tasks, m = 2 controllers: b = 2. */
 static void
--- a/tests/test-links.c
+++ b/tests/test-peer-links.c
@@ -1,8 +1,8 @@
 /* What nodes tell one another must carry the proofs that hang on it, however links come and go and
  * however late anything is read. */
-#include "checkin/registry.h"
-#include "peers/links.h"
-#include "store/store.h"
+#include "machines/registry.h"
+#include "peers/peer-links.h"
+#include "kv/kv-client.h"
 #include "world/world.h"
 
 static World *
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -3,8 +3,8 @@
  */
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 #include "world/world.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
--- a/tests/test-owner.c
+++ b/tests/test-scheduler.c
@@ -1,7 +1,7 @@
 /* The owner's answers on the ordinary path, and its arithmetic of limits. */
 #include "base/wire.h"
-#include "owner/owner.h"
-#include "store/replica.h"
+#include "scheduler/scheduler.h"
+#include "kv/replica.h"
 #include "world/world.h"
 
 typedef struct {
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -1,9 +1,9 @@
 /* Machines shared out among the nodes of the simulated world: seeded days with moves at all times
  * beside every trouble, and each hard case of a move by itself. */
 #include "base/wire.h"
-#include "parts/claims.h"
+#include "leases/node-lease.h"
 #include "sharing/sharing.h"
-#include "store/replica.h"
+#include "kv/replica.h"
 #include "world/world.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -3,8 +3,8 @@
 #include "base/wire.h"
 #include "jobs/job-table.h"
 #include "peers.pb-c.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 #include "upgrade/versions.h"
 #include "world/world.h"
 
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -1,7 +1,7 @@
 /* Seeded random days: everything may fail, the rules hold after every step, and work gets done. */
 #include "base/wire.h"
-#include "parts/claims.h"
-#include "store/replica.h"
+#include "leases/node-lease.h"
+#include "kv/replica.h"
 #include "world/world.h"
 
 static WorldMachine *
--- a/tests/world/troubles.c
+++ b/tests/world/fault-injection.c
@@ -2,7 +2,7 @@
 #include "world/world.h"
 
 #include "base/wire.h"
-#include "parts/claims.h"
+#include "leases/node-lease.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 #define WAIT_MAX_US (90 * (gint64)G_USEC_PER_SEC)
--- a/tests/world/broken.c
+++ b/tests/world/faulty-nodes.c
@@ -1,9 +1,9 @@
 /* Nodes that are broken on purpose, so that the checks of the rules are seen to fail. */
 #include "dependencies/dependencies.h"
-#include "owner/owner.h"
-#include "parts/claims.h"
+#include "scheduler/scheduler.h"
+#include "leases/node-lease.h"
 #include "sharing/sharing.h"
-#include "store/replica.h"
+#include "kv/replica.h"
 #include "world/world.h"
 
 /* An owner that is broken on purpose: it takes every machine for heard at once. */
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -2,7 +2,7 @@
 #include "world/world.h"
 
 #include "base/wire.h"
-#include "store/store.h"
+#include "kv/kv-client.h"
 #include "upgrade/format.h"
 
 /* A watch whose answer is lost, or comes to a node that stands still, is opened anew after 3.7 s.
--- a/tests/world/calls.c
+++ b/tests/world/requests-of-nodes.c
@@ -2,7 +2,7 @@
 #include "world/network.h"
 
 #include "base/wire.h"
-#include "store/store.h"
+#include "kv/kv-client.h"
 
 typedef struct {
   World *world;
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -4,8 +4,8 @@
 #include "base/wire.h"
 #include "sharing/admin.h"
 #include "sharing/sharing.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 /* Troubles over: a lease, the patience with whoever should take a group, and two transactions. */
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -3,7 +3,7 @@
 #include "world/world.h"
 
 #include "base/wire.h"
-#include "store/store.h"
+#include "kv/kv-client.h"
 
 void
 world_downgrade_request(const World *world, guint node, json_t *request) {
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -3,11 +3,11 @@
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 #include "peers.pb-c.h"
-#include "peers/links.h"
-#include "owner/owner.h"
-#include "parts/claims.h"
-#include "store/replica.h"
-#include "store/store.h"
+#include "peers/peer-links.h"
+#include "scheduler/scheduler.h"
+#include "leases/node-lease.h"
+#include "kv/replica.h"
+#include "kv/kv-client.h"
 #include "upgrade/format.h"
 
 typedef struct {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -3,7 +3,7 @@
  * that changes what runs, the rules are checked. */
 #pragma once
 
-#include "checkin/machine-table.h"
+#include "machines/machine-table.h"
 #include "node/node.h"
 
 #define WORLD_NODES 3
@@ -277,7 +277,7 @@
 /* For requests of which only the status matters: `data` is an int. */
 void world_record_status(gpointer data, int status, json_t *body);
 
-/* store.c */
+/* kv-store.c */
 void world_kv_init(World *world);
 void world_kv_free(World *world);
 int world_kv_handle(World *world, const char *method, const char *path, const json_t *body,
@@ -286,11 +286,11 @@
 void world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
                         gpointer data);
 
-/* broken.c */
+/* faulty-nodes.c */
 /* Does to the node, before each of its ticks, what the world's switches say. */
 void world_make_node_faulty(const World *world, MmNode *node, MmTime now);
 
-/* troubles.c */
+/* fault-injection.c */
 WorldJob *world_any_job(World *world);
 /* Something befalls a node, a machine, the state service or the links, for seconds. */
 void world_inject_random_fault(World *world);
@@ -387,7 +387,7 @@
 void world_cancel(WorldJob *job);
 WorldJob *world_find_job(World *world, const char *id);
 
-/* rules.c */
+/* invariants.c */
 void world_check_start(World *world, const WorldMachine *machine, const WorldTask *task);
 void world_check_invariants(World *world);
 /* Fails the test, and says which, when a rule was broken. */
