--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -3,6 +3,7 @@
 #include "base/wire.h"
 #include "machines/registry.h"
 #include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 
 #define PLAN_INTERVAL_MS 500
 #define LIST_PAGE_SIZE 500
@@ -117,7 +118,7 @@
   MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
   gboolean is_active = mm_node_lease_is_valid(node->node_lease)
-                       && mm_shard_ownership_leads(node->node_lease, MM_SHARD_AUTOSCALER);
+                       && mm_shard_ownership_leads(node->shard_ownership, MM_SHARD_AUTOSCALER);
 
   if (is_active != autoscaler->is_active) {
     autoscaler->is_active = is_active;
--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -6,6 +6,7 @@
 #include "base/wire.h"
 #include "machines/machine-table.h"
 #include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "peers/peer-links.h"
 #include "sharing/sharing.h"
 #include "kv/replica.h"
@@ -107,7 +108,7 @@
 
 static void
 track_ownership_changes(MmHeartbeatServer *server) {
-  if (!mm_shard_ownership_is_unsettled(server->node->node_lease))
+  if (!mm_shard_ownership_is_unsettled(server->node->shard_ownership))
     server->ownership_unsettled_since.us = 0;
   else if (server->ownership_unsettled_since.us == 0)
     server->ownership_unsettled_since = mm_node_now(server->node);
@@ -283,7 +284,7 @@
 
   count_served_machines(server);
   if (server->ownership_unsettled_since.us != 0
-      && !mm_shard_ownership_is_unsettled(server->node->node_lease))
+      && !mm_shard_ownership_is_unsettled(server->node->shard_ownership))
     mm_heartbeat_server_replica_changed(server);
   while (!g_queue_is_empty(server->deferred_heartbeats)) {
     DeferredHeartbeat *deferred = g_queue_peek_head(server->deferred_heartbeats);
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -3,7 +3,7 @@
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 #include "scheduler/scheduler.h"
-#include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "placement/placement.h"
 
 #define TERMINAL_STATES_KEPT 4096
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -1,7 +1,6 @@
 #include "leases/node-lease.h"
 
 #include "base/wire.h"
-#include "machines/machine-table.h"
 #include "peers/peer-links.h"
 #include "kv/replica.h"
 #include "kv/kv-client.h"
@@ -9,48 +8,20 @@
 
 /* Steady clocks diverge by at most 0.05%; twice that, against two clocks, and a little more. */
 #define CLOCK_DRIFT 0.002
-/* A part that its rightful taker leaves lying this long goes to anyone. */
-#define LEADERLESS_PATIENCE_MS 1500
-/* At the start all nodes should take part in the sharing out. */
-#define START_PATIENCE_MS 1000
-#define UNEVEN_PATIENCE_MS 10000
-#define CHECK_INTERVAL_MS 100
-#define CONFLICT_PAUSE_MS 2000
 #define OUTAGE_PROOF_MAX_AGE_MS 1000
 #define MAX_STALENESS_TTLS 2
 
 MmNodeLease *
 mm_node_lease_new(MmNode *node) {
-  MmNodeLease *claims = g_new0(MmNodeLease, 1);
+  MmNodeLease *lease = g_new0(MmNodeLease, 1);
 
-  claims->node = node;
-  claims->shard_names = g_ptr_array_new_with_free_func(g_free);
-  claims->leaderless_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  g_ptr_array_add(claims->shard_names, g_strdup(MM_SHARD_AUTOSCALER));
-  if (node->operators->groups > 0)
-    g_ptr_array_add(claims->shard_names, g_strdup(MM_SHARD_SHARING));
-  for (guint i = 0; i < node->settings->teams->len; i++)
-    g_ptr_array_add(claims->shard_names,
-                    mm_shard_ownership_shard_of_team(
-                        &g_array_index(node->settings->teams, MmTeamSettings, i).name));
-  return claims;
+  lease->node = node;
+  return lease;
 }
 
 void
-mm_node_lease_free(MmNodeLease *claims) {
-  g_ptr_array_unref(claims->shard_names);
-  g_hash_table_unref(claims->leaderless_since);
-  g_free(claims);
-}
-
-char *
-mm_shard_ownership_shard_of_team(const MmName *team) {
-  return g_uri_escape_string(team->s, NULL, FALSE);
-}
-
-gboolean
-mm_shard_ownership_is_duty(const char *shard_name) {
-  return shard_name[0] == MM_SHARD_AUTOSCALER[0];
+mm_node_lease_free(MmNodeLease *lease) {
+  g_free(lease);
 }
 
 static gint64
@@ -93,37 +64,6 @@
   return lease_ttl_ms(lease) * 1000 * MAX_STALENESS_TTLS;
 }
 
-gboolean
-mm_shard_ownership_leads(const MmNodeLease *ownership, const char *shard_name) {
-  const MmShard *shard = mm_replica_shard(ownership->node->replica, shard_name);
-
-  return shard != NULL && ownership->lease_id != 0 && shard->lease_id == ownership->lease_id
-         && mm_name_equal(&shard->leader, &ownership->node->settings->label);
-}
-
-gboolean
-mm_shard_ownership_is_unsettled(const MmNodeLease *ownership) {
-  const MmReplica *replica = ownership->node->replica;
-  const MmPeerLinks *peer_links = ownership->node->peer_links;
-
-  for (guint i = 0; i < ownership->shard_names->len; i++) {
-    const MmShard *shard = mm_replica_shard(replica, g_ptr_array_index(ownership->shard_names, i));
-    const MmLiveNode *leader
-        = shard != NULL ? g_hash_table_lookup(replica->live_nodes, shard->leader.s) : NULL;
-    if (leader == NULL || leader->lease_id != shard->lease_id)
-      return TRUE;
-  }
-  for (guint i = 0; i < peer_links->n_peers; i++) {
-    const MmLiveNode *peer_node
-        = g_hash_table_lookup(replica->live_nodes, peer_links->peers[i].label.s);
-    if (peer_node != NULL && peer_node->lease_id != peer_links->peers[i].lease_id)
-      return TRUE;
-  }
-  return FALSE;
-}
-
-/* ---- the claim itself ---- */
-
 typedef struct {
   MmNodeLease *lease;
   MmTime sent_at;
@@ -279,231 +219,8 @@
   }
 }
 
-static void
-on_shards_committed(gpointer data, int status, json_t *body) {
-  MmNodeLease *ownership = data;
-
-  ownership->is_commit_pending = FALSE;
-  if (status != 200)
-    ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), 200);
-  if (status == 409) {
-    /* Each try costs writes that others need: first the watch must show what has changed. */
-    mm_debug("the part map had changed meanwhile");
-    ownership->conflict_revision = ownership->node->replica->revision;
-    ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), CONFLICT_PAUSE_MS);
-  }
-}
-
-/* Whose the part is to take: a life of the holder that has ended, or nobody's. */
-static gboolean
-may_be_acquired(const MmNodeLease *ownership, const MmShard *shard) {
-  return shard == NULL
-         || (mm_name_equal(&shard->leader, &ownership->node->settings->label)
-             && shard->lease_id != ownership->lease_id);
-}
-
-static gint64
-leaderless_for_ms(MmNodeLease *ownership, const char *shard_name, gboolean is_leaderless) {
-  MmTime now = mm_node_now(ownership->node);
-  MmTime *since = g_hash_table_lookup(ownership->leaderless_since, shard_name);
-
-  if (!is_leaderless) {
-    g_hash_table_remove(ownership->leaderless_since, shard_name);
-    return 0;
-  }
-  if (since == NULL) {
-    since = g_new(MmTime, 1);
-    *since = now;
-    g_hash_table_insert(ownership->leaderless_since, g_strdup(shard_name), since);
-  }
-  return mm_time_ms_since(now, *since);
-}
-
-static void
-acquire_shards(MmNodeLease *ownership, GPtrArray *wanted) {
-  const MmReplica *replica = ownership->node->replica;
-  guint n_acquired = MIN(wanted->len, mm_kv_client_max_operations(ownership->node->kv) - 1);
-  guint64 term = replica->term.v + 1;
-  MmTransaction transaction = mm_transaction_begin();
-
-  mm_transaction_require_version(&transaction, MM_KEY_TERM, "", replica->term_version);
-  mm_transaction_put(&transaction, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term), 0);
-  for (guint i = 0; i < n_acquired; i++) {
-    const char *name = g_ptr_array_index(wanted, i);
-    const MmShard *shard = mm_replica_shard(replica, name);
-    mm_transaction_require_version(&transaction, MM_KEY_SHARD, name,
-                                   shard != NULL ? shard->version : (MmKeyVersion){ 0 });
-    mm_transaction_put(&transaction, MM_KEY_SHARD, name,
-                       json_pack("{s:s, s:I, s:I}", "n", ownership->node->settings->label.s, "c",
-                                 (json_int_t)ownership->lease_id, "t", (json_int_t)term),
-                       ownership->lease_id);
-  }
-  mm_info("taking %u part(s) with term %" G_GUINT64_FORMAT, n_acquired, term);
-  ownership->is_commit_pending = TRUE;
-  mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
-}
-
-/* Gives up parts for which another node has room, all at once: each move costs a new term. */
-static void
-release_shards(MmNodeLease *ownership, guint surplus) {
-  MmTransaction transaction = mm_transaction_begin();
-
-  for (guint i = ownership->shard_names->len; i > 0 && surplus > 0; i--) {
-    const char *name = g_ptr_array_index(ownership->shard_names, i - 1);
-    if (!mm_shard_ownership_leads(ownership, name))
-      continue;
-    mm_transaction_require_version(&transaction, MM_KEY_SHARD, name,
-                                   mm_replica_shard(ownership->node->replica, name)->version);
-    mm_transaction_delete(&transaction, MM_KEY_SHARD, name);
-    if (transaction.n_operations >= mm_kv_client_max_operations(ownership->node->kv))
-      break;
-    surplus--;
-  }
-  mm_info("giving up %u part(s)", transaction.n_operations);
-  ownership->is_commit_pending = TRUE;
-  mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
-}
-
-/* Where the parts are, as every node sees it alike. */
-typedef struct {
-  GPtrArray *live_labels; /* labels of the nodes that have a claim, in order */
-  guint *n_led;           /* how many parts each of them holds */
-  guint own_index;        /* this node's place among them; G_MAXUINT: none */
-} ShardDistribution;
-
-static void
-distribution_init(const MmNodeLease *ownership, ShardDistribution *distribution) {
-  const MmReplica *replica = ownership->node->replica;
-
-  distribution->live_labels = mm_replica_live_labels(replica);
-  distribution->n_led = g_new0(guint, distribution->live_labels->len);
-  distribution->own_index = G_MAXUINT;
-  for (guint n = 0; n < distribution->live_labels->len; n++) {
-    const char *label = g_ptr_array_index(distribution->live_labels, n);
-    if (strcmp(label, ownership->node->settings->label.s) == 0)
-      distribution->own_index = n;
-    for (guint i = 0; i < ownership->shard_names->len; i++) {
-      const MmShard *shard
-          = mm_replica_shard(replica, g_ptr_array_index(ownership->shard_names, i));
-      distribution->n_led[n] += shard != NULL && strcmp(label, shard->leader.s) == 0;
-    }
-  }
-}
-
-static void
-distribution_clear(ShardDistribution *distribution) {
-  g_ptr_array_unref(distribution->live_labels);
-  g_free(distribution->n_led);
-}
-
-static guint
-node_with_fewest_shards(const ShardDistribution *distribution) {
-  guint fewest = 0;
-
-  for (guint n = 1; n < distribution->live_labels->len; n++)
-    if (distribution->n_led[n] < distribution->n_led[fewest])
-      fewest = n;
-  return fewest;
-}
-
-/* The free parts that are this node's to take: each goes to the node that holds fewest. */
-static GPtrArray *
-shards_to_acquire(MmNodeLease *ownership, ShardDistribution *distribution) {
-  GPtrArray *wanted = g_ptr_array_new();
-
-  for (guint i = 0; i < ownership->shard_names->len; i++) {
-    const char *name = g_ptr_array_index(ownership->shard_names, i);
-    const MmShard *shard = mm_replica_shard(ownership->node->replica, name);
-    gboolean is_leaderless = may_be_acquired(ownership, shard);
-    gint64 leaderless_ms = leaderless_for_ms(ownership, name, is_leaderless);
-    guint target_node;
-
-    if (!is_leaderless)
-      continue;
-    if (shard != NULL || leaderless_ms > LEADERLESS_PATIENCE_MS) {
-      g_ptr_array_add(wanted, (gpointer)name);
-      continue;
-    }
-    target_node = node_with_fewest_shards(distribution);
-    distribution->n_led[target_node]++;
-    if (target_node == distribution->own_index)
-      g_ptr_array_add(wanted, (gpointer)name);
-  }
-  return wanted;
-}
-
-/* The taker must hear every machine: while one is silent, a move would stop the team's starts until
- * that machine is proved lost. */
-static void
-rebalance_shards(MmNodeLease *ownership, const ShardDistribution *distribution) {
-  MmTime now = mm_node_now(ownership->node);
-  guint n_led = distribution->n_led[distribution->own_index];
-  guint n_fewest = distribution->n_led[node_with_fewest_shards(distribution)];
-
-  if (n_led < n_fewest + 2 || !mm_machine_table_all_seen_recently(ownership->node->machine_table)) {
-    ownership->uneven_since.us = 0;
-  } else if (ownership->uneven_since.us == 0) {
-    ownership->uneven_since = now;
-  } else if (mm_time_ms_since(now, ownership->uneven_since) > UNEVEN_PATIENCE_MS) {
-    ownership->uneven_since.us = 0;
-    release_shards(ownership, (n_led - n_fewest) / 2);
-  }
-}
-
-/* At the start of all nodes, the others may be about to show. */
-static gboolean
-waits_for_other_nodes(const MmNodeLease *ownership, const ShardDistribution *distribution) {
-  const MmReplica *replica = ownership->node->replica;
-  const MmLiveNode *own_node
-      = g_hash_table_lookup(replica->live_nodes, ownership->node->settings->label.s);
-
-  return distribution->live_labels->len < ownership->node->settings->node_count
-         && replica->term.v == 0
-         && mm_time_ms_since(mm_node_now(ownership->node), own_node->seen_since)
-                < START_PATIENCE_MS;
-}
-
-static void
-acquire_or_rebalance(MmNodeLease *ownership, ShardDistribution *distribution) {
-  g_autoptr(GPtrArray) wanted = NULL;
-
-  if (distribution->own_index == G_MAXUINT || waits_for_other_nodes(ownership, distribution))
-    return;
-  wanted = shards_to_acquire(ownership, distribution);
-  if (wanted->len > 0)
-    acquire_shards(ownership, wanted);
-  else
-    rebalance_shards(ownership, distribution);
-}
-
-static gboolean
-check_is_due(const MmNodeLease *ownership) {
-  const MmReplica *replica = ownership->node->replica;
-  gboolean replica_moved_on
-      = ownership->conflict_revision != 0 && replica->revision > ownership->conflict_revision;
-
-  return !ownership->is_commit_pending && !mm_kv_client_is_refused(ownership->node->kv)
-         && (replica_moved_on
-             || !mm_time_before(mm_node_now(ownership->node), ownership->next_check_at));
-}
-
-static void
-maintain_shards(MmNodeLease *ownership) {
-  ShardDistribution distribution;
-
-  if (!check_is_due(ownership))
-    return;
-  ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), CHECK_INTERVAL_MS);
-  ownership->conflict_revision = 0;
-  distribution_init(ownership, &distribution);
-  acquire_or_rebalance(ownership, &distribution);
-  distribution_clear(&distribution);
-}
-
 void
-mm_node_lease_tick(MmNodeLease *claims) {
-  extend_lease_in_outage(claims);
-  renew_or_acquire_lease(claims);
-  if (mm_node_lease_is_valid(claims) && claims->node->replica->is_loaded)
-    maintain_shards(claims);
+mm_node_lease_tick(MmNodeLease *lease) {
+  extend_lease_in_outage(lease);
+  renew_or_acquire_lease(lease);
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -11,6 +11,7 @@
 #include "jobs/job-table.h"
 #include "scheduler/scheduler.h"
 #include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "peers/peer-links.h"
 #include "placement/placement.h"
 #include "sharing/admin.h"
@@ -41,6 +42,7 @@
   node->kv = mm_kv_client_new(node);
   node->replica = mm_replica_new(node);
   node->node_lease = mm_node_lease_new(node);
+  node->shard_ownership = mm_shard_ownership_new(node);
   node->job_table = mm_job_table_new(node);
   node->job_api = mm_job_api_new(node);
   node->dependencies = mm_dependencies_new(node);
@@ -77,6 +79,7 @@
   mm_dependencies_free(node->dependencies);
   mm_versions_free(node->versions);
   mm_format_free(node->format);
+  mm_shard_ownership_free(node->shard_ownership);
   mm_node_lease_free(node->node_lease);
   mm_kv_client_free(node->kv);
   g_rand_free(node->rand);
@@ -116,6 +119,7 @@
   measure_tick_delay(node);
   mm_kv_client_tick(node->kv);
   mm_node_lease_tick(node->node_lease);
+  mm_shard_ownership_tick(node->shard_ownership);
   mm_replica_tick(node->replica);
   mm_versions_tick(node->versions);
   mm_dependencies_tick(node->dependencies);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -6,12 +6,13 @@
 #include "base/types.h"
 #include "config/operators.h"
 #include "config/settings.h"
-#include "node/platform.h"
+#include "platform/platform.h"
 
 typedef struct MmNode MmNode;
 typedef struct MmKvClient MmKvClient;
 typedef struct MmReplica MmReplica;
 typedef struct MmNodeLease MmNodeLease;
+typedef struct MmShardOwnership MmShardOwnership;
 typedef struct MmJobTable MmJobTable;
 typedef struct MmJobApi MmJobApi;
 typedef struct MmDependencies MmDependencies;
@@ -39,6 +40,7 @@
   MmKvClient *kv;
   MmReplica *replica;
   MmNodeLease *node_lease;
+  MmShardOwnership *shard_ownership;
   MmJobTable *job_table;
   MmJobApi *job_api;
   MmDependencies *dependencies;
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -2,7 +2,6 @@
  * the machines report. A gang that is not complete in time is stopped and planned anew. */
 #include "scheduler/scheduler.h"
 
-#include "leases/node-lease.h"
 
 /* Several report periods: within them every machine asks for work. */
 #define RESERVATION_PERIODS 3
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -4,7 +4,6 @@
 
 #include <stdlib.h>
 
-#include "leases/node-lease.h"
 
 #define TASKS_PER_ROUND 16
 #define PREEMPTIONS_PER_ROUND 6
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -2,6 +2,7 @@
 
 #include "dependencies/dependencies.h"
 #include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "kv/replica.h"
 
 #define SLOW_TICK_MS 100
@@ -241,7 +242,7 @@
     const MmTeamSettings *team = &g_array_index(node->settings->teams, MmTeamSettings, i);
     g_autofree char *name = mm_shard_ownership_shard_of_team(&team->name);
     MmLedShard *held = g_hash_table_lookup(owner->led_shards, name);
-    gboolean is_leader = mm_shard_ownership_leads(node->node_lease, name);
+    gboolean is_leader = mm_shard_ownership_leads(node->shard_ownership, name);
     const MmShard *shard_record = mm_replica_shard(node->replica, name);
 
     if (held != NULL && (!is_leader || shard_record->term.v != held->term.v)) {
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -7,6 +7,7 @@
 #include "heartbeat/heartbeat-server.h"
 #include "machines/machine-health.h"
 #include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "peers/peer-links.h"
 #include "sharing/sharing.h"
 #include "kv/replica.h"
@@ -136,8 +137,8 @@
 newest_shard_term(const MmNode *node) {
   MmTerm newest = { 0 };
 
-  for (guint i = 0; i < node->node_lease->shard_names->len; i++) {
-    const char *name = g_ptr_array_index(node->node_lease->shard_names, i);
+  for (guint i = 0; i < node->shard_ownership->shard_names->len; i++) {
+    const char *name = g_ptr_array_index(node->shard_ownership->shard_names, i);
     const MmShard *shard = mm_replica_shard(node->replica, name);
     if (shard != NULL && !mm_shard_ownership_is_duty(name))
       newest.v = MAX(newest.v, shard->term.v);
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -4,6 +4,7 @@
 #include "sharing/sharing.h"
 
 #include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "peers/peer-links.h"
 #include "sharing/shares.h"
 #include "kv/replica.h"
@@ -66,7 +67,7 @@
 static gboolean
 leads_sharing_shard(const MmSharing *sharing) {
   return mm_node_lease_is_valid(sharing->node->node_lease)
-         && mm_shard_ownership_leads(sharing->node->node_lease, MM_SHARD_SHARING);
+         && mm_shard_ownership_leads(sharing->node->shard_ownership, MM_SHARD_SHARING);
 }
 
 static guint
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -1,7 +1,7 @@
 /* Giving a group to another node, up to the transaction: whether it may go, and what peers say. */
 #include "sharing/sharing.h"
 
-#include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "peers/peer-links.h"
 #include "kv/replica.h"
 
--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -2,6 +2,7 @@
  * that the rules held and everything got done. */
 #include "base/wire.h"
 #include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "kv/replica.h"
 #include "autoscaler/autoscaler.h"
 #include "kv/kv-client.h"
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -2,7 +2,6 @@
  * it costs is counted in messages and bytes. */
 #include "base/wire.h"
 #include "scheduler/scheduler.h"
-#include "leases/node-lease.h"
 #include "kv/replica.h"
 #include "world/world.h"
 
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -2,6 +2,7 @@
 #include "base/wire.h"
 #include "scheduler/scheduler.h"
 #include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "kv/replica.h"
 #include "world/world.h"
 
@@ -254,7 +255,7 @@
                      0);
   world_run(world, 6);
   for (gint i = 0; i < WORLD_NODES; i++)
-    if (mm_shard_ownership_leads(world->nodes[i].node->node_lease, "team-0"))
+    if (mm_shard_ownership_leads(world->nodes[i].node->shard_ownership, "team-0"))
       owner = i;
   g_assert_cmpint(owner, >=, 0);
   world_cut_node(world, (guint)owner, 20, FALSE);
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -1,7 +1,7 @@
 /* Machines shared out among the nodes of the simulated world: seeded days with moves at all times
  * beside every trouble, and each hard case of a move by itself. */
 #include "base/wire.h"
-#include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 #include "sharing/sharing.h"
 #include "kv/replica.h"
 #include "world/world.h"
@@ -156,7 +156,7 @@
 duty_holder_ends(Move *move) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = move->world->nodes[i].node;
-    if (node != NULL && mm_shard_ownership_leads(node->node_lease, MM_SHARD_SHARING))
+    if (node != NULL && mm_shard_ownership_leads(node->shard_ownership, MM_SHARD_SHARING))
       world_kill_node(move->world, i, 0.2);
   }
 }
--- a/tests/world/fault-injection.c
+++ b/tests/world/fault-injection.c
@@ -2,7 +2,7 @@
 #include "world/world.h"
 
 #include "base/wire.h"
-#include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 #define WAIT_MAX_US (90 * (gint64)G_USEC_PER_SEC)
@@ -62,12 +62,12 @@
   guint leader = G_MAXUINT, most_led = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
-    const MmNodeLease *claims
-        = world->nodes[i].node != NULL ? world->nodes[i].node->node_lease : NULL;
+    const MmNode *node = world->nodes[i].node;
+    const MmShardOwnership *ownership = node != NULL ? node->shard_ownership : NULL;
     guint n_led = 0;
-    for (guint p = 0; claims != NULL && p < claims->shard_names->len; p++)
-      n_led += mm_shard_ownership_leads(claims, g_ptr_array_index(claims->shard_names, p));
-    if (claims != NULL && (leader == G_MAXUINT || n_led > most_led)) {
+    for (guint k = 0; ownership != NULL && k < ownership->shard_names->len; k++)
+      n_led += mm_shard_ownership_leads(ownership, g_ptr_array_index(ownership->shard_names, k));
+    if (ownership != NULL && (leader == G_MAXUINT || n_led > most_led)) {
       leader = i;
       most_led = n_led;
     }
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -5,7 +5,6 @@
 #include "peers.pb-c.h"
 #include "peers/peer-links.h"
 #include "scheduler/scheduler.h"
-#include "leases/node-lease.h"
 #include "kv/replica.h"
 #include "kv/kv-client.h"
 #include "upgrade/format.h"
