--- a/src/config/operators.c
+++ b/src/config/operators.c
@@ -3,8 +3,6 @@
 #include <math.h>
 #include <string.h>
 
-#include "sharing/group-set.h"
-
 #define WEIGHT_ELEMENT "group-weight"
 #define MAX_GROUP_WEIGHT 1000.0
 
--- a/src/config/operators.h
+++ b/src/config/operators.h
@@ -7,6 +7,10 @@
 /* As many as there may be nodes. */
 #define MM_NODE_WEIGHTS_MAX 32
 
+/* The most machine groups that the fleet may be divided into. Values of the key-value store hold at
+ * least 2 KiB: every other one of so many groups fits. */
+#define MM_GROUPS_MAX 512
+
 /* How large a share of the machine groups one node gets; 1 where nothing is said. */
 typedef struct {
   MmName node;
--- a/src/sharing/group-map.c
+++ b/src/sharing/group-map.c
@@ -2,6 +2,7 @@
 
 #include "base/json.h"
 #include "base/log.h"
+#include "config/operators.h"
 
 /* The names in a key's value. */
 #define FIELD_LEASE "c"
--- a/src/sharing/group-set.h
+++ b/src/sharing/group-set.h
@@ -8,9 +8,6 @@
 #include <glib.h>
 #include <roaring/roaring.h>
 
-/* Values of the state service hold at least 2 KiB: every other one of so many groups fits. */
-#define MM_GROUPS_MAX 512
-
 typedef roaring_bitmap_t MmGroupSet;
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmGroupSet, roaring_bitmap_free)
 
