--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -2,7 +2,7 @@
 #include "autoscaler/autoscaler.h"
 
 #include "base/wire.h"
-#include "peers/peer-links.h"
+#include "peers/peer-broadcast.h"
 #include "placement/placement.h"
 
 #define MAX_RELEASES_PER_REQUEST 100
--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -7,6 +7,7 @@
 #include "machines/machine-table.h"
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
+#include "peers/peer-broadcast.h"
 #include "peers/peer-links.h"
 #include "sharing/sharing.h"
 #include "kv/replica.h"
--- a/src/jobs/job-api.c
+++ b/src/jobs/job-api.c
@@ -10,6 +10,7 @@
 #include "jobs/user-request.h"
 #include "scheduler/scheduler.h"
 #include "leases/node-lease.h"
+#include "peers/peer-broadcast.h"
 #include "peers/peer-links.h"
 #include "kv/replica.h"
 #include "kv/kv-client.h"
--- a/src/peers/peer-broadcast.c
+++ b/src/peers/peer-broadcast.c
@@ -1,9 +1,8 @@
-/* What peers are told: of answers to workers, cancellations, machines that are gone, commands. */
-#include "peers/peer-links.h"
+#include "peers/peer-broadcast.h"
 
 #include "kv/replica.h"
 
-/* Of reports that show nothing new, so many in one message. */
+/* Of heartbeats that show nothing new, so many in one frame. */
 #define REPEAT_HEARTBEATS_MAX 1024
 
 static void
@@ -14,49 +13,64 @@
 
 typedef enum { HEARTBEAT_ANSWERED, HEARTBEAT_UNANSWERED, HEARTBEAT_DIRECT } HeartbeatKind;
 
+/* The machine's reported tasks as a frame has them. Free with g_free; the strings are lent. */
+static Mm__TaskState *
+new_task_states(const MmMachine *machine) {
+  guint n_tasks = machine->reported_tasks->len;
+  Mm__TaskState *states = g_new(Mm__TaskState, MAX(n_tasks, 1));
+
+  for (guint i = 0; i < n_tasks; i++) {
+    const MmReportedTask *task = &g_array_index(machine->reported_tasks, MmReportedTask, i);
+    mm__task_state__init(&states[i]);
+    states[i].job = (char *)task->job.s;
+    states[i].number = task->number;
+    states[i].attempt = task->attempt.v;
+    states[i].state = task->state;
+    states[i].cause = task->cause;
+    states[i].is_checkpointed = task->is_checkpointed;
+  }
+  return states;
+}
+
+/* Fills all but the tasks. The strings are lent from the machine. */
+static void
+fill_heartbeat(const MmPeerLinks *links, const MmMachine *machine, HeartbeatKind kind,
+               Mm__Heartbeat *heartbeat) {
+  MmTime now = mm_node_now(links->node);
+
+  heartbeat->machine_id = (char *)machine->id.s;
+  heartbeat->addr = (char *)machine->addr;
+  heartbeat->type = (char *)machine->type_name.s;
+  heartbeat->zone = (char *)machine->zone.s;
+  heartbeat->is_spot = machine->is_spot;
+  heartbeat->is_unanswered = kind != HEARTBEAT_ANSWERED;
+  heartbeat->is_direct_reply = kind == HEARTBEAT_DIRECT;
+  heartbeat->term = kind == HEARTBEAT_ANSWERED ? links->node->replica->term.v : 0;
+  heartbeat->incarnation = machine->latest_message_id.incarnation;
+  heartbeat->sequence = machine->latest_message_id.sequence;
+  heartbeat->fencing_token = machine->acknowledged_term.v;
+  heartbeat->has_termination_notice = machine->has_termination_notice;
+  if (machine->has_termination_notice)
+    heartbeat->termination_notice_s
+        = (double)mm_time_ms_since(machine->termination_at, now) / 1000.0;
+  if (kind != HEARTBEAT_DIRECT)
+    heartbeat->age_ms
+        = (guint32)CLAMP(mm_time_ms_since(now, machine->last_heartbeat_at), 0, G_MAXUINT32);
+}
+
 static void
 send_heartbeat(MmPeerLinks *links, guint peer, const MmMachine *machine, HeartbeatKind kind) {
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Heartbeat heartbeat = MM__HEARTBEAT__INIT;
-  guint n = machine->reported_tasks->len;
-  g_autofree Mm__TaskState *tasks = g_new(Mm__TaskState, MAX(n, 1));
-  g_autofree Mm__TaskState **list = g_new(Mm__TaskState *, MAX(n, 1));
-  MmTime now = mm_node_now(links->node);
+  guint n_tasks = machine->reported_tasks->len;
+  g_autofree Mm__TaskState *states = new_task_states(machine);
+  g_autofree Mm__TaskState **tasks = g_new(Mm__TaskState *, MAX(n_tasks, 1));
 
-  heartbeat.machine_id = (char *)machine->id.s;
-  heartbeat.addr = (char *)machine->addr;
-  heartbeat.type = (char *)machine->type_name.s;
-  heartbeat.zone = (char *)machine->zone.s;
-  heartbeat.is_spot = machine->is_spot;
-  heartbeat.is_unanswered = kind != HEARTBEAT_ANSWERED;
-  heartbeat.is_direct_reply = kind == HEARTBEAT_DIRECT;
-  heartbeat.term = kind == HEARTBEAT_ANSWERED ? links->node->replica->term.v : 0;
-  heartbeat.incarnation = machine->latest_message_id.incarnation;
-  heartbeat.sequence = machine->latest_message_id.sequence;
-  heartbeat.fencing_token = machine->acknowledged_term.v;
-  heartbeat.has_termination_notice = machine->has_termination_notice;
-  heartbeat.termination_notice_s
-      = machine->has_termination_notice
-            ? (double)mm_time_ms_since(machine->termination_at, now) / 1000.0
-            : 0;
-  heartbeat.age_ms
-      = kind == HEARTBEAT_DIRECT
-            ? 0
-            : (guint32)CLAMP(mm_time_ms_since(now, machine->last_heartbeat_at), 0, G_MAXUINT32);
-  for (guint i = 0; i < n; i++) {
-    const MmReportedTask *reported_task
-        = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    mm__task_state__init(&tasks[i]);
-    tasks[i].job = (char *)reported_task->job.s;
-    tasks[i].number = reported_task->number;
-    tasks[i].attempt = reported_task->attempt.v;
-    tasks[i].state = reported_task->state;
-    tasks[i].cause = reported_task->cause;
-    tasks[i].is_checkpointed = reported_task->is_checkpointed;
-    list[i] = &tasks[i];
-  }
-  heartbeat.tasks = list;
-  heartbeat.n_tasks = n;
+  for (guint i = 0; i < n_tasks; i++)
+    tasks[i] = &states[i];
+  fill_heartbeat(links, machine, kind, &heartbeat);
+  heartbeat.tasks = tasks;
+  heartbeat.n_tasks = n_tasks;
   frame.body_case = MM__FRAME__BODY_HEARTBEAT;
   frame.heartbeat = &heartbeat;
   mm_peer_links_send(links, peer, &frame);
@@ -195,47 +209,47 @@
   mm_peer_links_send(links, peer, &frame);
 }
 
-/* What is known last of it came by a direct answer that overtook its newest report. Told as a
- * report, it denied starts that were still in the answer to that one, and their tasks ran twice
- * (day 29 of tests/test-world). */
+/* Whether the newest of the machine came by a direct reply that overtook its newest heartbeat. Sent
+ * as a heartbeat, it would deny starts that are still in the response to that one, and their tasks
+ * would run twice (day 29 of tests/test-world). */
 static gboolean
 is_known_by_direct_reply(const MmMachine *machine) {
   return mm_heartbeat_id_is_newer(machine->latest_message_id, machine->latest_heartbeat_id);
 }
 
-/* Everything this node has answered within two leases comes before its first pong on a link: what
- * was lost with an earlier link is told again, so that `settled` can be trusted. That must not hang
- * on who is believed to host a machine: once a node that was back, with its links refused, passed
- * direct answers on as reports of its own; the node that did answer those machines took it for
- * their host and did not tell of them, and they were given up while they lived. */
+/* Every response that this node gave within two leases is sent before its first pong on a link:
+ * what was lost with an earlier link is sent again, so that `responses_known_until` can be relied
+ * on. That must not depend on which node is believed to serve a machine: a node that was cut off
+ * from its peers may believe that it serves machines which another one answers, and machines whose
+ * responses nobody sent would be given up while they live. */
 void
 mm_peer_links_send_recent_responses(MmPeerLinks *links, guint peer) {
   MmNode *node = links->node;
   const GPtrArray *machines = node->machine_table->sorted_machines;
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->worker_lease_s * 2000);
-  g_autoptr(GPtrArray) hosted_elsewhere = g_ptr_array_new();
+  g_autoptr(GPtrArray) served_elsewhere = g_ptr_array_new();
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__RepeatHeartbeats repeats = MM__REPEAT_HEARTBEATS__INIT;
 
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    gboolean is_hosted_here = machine->has_reported && machine->serving_node == MM_SERVING_NODE_SELF
+    gboolean is_served_here = machine->has_reported && machine->serving_node == MM_SERVING_NODE_SELF
                               && !machine->lease_has_expired;
-    if (is_hosted_here && !is_known_by_direct_reply(machine)) {
+    if (is_served_here && !is_known_by_direct_reply(machine)) {
       send_heartbeat(links, peer, machine, HEARTBEAT_ANSWERED);
       continue;
     }
-    if (is_hosted_here)
+    if (is_served_here)
       send_heartbeat(links, peer, machine, HEARTBEAT_DIRECT);
     if (machine->last_own_response_at.us != 0
         && mm_time_ms_since(now, machine->last_own_response_at) < recent_ms)
-      g_ptr_array_add(hosted_elsewhere, machine->id.s);
+      g_ptr_array_add(served_elsewhere, machine->id.s);
   }
-  if (hosted_elsewhere->len == 0)
+  if (served_elsewhere->len == 0)
     return;
-  repeats.unverified = (char **)hosted_elsewhere->pdata;
-  repeats.n_unverified = hosted_elsewhere->len;
+  repeats.unverified = (char **)served_elsewhere->pdata;
+  repeats.n_unverified = served_elsewhere->len;
   frame.body_case = MM__FRAME__BODY_REPEAT_HEARTBEATS;
   frame.repeat_heartbeats = &repeats;
   mm_peer_links_send(links, peer, &frame);
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -4,7 +4,7 @@
 #include "scheduler/scheduler.h"
 
 #include "machines/machine-health.h"
-#include "peers/peer-links.h"
+#include "peers/peer-broadcast.h"
 
 /* Old days weigh less and less: guesses may be too high on one day and too low on the next. */
 static void
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -8,7 +8,7 @@
 #include "machines/machine-health.h"
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
-#include "peers/peer-links.h"
+#include "peers/peer-broadcast.h"
 #include "sharing/sharing.h"
 #include "kv/replica.h"
 #include "kv/kv-client.h"
--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -8,6 +8,7 @@
 
 #include "peers.pb-c.h"
 #include "peers/peer-links.h"
+#include "peers/peer-receiver.h"
 
 #define FRAME_MAX_BYTES (1024 * 1024)
 /* What a new link tells at once grows with the fleet: a sixteenth of the memory may wait on it. */
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -2,6 +2,7 @@
  * however late anything is read. */
 #include "machines/registry.h"
 #include "peers/peer-links.h"
+#include "peers/peer-receiver.h"
 #include "kv/kv-client.h"
 #include "world/world.h"
 
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -4,6 +4,7 @@
 #include "dependencies/dependencies.h"
 #include "peers.pb-c.h"
 #include "peers/peer-links.h"
+#include "peers/peer-receiver.h"
 #include "scheduler/scheduler.h"
 #include "kv/replica.h"
 #include "kv/kv-client.h"
