--- a/src/transport/http-client.c
+++ b/src/transport/http-client.c
@@ -1,8 +1,10 @@
+/* Requests to the key-value store, the cloud and workers, over libsoup. Each target has a session
+ * of its own, so that connections and time-outs of one don't hold up another. */
 #include "transport/transport.h"
 
 #include <libsoup/soup.h>
 
-/* Each request to a machine that is cut off keeps one until it is given up. */
+/* Each request to an unreachable machine keeps one until it times out. */
 #define CONNECTIONS_MIN 200
 #define CONNECTIONS_PER_HOST 24
 /* By MmTarget: how long a connection on which nothing is under way stays open. A worker is seldom
@@ -14,16 +16,16 @@
  * session. */
 #define WORKER_REQUESTS_PER_SESSION 64
 
-/* The state service goes before everything else that waits: a node too busy to renew its claim
- * would lose its parts and be busier still. */
+/* By MmTarget. Responses of the key-value store go before everything else that waits: a node too
+ * busy to renew its lease would lose its shards and be busier still. */
 static const int source_priorities[] = { G_PRIORITY_HIGH, G_PRIORITY_DEFAULT, G_PRIORITY_DEFAULT };
 
 struct MmHttpClient {
   const MmSettings *settings;
   SoupSession *sessions[3]; /* by MmTarget */
   char *base_urls[3];       /* by MmTarget; none for workers */
-  guint n_worker_requests;  /* that the session for workers has taken, */
-  guint n_worker_in_flight; /* and those of them that are not over */
+  guint n_worker_requests;  /* that the session for workers has been used for, */
+  guint n_worker_in_flight; /* and those of them that are under way */
 };
 
 typedef struct {
@@ -94,11 +96,11 @@
     if (length > 0)
       body = json_loadb(text, length, JSON_DECODE_ANY, NULL);
     if (length > 0 && body == NULL && status == 200) {
-      mm_info("an answer is not JSON and is treated as none");
+      mm_info("response is not JSON, treated as none target=%d", (int)request->target);
       status = 0;
     }
   } else {
-    mm_debug("no answer: %s", error->message);
+    mm_debug("request got no response error=%s", error->message);
   }
   if (request->target == MM_TARGET_WORKER)
     request->client->n_worker_in_flight--;
@@ -135,7 +137,7 @@
   if (message == NULL) {
     FailedRequest *failure = g_new(FailedRequest, 1);
     *failure = (FailedRequest){ callback, data };
-    mm_info("%s is not an address that can be asked", uri);
+    mm_info("request has no valid address uri=%s", uri);
     g_idle_add(on_failure_due, failure);
     return;
   }
--- a/src/transport/http-server.c
+++ b/src/transport/http-server.c
@@ -1,6 +1,5 @@
-/* The server for users, workers and health checks. libmicrohttpd in place of libsoup, its nearest
- * kin: docs/design.md has the figures of both. One epoll descriptor of its own hangs in GLib's main
- * loop; no thread is started. */
+/* The server for users, workers and health checks, over libmicrohttpd; docs/design.md says why not
+ * libsoup. GLib's main loop watches the epoll descriptor of its daemon; no thread is started. */
 #include "transport/transport.h"
 
 #include <microhttpd.h>
@@ -10,7 +9,7 @@
 /* What a connection holds for headers and reading; longer bodies arrive in pieces. */
 #define CONNECTION_MEMORY_BYTES 4096
 #define IDLE_TIMEOUT_S 45
-/* Sockets kept for the state service, the cloud, the other nodes and workers. */
+/* Sockets reserved for the key-value store, the cloud, the peers and workers. */
 #define RESERVED_SOCKETS 100
 #define BACKLOG 256
 
@@ -26,10 +25,10 @@
   struct MHD_Connection *connection;
   GByteArray *body;
   gboolean is_too_long;
-  gboolean is_with_node;    /* the node has it */
-  gboolean is_in_handler;   /* the node is being called: an answer given now needs no waking up */
-  gboolean has_client_left; /* the client left before the answer */
-  int status;               /* 0: no answer yet */
+  gboolean is_with_node;    /* the node has yet to respond */
+  gboolean is_in_handler;   /* the node is being called: a response given now resumes nothing */
+  gboolean has_client_left; /* the client closed the connection before the response */
+  int status;               /* 0: no response yet */
   json_t *response;
   guint retry_after_s;
 } ServerExchange;
@@ -53,7 +52,8 @@
     exchange_free(exchange);
   else if (!exchange->is_in_handler) {
     MHD_resume_connection(exchange->connection);
-    /* Whatever its descriptor shows: answers once waited for the next request to come in. */
+    /* The epoll descriptor doesn't show that a connection was resumed: without this the response
+     * would wait for the next request to come in. */
     g_source_set_ready_time(exchange->server->source, 0);
   }
 }
@@ -85,48 +85,65 @@
   return queue_response(connection, status, body, 0);
 }
 
-/* Called once with the headers, for each piece of the body, once when all is there, and once more
- * when the node has answered a request that had to wait. */
+static ServerExchange *
+exchange_new(MmHttpServer *server, struct MHD_Connection *connection) {
+  ServerExchange *exchange = g_new0(ServerExchange, 1);
+
+  exchange->base.respond = respond;
+  exchange->server = server;
+  exchange->connection = connection;
+  return exchange;
+}
+
+static void
+append_to_body(ServerExchange *exchange, const char *piece, size_t length) {
+  if (exchange->body == NULL)
+    exchange->body = g_byte_array_new();
+  if (exchange->body->len + length > BODY_MAX_BYTES)
+    exchange->is_too_long = TRUE;
+  else
+    g_byte_array_append(exchange->body, (const guint8 *)piece, (guint)length);
+}
+
+/* The node responds now or later, see `respond`. */
+static void
+hand_to_node(ServerExchange *exchange, const char *method, const char *path) {
+  g_autoptr(json_t) body = NULL;
+
+  if (exchange->body != NULL)
+    body = json_loadb((const char *)exchange->body->data, exchange->body->len, JSON_DECODE_ANY,
+                      NULL);
+  g_clear_pointer(&exchange->body, g_byte_array_unref);
+  exchange->is_with_node = TRUE;
+  exchange->is_in_handler = TRUE;
+  mm_node_handle_request(exchange->server->node, method, path, body, &exchange->base);
+  exchange->is_in_handler = FALSE;
+}
+
+/* Called once with the headers, for each piece of the body, once when all of it is there, and once
+ * more when the node has responded to a request that had to wait. */
 static enum MHD_Result
 handle_request(gpointer data, struct MHD_Connection *connection, const char *path,
                const char *method, const char *version, const char *piece, size_t *length,
                void **request_state) {
-  MmHttpServer *server = data;
   ServerExchange *exchange = *request_state;
 
   if (exchange == NULL) {
-    *request_state = exchange = g_new0(ServerExchange, 1);
-    exchange->base.respond = respond;
-    exchange->server = server;
-    exchange->connection = connection;
+    *request_state = exchange_new(data, connection);
     return MHD_YES;
   }
   if (*length > 0) {
-    if (exchange->body == NULL)
-      exchange->body = g_byte_array_new();
-    if (exchange->body->len + *length > BODY_MAX_BYTES)
-      exchange->is_too_long = TRUE;
-    else
-      g_byte_array_append(exchange->body, (const guint8 *)piece, (guint)*length);
+    append_to_body(exchange, piece, *length);
     *length = 0;
     return MHD_YES;
   }
   if (exchange->is_too_long)
     return queue_error(connection, 413, "the body is over 64 KiB");
+  if (exchange->status == 0)
+    hand_to_node(exchange, method, path);
   if (exchange->status == 0) {
-    g_autoptr(json_t) body = NULL;
-    if (exchange->body != NULL)
-      body = json_loadb((const char *)exchange->body->data, exchange->body->len, JSON_DECODE_ANY,
-                        NULL);
-    g_clear_pointer(&exchange->body, g_byte_array_unref);
-    exchange->is_with_node = TRUE;
-    exchange->is_in_handler = TRUE;
-    mm_node_handle_request(server->node, method, path, body, &exchange->base);
-    exchange->is_in_handler = FALSE;
-    if (exchange->status == 0) {
-      MHD_suspend_connection(connection);
-      return MHD_YES;
-    }
+    MHD_suspend_connection(connection);
+    return MHD_YES;
   }
   return queue_response(connection, exchange->status, exchange->response, exchange->retry_after_s);
 }
@@ -140,7 +157,7 @@
   if (exchange == NULL)
     return;
   if (exchange->is_with_node)
-    exchange->has_client_left = TRUE; /* freed with the node's answer */
+    exchange->has_client_left = TRUE; /* freed with the node's response */
   else
     exchange_free(exchange);
 }
@@ -151,7 +168,7 @@
   gpointer epoll_tag; /* the tag of its descriptor */
 } DaemonSource;
 
-/* What libmicrohttpd has read but not worked off shows on no descriptor, only in its time-out. */
+/* What libmicrohttpd has read but not processed shows on no descriptor, only in its time-out. */
 static gboolean
 source_prepare(GSource *source, gint *timeout_ms) {
   MHD_UNSIGNED_LONG_LONG timeout;
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -1,3 +1,5 @@
+/* The program: command line, settings, and a node on GLib's main loop with sockets as its platform.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -90,69 +92,105 @@
 
   if (!mm_peer_sockets_start(transport.peer_sockets, node, &error)
       || mm_http_server_new(node, settings->front_address, &error) == NULL) {
-    mm_error("cannot listen: %s", error->message);
+    mm_error("node cannot listen error=%s", error->message);
     return EXIT_FAILURE;
   }
-  mm_info("%s serves %s in zone %s", settings->label.s, settings->front_address, settings->zone.s);
+  mm_info("node started label=%s front=%s zone=%s", settings->label.s, settings->front_address,
+          settings->zone.s);
   g_timeout_add_full(G_PRIORITY_HIGH, MM_NODE_TICK_MS, tick, node, NULL);
   mm_node_start(node);
   g_main_loop_run(loop); /* until the process is killed */
   return EXIT_SUCCESS;
 }
 
-int
-main(int argc, char **argv) {
-  g_autofree char *settings_path = NULL;
-  g_autofree char *operators_path = NULL;
-  gboolean only_check = FALSE, show_version = FALSE;
+/* What the command line asks for. Clear with command_line_clear. */
+typedef struct {
+  char *settings_path;
+  char *operators_path;
+  gboolean is_check_only;
+  gboolean shows_version;
+} CommandLine;
+
+static void
+command_line_clear(CommandLine *command_line) {
+  g_free(command_line->settings_path);
+  g_free(command_line->operators_path);
+}
+
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(CommandLine, command_line_clear)
+
+/* FALSE when it is wrong, which is printed with the help. */
+static gboolean
+parse_command_line(int argc, char **argv, CommandLine *command_line) {
   const GOptionEntry entries[] = {
-    { "config", 'c', 0, G_OPTION_ARG_FILENAME, &settings_path, "The platform's settings (TOML)",
-      "FILE" },
-    { "operators", 'o', 0, G_OPTION_ARG_FILENAME, &operators_path, "The operators' settings (XML)",
-      "FILE" },
-    { "check", 0, 0, G_OPTION_ARG_NONE, &only_check,
+    { "config", 'c', 0, G_OPTION_ARG_FILENAME, &command_line->settings_path,
+      "The platform's settings (TOML)", "FILE" },
+    { "operators", 'o', 0, G_OPTION_ARG_FILENAME, &command_line->operators_path,
+      "The operators' settings (XML)", "FILE" },
+    { "check", 0, 0, G_OPTION_ARG_NONE, &command_line->is_check_only,
       "Read the settings, say whether they hold, exit", NULL },
-    { "version", 0, 0, G_OPTION_ARG_NONE, &show_version, "Print the version and exit", NULL },
+    { "version", 0, 0, G_OPTION_ARG_NONE, &command_line->shows_version,
+      "Print the version and exit", NULL },
     { NULL },
   };
   g_autoptr(GOptionContext) context
       = g_option_context_new("- a cluster scheduler; `groups` shows its machine groups");
   g_autoptr(GError) error = NULL;
+  g_autofree char *help = NULL;
+
+  g_option_context_add_main_entries(context, entries, NULL);
+  if (g_option_context_parse(context, &argc, &argv, &error) && argc <= 1)
+    return TRUE;
+  help = g_option_context_get_help(context, TRUE, NULL);
+  fprintf(stderr, "martenmount: %s\n%s", error != NULL ? error->message : "stray argument", help);
+  return FALSE;
+}
+
+/* The settings of both files, checked against each other; NULL when they don't hold, with the
+ * reason printed. */
+static MmSettings *
+read_settings(const CommandLine *command_line, MmOperators *operators) {
+  g_autofree char *reason = NULL;
+  g_autoptr(MmSettings) settings = mm_settings_read(command_line->settings_path, &reason);
+  const char *operators_path = command_line->operators_path;
+
+  if (settings != NULL
+      && (operators_path == NULL
+          || (mm_operators_read(operators, operators_path, &reason)
+              && mm_operators_check_against_settings(operators, settings, operators_path,
+                                                     &reason))))
+    return g_steal_pointer(&settings);
+  fprintf(stderr, "martenmount: %s\n", reason);
+  return NULL;
+}
+
+int
+main(int argc, char **argv) {
+  g_auto(CommandLine) command_line = { 0 };
   g_autoptr(MmSettings) settings = NULL;
   MmOperators operators = mm_operators_defaults();
-  g_autofree char *reason = NULL;
 
   /* No name look-ups, proxies or volumes are wanted: loading GIO's modules only costs start-up. */
   g_setenv("GIO_MODULE_DIR", "/nonexistent", TRUE);
   g_setenv("GIO_USE_VFS", "local", TRUE);
   if (argc > 1 && strcmp(argv[1], "groups") == 0)
     return mm_groups_command(argc - 1, argv + 1);
-  g_option_context_add_main_entries(context, entries, NULL);
-  if (!g_option_context_parse(context, &argc, &argv, &error) || argc > 1) {
-    g_autofree char *help = g_option_context_get_help(context, TRUE, NULL);
-    fprintf(stderr, "martenmount: %s\n%s", error != NULL ? error->message : "stray argument", help);
+  if (!parse_command_line(argc, argv, &command_line))
     return EXIT_USAGE;
-  }
-  if (show_version) {
+  if (command_line.shows_version) {
     puts("martenmount " MM_VERSION);
     return EXIT_SUCCESS;
   }
   if (!mm_log_read_level())
     fprintf(stderr, "martenmount: LOG_LEVEL is none of error, info, debug: info holds\n");
-  if (settings_path == NULL) {
+  if (command_line.settings_path == NULL) {
     fprintf(stderr, "martenmount: --config FILE is required\n");
     return EXIT_USAGE;
   }
-  settings = mm_settings_read(settings_path, &reason);
-  if (settings == NULL
-      || (operators_path != NULL
-          && (!mm_operators_read(&operators, operators_path, &reason)
-              || !mm_operators_check_against_settings(&operators, settings, operators_path,
-                                                      &reason)))) {
-    fprintf(stderr, "martenmount: %s\n", reason);
+  settings = read_settings(&command_line, &operators);
+  if (settings == NULL)
     return EXIT_USAGE;
-  }
-  if (only_check) {
+  if (command_line.is_check_only) {
     puts("the settings hold");
     return EXIT_SUCCESS;
   }
--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -1,6 +1,6 @@
-/* Links between nodes: each node sends on connections of its own making and receives on those that
- * the others made. A frame is its length in four bytes, then the message. What is sent within one
- * turn of the main loop goes out in one write. */
+/* Links between nodes: each node sends on connections that it opened and receives on those that its
+ * peers opened. A frame is its length in four bytes, big-endian, then the message. What is sent
+ * within one turn of the main loop is written at once. */
 #include "transport/transport.h"
 
 #include <netinet/in.h>
@@ -11,7 +11,10 @@
 #include "peers/peer-receiver.h"
 
 #define FRAME_MAX_BYTES (1024 * 1024)
-/* What a new link tells at once grows with the fleet: a sixteenth of the memory may wait on it. */
+/* The length that goes before each frame. */
+#define LENGTH_BYTES 4
+/* What is sent at once on a new link grows with the fleet: a sixteenth of the memory may be queued.
+ */
 #define QUEUE_MIN_BYTES (2 * 1024 * 1024)
 #define QUEUE_BYTES_PER_MB (1024 * 1024 / 16.0)
 #define READ_BYTES (32 * 1024)
@@ -34,7 +37,7 @@
   GSocketConnection *connection;
   GByteArray *buffer;
   GSource *readable_source;
-  gint peer; /* -1 until its hello */
+  gint peer; /* MM_PEER_NONE until its hello */
 } InboundLink;
 
 struct MmPeerSockets {
@@ -187,13 +190,13 @@
   if (outbound->connection == NULL)
     return;
   if (offset + length > MAX(QUEUE_MIN_BYTES, sockets->settings->memory_mb * QUEUE_BYTES_PER_MB)) {
-    mm_info("peer %u does not read: its link is closed", peer);
+    mm_info("link queue is full, disconnecting peer=%u", peer);
     close_outbound(outbound);
     return;
   }
-  g_byte_array_set_size(outbound->queue, offset + 4 + length);
-  memcpy(outbound->queue->data + offset, &length_be, 4);
-  mm__frame__pack(frame, outbound->queue->data + offset + 4);
+  g_byte_array_set_size(outbound->queue, offset + LENGTH_BYTES + length);
+  memcpy(outbound->queue->data + offset, &length_be, LENGTH_BYTES);
+  mm__frame__pack(frame, outbound->queue->data + offset + LENGTH_BYTES);
   g_source_set_ready_time(outbound->flush_source, 0);
 }
 
@@ -233,7 +236,7 @@
   g_autoptr(GSocketAddress) address = mm_transport_parse_address(outbound->endpoint);
 
   if (address == NULL) {
-    mm_error("peer address %s is not usable", outbound->endpoint);
+    mm_error("peer address is not usable endpoint=%s", outbound->endpoint);
     return;
   }
   g_socket_client_connect_async(outbound->sockets->client, G_SOCKET_CONNECTABLE(address), NULL,
@@ -252,8 +255,8 @@
   g_free(inbound);
 }
 
-/* The peer has opened a new connection: should the one before be half-open, nothing would ever show
- * its end. */
+/* The peer has opened a new connection: if the previous one is half-open, nothing else would ever
+ * close it. */
 static void
 register_hello(InboundLink *inbound, const char *label) {
   MmPeerSockets *sockets = inbound->sockets;
@@ -266,25 +269,25 @@
   sockets->inbound[inbound->peer] = inbound;
 }
 
-/* FALSE when the stream makes no sense. */
+/* Hands over the frames that are complete. FALSE when the stream is malformed. */
 static gboolean
 receive_frames(InboundLink *inbound) {
   guint offset = 0;
   MmNode *node = inbound->sockets->node;
 
-  while (inbound->buffer->len - offset >= 4) {
+  while (inbound->buffer->len - offset >= LENGTH_BYTES) {
     guint32 length;
     Mm__Frame *frame;
-    memcpy(&length, inbound->buffer->data + offset, 4);
+    memcpy(&length, inbound->buffer->data + offset, LENGTH_BYTES);
     length = g_ntohl(length);
     if (length > FRAME_MAX_BYTES)
       return FALSE;
-    if (inbound->buffer->len - offset - 4 < length)
+    if (inbound->buffer->len - offset - LENGTH_BYTES < length)
       break;
-    frame = mm__frame__unpack(NULL, length, inbound->buffer->data + offset + 4);
+    frame = mm__frame__unpack(NULL, length, inbound->buffer->data + offset + LENGTH_BYTES);
     if (frame == NULL)
       return FALSE;
-    offset += 4 + length;
+    offset += LENGTH_BYTES + length;
     if (frame->body_case == MM__FRAME__BODY_HELLO)
       register_hello(inbound, frame->hello->label);
     if (inbound->peer >= 0)
@@ -313,7 +316,7 @@
   if (n_read > 0 && receive_frames(inbound))
     return G_SOURCE_CONTINUE;
   if (n_read > 0)
-    mm_info("a peer's link makes no sense and is closed");
+    mm_info("link received a malformed frame, disconnecting peer=%d", inbound->peer);
   close_inbound(inbound);
   return G_SOURCE_REMOVE;
 }
@@ -326,7 +329,7 @@
   inbound->sockets = data;
   inbound->connection = g_object_ref(connection);
   inbound->buffer = g_byte_array_new();
-  inbound->peer = -1;
+  inbound->peer = MM_PEER_NONE;
   prepare_socket(connection);
   inbound->readable_source
       = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
