--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -5,7 +5,7 @@
 #include "kv/replica.h"
 #include "leases/node-lease.h"
 #include "peers/peer-broadcast.h"
-#include "sharing/sharing.h"
+#include "sharing/moves.h"
 
 /* How long heartbeats that show nothing new may wait to be broadcast together. */
 #define REPEAT_HEARTBEATS_INTERVAL_MS 200
--- a/src/peers/peer-receiver.c
+++ b/src/peers/peer-receiver.c
@@ -7,6 +7,7 @@
 #include "peers/peer-broadcast.h"
 #include "placement/placement.h"
 #include "scheduler/scheduler.h"
+#include "sharing/moves.h"
 #include "sharing/sharing.h"
 
 /* Sends a peer that has shown a sign of life all that it must know, before any pong of this node. A
--- a/src/sharing/admin.c
+++ b/src/sharing/admin.c
@@ -3,6 +3,7 @@
 #include "base/json.h"
 #include "peers/peer-links.h"
 #include "kv/replica.h"
+#include "sharing/moves.h"
 
 #define MOVE_SUFFIX "/move"
 #define RETRY_S 1
@@ -116,7 +117,7 @@
                            status == 503 ? RETRY_S : 0);
 }
 
-/* The owner is another node: the order is passed on to it, and the list shows what comes of it. */
+/* Another node owns the group: the order is forwarded to it; its outcome shows in the list. */
 static void
 forward_order(MmSharing *sharing, const MmGroupHolding *holding, guint group, const char *target,
               MmHttpExchange *exchange) {
--- a/src/sharing/admin.h
+++ b/src/sharing/admin.h
@@ -1,12 +1,12 @@
-/* What administrators ask of machine groups, over HTTP:
+/* The administrators' HTTP interface to machine groups:
  *   GET  /admin/groups              who owns which groups, and what moves
- *   POST /admin/groups/NUMBER/move  with {"to": NODE}: gives the group to that node */
+ *   POST /admin/groups/NUMBER/move  with {"to": NODE}: moves the group to that node */
 #pragma once
 
 #include "sharing/sharing.h"
 
 #define MM_ADMIN_GROUPS_PATH "/admin/groups"
-/* The names in requests and answers. */
+/* The names in requests and responses. */
 #define MM_ADMIN_ACTIVE "active"
 #define MM_ADMIN_GROUPS "groups"
 #define MM_ADMIN_NODES "nodes"
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -1,19 +1,19 @@
-/* Evening the nodes' shares of the groups out: the duty of one node, which holds it as a shard
- * under its lease. Orders carry the term of that shard, so those of a former holder are not
- * followed. */
-#include "sharing/sharing.h"
+/* Balancing the machine groups among the nodes: the duty of the one node that leads the shard for
+ * it. Its orders carry the shard's term, so those of a former leader are rejected. */
+#include "sharing/balance.h"
 
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
 #include "peers/peer-links.h"
+#include "sharing/moves.h"
 #include "sharing/shares.h"
 #include "kv/replica.h"
 
 #define BALANCE_INTERVAL_MS 500
 #define MOVES_BROADCAST_INTERVAL_MS 1000
-/* Shares must have been uneven for so long: a node that restarts is back within this time. */
+/* Shares must have been uneven for this long: a node that restarts is back within it. */
 #define UNEVEN_WAIT_MS 10000
-/* One in so many groups of an even share may be missing or too many before anything moves. */
+/* A node may be off its target by one group in this many of an even share before anything moves. */
 #define SLACK_DIVISOR 8
 
 struct MmSharePlan {
@@ -62,7 +62,7 @@
   return g_ptr_array_index(plan->live, taker);
 }
 
-/* ---- the duty ---- */
+/* ---- balancing ---- */
 
 static gboolean
 leads_sharing_shard(const MmSharing *sharing) {
@@ -109,7 +109,7 @@
   mm_peer_links_send(node->peer_links, (guint)peer, &frame);
 }
 
-/* Orders the moves that are still missing, as many as may be under way at once. */
+/* Orders moves towards the targets, up to the limit of moves under way at once. */
 static void
 order_moves(MmSharing *sharing, MmSharePlan *plan) {
   guint n = plan->live->len;
@@ -134,7 +134,7 @@
   }
 }
 
-/* What moves already counts as moved. */
+/* Groups that are moving count as their target's. */
 static void
 count_moves_as_made(const MmSharing *sharing, MmSharePlan *plan) {
   for (guint group = 0; group < sharing->n_groups; group++) {
@@ -162,7 +162,7 @@
 }
 
 static void
-even_out(MmSharing *sharing) {
+rebalance(MmSharing *sharing) {
   MmTime now = mm_node_now(sharing->node);
   g_autoptr(MmSharePlan) plan = mm_share_plan_new(sharing);
   MmTime since = sharing->uneven_since;
@@ -180,7 +180,7 @@
     order_moves(sharing, plan);
 }
 
-/* ---- telling peers ---- */
+/* ---- broadcast ---- */
 
 void
 mm_sharing_broadcast_moves(MmSharing *sharing) {
@@ -218,5 +218,5 @@
       || g_hash_table_size(sharing->map->malformed) > 0)
     sharing->uneven_since.us = 0;
   else
-    even_out(sharing);
+    rebalance(sharing);
 }
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -28,7 +28,7 @@
   return mm_machine_find_reported_task(machine, &grant->job, grant->number, grant->attempt) != NULL;
 }
 
-/* Takes off what tasks that the report shows use; FALSE when one of them is of an unknown job. */
+/* Subtracts what the reported tasks use. FALSE: one of them is of an unknown job. */
 static gboolean
 subtract_reported(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
@@ -54,8 +54,8 @@
   }
 }
 
-/* FALSE when an outstanding grant is of a job that is not known here any more: what it uses can't
- * be told. */
+/* Subtracts what outstanding grants use. FALSE: one of them is of a job that is not known here any
+ * more, so what it uses is unknown. */
 static gboolean
 subtract_outstanding(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   const GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
@@ -118,7 +118,8 @@
   return TRUE;
 }
 
-/* A direct answer of the same session may have been made before the answer with the start came. */
+/* A direct reply of the same incarnation may have been made before the response with the start
+ * arrived, so it disproves nothing. */
 static gboolean
 is_disproved(const MmGrant *grant, MmHeartbeatId heartbeat_id, gboolean is_direct_reply) {
   return heartbeat_id.incarnation > grant->heartbeat_id.incarnation
--- a/src/sharing/grants.h
+++ b/src/sharing/grants.h
@@ -1,16 +1,17 @@
-/* What this node has granted of its groups' machines and no report accounts for yet. Resources of a
- * machine are granted by its group's owner alone, so no two starts are given the same ones. */
+/* Grants of resources on the machines of this node's groups that no heartbeat accounts for yet.
+ * Resources of a machine are granted by its group's owner alone, so no two starts are granted the
+ * same ones. */
 #pragma once
 
 #include "machines/machine-table.h"
 #include "node/node.h"
 
-/* A start that may use resources of a machine, in the answer to one report. */
+/* A start that may use resources of a machine, in the response to one heartbeat. */
 typedef struct {
   MmName job;
   guint number;
   MmAttempt attempt;
-  MmHeartbeatId heartbeat_id; /* of the report whose answer carries the start */
+  MmHeartbeatId heartbeat_id; /* whose response carries the start */
 } MmGrant;
 
 typedef struct {
@@ -23,13 +24,14 @@
 MmGrants *mm_grants_new(MmNode *node);
 void mm_grants_free(MmGrants *grants);
 
-/* Grants the start if the machine has the resources beside what its newest report shows, what is
- * outstanding, and places that this node keeps for gangs. A repetition of an outstanding grant is
- * granted again. */
+/* Grants the start if the machine has the resources beside what its newest heartbeat shows, what is
+ * outstanding, and places that this node has reserved for gangs. Idempotent: a grant that is
+ * outstanding is granted again. */
 gboolean mm_grants_try_grant(MmGrants *grants, MmMachine *machine, const MmGrant *grant);
-/* A report of the machine was taken in: starts that it shows are accounted for, and those whose
- * answer it was sent after without showing them were not carried out. `direct`: the answer to a
- * direct command, which says nothing of starts under way in the same session. */
+/* A heartbeat of the machine was recorded: starts that it shows are accounted for, and those whose
+ * response it was sent after without showing them were not carried out. `is_direct_reply`: the
+ * message is the reply to a direct command, which says nothing of starts under way in the same
+ * incarnation. */
 void mm_grants_heartbeat_received(MmGrants *grants, const MmMachine *machine,
                                   MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
 /* Nothing is on the machine any more and no start can reach it. */
@@ -38,5 +40,5 @@
 void mm_grants_drop_group(MmGrants *grants, guint group, guint n_groups);
 /* How many machines of the group have outstanding grants. */
 guint mm_grants_count_outstanding(const MmGrants *grants, guint group, guint n_groups);
-/* What the machine has left to grant. */
+/* What of the machine's resources is left to grant; nothing where that is unknown. */
 MmResources mm_grants_free_resources(const MmGrants *grants, const MmMachine *machine);
--- a/src/sharing/group-map.c
+++ b/src/sharing/group-map.c
@@ -147,7 +147,7 @@
     MmKeyVersion *malformed_version = g_new(MmKeyVersion, 1);
     *malformed_version = version;
     g_hash_table_replace(map->malformed, g_strdup(label), malformed_version);
-    mm_error("the key of %s's machine groups is malformed: nothing is granted there", label);
+    mm_error("key of machine groups is malformed, nothing is granted there node=%s", label);
   }
   update_owners(map);
   return holding != NULL;
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -1,9 +1,11 @@
-/* Giving a group to another node, up to the transaction: whether it may go, and what peers say. */
-#include "sharing/sharing.h"
+/* Starting a group's move to another node: whether it may move, orders of the balancing node and of
+ * operators, and the moves that peers announce. transactions.c carries them out. */
+#include "sharing/moves.h"
 
 #include "leases/shard-ownership.h"
 #include "peers/peer-links.h"
 #include "kv/replica.h"
+#include "sharing/balance.h"
 
 const char *
 mm_sharing_move_result_text(MmMoveResult result) {
@@ -64,12 +66,12 @@
   owned->target = mm_name(target);
   owned->moving_since = mm_node_now(sharing->node);
   sharing->n_moving++;
-  mm_info("group %u is to go to %s", group, target);
+  mm_info("started move group=%u target=%s", group, target);
   mm_sharing_broadcast_moves(sharing);
   return result;
 }
 
-/* Only the holder of the duty may order moves, and a person by way of any node. */
+/* Only the leader of the balancing shard may order moves, and an operator by way of any node. */
 void
 mm_sharing_move_ordered(MmSharing *sharing, guint peer, const Mm__MoveOrder *order) {
   const MmShard *balancer_shard = mm_replica_shard(sharing->node->replica, MM_SHARD_SHARING);
@@ -79,12 +81,14 @@
   if (!order->by_hand
       && (balancer_shard == NULL || balancer_shard->term.v != order->term
           || !mm_name_equal(&balancer_shard->leader, sender))) {
-    mm_info("%s ordered a move without having the duty", sender->s);
+    mm_info("rejected order to move, sender does not lead balancing sender=%s group=%u", sender->s,
+            order->group);
     return;
   }
   result = mm_sharing_move(sharing, order->group, order->target, order->by_hand);
   if (result != MM_MOVE_STARTED)
-    mm_debug("group %u stays: %s", order->group, mm_sharing_move_result_text(result));
+    mm_debug("rejected order to move group=%u reason=\"%s\"", order->group,
+             mm_sharing_move_result_text(result));
 }
 
 void
--- a/src/sharing/shares.c
+++ b/src/sharing/shares.c
@@ -9,7 +9,7 @@
   return total;
 }
 
-/* Whether node `a` comes before node `b` for one more group. */
+/* Whether node `a` has precedence over node `b` for one more group. */
 static gboolean
 comes_first(const MmShare *shares, const double *remainders, guint a, guint b) {
   if (remainders[a] != remainders[b])
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -4,6 +4,8 @@
 #include "peers/peer-links.h"
 #include "kv/replica.h"
 #include "upgrade/versions.h"
+#include "sharing/balance.h"
+#include "sharing/transactions.h"
 
 MmSharing *
 mm_sharing_new(MmNode *node) {
@@ -44,7 +46,7 @@
 
 /* ---- which groups are owned here ---- */
 
-/* Whether the replica shows the group as this life of this node's. */
+/* Whether the replica shows this incarnation of this node as the group's owner. */
 static gboolean
 is_owned_in_replica(const MmSharing *sharing, guint group) {
   const MmNode *node = sharing->node;
@@ -66,7 +68,7 @@
 drop_group(MmSharing *sharing, guint group) {
   MmOwnedGroup *owned = sharing->owned[group];
 
-  mm_debug("group %u is no longer owned here", group);
+  mm_debug("group is no longer owned here group=%u", group);
   sharing->n_owned--;
   sharing->n_moving -= owned->is_moving;
   sharing->n_moved += owned->is_moving;
@@ -75,8 +77,9 @@
   mm_grants_drop_group(sharing->grants, group, sharing->n_groups);
 }
 
-/* A machine of an acquired group may still carry out starts of earlier owners, unless it has shown
- * the group's term. One that is registered later only gets answers of that term or a later one. */
+/* A machine of an acquired group may still carry out starts of earlier owners, unless it has
+ * acknowledged the group's term. One that is registered later only gets responses of that term or a
+ * later one. */
 static void
 track_unacknowledged(MmSharing *sharing, const MmMachine *machine) {
   MmOwnedGroup *owned = sharing->owned[machine->group];
@@ -100,7 +103,7 @@
   sharing->n_owned++;
 }
 
-/* Drops what is not owned any more, or under another term, and adopts what is new. */
+/* Drops the groups that are not owned any more, or under another term, and adopts the new ones. */
 static void
 apply_group_map(MmSharing *sharing) {
   const GPtrArray *machines = sharing->node->machine_table->sorted_machines;
@@ -126,8 +129,8 @@
     track_unacknowledged(sharing, machine);
     machine->acknowledgement_requested_at.us = 0;
   }
-  mm_info("%u machine groups are owned here, %u of them new", sharing->n_owned,
-          (guint)roaring_bitmap_get_cardinality(adopted_groups));
+  mm_info("adopted %u machine group(s) owned=%u",
+          (guint)roaring_bitmap_get_cardinality(adopted_groups), sharing->n_owned);
 }
 
 static void
@@ -141,7 +144,7 @@
   sharing->unowned_since.us = 0;
 }
 
-/* Only as this node comes: nodes that take part already keep out whoever counts otherwise. */
+/* Only when this node starts: nodes that take part already keep out those with another number. */
 static void
 check_stored_group_count(MmSharing *sharing) {
   if (!sharing->is_compared)
@@ -154,8 +157,8 @@
   gboolean is_active = mm_versions_common_group_count(sharing->node->versions) == sharing->n_groups;
 
   if (is_active != sharing->is_active)
-    mm_info("machines are %s", is_active ? "shared out: every node takes part"
-                                         : "not shared out: not every node takes part");
+    mm_info("sharing of machine groups is %s",
+            is_active ? "active, every node takes part" : "inactive, not every node takes part");
   sharing->is_active = is_active;
 }
 
@@ -190,10 +193,10 @@
     mm_sharing_balance(sharing);
 }
 
-/* ---- reports ---- */
+/* ---- heartbeats ---- */
 
-/* As for a team's shard: the report shows the group's term, or a newer session than was registered
- * when the group was acquired; what was started in the old one is gone. */
+/* As for a team's shard: the heartbeat shows the group's term, or a newer incarnation than was
+ * registered when the group was acquired; what was started in the old one is gone. */
 static gboolean
 acknowledges(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
   return machine->acknowledged_term.v >= owned->term.v
@@ -266,8 +269,8 @@
     return FALSE;
   group = machine->group;
   owned = sharing->owned[group];
-  /* What the owner has quarantined gets nothing; nor does a session that is not registered: should
-   * the group change hands, the next owner would not know to wait for it. */
+  /* A machine that the owner has quarantined gets nothing; nor does an incarnation that is not
+   * registered: if the group changed hands, the next owner would not know to wait for it. */
   return owned != NULL && !owned->is_moving && mm_sharing_owns(sharing, group)
          && mm_machine_is_usable(sharing->node->machine_table, machine)
          && mm_node_lease_may_answer_workers(sharing->node->node_lease)
@@ -305,7 +308,6 @@
   return term.v != 0 && mm_group_map_owner(sharing->map, group).term.v == term.v;
 }
 
-/* The answers to an ask: one flag a start. */
 void
 mm_sharing_grant_requested(MmSharing *sharing, guint peer, const Mm__GrantRequest *request) {
   MmMachine *machine = mm_machine_table_find(sharing->node->machine_table, request->machine);
@@ -330,7 +332,7 @@
   mm_peer_links_send(sharing->node->peer_links, peer, &frame);
 }
 
-/* ---- reports go to the owner ---- */
+/* ---- heartbeats go to the owner ---- */
 
 gint
 mm_sharing_redirect_target(MmSharing *sharing, const char *machine_id) {
@@ -341,17 +343,17 @@
   gint peer;
 
   if (machine == NULL)
-    return -1;
+    return MM_PEER_NONE;
   owner = mm_group_map_owner(sharing->map, machine->group);
   if (owner.holding == NULL)
-    return -1;
+    return MM_PEER_NONE;
   peer = mm_peer_links_find(node->peer_links, owner.holding->node.s);
-  /* A worker that comes back so soon can't reach the owner: it is served here. */
+  /* A worker that is back within a lease can't reach the owner: this node serves it. */
   if (peer < 0 || !mm_peer_links_peer_serves_workers(node->peer_links, (guint)peer)
       || (machine->last_redirected_at.us != 0
           && mm_time_ms_since(now, machine->last_redirected_at)
                  < (gint64)(node->settings->worker_lease_s * 1000)))
-    return -1;
+    return MM_PEER_NONE;
   machine->last_redirected_at = now;
   return peer;
 }
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -1,22 +1,23 @@
 /* The transactions by which groups change hands. Each that gives a group to a node raises the
  * global term and is guarded by the term's version, by the version of each key that it changes, and
- * hangs each key on the lease of the node that it is of. So it is void once anything has changed
- * that it was built on, however late it is carried out. */
-#include "sharing/sharing.h"
+ * attaches each key to the lease of its node. So it fails once anything that it was built on has
+ * changed, however late the store applies it. */
+#include "sharing/transactions.h"
 
 #include "base/wire.h"
 #include "leases/node-lease.h"
 #include "kv/replica.h"
 #include "kv/kv-client.h"
+#include "sharing/balance.h"
 
-/* Groups that lie without an owner this long are taken by anyone. */
+/* A group that has had no owner for this long is acquired by any node. */
 #define UNOWNED_WAIT_MS 1500
-/* At the start all nodes should be there for the sharing out. */
+/* At the start all nodes should be live before groups are distributed. */
 #define START_WAIT_MS 1000
 #define WRITE_INTERVAL_MS 100
 #define CONFLICT_BACKOFF_MS 1000
-/* What a move with two keys and the term puts. */
-#define MOVE_PUTS 3
+/* A move writes two keys and the term. */
+#define MOVE_OPERATIONS 3
 
 static const MmGroupHolding *
 own_holding(const MmSharing *sharing) {
@@ -37,16 +38,20 @@
   sharing->next_write_at = mm_time_add_ms(mm_node_now(sharing->node), ms);
 }
 
-/* The moves under way end where they are: the groups stay here. */
+/* The group stays here. */
 static void
-abort_moves(MmSharing *sharing, const char *reason) {
+abort_move(MmSharing *sharing, MmOwnedGroup *owned, const char *reason) {
+  owned->is_moving = FALSE;
+  sharing->n_moving--;
+  mm_info("aborted move group=%u reason=\"%s\"", owned->number, reason);
+}
+
+static void
+abort_all_moves(MmSharing *sharing, const char *reason) {
   for (guint group = 0; group < sharing->n_groups; group++) {
     MmOwnedGroup *owned = sharing->owned[group];
-    if (owned == NULL || !owned->is_moving)
-      continue;
-    owned->is_moving = FALSE;
-    sharing->n_moving--;
-    mm_info("group %u stays here: %s", group, reason);
+    if (owned != NULL && owned->is_moving)
+      abort_move(sharing, owned, reason);
   }
   mm_sharing_broadcast_moves(sharing);
 }
@@ -62,44 +67,47 @@
     sharing->min_revision = mm_json_count(body, WIRE_REVISION, 0);
     sharing->is_move_unconfirmed = FALSE;
   } else if (status == 409) {
-    /* Something it was built on has changed: the replica will show what. A move whose outcome was
-     * unknown has then been made, or been made void by another change of this node's key. */
+    /* Something that it was built on has changed: the replica will show what. A move whose outcome
+     * was unknown has then been applied, or was made to fail by another change of this node's key.
+     */
     sharing->is_move_unconfirmed = FALSE;
     delay_next_write(sharing, CONFLICT_BACKOFF_MS);
   } else if (status == 400) {
-    /* The target's lease has ended, or this node's: that is void for good. */
+    /* The target's lease has expired, or this node's: the transaction can never be applied. */
     if (kind == MM_GROUP_WRITE_MOVE)
-      abort_moves(sharing, "the other node's lease has ended");
+      abort_all_moves(sharing, "the target's lease has expired");
     sharing->is_move_unconfirmed = FALSE;
     delay_next_write(sharing, CONFLICT_BACKOFF_MS);
   } else if (status == 0 && kind == MM_GROUP_WRITE_MOVE) {
-    /* It may be carried out yet. Nothing is granted of those groups before that is known. */
+    /* It may still be applied. Nothing is granted of those groups before the outcome is known. */
     sharing->is_move_unconfirmed = TRUE;
   }
 }
 
 static void
-commit_write(MmSharing *sharing, MmTransaction *txn, MmGroupWrite kind) {
+commit_write(MmSharing *sharing, MmTransaction *transaction, MmGroupWrite kind) {
   sharing->write_in_flight = kind;
-  mm_kv_client_commit(sharing->node->kv, txn, on_write_response, sharing);
+  mm_kv_client_commit(sharing->node->kv, transaction, on_write_response, sharing);
 }
 
-/* Raises the global term; the new one. */
+/* Adds the raising of the global term to the transaction; returns the new term. */
 static MmTerm
-raise_term(const MmSharing *sharing, MmTransaction *txn) {
+raise_term(const MmSharing *sharing, MmTransaction *transaction) {
   const MmReplica *replica = sharing->node->replica;
   MmTerm term = { replica->term.v + 1 };
 
-  mm_transaction_require_version(txn, MM_KEY_TERM, "", replica->term_version);
-  mm_transaction_put(txn, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term.v), 0);
+  mm_transaction_require_version(transaction, MM_KEY_TERM, "", replica->term_version);
+  mm_transaction_put(transaction, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term.v), 0);
   return term;
 }
 
 static void
-put_value(const MmSharing *sharing, MmTransaction *txn, const char *label,
+put_value(const MmSharing *sharing, MmTransaction *transaction, const char *label,
           const MmGroupValue *value, guint64 lease_id) {
-  mm_transaction_require_version(txn, MM_KEY_MACHINE_GROUPS, label, key_version(sharing, label));
-  mm_transaction_put(txn, MM_KEY_MACHINE_GROUPS, label, mm_group_value_to_json(value), lease_id);
+  mm_transaction_require_version(transaction, MM_KEY_MACHINE_GROUPS, label,
+                                 key_version(sharing, label));
+  mm_transaction_put(transaction, MM_KEY_MACHINE_GROUPS, label, mm_group_value_to_json(value),
+                     lease_id);
 }
 
 static gboolean
@@ -109,9 +117,9 @@
   return json_dumpb(json, NULL, 0, JSON_COMPACT) <= mm_kv_client_max_value_bytes(sharing->node->kv);
 }
 
-/* The holding's groups but `without`, and `added` under the term. Where that many terms do not fit
- * into a value, all are listed under the new one: their owner then waits for the machines once
- * more. */
+/* The holding's groups except `without`, and `added` under the term. Where so many terms exceed the
+ * limit of a value, all are listed under the new one: their owner then waits for the machines'
+ * acknowledgements once more. Free with mm_group_value_free. */
 static MmGroupValue *
 build_value(const MmSharing *sharing, const MmGroupHolding *holding, guint64 lease_id,
             const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
@@ -129,7 +137,7 @@
 
 /* ---- acquiring ---- */
 
-/* Nobody's, or an earlier life's of this node. */
+/* Whether nobody owns the group, or a previous incarnation of this node does. */
 static gboolean
 is_free(const MmSharing *sharing, guint group) {
   const MmNode *node = sharing->node;
@@ -181,10 +189,10 @@
   MmNode *node = sharing->node;
   g_autoptr(MmGroupSet) wanted = NULL;
   g_autoptr(MmGroupValue) value = NULL;
-  MmTransaction txn;
+  MmTransaction transaction;
   MmTerm term;
 
-  /* What an unreadable key holds is not known to be free. Its node writes it anew. */
+  /* The groups of a malformed key are not known to be free. Its node writes the key anew. */
   if (awaits_other_nodes(sharing)
       || (g_hash_table_size(sharing->map->malformed) > 0
           && !g_hash_table_contains(sharing->map->malformed, node->settings->label.s)))
@@ -192,36 +200,37 @@
   wanted = groups_to_acquire(sharing);
   if (roaring_bitmap_is_empty(wanted))
     return FALSE;
-  txn = mm_transaction_begin();
-  term = raise_term(sharing, &txn);
+  transaction = mm_transaction_begin();
+  term = raise_term(sharing, &transaction);
   value
       = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, wanted, term);
-  put_value(sharing, &txn, node->settings->label.s, value, node->node_lease->lease_id);
-  mm_info("acquiring %u machine groups with term %" G_GUINT64_FORMAT,
+  put_value(sharing, &transaction, node->settings->label.s, value, node->node_lease->lease_id);
+  mm_info("acquiring %u machine group(s) term=%" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(wanted), term.v);
-  commit_write(sharing, &txn, MM_GROUP_WRITE_ACQUIRE);
+  commit_write(sharing, &transaction, MM_GROUP_WRITE_ACQUIRE);
   return TRUE;
 }
 
-/* ---- moving ---- */
+/* ---- moves ---- */
 
-/* A group that can go now: nothing that was granted of its machines is under way. */
+/* Whether no grant on the group's machines is outstanding. */
 static gboolean
 is_ready_to_move(const MmSharing *sharing, const MmOwnedGroup *owned) {
   return owned != NULL && owned->is_moving
          && mm_grants_count_outstanding(sharing->grants, owned->number, sharing->n_groups) == 0;
 }
 
-/* The target has ended, or machines keep grants under way for longer than their leases last. */
+/* Why the move can't be made: the target is not live, or grants stay unresolved for longer than the
+ * machines' leases last. NULL: it may still be. */
 static const char *
 abort_reason(const MmSharing *sharing, const MmOwnedGroup *owned) {
   const MmNode *node = sharing->node;
   gint64 since_ms = mm_time_ms_since(mm_node_now(node), owned->moving_since);
 
   if (g_hash_table_lookup(node->replica->live_nodes, owned->target.s) == NULL)
-    return "the other node has ended";
+    return "the target is not live";
   if (since_ms > (gint64)(node->settings->worker_lease_s * 1000))
-    return "starts are under way for too long";
+    return "granted starts are unresolved for too long";
   return NULL;
 }
 
@@ -236,14 +245,12 @@
     reason = abort_reason(sharing, owned);
     if (reason == NULL)
       continue;
-    owned->is_moving = FALSE;
-    sharing->n_moving--;
-    mm_info("group %u stays here: %s", group, reason);
+    abort_move(sharing, owned, reason);
     mm_sharing_broadcast_moves(sharing);
   }
 }
 
-/* All that can go to the same node as the first that can. */
+/* The groups that are ready to move to the same target as the first that is. Free the set. */
 static MmGroupSet *
 groups_to_move(const MmSharing *sharing, MmName *target) {
   MmGroupSet *set = roaring_bitmap_create();
@@ -268,11 +275,11 @@
   const MmGroupHolding *holding;
   const MmLiveNode *live_target;
   MmName target;
-  MmTransaction txn;
+  MmTransaction transaction;
   MmTerm term;
 
   abort_stuck_moves(sharing);
-  if (sharing->n_moving == 0 || mm_kv_client_max_operations(node->kv) < MOVE_PUTS)
+  if (sharing->n_moving == 0 || mm_kv_client_max_operations(node->kv) < MOVE_OPERATIONS)
     return FALSE;
   moved = groups_to_move(sharing, &target);
   if (roaring_bitmap_is_empty(moved) || own_holding(sharing) == NULL)
@@ -280,49 +287,51 @@
   live_target = g_hash_table_lookup(node->replica->live_nodes, target.s);
   holding = mm_group_map_holding(sharing->map, target.s);
   if (holding != NULL && holding->lease_id != live_target->lease_id)
-    return FALSE; /* its new life takes up what the old one had first */
-  txn = mm_transaction_begin();
-  term = raise_term(sharing, &txn);
+    return FALSE; /* the target's new incarnation first acquires what the previous one owned */
+  transaction = mm_transaction_begin();
+  term = raise_term(sharing, &transaction);
   own_value
       = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, moved, NULL, term);
   targets_value = build_value(sharing, holding, live_target->lease_id, NULL, moved, term);
-  put_value(sharing, &txn, node->settings->label.s, own_value, node->node_lease->lease_id);
-  put_value(sharing, &txn, target.s, targets_value, live_target->lease_id);
-  mm_info("giving %u machine groups to %s with term %" G_GUINT64_FORMAT,
+  put_value(sharing, &transaction, node->settings->label.s, own_value, node->node_lease->lease_id);
+  put_value(sharing, &transaction, target.s, targets_value, live_target->lease_id);
+  mm_info("moving %u machine group(s) target=%s term=%" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(moved), target.s, term.v);
-  commit_write(sharing, &txn, MM_GROUP_WRITE_MOVE);
+  commit_write(sharing, &transaction, MM_GROUP_WRITE_MOVE);
   return TRUE;
 }
 
-/* A move that got no answer may be carried out late. Writing this node's key once more makes it
- * void, since it is guarded by the key's version; where that fails, the move has been made. */
+/* A move without a response may be applied late. Writing this node's key once more makes it fail,
+ * since it is guarded by the key's version; where that write conflicts, the move has been applied.
+ */
 static void
 confirm_move(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupValue) value = NULL;
-  MmTransaction txn = mm_transaction_begin();
+  MmTransaction transaction = mm_transaction_begin();
 
   value = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, NULL,
                       (MmTerm){ 0 });
-  put_value(sharing, &txn, node->settings->label.s, value, node->node_lease->lease_id);
-  commit_write(sharing, &txn, MM_GROUP_WRITE_CONFIRM);
+  put_value(sharing, &transaction, node->settings->label.s, value, node->node_lease->lease_id);
+  commit_write(sharing, &transaction, MM_GROUP_WRITE_CONFIRM);
 }
 
-/* ---- when not every node takes part any more ---- */
+/* ---- when sharing is no longer active at every node ---- */
 
-/* Without grants, starts were given that no owner knows of: should sharing come back, groups must
- * be acquired anew, under terms that the machines have yet to show. */
+/* While sharing is inactive, starts are sent that no owner has granted: when it is active again,
+ * groups must be acquired anew, under terms that the machines have yet to acknowledge. */
 static gboolean
 release_groups(MmSharing *sharing) {
   const char *label = sharing->node->settings->label.s;
-  MmTransaction txn;
+  MmTransaction transaction;
 
   if (key_version(sharing, label).v == 0)
     return FALSE;
-  txn = mm_transaction_begin();
-  mm_transaction_require_version(&txn, MM_KEY_MACHINE_GROUPS, label, key_version(sharing, label));
-  mm_transaction_delete(&txn, MM_KEY_MACHINE_GROUPS, label);
-  commit_write(sharing, &txn, MM_GROUP_WRITE_RELEASE);
+  transaction = mm_transaction_begin();
+  mm_transaction_require_version(&transaction, MM_KEY_MACHINE_GROUPS, label,
+                                 key_version(sharing, label));
+  mm_transaction_delete(&transaction, MM_KEY_MACHINE_GROUPS, label);
+  commit_write(sharing, &transaction, MM_GROUP_WRITE_RELEASE);
   return TRUE;
 }
 
