--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -89,7 +89,7 @@
     lease->announced_version.v = mm_json_count(body, WIRE_REVISION, 0);
     lease->valid_until = lease_valid_until(lease, request->sent_at);
     lease->next_request_at = mm_node_now(lease->node);
-    mm_info("claim %" G_GUINT64_FORMAT " taken", request->lease_id);
+    mm_info("node lease acquired lease=%" G_GUINT64_FORMAT, request->lease_id);
   } else {
     lease->next_request_at = mm_time_add_ms(mm_node_now(lease->node), 150);
   }
@@ -105,14 +105,14 @@
   if (status == 200 && lease_id != 0) {
     MmTransaction transaction = mm_transaction_begin();
     request->lease_id = lease_id;
-    /* Without the guard an announcement that got no answer, carried out after a newer one, hung the
-     * key on the older claim; it went with that, and the others counted this node as gone while it
-     * answered on. */
+    /* The condition keeps a late announcement, carried out after a newer one, from binding the key
+     * to the older lease: the key would go with that lease, and the other nodes would count this
+     * node as gone while it still answers. */
     mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
                                    lease->node_key_version);
     mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
                        json_pack("{s:I}", "c", (json_int_t)lease_id), lease_id);
-    /* `sent` stays the grant's: the lease has been running since then. */
+    /* `sent_at` stays that of the grant: the lease has been running since then. */
     mm_kv_client_commit(lease->node->kv, &transaction, on_lease_announced, request);
     return;
   }
@@ -150,7 +150,7 @@
         = mm_time_max(lease->valid_until, lease_valid_until(lease, request->sent_at));
     lease->next_request_at = mm_time_add_ms(request->sent_at, renew_interval_ms);
   } else if (status == 404) {
-    mm_info("claim %" G_GUINT64_FORMAT " has ended", lease->lease_id);
+    mm_info("node lease expired lease=%" G_GUINT64_FORMAT, lease->lease_id);
     lease->lease_id = 0;
     lease->next_request_at = now;
   } else {
@@ -160,8 +160,8 @@
 }
 
 /* Two nodes that both were refused within the last second prove an outage, in which leases do not
- * run out and after which each has its full time again. The proof is as old as the older refusal;
- * the claim must not have ended before it. */
+ * expire and after which each has its full time again. The proof is as old as the older refusal;
+ * the lease must not have expired before it. */
 static void
 extend_lease_in_outage(MmNodeLease *lease) {
   MmTime now = mm_node_now(lease->node);
@@ -172,8 +172,8 @@
   if (proved_at.us == 0 || mm_time_ms_since(now, proved_at) > OUTAGE_PROOF_MAX_AGE_MS
       || !mm_time_before(proved_at, lease->valid_until))
     return;
-  /* Whoever is served meanwhile shows that the others are refused alone, and their claims run out.
-   */
+  /* A node that is served meanwhile shows that the others are refused alone, and that their leases
+   * do expire. */
   if (!mm_time_before(lease->node->kv->last_served_at, proved_at)
       || !mm_time_before(mm_peer_links_last_served_at(lease->node->peer_links),
                          lease->node->kv->refused_since))
@@ -182,8 +182,8 @@
   lease->valid_until = mm_time_max(lease->valid_until, lease_valid_until(lease, proved_at));
 }
 
-/* Whether the node's key shows another claim than its own, or none, though it has announced it:
- * nobody renews what is not seen, and the node would never be entitled to anything again. */
+/* Whether the replica shows another lease than this node's in its key, or no key, although the node
+ * has announced its lease: renewing an unseen lease would never entitle the node to anything. */
 static gboolean
 node_key_is_overwritten(const MmNodeLease *lease) {
   const MmReplica *replica = lease->node->replica;
@@ -199,12 +199,12 @@
 renew_or_acquire_lease(MmNodeLease *lease) {
   MmTime now = mm_node_now(lease->node);
 
-  /* A node that does not know the active format lets its lease end. */
+  /* A node that does not know the active format lets its lease expire. */
   if (lease->is_request_pending || mm_time_before(now, lease->next_request_at)
       || !mm_format_is_supported(lease->node->format))
     return;
   if (node_key_is_overwritten(lease)) {
-    mm_info("claim %" G_GUINT64_FORMAT " shows no more", lease->lease_id);
+    mm_info("node lease dropped, its key is overwritten lease=%" G_GUINT64_FORMAT, lease->lease_id);
     lease->lease_id = 0;
   }
   lease->is_request_pending = TRUE;
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -8,7 +8,7 @@
 
 /* A shard that its rightful leader leaves without one this long goes to anyone. */
 #define LEADERLESS_PATIENCE_MS 1500
-/* At the start all nodes should take part in the distribution. */
+/* Time for the nodes that start together to be seen before the first distribution. */
 #define START_PATIENCE_MS 1000
 #define UNEVEN_PATIENCE_MS 10000
 #define CHECK_INTERVAL_MS 100
@@ -87,13 +87,14 @@
     ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), 200);
   if (status == 409) {
     /* Each try costs writes that others need: first the watch must show what has changed. */
-    mm_debug("the part map had changed meanwhile");
+    mm_debug("shard transaction conflicted revision=%" G_GUINT64_FORMAT,
+             ownership->node->replica->revision);
     ownership->conflict_revision = ownership->node->replica->revision;
     ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), CONFLICT_PAUSE_MS);
   }
 }
 
-/* Whose the part is to take: a life of the holder that has ended, or nobody's. */
+/* Whether the shard has no leader, or an earlier incarnation of this node as its leader. */
 static gboolean
 may_be_acquired(const MmShardOwnership *ownership, const MmShard *shard) {
   return shard == NULL
@@ -138,12 +139,12 @@
                                  (json_int_t)term),
                        ownership->node->node_lease->lease_id);
   }
-  mm_info("taking %u part(s) with term %" G_GUINT64_FORMAT, n_acquired, term);
+  mm_info("shards: acquiring n=%u term=%" G_GUINT64_FORMAT, n_acquired, term);
   ownership->is_commit_pending = TRUE;
   mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
 }
 
-/* Gives up parts for which another node has room, all at once: each move costs a new term. */
+/* Releases the surplus of shards in one transaction, since each move costs a new term. */
 static void
 release_shards(MmShardOwnership *ownership, guint surplus) {
   MmTransaction transaction = mm_transaction_begin();
@@ -159,25 +160,27 @@
       break;
     surplus--;
   }
-  mm_info("giving up %u part(s)", transaction.n_operations);
+  mm_info("shards: releasing n=%u", transaction.n_operations);
   ownership->is_commit_pending = TRUE;
   mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
 }
 
-/* Where the parts are, as every node sees it alike. */
+/* Which node leads how many shards, by the replica. */
 typedef struct {
-  GPtrArray *live_labels; /* labels of the nodes that have a claim, in order */
-  guint *n_led;           /* how many parts each of them holds */
-  guint own_index;        /* this node's place among them; G_MAXUINT: none */
+  GPtrArray *live_labels; /* labels of the nodes that have a lease, in order */
+  guint *n_led;           /* how many shards each of them leads */
+  guint own_index;        /* this node's place among them, or NOT_LIVE */
 } ShardDistribution;
 
+#define NOT_LIVE G_MAXUINT
+
 static void
 distribution_init(const MmShardOwnership *ownership, ShardDistribution *distribution) {
   const MmReplica *replica = ownership->node->replica;
 
   distribution->live_labels = mm_replica_live_labels(replica);
   distribution->n_led = g_new0(guint, distribution->live_labels->len);
-  distribution->own_index = G_MAXUINT;
+  distribution->own_index = NOT_LIVE;
   for (guint n = 0; n < distribution->live_labels->len; n++) {
     const char *label = g_ptr_array_index(distribution->live_labels, n);
     if (strcmp(label, ownership->node->settings->label.s) == 0)
@@ -206,7 +209,7 @@
   return fewest;
 }
 
-/* The free parts that are this node's to take: each goes to the node that holds fewest. */
+/* The leaderless shards that this node is to acquire: each goes to the node that leads fewest. */
 static GPtrArray *
 shards_to_acquire(MmShardOwnership *ownership, ShardDistribution *distribution) {
   GPtrArray *wanted = g_ptr_array_new();
@@ -232,8 +235,8 @@
   return wanted;
 }
 
-/* The taker must hear every machine: while one is silent, a move would stop the team's starts until
- * that machine is proved lost. */
+/* The next leader needs a heartbeat of every machine: while one is silent, a move would stop the
+ * team's starts until that machine is proved lost. */
 static void
 rebalance_shards(MmShardOwnership *ownership, const ShardDistribution *distribution) {
   MmTime now = mm_node_now(ownership->node);
@@ -250,7 +253,7 @@
   }
 }
 
-/* At the start of all nodes, the others may be about to show. */
+/* When all nodes start together, the others may be about to announce their leases. */
 static gboolean
 waits_for_other_nodes(const MmShardOwnership *ownership, const ShardDistribution *distribution) {
   const MmReplica *replica = ownership->node->replica;
@@ -267,7 +270,7 @@
 acquire_or_rebalance(MmShardOwnership *ownership, ShardDistribution *distribution) {
   g_autoptr(GPtrArray) wanted = NULL;
 
-  if (distribution->own_index == G_MAXUINT || waits_for_other_nodes(ownership, distribution))
+  if (distribution->own_index == NOT_LIVE || waits_for_other_nodes(ownership, distribution))
     return;
   wanted = shards_to_acquire(ownership, distribution);
   if (wanted->len > 0)
--- a/src/leases/shard-ownership.h
+++ b/src/leases/shard-ownership.h
@@ -1,22 +1,22 @@
 /* Which shards this node leads: acquisition, release and rebalancing.
  *
  * A shard is a team's tasks, or a duty that one node has. Its key names the node that leads it and
- * hangs on that node's lease, so the shards of a node whose lease expires have no leader. Every
+ * is bound to that node's lease, so the shards of a node whose lease expires have no leader. Every
  * acquisition raises the global term in the same transaction, guarded by the term's version, so two
  * nodes never build on the same map of shards. */
 #pragma once
 
 #include "node/node.h"
 
-/* The duty of scaling the fleet out and in. */
+/* The duty of scaling out and in. */
 #define MM_SHARD_AUTOSCALER "=fleet"
-/* The duty of balancing who owns how many machine groups; where these are shared out. */
+/* The duty of balancing the owners of machine groups, where these are shared out. */
 #define MM_SHARD_SHARING "=sharing"
 
 struct MmShardOwnership {
   MmNode *node;
   gboolean is_commit_pending; /* a transaction about shards is under way */
-  MmTime next_check_at;       /* when to look at the map of shards again */
+  MmTime next_check_at;       /* when to check the map of shards again */
   guint64 conflict_revision;  /* the replica's when a transaction conflicted; 0: none has */
   MmTime uneven_since;        /* since when the shards have been spread unevenly; 0: they are not */
   GPtrArray *shard_names;     /* of all shards, in a fixed order */
@@ -32,8 +32,8 @@
 
 /* Whether the replica shows this incarnation of this node as leader of the shard. */
 gboolean mm_shard_ownership_leads(const MmShardOwnership *ownership, const char *shard_name);
-/* Whether shards are about to change hands, as far as shows: one has no leader, or its leader or
- * another node has a lease that is new. */
+/* Whether shards are about to change leaders, as far as this node knows: a shard has no leader, or
+ * the lease of its leader or of another node is new. */
 gboolean mm_shard_ownership_is_unsettled(const MmShardOwnership *ownership);
 /* Whether the shard is a duty that one node has, rather than a team. */
 gboolean mm_shard_ownership_is_duty(const char *shard_name);
--- a/src/upgrade/format.c
+++ b/src/upgrade/format.c
@@ -2,7 +2,7 @@
 
 #include "base/json.h"
 
-/* The name in the key's value. */
+/* The field of the key's value. */
 #define FIELD_FORMAT "f"
 
 MmFormat *
@@ -26,16 +26,15 @@
   return format->active >= format->lowest_supported && format->active <= format->highest_supported;
 }
 
-/* Each change in one line. */
 static void
 log_active_format(const MmFormat *format) {
   if (supports_active(format))
-    mm_info("the active format is %" G_GUINT64_FORMAT, format->active);
+    mm_info("format changed active=%" G_GUINT64_FORMAT, format->active);
   else if (format->active == MM_FORMAT_UNREADABLE)
-    mm_error("the key of the active format is not readable: this node does nothing");
+    mm_error("format key unreadable, node fenced");
   else
-    mm_error("the active format is %" G_GUINT64_FORMAT ", this program knows %" G_GUINT64_FORMAT
-             " to %" G_GUINT64_FORMAT ": this node does nothing",
+    mm_error("format not supported, node fenced active=%" G_GUINT64_FORMAT
+             " lowest=%" G_GUINT64_FORMAT " highest=%" G_GUINT64_FORMAT,
              format->active, format->lowest_supported, format->highest_supported);
 }
 
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -5,7 +5,7 @@
 #include "kv/kv-client.h"
 
 #define RETRY_AFTER_MS 500
-/* The names in a node's key. */
+/* The fields of a node's key. */
 #define FIELD_VERSION "v"
 #define FIELD_GROUPS "g"
 
@@ -72,11 +72,11 @@
 on_key_written(gpointer data, int status, json_t *body) {
   MmVersions *versions = data;
 
-  /* Whether it is there is for the replica to show. */
+  /* The outcome is taken from the replica. */
   versions->is_writing = FALSE;
 }
 
-/* As before, to the byte, where machines are not shared out. */
+/* Without machine groups the value is the same, to the byte, as that of nodes which know none. */
 static json_t *
 own_key_value(const MmVersions *versions) {
   guint group_count = (guint)versions->node->operators->groups;
