--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -4,16 +4,17 @@
 #include "upgrade/format.h"
 
 #define REQUEST_TIMEOUT_MS 2000
-/* Two renewals of a claim. */
+/* About two renewals of a lease. */
 #define SILENT_AFTER_MS 1500
-/* Shares are by node, yet rarely do all nodes write at once; the state service's own 429 is the
- * last word. Claims and users' words are not held back by this budget. */
+/* The share of the store's writes that one node may use for work that can wait. Rarely do all nodes
+ * write at once, so the shares add up to more than one; the store's own 429 decides. Leases and
+ * what users wait for are not limited by this budget. */
 #define NODE_WRITE_SHARE 0.3
-/* After a 429 nothing that can wait is written for so long. */
+/* How long after a 429 nothing that can wait is written. */
 #define RATE_LIMITED_PAUSE_S 0.25
 #define MAX_AVAILABLE_PER_TICK_MS (4 * MM_NODE_TICK_MS)
 
-/* A transaction that this node may not send. */
+/* A transaction that this node may not send, to be answered 503. */
 typedef struct {
   MmResponseCallback on_response;
   gpointer data;
@@ -24,7 +25,7 @@
   MmKvClient *kv = g_new0(MmKvClient, 1);
 
   kv->node = node;
-  kv->learned_max_value_bytes = kv->learned_max_operations = G_MAXUINT;
+  kv->learned_max_value_bytes = kv->learned_max_operations = MM_KV_NO_LIMIT;
   kv->unsent_transactions = g_array_new(FALSE, FALSE, sizeof(UnsentTransaction));
   return kv;
 }
@@ -39,7 +40,7 @@
 mm_kv_client_fail_unsent(MmKvClient *kv) {
   g_autoptr(GArray) unsent = kv->unsent_transactions;
 
-  /* What they are answered may be refused in its turn. */
+  /* A callback may commit again, and that transaction may be withheld in its turn. */
   kv->unsent_transactions = g_array_new(FALSE, FALSE, sizeof(UnsentTransaction));
   for (guint i = 0; i < unsent->len; i++) {
     const UnsentTransaction *transaction = &g_array_index(unsent, UnsentTransaction, i);
@@ -61,13 +62,13 @@
 typedef struct {
   MmKvClient *kv;
   MmTime sent_at;
-  json_t *transaction; /* NULL: it is none */
+  json_t *transaction; /* NULL: no transaction */
   MmResponseCallback on_response;
   gpointer data;
 } Request;
 
-/* No limit is believed to be below these, whatever is refused: a final state and its record take
- * two changes, and a value that is too small for most jobs would only turn them away. */
+/* No learned limit goes below these, whatever is refused: a terminal state and its record take two
+ * operations, and smaller values would only turn most jobs away. */
 #define MIN_LEARNED_OPERATIONS 2
 #define MIN_LEARNED_VALUE_BYTES 1024
 #define LEASE_EXPIRED_ERROR "no such lease"
@@ -83,8 +84,9 @@
   return (guint)largest;
 }
 
-/* The limits have fallen earlier than expected, or further. Nothing is sent again as it was: what
- * is too much is halved, first the changes, then the values. */
+/* A transaction was refused as too large: the limits have fallen earlier than announced, or
+ * further. Nothing is sent again as it was: first the number of operations is halved, then the
+ * values. */
 static void
 learn_transaction_limits(MmKvClient *kv, const json_t *transaction, const json_t *response) {
   const json_t *operations = json_object_get(transaction, WIRE_THEN);
@@ -99,8 +101,8 @@
     kv->learned_max_value_bytes
         = MIN(kv->learned_max_value_bytes,
               MAX(largest_value_bytes(operations) / 2, MIN_LEARNED_VALUE_BYTES));
-  mm_info("the state service refuses %u changes of up to %u bytes", n_operations,
-          largest_value_bytes(operations));
+  mm_info("key-value store refused a transaction operations=%u largest_value_bytes=%u",
+          n_operations, largest_value_bytes(operations));
 }
 
 guint
@@ -118,10 +120,10 @@
   return kv->node->settings->kv_writes_per_s * NODE_WRITE_SHARE;
 }
 
-/* Leases and what users wait for go first. */
+/* Leaves the rate to leases and to what users wait for. */
 static void
 pause_deferrable_writes(MmKvClient *kv) {
-  mm_info("the state service says 429");
+  mm_info("key-value store limits the rate status=429");
   kv->write_budget = -RATE_LIMITED_PAUSE_S * write_budget_per_s(kv);
   kv->write_budget_at = mm_node_now(kv->node);
 }
@@ -130,8 +132,8 @@
 on_request_done(gpointer data, int status, json_t *body) {
   Request *request = data;
 
-  /* A refusal is as old as its request: the answer may have lain unread while this node stood
-   * still, and a proof of an outage hangs on its age. */
+  /* A refusal is as old as its request: the response may have been unread for as long as this node
+   * stood still, and a proof of an outage depends on its age. */
   if (status == 503) {
     if (!mm_kv_client_is_refused(request->kv))
       request->kv->refused_since = request->sent_at;
@@ -168,40 +170,6 @@
   send_request(kv, method, path, body, timeout_ms, NULL, on_response, data);
 }
 
-MmTransaction
-mm_transaction_begin(void) {
-  return (MmTransaction){ json_array(), json_array(), 0 };
-}
-
-void
-mm_transaction_require_version(MmTransaction *transaction, const char *prefix, const char *key,
-                               MmKeyVersion version) {
-  g_autofree char *path = g_strconcat(prefix, key, NULL);
-
-  json_array_append_new(transaction->conditions, json_pack("{s:s, s:I}", WIRE_KEY, path,
-                                                           WIRE_VERSION, (json_int_t)version.v));
-}
-
-void
-mm_transaction_put(MmTransaction *transaction, const char *prefix, const char *key, json_t *value,
-                   guint64 lease_id) {
-  g_autofree char *path = g_strconcat(prefix, key, NULL);
-  json_t *operation = json_pack("{s:s, s:o}", WIRE_PUT, path, WIRE_VALUE, value);
-
-  if (lease_id != 0)
-    json_object_set_new(operation, WIRE_LEASE, json_integer((json_int_t)lease_id));
-  json_array_append_new(transaction->operations, operation);
-  transaction->n_operations++;
-}
-
-void
-mm_transaction_delete(MmTransaction *transaction, const char *prefix, const char *key) {
-  g_autofree char *path = g_strconcat(prefix, key, NULL);
-
-  json_array_append_new(transaction->operations, json_pack("{s:s}", WIRE_DELETE, path));
-  transaction->n_operations++;
-}
-
 void
 mm_kv_client_get(MmKvClient *kv, const char *prefix, const char *key,
                  MmResponseCallback on_response, gpointer data) {
@@ -236,7 +204,7 @@
   g_autoptr(json_t) body = json_pack("{s:o, s:o}", WIRE_IF, transaction->conditions, WIRE_THEN,
                                      transaction->operations);
 
-  /* Whatever decided on it: nothing is written in a format that is not known to be the active one.
+  /* Whoever decided on it: nothing is written in a format that is not known to be the active one.
    */
   if (!mm_format_is_supported(kv->node->format)) {
     *transaction = (MmTransaction){ 0 };
@@ -258,9 +226,7 @@
     mm_kv_client_commit(kv, transaction, on_response, data);
     return;
   }
-  json_decref(transaction->conditions);
-  json_decref(transaction->operations);
-  *transaction = (MmTransaction){ 0 };
+  mm_transaction_clear(transaction);
 }
 
 gboolean
--- /dev/null
+++ b/src/kv/read-barrier.c
@@ -0,0 +1,153 @@
+#include "kv/read-barrier.h"
+
+#include "base/wire.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
+
+/* The share of the key-value store's requests that one node's reads of the revision may take. */
+#define REVISION_READ_RATE_SHARE 0.05
+#define CURRENT_TIMEOUT_MS 1500
+#define MAX_WAITERS 512
+
+#define NO_REVISION_READ 0
+#define REVISION_UNKNOWN 0
+
+typedef struct {
+  MmCurrentCallback on_current;
+  gpointer data;
+  MmTime deadline;
+  guint64 revision_read;     /* the number of the revision read that serves it */
+  guint64 required_revision; /* what the replica must have reached */
+} Waiter;
+
+struct MmReadBarrier {
+  MmReplica *replica;
+  GQueue *waiters;          /* Waiter */
+  guint64 n_revision_reads; /* sent so far */
+  gboolean is_reading_revision;
+  MmTime next_revision_read_at;
+};
+
+MmReadBarrier *
+mm_read_barrier_new(MmReplica *replica) {
+  MmReadBarrier *barrier = g_new0(MmReadBarrier, 1);
+
+  barrier->replica = replica;
+  barrier->waiters = g_queue_new();
+  return barrier;
+}
+
+void
+mm_read_barrier_free(MmReadBarrier *barrier) {
+  Waiter *waiter;
+
+  while ((waiter = g_queue_pop_head(barrier->waiters)) != NULL) {
+    waiter->on_current(waiter->data, FALSE);
+    g_free(waiter);
+  }
+  g_queue_free(barrier->waiters);
+  g_free(barrier);
+}
+
+static void
+finish_waiter(MmReadBarrier *barrier, GList *link, gboolean is_current) {
+  Waiter *waiter = link->data;
+
+  g_queue_delete_link(barrier->waiters, link);
+  waiter->on_current(waiter->data, is_current);
+  g_free(waiter);
+}
+
+static void
+finish_due_waiters(MmReadBarrier *barrier) {
+  MmTime now = mm_node_now(barrier->replica->node);
+  GList *next;
+
+  for (GList *link = barrier->waiters->head; link != NULL; link = next) {
+    const Waiter *waiter = link->data;
+    next = link->next;
+    if (waiter->required_revision != REVISION_UNKNOWN
+        && waiter->required_revision <= barrier->replica->revision && barrier->replica->is_loaded)
+      finish_waiter(barrier, link, TRUE);
+    else if (!mm_time_before(now, waiter->deadline))
+      finish_waiter(barrier, link, FALSE);
+  }
+}
+
+static void
+on_revision_read(gpointer data, int status, json_t *body) {
+  MmReadBarrier *barrier = data;
+  guint64 revision = mm_json_count(body, WIRE_REVISION, 0);
+  GList *next;
+
+  barrier->is_reading_revision = FALSE;
+  for (GList *link = barrier->waiters->head; link != NULL; link = next) {
+    Waiter *waiter = link->data;
+    next = link->next;
+    if (waiter->revision_read != barrier->n_revision_reads
+        || waiter->required_revision != REVISION_UNKNOWN)
+      continue;
+    if (status == 404 && revision != 0)
+      waiter->required_revision = revision;
+    else if (status == 429)
+      waiter->revision_read = NO_REVISION_READ; /* one more try */
+    else
+      finish_waiter(barrier, link, FALSE);
+  }
+  finish_due_waiters(barrier);
+}
+
+static void
+start_revision_read(MmReadBarrier *barrier) {
+  MmTime now = mm_node_now(barrier->replica->node);
+  gint64 interval_ms = (gint64)(1000
+                                / (barrier->replica->node->settings->kv_requests_per_s
+                                   * REVISION_READ_RATE_SHARE));
+  gboolean has_waiters = FALSE;
+
+  if (barrier->is_reading_revision || mm_time_before(now, barrier->next_revision_read_at))
+    return;
+  for (GList *link = barrier->waiters->head; link != NULL; link = link->next) {
+    Waiter *waiter = link->data;
+    if (waiter->revision_read != NO_REVISION_READ)
+      continue;
+    waiter->revision_read = barrier->n_revision_reads + 1; /* the one started below */
+    has_waiters = TRUE;
+  }
+  if (!has_waiters)
+    return;
+  barrier->n_revision_reads++;
+  barrier->is_reading_revision = TRUE;
+  barrier->next_revision_read_at = mm_time_add_ms(now, interval_ms);
+  /* A key that is never written: the 404 carries the revision. */
+  mm_kv_client_get(barrier->replica->node->kv, MM_KEY_NEVER_WRITTEN, "", on_revision_read, barrier);
+}
+
+void
+mm_read_barrier_wait(MmReadBarrier *barrier, MmCurrentCallback on_current, gpointer data) {
+  Waiter *waiter;
+
+  if (g_queue_get_length(barrier->waiters) >= MAX_WAITERS || !barrier->replica->is_loaded) {
+    on_current(data, FALSE);
+    return;
+  }
+  waiter = g_new0(Waiter, 1);
+  waiter->on_current = on_current;
+  waiter->data = data;
+  waiter->deadline = mm_time_add_ms(mm_node_now(barrier->replica->node), CURRENT_TIMEOUT_MS);
+  g_queue_push_tail(barrier->waiters, waiter);
+  start_revision_read(barrier);
+}
+
+void
+mm_read_barrier_tick(MmReadBarrier *barrier) {
+  if (g_queue_is_empty(barrier->waiters))
+    return;
+  start_revision_read(barrier);
+  finish_due_waiters(barrier);
+}
+
+void
+mm_read_barrier_replica_advanced(MmReadBarrier *barrier) {
+  finish_due_waiters(barrier);
+}
--- a/src/kv/replica.c
+++ b/src/kv/replica.c
@@ -16,20 +16,8 @@
 #define WATCH_WAIT_MS 1500
 #define RETRY_AFTER_MS 200
 #define KEYS_PER_PAGE 400
-/* Of the state service's requests, the share that one node's watches, and its reads of the
- * revision, may take. */
+/* The share of the key-value store's requests that one node's watches may take. */
 #define WATCH_RATE_SHARE 0.1
-#define REVISION_READ_RATE_SHARE 0.05
-#define CURRENT_TIMEOUT_MS 1500
-#define MAX_WAITERS 512
-
-typedef struct {
-  MmCurrentCallback on_current;
-  gpointer data;
-  MmTime deadline;
-  guint64 revision_read;     /* which read of the revision answers for it; 0: none yet */
-  guint64 required_revision; /* what the replica must have reached; 0: not known yet */
-} Waiter;
 
 static void start_load(gpointer data);
 static void start_watch(gpointer data);
@@ -39,7 +27,7 @@
   MmReplica *replica = g_new0(MmReplica, 1);
 
   replica->node = node;
-  replica->waiters = g_queue_new();
+  replica->read_barrier = mm_read_barrier_new(replica);
   replica->shards = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   replica->live_nodes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   return replica;
@@ -47,13 +35,7 @@
 
 void
 mm_replica_free(MmReplica *replica) {
-  Waiter *waiter;
-
-  while ((waiter = g_queue_pop_head(replica->waiters)) != NULL) {
-    waiter->on_current(waiter->data, FALSE);
-    g_free(waiter);
-  }
-  g_queue_free(replica->waiters);
+  mm_read_barrier_free(replica->read_barrier);
   g_hash_table_unref(replica->shards);
   g_hash_table_unref(replica->live_nodes);
   g_clear_pointer(&replica->loaded_keys, g_hash_table_unref);
@@ -63,11 +45,9 @@
 
 static void
 put_shard(MmReplica *replica, const char *name, const json_t *value, MmKeyVersion version) {
-  MmShard *shard = g_new0(MmShard, 1);
+  MmShard *shard = g_new(MmShard, 1);
 
-  shard->leader = mm_name(mm_json_string(value, "n"));
-  shard->lease_id = mm_json_count(value, "c", 0);
-  shard->term.v = mm_json_count(value, "t", 0);
+  *shard = mm_record_decode_shard(value);
   shard->version = version;
   g_hash_table_replace(replica->shards, g_strdup(name), shard);
 }
@@ -80,7 +60,7 @@
 static void
 put_live_node(MmReplica *replica, const char *label, const json_t *value) {
   MmLiveNode *known = g_hash_table_lookup(replica->live_nodes, label);
-  guint64 lease_id = mm_json_count(value, "c", 0);
+  guint64 lease_id = mm_record_decode_live_node(value);
   MmLiveNode *added;
 
   if (known != NULL && known->lease_id == lease_id)
@@ -91,7 +71,7 @@
   added->lease_id = lease_id;
   added->seen_since = mm_node_now(replica->node);
   g_hash_table_replace(replica->live_nodes, g_strdup(label), added);
-  mm_info("node %s is here with claim %" G_GUINT64_FORMAT, label, lease_id);
+  mm_info("node joined node=%s lease=%" G_GUINT64_FORMAT, label, lease_id);
 }
 
 static void
@@ -99,7 +79,7 @@
   if (strcmp(key, MM_KEY_FORMAT) == 0) {
     mm_format_key_changed(replica->node->format, value);
   } else if (strcmp(key, MM_KEY_TERM) == 0) {
-    replica->term.v = MAX(replica->term.v, mm_json_count(value, "t", 0));
+    replica->term.v = MAX(replica->term.v, mm_record_decode_term(value).v);
     replica->term_version = version;
   } else if (strcmp(key, MM_KEY_INSTANCE_TYPES) == 0) {
     mm_instance_types_load_stored(replica->node->instance_types, value, version);
@@ -130,7 +110,7 @@
   } else if (g_str_has_prefix(key, MM_KEY_LIVE_NODE)) {
     if (g_hash_table_remove(replica->live_nodes, key + strlen(MM_KEY_LIVE_NODE))) {
       note_node_gone(replica);
-      mm_info("node %s is gone", key + strlen(MM_KEY_LIVE_NODE));
+      mm_info("node left node=%s", key + strlen(MM_KEY_LIVE_NODE));
     }
   } else if (g_str_has_prefix(key, MM_KEY_REGISTRY_PACK)) {
     mm_registry_forget_pack(replica->node->registry, key + strlen(MM_KEY_REGISTRY_PACK));
@@ -142,96 +122,6 @@
   }
 }
 
-/* ---- questions that need a current replica ---- */
-
-static void
-answer_waiter(MmReplica *replica, GList *link, gboolean is_current) {
-  Waiter *waiter = link->data;
-
-  g_queue_delete_link(replica->waiters, link);
-  waiter->on_current(waiter->data, is_current);
-  g_free(waiter);
-}
-
-static void
-answer_ready_waiters(MmReplica *replica) {
-  MmTime now = mm_node_now(replica->node);
-  GList *next;
-
-  for (GList *link = replica->waiters->head; link != NULL; link = next) {
-    const Waiter *waiter = link->data;
-    next = link->next;
-    if (waiter->required_revision != 0 && waiter->required_revision <= replica->revision
-        && replica->is_loaded)
-      answer_waiter(replica, link, TRUE);
-    else if (!mm_time_before(now, waiter->deadline))
-      answer_waiter(replica, link, FALSE);
-  }
-}
-
-static void
-on_revision_read(gpointer data, int status, json_t *body) {
-  MmReplica *replica = data;
-  guint64 revision = mm_json_count(body, WIRE_REVISION, 0);
-  GList *next;
-
-  replica->is_reading_revision = FALSE;
-  for (GList *link = replica->waiters->head; link != NULL; link = next) {
-    Waiter *waiter = link->data;
-    next = link->next;
-    if (waiter->revision_read != replica->n_revision_reads || waiter->required_revision != 0)
-      continue;
-    if (status == 404 && revision != 0)
-      waiter->required_revision = revision;
-    else if (status == 429)
-      waiter->revision_read = 0; /* one more try */
-    else
-      answer_waiter(replica, link, FALSE);
-  }
-  answer_ready_waiters(replica);
-}
-
-static void
-start_revision_read(MmReplica *replica) {
-  MmTime now = mm_node_now(replica->node);
-  gint64 interval_ms
-      = (gint64)(1000 / (replica->node->settings->kv_requests_per_s * REVISION_READ_RATE_SHARE));
-  gboolean has_waiters = FALSE;
-
-  if (replica->is_reading_revision || mm_time_before(now, replica->next_revision_read_at))
-    return;
-  for (GList *link = replica->waiters->head; link != NULL; link = link->next) {
-    Waiter *waiter = link->data;
-    if (waiter->revision_read != 0)
-      continue;
-    waiter->revision_read = replica->n_revision_reads + 1;
-    has_waiters = TRUE;
-  }
-  if (!has_waiters)
-    return;
-  replica->n_revision_reads++;
-  replica->is_reading_revision = TRUE;
-  replica->next_revision_read_at = mm_time_add_ms(now, interval_ms);
-  /* A key that never is: the answer tells the revision. */
-  mm_kv_client_get(replica->node->kv, MM_KEY_NEVER_WRITTEN, "", on_revision_read, replica);
-}
-
-void
-mm_replica_when_current(MmReplica *replica, MmCurrentCallback on_current, gpointer data) {
-  Waiter *waiter;
-
-  if (g_queue_get_length(replica->waiters) >= MAX_WAITERS || !replica->is_loaded) {
-    on_current(data, FALSE);
-    return;
-  }
-  waiter = g_new0(Waiter, 1);
-  waiter->on_current = on_current;
-  waiter->data = data;
-  waiter->deadline = mm_time_add_ms(mm_node_now(replica->node), CURRENT_TIMEOUT_MS);
-  g_queue_push_tail(replica->waiters, waiter);
-  start_revision_read(replica);
-}
-
 gint64
 mm_replica_staleness_us(const MmReplica *replica) {
   if (mm_node_lease_has_proved_outage(replica->node->node_lease))
@@ -243,10 +133,7 @@
 mm_replica_tick(MmReplica *replica) {
   replica->staleness_us = mm_replica_staleness_us(replica);
   replica->staleness_at = mm_node_now(replica->node);
-  if (g_queue_is_empty(replica->waiters))
-    return;
-  start_revision_read(replica);
-  answer_ready_waiters(replica);
+  mm_read_barrier_tick(replica->read_barrier);
 }
 
 static void
@@ -262,7 +149,7 @@
                                      replica);
 }
 
-/* After a reload: what was not met has been deleted meanwhile. */
+/* After a reload: known keys that were not loaded have been deleted meanwhile. */
 static void
 delete_vanished_keys(MmReplica *replica) {
   g_autoptr(GPtrArray) known_keys = g_ptr_array_new_with_free_func(g_free);
@@ -285,8 +172,8 @@
       apply_delete(replica, g_ptr_array_index(known_keys, i));
 }
 
-/* Later pages may show a term that is newer than the part map of the first: until the watch has
- * come as far as the newest thing met, nothing is answered from here. */
+/* Later pages may show a term that is newer than the shards of the first page: until the watch has
+ * reached the newest version that was loaded, the replica does not count as loaded. */
 static void
 finish_load_if_caught_up(MmReplica *replica) {
   if (replica->is_loaded || replica->revision < replica->newest_loaded_version)
@@ -294,31 +181,21 @@
   replica->is_loaded = TRUE;
   replica->staleness_at = mm_node_now(replica->node);
   replica->staleness_us = replica->staleness_at.us - replica->load_started_at.us;
-  /* Claims may have ended while nothing was seen of them, with answers given up to their end: a
-   * node that was cut off as it started once counted machines as lost that another had just
-   * answered. */
+  /* Leases may have expired unseen, with workers answered up to their expiry: a node that was cut
+   * off as it started would count machines as lost that another has just answered. */
   note_node_gone(replica);
   if (replica->term_at_start.v == 0)
     replica->term_at_start = replica->term;
-  mm_info("replica loaded at revision %" G_GUINT64_FORMAT ", term %" G_GUINT64_FORMAT,
+  mm_info("replica loaded revision=%" G_GUINT64_FORMAT " term=%" G_GUINT64_FORMAT,
           replica->revision, replica->term.v);
   notify_replica_changed(replica);
 }
 
 static void
-on_page_loaded(gpointer data, int status, json_t *body) {
-  MmReplica *replica = data;
-  json_t *items = mm_json_get(body, WIRE_ITEMS);
+apply_page(MmReplica *replica, const json_t *items) {
   size_t i;
   json_t *item;
 
-  if (status != 200 || !json_is_array(items)) {
-    schedule_load(replica);
-    return;
-  }
-  /* The first page's revision: the watch from there repeats what later pages may already show. */
-  if (replica->first_page_revision == 0)
-    replica->first_page_revision = mm_json_count(body, WIRE_REVISION, 0);
   json_array_foreach(items, i, item) {
     const char *key = mm_json_string(item, WIRE_KEY);
     if (key == NULL)
@@ -331,6 +208,21 @@
     g_free(replica->last_loaded_key);
     replica->last_loaded_key = g_strdup(key);
   }
+}
+
+static void
+on_page_loaded(gpointer data, int status, json_t *body) {
+  MmReplica *replica = data;
+  const json_t *items = mm_json_get(body, WIRE_ITEMS);
+
+  if (status != 200 || !json_is_array(items)) {
+    schedule_load(replica);
+    return;
+  }
+  /* The watch starts at the first page's revision and repeats what later pages may already show. */
+  if (replica->first_page_revision == 0)
+    replica->first_page_revision = mm_json_count(body, WIRE_REVISION, 0);
+  apply_page(replica, items);
   mm_format_key_loaded(replica->node->format);
   if (mm_json_flag(body, WIRE_MORE)) {
     mm_kv_client_list(replica->node->kv, MM_KEY_ROOT, replica->last_loaded_key, KEYS_PER_PAGE,
@@ -361,19 +253,46 @@
   MmTime sent_at;
 } WatchRequest;
 
+static void
+apply_events(MmReplica *replica, const json_t *events) {
+  size_t i;
+  json_t *event;
+
+  json_array_foreach(events, i, event) {
+    const char *put_key = mm_json_string(event, WIRE_PUT);
+    const char *deleted_key = mm_json_string(event, WIRE_DELETE);
+    if (put_key != NULL)
+      apply_put(replica, put_key, mm_json_get(event, WIRE_VALUE),
+                (MmKeyVersion){ mm_json_count(event, WIRE_VERSION, 0) });
+    else if (deleted_key != NULL)
+      apply_delete(replica, deleted_key);
+  }
+}
+
+/* After events the next watch waits for a while, so that changes close together are fetched
+ * together. */
+static void
+start_next_watch(MmReplica *replica, MmTime sent_at, gboolean had_events) {
+  double min_interval_ms = 1000 / (replica->node->settings->kv_requests_per_s * WATCH_RATE_SHARE);
+  gint64 pause_ms = (gint64)min_interval_ms - mm_time_ms_since(mm_node_now(replica->node), sent_at);
+
+  if (had_events && pause_ms > 0)
+    replica->node->platform.call_after(replica->node->platform.context, (guint)pause_ms,
+                                       start_watch, replica);
+  else
+    start_watch(replica);
+}
+
 static void
 on_watch_response(gpointer data, int status, json_t *body) {
   WatchRequest *request = data;
   MmReplica *replica = request->replica;
   MmTime sent_at = request->sent_at;
   json_t *events = mm_json_get(body, WIRE_EVENTS);
-  size_t i;
-  json_t *event;
-  gint64 pause_ms;
 
   g_free(request);
   if (status == 410) {
-    mm_info("the watch fell too far behind: reading everything again");
+    mm_info("watch fell behind, replica reloads revision=%" G_GUINT64_FORMAT, replica->revision);
     start_load(replica);
     return;
   }
@@ -382,15 +301,7 @@
                                        replica);
     return;
   }
-  json_array_foreach(events, i, event) {
-    const char *put_key = mm_json_string(event, WIRE_PUT);
-    const char *deleted_key = mm_json_string(event, WIRE_DELETE);
-    if (put_key != NULL)
-      apply_put(replica, put_key, mm_json_get(event, WIRE_VALUE),
-                (MmKeyVersion){ mm_json_count(event, WIRE_VERSION, 0) });
-    else if (deleted_key != NULL)
-      apply_delete(replica, deleted_key);
-  }
+  apply_events(replica, events);
   replica->revision = MAX(replica->revision, mm_json_count(body, WIRE_REVISION, 0));
   replica->fresh_until = mm_time_max(replica->fresh_until, sent_at);
   replica->staleness_at = mm_node_now(replica->node);
@@ -398,17 +309,8 @@
   finish_load_if_caught_up(replica);
   if (json_array_size(events) > 0 && replica->is_loaded)
     notify_replica_changed(replica);
-  answer_ready_waiters(replica);
-  /* Changes that come close together are fetched together. */
-  pause_ms = json_array_size(events) > 0
-                 ? (gint64)(1000 / (replica->node->settings->kv_requests_per_s * WATCH_RATE_SHARE))
-                       - mm_time_ms_since(mm_node_now(replica->node), sent_at)
-                 : 0;
-  if (pause_ms > 0)
-    replica->node->platform.call_after(replica->node->platform.context, (guint)pause_ms,
-                                       start_watch, replica);
-  else
-    start_watch(replica);
+  mm_read_barrier_replica_advanced(replica->read_barrier);
+  start_next_watch(replica, sent_at, json_array_size(events) > 0);
 }
 
 static void
@@ -448,3 +350,8 @@
   g_ptr_array_sort(labels, compare_labels);
   return labels;
 }
+
+void
+mm_replica_when_current(MmReplica *replica, MmCurrentCallback on_current, gpointer data) {
+  mm_read_barrier_wait(replica->read_barrier, on_current, data);
+}
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -111,7 +111,7 @@
     mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
                                    lease->node_key_version);
     mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
-                       json_pack("{s:I}", "c", (json_int_t)lease_id), lease_id);
+                       mm_record_encode_live_node(lease_id), lease_id);
     /* `sent_at` stays that of the grant: the lease has been running since then. */
     mm_kv_client_commit(lease->node->kv, &transaction, on_lease_announced, request);
     return;
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -123,23 +123,22 @@
 acquire_shards(MmShardOwnership *ownership, GPtrArray *wanted) {
   const MmReplica *replica = ownership->node->replica;
   guint n_acquired = MIN(wanted->len, mm_kv_client_max_operations(ownership->node->kv) - 1);
-  guint64 term = replica->term.v + 1;
+  MmShard acquired = { .leader = ownership->node->settings->label,
+                       .lease_id = ownership->node->node_lease->lease_id,
+                       .term = { replica->term.v + 1 } };
   MmTransaction transaction = mm_transaction_begin();
 
   mm_transaction_require_version(&transaction, MM_KEY_TERM, "", replica->term_version);
-  mm_transaction_put(&transaction, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term), 0);
+  mm_transaction_put(&transaction, MM_KEY_TERM, "", mm_record_encode_term(acquired.term), 0);
   for (guint i = 0; i < n_acquired; i++) {
     const char *name = g_ptr_array_index(wanted, i);
     const MmShard *shard = mm_replica_shard(replica, name);
     mm_transaction_require_version(&transaction, MM_KEY_SHARD, name,
                                    shard != NULL ? shard->version : (MmKeyVersion){ 0 });
-    mm_transaction_put(&transaction, MM_KEY_SHARD, name,
-                       json_pack("{s:s, s:I, s:I}", "n", ownership->node->settings->label.s, "c",
-                                 (json_int_t)ownership->node->node_lease->lease_id, "t",
-                                 (json_int_t)term),
-                       ownership->node->node_lease->lease_id);
+    mm_transaction_put(&transaction, MM_KEY_SHARD, name, mm_record_encode_shard(&acquired),
+                       acquired.lease_id);
   }
-  mm_info("shards: acquiring n=%u term=%" G_GUINT64_FORMAT, n_acquired, term);
+  mm_info("shards: acquiring n=%u term=%" G_GUINT64_FORMAT, n_acquired, acquired.term.v);
   ownership->is_commit_pending = TRUE;
   mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
 }
--- a/src/upgrade/format.c
+++ b/src/upgrade/format.c
@@ -1,9 +1,6 @@
 #include "upgrade/format.h"
 
-#include "base/json.h"
-
-/* The field of the key's value. */
-#define FIELD_FORMAT "f"
+#include "kv/records.h"
 
 MmFormat *
 mm_format_new(MmNode *node) {
@@ -40,15 +37,9 @@
 
 void
 mm_format_key_changed(MmFormat *format, const json_t *value) {
-  const json_t *number = mm_json_get(value, FIELD_FORMAT);
   guint64 previous = format->active;
 
-  if (value == NULL)
-    format->active = MM_FORMAT_LOWEST;
-  else if (json_is_integer(number) && json_integer_value(number) > 0)
-    format->active = (guint64)json_integer_value(number);
-  else
-    format->active = MM_FORMAT_UNREADABLE;
+  format->active = value != NULL ? mm_record_decode_format(value) : MM_FORMAT_LOWEST;
   if (format->active != previous)
     log_active_format(format);
 }
--- a/src/upgrade/format.h
+++ b/src/upgrade/format.h
@@ -13,7 +13,7 @@
 #define MM_FORMAT_LOWEST 1
 #define MM_FORMAT_HIGHEST 1
 
-/* Value of `active` when the key is not readable. */
+/* Value of `active` when the key is not readable, as mm_record_decode_format returns it. */
 #define MM_FORMAT_UNREADABLE 0
 
 struct MmFormat {
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -5,9 +5,6 @@
 #include "kv/kv-client.h"
 
 #define RETRY_AFTER_MS 500
-/* The fields of a node's key. */
-#define FIELD_VERSION "v"
-#define FIELD_GROUPS "g"
 
 MmVersions *
 mm_versions_new(MmNode *node) {
@@ -58,12 +55,11 @@
 void
 mm_versions_key_changed(MmVersions *versions, const char *label, const json_t *value,
                         MmKeyVersion key_version) {
-  guint node_version = (guint)MIN(mm_json_count(value, FIELD_VERSION, 0), G_MAXUINT);
+  MmNodeVersionRecord record = mm_record_decode_node_version(value);
 
-  guint group_count = (guint)MIN(mm_json_count(value, FIELD_GROUPS, 0), G_MAXUINT);
-
-  g_hash_table_replace(versions->node_versions, g_strdup(label), GUINT_TO_POINTER(node_version));
-  g_hash_table_replace(versions->node_group_counts, g_strdup(label), GUINT_TO_POINTER(group_count));
+  g_hash_table_replace(versions->node_versions, g_strdup(label), GUINT_TO_POINTER(record.version));
+  g_hash_table_replace(versions->node_group_counts, g_strdup(label),
+                       GUINT_TO_POINTER(record.group_count));
   if (strcmp(label, versions->node->settings->label.s) == 0)
     versions->own_key_version = key_version;
 }
@@ -76,22 +72,13 @@
   versions->is_writing = FALSE;
 }
 
-/* Without machine groups the value is the same, to the byte, as that of nodes which know none. */
-static json_t *
-own_key_value(const MmVersions *versions) {
-  guint group_count = (guint)versions->node->operators->groups;
-  json_t *value = json_pack("{s:i}", FIELD_VERSION, MM_VERSION_CURRENT);
-
-  if (group_count > 0)
-    json_object_set_new(value, FIELD_GROUPS, json_integer(group_count));
-  return value;
-}
-
 void
 mm_versions_tick(MmVersions *versions) {
   MmNode *node = versions->node;
   MmTime now = mm_node_now(node);
   const MmName *own_label = &node->settings->label;
+  MmNodeVersionRecord own_record
+      = { .version = MM_VERSION_CURRENT, .group_count = (guint)node->operators->groups };
   MmTransaction transaction;
 
   if (versions->is_writing || !node->replica->is_loaded
@@ -105,7 +92,8 @@
   transaction = mm_transaction_begin();
   mm_transaction_require_version(&transaction, MM_KEY_NODE_VERSION, own_label->s,
                                  versions->own_key_version);
-  mm_transaction_put(&transaction, MM_KEY_NODE_VERSION, own_label->s, own_key_value(versions), 0);
+  mm_transaction_put(&transaction, MM_KEY_NODE_VERSION, own_label->s,
+                     mm_record_encode_node_version(&own_record), 0);
   mm_kv_client_commit(node->kv, &transaction, on_key_written, versions);
 }
 
