--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -1,7 +1,8 @@
 #include "kv/kv-client.h"
 
+#include "base/json.h"
+#include "base/log.h"
 #include "base/wire.h"
-#include "upgrade/format.h"
 
 #define REQUEST_TIMEOUT_MS 2000
 /* About two renewals of a lease. */
@@ -21,10 +22,11 @@
 } UnsentTransaction;
 
 MmKvClient *
-mm_kv_client_new(MmNode *node) {
+mm_kv_client_new(const MmPlatform *platform, const MmSettings *settings) {
   MmKvClient *kv = g_new0(MmKvClient, 1);
 
-  kv->node = node;
+  kv->platform = platform;
+  kv->settings = settings;
   kv->learned_max_value_bytes = kv->learned_max_operations = MM_KV_NO_LIMIT;
   kv->unsent_transactions = g_array_new(FALSE, FALSE, sizeof(UnsentTransaction));
   return kv;
@@ -36,6 +38,17 @@
   g_free(kv);
 }
 
+void
+mm_kv_client_set_write_guard(MmKvClient *kv, MmMayWrite may_write, gconstpointer context) {
+  kv->may_write = may_write;
+  kv->may_write_context = context;
+}
+
+gboolean
+mm_kv_client_may_write(const MmKvClient *kv) {
+  return kv->may_write == NULL || kv->may_write(kv->may_write_context);
+}
+
 void
 mm_kv_client_fail_unsent(MmKvClient *kv) {
   g_autoptr(GArray) unsent = kv->unsent_transactions;
@@ -50,7 +63,7 @@
 
 void
 mm_kv_client_tick(MmKvClient *kv) {
-  MmTime now = mm_node_now(kv->node);
+  MmTime now = mm_platform_now(kv->platform);
 
   if (kv->last_served_at.us != 0 && !mm_kv_client_is_refused(kv) && !mm_kv_client_is_silent(kv))
     kv->available_us += MIN(now.us - kv->last_tick_at.us, MAX_AVAILABLE_PER_TICK_MS * 1000);
@@ -107,17 +120,17 @@
 
 guint
 mm_kv_client_max_value_bytes(const MmKvClient *kv) {
-  return MIN(kv->node->settings->kv_max_value_bytes, kv->learned_max_value_bytes);
+  return MIN(kv->settings->kv_max_value_bytes, kv->learned_max_value_bytes);
 }
 
 guint
 mm_kv_client_max_operations(const MmKvClient *kv) {
-  return MIN(kv->node->settings->kv_max_operations, kv->learned_max_operations);
+  return MIN(kv->settings->kv_max_operations, kv->learned_max_operations);
 }
 
 static double
 write_budget_per_s(const MmKvClient *kv) {
-  return kv->node->settings->kv_writes_per_s * NODE_WRITE_SHARE;
+  return kv->settings->kv_writes_per_s * NODE_WRITE_SHARE;
 }
 
 /* Leaves the rate to leases and to what users wait for. */
@@ -125,7 +138,7 @@
 pause_deferrable_writes(MmKvClient *kv) {
   mm_info("key-value store limits the rate status=429");
   kv->write_budget = -RATE_LIMITED_PAUSE_S * write_budget_per_s(kv);
-  kv->write_budget_at = mm_node_now(kv->node);
+  kv->write_budget_at = mm_platform_now(kv->platform);
 }
 
 static void
@@ -139,7 +152,7 @@
       request->kv->refused_since = request->sent_at;
     request->kv->last_refused_at = mm_time_max(request->kv->last_refused_at, request->sent_at);
   } else if (status == 0) {
-    request->kv->last_unanswered_at = mm_node_now(request->kv->node);
+    request->kv->last_unanswered_at = mm_platform_now(request->kv->platform);
   } else if (status != 429) {
     request->kv->last_served_at = mm_time_max(request->kv->last_served_at, request->sent_at);
   }
@@ -158,10 +171,11 @@
              guint timeout_ms, json_t *transaction, MmResponseCallback on_response, gpointer data) {
   Request *request = g_new(Request, 1);
 
-  *request = (Request){ kv, mm_node_now(kv->node), json_incref(transaction), on_response, data };
+  *request
+      = (Request){ kv, mm_platform_now(kv->platform), json_incref(transaction), on_response, data };
   kv->n_requests++;
-  kv->node->platform.request(kv->node->platform.context, MM_TARGET_KV_STORE, NULL, method, path,
-                             body, timeout_ms, on_request_done, request);
+  kv->platform->request(kv->platform->context, MM_TARGET_KV_STORE, NULL, method, path, body,
+                        timeout_ms, on_request_done, request);
 }
 
 void
@@ -204,9 +218,8 @@
   g_autoptr(json_t) body = json_pack("{s:o, s:o}", WIRE_IF, transaction->conditions, WIRE_THEN,
                                      transaction->operations);
 
-  /* Whoever decided on it: nothing is written in a format that is not known to be the active one.
-   */
-  if (!mm_format_is_supported(kv->node->format)) {
+  /* Asked here, whoever decided on the transaction: no module can write past the guard. */
+  if (!mm_kv_client_may_write(kv)) {
     *transaction = (MmTransaction){ 0 };
     if (on_response != NULL) {
       UnsentTransaction unsent = { on_response, data };
@@ -231,7 +244,7 @@
 
 gboolean
 mm_kv_client_try_spend_writes(MmKvClient *kv, guint n_operations) {
-  MmTime now = mm_node_now(kv->node);
+  MmTime now = mm_platform_now(kv->platform);
   double budget_per_s = write_budget_per_s(kv);
 
   kv->write_budget += budget_per_s * (double)(now.us - kv->write_budget_at.us) / G_USEC_PER_SEC;
@@ -248,7 +261,7 @@
   MmTime last_response_at = mm_time_max(kv->last_served_at, kv->last_refused_at);
 
   return kv->last_unanswered_at.us > last_response_at.us
-         && mm_time_ms_since(mm_node_now(kv->node), last_response_at) > SILENT_AFTER_MS;
+         && mm_time_ms_since(mm_platform_now(kv->platform), last_response_at) > SILENT_AFTER_MS;
 }
 
 gboolean
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -8,12 +8,19 @@
 
 #include "kv/records.h"
 #include "kv/transaction.h"
-#include "node/node.h"
+#include "config/settings.h"
+#include "platform/platform.h"
+
+/* Whether this node may write, asked before each transaction. */
+typedef gboolean (*MmMayWrite)(gconstpointer context);
 
 #define MM_KV_NO_LIMIT G_MAXUINT
 
-struct MmKvClient {
-  MmNode *node;
+typedef struct MmKvClient {
+  const MmPlatform *platform;
+  const MmSettings *settings;
+  MmMayWrite may_write; /* NULL: always */
+  gconstpointer may_write_context;
   MmTime last_refused_at;    /* last 503; 0: never, as with the times below */
   MmTime refused_since;      /* first 503 since a request was served */
   MmTime last_unanswered_at; /* last time that a request got no response */
@@ -27,11 +34,15 @@
   /* Limits learned from transactions that were refused as too large; MM_KV_NO_LIMIT: none yet. */
   guint learned_max_value_bytes;
   guint learned_max_operations;
-  GArray *unsent_transactions; /* not sent because of the active format; to be answered 503 */
-};
+  GArray *unsent_transactions; /* not sent, see may_write; to be answered 503 */
+} MmKvClient;
 
-MmKvClient *mm_kv_client_new(MmNode *node);
+/* Platform and settings must outlive the client. */
+MmKvClient *mm_kv_client_new(const MmPlatform *platform, const MmSettings *settings);
 void mm_kv_client_free(MmKvClient *kv);
+/* From now on transactions are sent only while `may_write` says so. */
+void mm_kv_client_set_write_guard(MmKvClient *kv, MmMayWrite may_write, gconstpointer context);
+gboolean mm_kv_client_may_write(const MmKvClient *kv);
 /* Counts the time in which the store serves this node (of a node that stood still no more than a
  * few ticks, since it can't know more), and answers transactions that were not sent. */
 void mm_kv_client_tick(MmKvClient *kv);
--- a/src/kv/read-barrier.c
+++ b/src/kv/read-barrier.c
@@ -1,5 +1,6 @@
 #include "kv/read-barrier.h"
 
+#include "base/json.h"
 #include "base/wire.h"
 #include "kv/kv-client.h"
 #include "kv/replica.h"
@@ -60,7 +61,7 @@
 
 static void
 finish_due_waiters(MmReadBarrier *barrier) {
-  MmTime now = mm_node_now(barrier->replica->node);
+  MmTime now = mm_platform_now(barrier->replica->platform);
   GList *next;
 
   for (GList *link = barrier->waiters->head; link != NULL; link = next) {
@@ -99,10 +100,9 @@
 
 static void
 start_revision_read(MmReadBarrier *barrier) {
-  MmTime now = mm_node_now(barrier->replica->node);
-  gint64 interval_ms = (gint64)(1000
-                                / (barrier->replica->node->settings->kv_requests_per_s
-                                   * REVISION_READ_RATE_SHARE));
+  MmTime now = mm_platform_now(barrier->replica->platform);
+  gint64 interval_ms
+      = (gint64)(1000 / (barrier->replica->settings->kv_requests_per_s * REVISION_READ_RATE_SHARE));
   gboolean has_waiters = FALSE;
 
   if (barrier->is_reading_revision || mm_time_before(now, barrier->next_revision_read_at))
@@ -120,7 +120,7 @@
   barrier->is_reading_revision = TRUE;
   barrier->next_revision_read_at = mm_time_add_ms(now, interval_ms);
   /* A key that is never written: the 404 carries the revision. */
-  mm_kv_client_get(barrier->replica->node->kv, MM_KEY_NEVER_WRITTEN, "", on_revision_read, barrier);
+  mm_kv_client_get(barrier->replica->kv, MM_KEY_NEVER_WRITTEN, "", on_revision_read, barrier);
 }
 
 void
@@ -134,7 +134,8 @@
   waiter = g_new0(Waiter, 1);
   waiter->on_current = on_current;
   waiter->data = data;
-  waiter->deadline = mm_time_add_ms(mm_node_now(barrier->replica->node), CURRENT_TIMEOUT_MS);
+  waiter->deadline
+      = mm_time_add_ms(mm_platform_now(barrier->replica->platform), CURRENT_TIMEOUT_MS);
   g_queue_push_tail(barrier->waiters, waiter);
   start_revision_read(barrier);
 }
--- a/src/kv/replica.c
+++ b/src/kv/replica.c
@@ -1,16 +1,8 @@
 #include "kv/replica.h"
 
+#include "base/json.h"
+#include "base/log.h"
 #include "base/wire.h"
-#include "heartbeat/heartbeat-server.h"
-#include "machines/registry.h"
-#include "autoscaler/instance-types.h"
-#include "jobs/job-table.h"
-#include "scheduler/scheduler.h"
-#include "leases/node-lease.h"
-#include "sharing/sharing.h"
-#include "kv/kv-client.h"
-#include "upgrade/format.h"
-#include "upgrade/versions.h"
 
 /* Short, so that a returning watch keeps proving that the replica is fresh. */
 #define WATCH_WAIT_MS 1500
@@ -22,11 +14,20 @@
 static void start_load(gpointer data);
 static void start_watch(gpointer data);
 
+typedef struct {
+  MmReplicaChanged changed;
+  gpointer context;
+} ChangeListener;
+
 MmReplica *
-mm_replica_new(MmNode *node) {
+mm_replica_new(const MmPlatform *platform, const MmSettings *settings, MmKvClient *kv) {
   MmReplica *replica = g_new0(MmReplica, 1);
 
-  replica->node = node;
+  replica->platform = platform;
+  replica->settings = settings;
+  replica->kv = kv;
+  replica->observers = g_array_new(FALSE, FALSE, sizeof(MmReplicaObserver));
+  replica->change_listeners = g_array_new(FALSE, FALSE, sizeof(ChangeListener));
   replica->read_barrier = mm_read_barrier_new(replica);
   replica->shards = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   replica->live_nodes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -40,9 +41,30 @@
   g_hash_table_unref(replica->live_nodes);
   g_clear_pointer(&replica->loaded_keys, g_hash_table_unref);
   g_free(replica->last_loaded_key);
+  g_array_unref(replica->observers);
+  g_array_unref(replica->change_listeners);
   g_free(replica);
 }
 
+void
+mm_replica_add_observer(MmReplica *replica, const MmReplicaObserver *observer) {
+  g_array_append_vals(replica->observers, observer, 1);
+}
+
+void
+mm_replica_add_change_listener(MmReplica *replica, MmReplicaChanged changed, gpointer context) {
+  ChangeListener listener = { changed, context };
+
+  g_array_append_val(replica->change_listeners, listener);
+}
+
+void
+mm_replica_set_outage_proof(MmReplica *replica, gboolean (*has_proved_outage)(gconstpointer),
+                            gconstpointer context) {
+  replica->has_proved_outage = has_proved_outage;
+  replica->has_proved_outage_context = context;
+}
+
 static void
 put_shard(MmReplica *replica, const char *name, const json_t *value, MmKeyVersion version) {
   MmShard *shard = g_new(MmShard, 1);
@@ -54,7 +76,7 @@
 
 static void
 note_node_gone(MmReplica *replica) {
-  replica->node_last_gone_at = mm_node_now(replica->node);
+  replica->node_last_gone_at = mm_platform_now(replica->platform);
 }
 
 static void
@@ -69,84 +91,97 @@
     note_node_gone(replica);
   added = g_new0(MmLiveNode, 1);
   added->lease_id = lease_id;
-  added->seen_since = mm_node_now(replica->node);
+  added->seen_since = mm_platform_now(replica->platform);
   g_hash_table_replace(replica->live_nodes, g_strdup(label), added);
   mm_info("node joined node=%s lease=%" G_GUINT64_FORMAT, label, lease_id);
 }
 
 static void
-apply_put(MmReplica *replica, const char *key, json_t *value, MmKeyVersion version) {
-  if (strcmp(key, MM_KEY_FORMAT) == 0) {
-    mm_format_key_changed(replica->node->format, value);
-  } else if (strcmp(key, MM_KEY_TERM) == 0) {
-    replica->term.v = MAX(replica->term.v, mm_record_decode_term(value).v);
-    replica->term_version = version;
-  } else if (strcmp(key, MM_KEY_INSTANCE_TYPES) == 0) {
-    mm_instance_types_load_stored(replica->node->instance_types, value, version);
-  } else if (g_str_has_prefix(key, MM_KEY_SHARD)) {
+put_term(MmReplica *replica, const json_t *value, MmKeyVersion version) {
+  replica->term.v = MAX(replica->term.v, mm_record_decode_term(value).v);
+  replica->term_version = version;
+}
+
+static void
+remove_live_node(MmReplica *replica, const char *label) {
+  if (!g_hash_table_remove(replica->live_nodes, label))
+    return;
+  note_node_gone(replica);
+  mm_info("node left node=%s", label);
+}
+
+static const MmReplicaObserver *
+observer_of_key(const MmReplica *replica, const char *key) {
+  for (guint i = 0; i < replica->observers->len; i++) {
+    const MmReplicaObserver *observer = &g_array_index(replica->observers, MmReplicaObserver, i);
+    gboolean is_prefix = g_str_has_suffix(observer->prefix, "/");
+    if (is_prefix ? g_str_has_prefix(key, observer->prefix) : strcmp(key, observer->prefix) == 0)
+      return observer;
+  }
+  return NULL;
+}
+
+static void
+apply_put(MmReplica *replica, const char *key, const json_t *value, MmKeyVersion version) {
+  const MmReplicaObserver *observer = observer_of_key(replica, key);
+
+  if (strcmp(key, MM_KEY_TERM) == 0)
+    put_term(replica, value, version);
+  else if (g_str_has_prefix(key, MM_KEY_SHARD))
     put_shard(replica, key + strlen(MM_KEY_SHARD), value, version);
-  } else if (g_str_has_prefix(key, MM_KEY_LIVE_NODE)) {
+  else if (g_str_has_prefix(key, MM_KEY_LIVE_NODE))
     put_live_node(replica, key + strlen(MM_KEY_LIVE_NODE), value);
-  } else if (g_str_has_prefix(key, MM_KEY_REGISTRY_PACK)) {
-    mm_registry_apply_pack(replica->node->registry, key + strlen(MM_KEY_REGISTRY_PACK), value,
-                           version);
-  } else if (g_str_has_prefix(key, MM_KEY_JOB)) {
-    mm_job_table_put(replica->node->job_table, key + strlen(MM_KEY_JOB), value, version);
-  } else if (g_str_has_prefix(key, MM_KEY_NODE_VERSION)) {
-    mm_versions_key_changed(replica->node->versions, key + strlen(MM_KEY_NODE_VERSION), value,
-                            version);
-  } else if (g_str_has_prefix(key, MM_KEY_MACHINE_GROUPS)) {
-    mm_sharing_key_changed(replica->node->sharing, key + strlen(MM_KEY_MACHINE_GROUPS), value,
-                           version);
-  }
+  else if (observer != NULL && observer->put != NULL)
+    observer->put(observer->context, key + strlen(observer->prefix), value, version);
 }
 
 static void
 apply_delete(MmReplica *replica, const char *key) {
-  if (strcmp(key, MM_KEY_FORMAT) == 0) {
-    mm_format_key_changed(replica->node->format, NULL);
-  } else if (g_str_has_prefix(key, MM_KEY_SHARD)) {
+  const MmReplicaObserver *observer = observer_of_key(replica, key);
+
+  if (g_str_has_prefix(key, MM_KEY_SHARD))
     g_hash_table_remove(replica->shards, key + strlen(MM_KEY_SHARD));
-  } else if (g_str_has_prefix(key, MM_KEY_LIVE_NODE)) {
-    if (g_hash_table_remove(replica->live_nodes, key + strlen(MM_KEY_LIVE_NODE))) {
-      note_node_gone(replica);
-      mm_info("node left node=%s", key + strlen(MM_KEY_LIVE_NODE));
-    }
-  } else if (g_str_has_prefix(key, MM_KEY_REGISTRY_PACK)) {
-    mm_registry_forget_pack(replica->node->registry, key + strlen(MM_KEY_REGISTRY_PACK));
-  } else if (g_str_has_prefix(key, MM_KEY_JOB)) {
-    mm_job_table_remove(replica->node->job_table, key + strlen(MM_KEY_JOB));
-  } else if (g_str_has_prefix(key, MM_KEY_MACHINE_GROUPS)) {
-    mm_sharing_key_changed(replica->node->sharing, key + strlen(MM_KEY_MACHINE_GROUPS), NULL,
-                           (MmKeyVersion){ 0 });
-  }
+  else if (g_str_has_prefix(key, MM_KEY_LIVE_NODE))
+    remove_live_node(replica, key + strlen(MM_KEY_LIVE_NODE));
+  else if (observer != NULL && observer->removed != NULL)
+    observer->removed(observer->context, key + strlen(observer->prefix));
 }
 
 gint64
 mm_replica_staleness_us(const MmReplica *replica) {
-  if (mm_node_lease_has_proved_outage(replica->node->node_lease))
+  if (replica->has_proved_outage != NULL
+      && replica->has_proved_outage(replica->has_proved_outage_context))
     return replica->staleness_us;
-  return replica->staleness_us + (mm_node_now(replica->node).us - replica->staleness_at.us);
+  return replica->staleness_us + (mm_platform_now(replica->platform).us - replica->staleness_at.us);
 }
 
 void
 mm_replica_tick(MmReplica *replica) {
   replica->staleness_us = mm_replica_staleness_us(replica);
-  replica->staleness_at = mm_node_now(replica->node);
+  replica->staleness_at = mm_platform_now(replica->platform);
   mm_read_barrier_tick(replica->read_barrier);
 }
 
 static void
 notify_replica_changed(MmReplica *replica) {
-  mm_scheduler_replica_changed(replica->node->scheduler);
-  mm_sharing_replica_changed(replica->node->sharing);
-  mm_heartbeat_server_replica_changed(replica->node->heartbeat_server);
+  for (guint i = 0; i < replica->change_listeners->len; i++) {
+    const ChangeListener *listener = &g_array_index(replica->change_listeners, ChangeListener, i);
+    listener->changed(listener->context);
+  }
+}
+
+static void
+notify_page_loaded(MmReplica *replica) {
+  for (guint i = 0; i < replica->observers->len; i++) {
+    const MmReplicaObserver *observer = &g_array_index(replica->observers, MmReplicaObserver, i);
+    if (observer->page_loaded != NULL)
+      observer->page_loaded(observer->context);
+  }
 }
 
 static void
 schedule_load(MmReplica *replica) {
-  replica->node->platform.call_after(replica->node->platform.context, RETRY_AFTER_MS, start_load,
-                                     replica);
+  mm_platform_call_after(replica->platform, RETRY_AFTER_MS, start_load, replica);
 }
 
 /* After a reload: known keys that were not loaded have been deleted meanwhile. */
@@ -162,11 +197,11 @@
   g_hash_table_iter_init(&iter, replica->live_nodes);
   while (g_hash_table_iter_next(&iter, &key, NULL))
     g_ptr_array_add(known_keys, g_strconcat(MM_KEY_LIVE_NODE, key, NULL));
-  mm_job_table_list_keys(replica->node->job_table, MM_KEY_JOB, known_keys);
-  mm_registry_list_keys(replica->node->registry, MM_KEY_REGISTRY_PACK, known_keys);
-  g_ptr_array_add(known_keys, g_strdup(MM_KEY_FORMAT));
-  if (replica->node->sharing->map != NULL)
-    mm_group_map_list_keys(replica->node->sharing->map, MM_KEY_MACHINE_GROUPS, known_keys);
+  for (guint i = 0; i < replica->observers->len; i++) {
+    const MmReplicaObserver *observer = &g_array_index(replica->observers, MmReplicaObserver, i);
+    if (observer->list_keys != NULL)
+      observer->list_keys(observer->context, observer->prefix, known_keys);
+  }
   for (guint i = 0; i < known_keys->len; i++)
     if (!g_hash_table_contains(replica->loaded_keys, g_ptr_array_index(known_keys, i)))
       apply_delete(replica, g_ptr_array_index(known_keys, i));
@@ -179,7 +214,7 @@
   if (replica->is_loaded || replica->revision < replica->newest_loaded_version)
     return;
   replica->is_loaded = TRUE;
-  replica->staleness_at = mm_node_now(replica->node);
+  replica->staleness_at = mm_platform_now(replica->platform);
   replica->staleness_us = replica->staleness_at.us - replica->load_started_at.us;
   /* Leases may have expired unseen, with workers answered up to their expiry: a node that was cut
    * off as it started would count machines as lost that another has just answered. */
@@ -223,9 +258,9 @@
   if (replica->first_page_revision == 0)
     replica->first_page_revision = mm_json_count(body, WIRE_REVISION, 0);
   apply_page(replica, items);
-  mm_format_key_loaded(replica->node->format);
+  notify_page_loaded(replica);
   if (mm_json_flag(body, WIRE_MORE)) {
-    mm_kv_client_list(replica->node->kv, MM_KEY_ROOT, replica->last_loaded_key, KEYS_PER_PAGE,
+    mm_kv_client_list(replica->kv, MM_KEY_ROOT, replica->last_loaded_key, KEYS_PER_PAGE,
                       on_page_loaded, replica);
     return;
   }
@@ -242,10 +277,10 @@
   g_clear_pointer(&replica->loaded_keys, g_hash_table_unref);
   replica->loaded_keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   g_clear_pointer(&replica->last_loaded_key, g_free);
-  replica->load_started_at = mm_node_now(replica->node);
+  replica->load_started_at = mm_platform_now(replica->platform);
   replica->first_page_revision = 0;
   replica->is_loaded = FALSE;
-  mm_kv_client_list(replica->node->kv, MM_KEY_ROOT, NULL, KEYS_PER_PAGE, on_page_loaded, replica);
+  mm_kv_client_list(replica->kv, MM_KEY_ROOT, NULL, KEYS_PER_PAGE, on_page_loaded, replica);
 }
 
 typedef struct {
@@ -273,12 +308,12 @@
  * together. */
 static void
 start_next_watch(MmReplica *replica, MmTime sent_at, gboolean had_events) {
-  double min_interval_ms = 1000 / (replica->node->settings->kv_requests_per_s * WATCH_RATE_SHARE);
-  gint64 pause_ms = (gint64)min_interval_ms - mm_time_ms_since(mm_node_now(replica->node), sent_at);
+  double min_interval_ms = 1000 / (replica->settings->kv_requests_per_s * WATCH_RATE_SHARE);
+  gint64 pause_ms
+      = (gint64)min_interval_ms - mm_time_ms_since(mm_platform_now(replica->platform), sent_at);
 
   if (had_events && pause_ms > 0)
-    replica->node->platform.call_after(replica->node->platform.context, (guint)pause_ms,
-                                       start_watch, replica);
+    mm_platform_call_after(replica->platform, (guint)pause_ms, start_watch, replica);
   else
     start_watch(replica);
 }
@@ -297,14 +332,13 @@
     return;
   }
   if (status != 200 || mm_json_get(body, WIRE_REVISION) == NULL) {
-    replica->node->platform.call_after(replica->node->platform.context, RETRY_AFTER_MS, start_watch,
-                                       replica);
+    mm_platform_call_after(replica->platform, RETRY_AFTER_MS, start_watch, replica);
     return;
   }
   apply_events(replica, events);
   replica->revision = MAX(replica->revision, mm_json_count(body, WIRE_REVISION, 0));
   replica->fresh_until = mm_time_max(replica->fresh_until, sent_at);
-  replica->staleness_at = mm_node_now(replica->node);
+  replica->staleness_at = mm_platform_now(replica->platform);
   replica->staleness_us = replica->staleness_at.us - sent_at.us;
   finish_load_if_caught_up(replica);
   if (json_array_size(events) > 0 && replica->is_loaded)
@@ -318,9 +352,9 @@
   MmReplica *replica = data;
   WatchRequest *request = g_new(WatchRequest, 1);
 
-  *request = (WatchRequest){ replica, mm_node_now(replica->node) };
-  mm_kv_client_watch(replica->node->kv, MM_KEY_ROOT, replica->revision, WATCH_WAIT_MS,
-                     on_watch_response, request);
+  *request = (WatchRequest){ replica, mm_platform_now(replica->platform) };
+  mm_kv_client_watch(replica->kv, MM_KEY_ROOT, replica->revision, WATCH_WAIT_MS, on_watch_response,
+                     request);
 }
 
 void
--- a/src/kv/replica.h
+++ b/src/kv/replica.h
@@ -8,7 +8,25 @@
 
 #include "kv/read-barrier.h"
 #include "kv/records.h"
-#include "node/node.h"
+#include "config/settings.h"
+#include "kv/kv-client.h"
+#include "platform/platform.h"
+
+/* Is told of keys as the replica shows them, in the order of their changes. `suffix` is the key
+ * after the prefix; values are lent. Functions that are NULL are not called. */
+typedef struct {
+  const char *prefix; /* of keys, ending in '/'; or one whole key. Must outlive the replica */
+  void (*put)(gpointer context, const char *suffix, const json_t *value, MmKeyVersion version);
+  void (*removed)(gpointer context, const char *suffix);
+  /* Adds the keys that the observer knows, as new strings: after a reload those that no longer
+   * exist are removed. Without it no key is removed by a reload. */
+  void (*list_keys)(gpointer context, const char *prefix, GPtrArray *keys);
+  void (*page_loaded)(gpointer context); /* a page of keys has been read in a load */
+  gpointer context;
+} MmReplicaObserver;
+
+/* Called when the replica is loaded, and after each response of the watch with changes. */
+typedef void (*MmReplicaChanged)(gpointer context);
 
 typedef struct {
   guint64 lease_id;
@@ -16,7 +34,13 @@
 } MmLiveNode;
 
 struct MmReplica {
-  MmNode *node;
+  const MmPlatform *platform;
+  const MmSettings *settings;
+  MmKvClient *kv;
+  GArray *observers;                                    /* MmReplicaObserver */
+  GArray *change_listeners;                             /* in the order in which they are called */
+  gboolean (*has_proved_outage)(gconstpointer context); /* NULL: never */
+  gconstpointer has_proved_outage_context;
   gboolean is_loaded;
   guint64 revision;
   MmTime fresh_until;  /* the replica shows all that was written before this instant */
@@ -36,10 +60,17 @@
   MmReadBarrier *read_barrier;
 };
 
-MmReplica *mm_replica_new(MmNode *node);
+/* What is passed must outlive the replica. */
+MmReplica *mm_replica_new(const MmPlatform *platform, const MmSettings *settings, MmKvClient *kv);
 /* Calls back those who wait for a current replica. Only when no request can be answered any more.
  */
 void mm_replica_free(MmReplica *replica);
+/* Copies the observer. All observers and listeners are to be added before the start. */
+void mm_replica_add_observer(MmReplica *replica, const MmReplicaObserver *observer);
+void mm_replica_add_change_listener(MmReplica *replica, MmReplicaChanged changed, gpointer context);
+/* How the replica learns whether an outage of the key-value store is proved at the moment. */
+void mm_replica_set_outage_proof(MmReplica *replica, gboolean (*has_proved_outage)(gconstpointer),
+                                 gconstpointer context);
 /* Starts to load; loading, watching and retries go on until the node ends. */
 void mm_replica_start(MmReplica *replica);
 void mm_replica_tick(MmReplica *replica);
--- a/src/kv/transaction.c
+++ b/src/kv/transaction.c
@@ -1,5 +1,6 @@
 #include "kv/transaction.h"
 
+#include "base/json.h"
 #include "base/wire.h"
 
 MmTransaction
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -1,10 +1,8 @@
 #include "leases/node-lease.h"
 
+#include "base/json.h"
+#include "base/log.h"
 #include "base/wire.h"
-#include "peers/peer-links.h"
-#include "kv/replica.h"
-#include "kv/kv-client.h"
-#include "upgrade/format.h"
 
 /* Steady clocks diverge by at most 0.05%; twice that, against two clocks, and a little more. */
 #define CLOCK_DRIFT 0.002
@@ -12,13 +10,23 @@
 #define MAX_STALENESS_TTLS 2
 
 MmNodeLease *
-mm_node_lease_new(MmNode *node) {
+mm_node_lease_new(const MmPlatform *platform, const MmSettings *settings,
+                  const MmOperators *operators, MmKvClient *kv, const MmReplica *replica) {
   MmNodeLease *lease = g_new0(MmNodeLease, 1);
 
-  lease->node = node;
+  lease->platform = platform;
+  lease->settings = settings;
+  lease->operators = operators;
+  lease->kv = kv;
+  lease->replica = replica;
   return lease;
 }
 
+void
+mm_node_lease_set_peers(MmNodeLease *lease, const MmLeasePeers *peers) {
+  lease->peers = *peers;
+}
+
 void
 mm_node_lease_free(MmNodeLease *lease) {
   g_free(lease);
@@ -26,7 +34,7 @@
 
 static gint64
 lease_ttl_ms(const MmNodeLease *lease) {
-  return (gint64)(lease->node->operators->claim_ttl_s * 1000);
+  return (gint64)(lease->operators->claim_ttl_s * 1000);
 }
 
 static MmTime
@@ -36,26 +44,26 @@
 
 gboolean
 mm_node_lease_is_valid(const MmNodeLease *lease) {
-  return lease->lease_id != 0 && mm_format_is_supported(lease->node->format)
-         && mm_time_before(mm_node_now(lease->node), lease->valid_until);
+  return lease->lease_id != 0 && mm_kv_client_may_write(lease->kv)
+         && mm_time_before(mm_platform_now(lease->platform), lease->valid_until);
 }
 
 gboolean
 mm_node_lease_may_answer_workers(const MmNodeLease *lease) {
-  const MmReplica *replica = lease->node->replica;
+  const MmReplica *replica = lease->replica;
   const MmLiveNode *own_node;
 
   if (!mm_node_lease_is_valid(lease) || !replica->is_loaded || replica->term.v == 0
       || mm_replica_staleness_us(replica) > mm_node_lease_max_staleness_us(lease))
     return FALSE;
-  own_node = g_hash_table_lookup(replica->live_nodes, lease->node->settings->label.s);
+  own_node = g_hash_table_lookup(replica->live_nodes, lease->settings->label.s);
   return own_node != NULL && own_node->lease_id == lease->lease_id;
 }
 
 gboolean
 mm_node_lease_has_proved_outage(const MmNodeLease *lease) {
   return lease->outage_proved_at.us != 0
-         && mm_time_ms_since(mm_node_now(lease->node), lease->outage_proved_at)
+         && mm_time_ms_since(mm_platform_now(lease->platform), lease->outage_proved_at)
                 <= OUTAGE_PROOF_MAX_AGE_MS;
 }
 
@@ -74,7 +82,7 @@
 lease_request_new(MmNodeLease *lease, guint64 lease_id) {
   LeaseRequest *request = g_new(LeaseRequest, 1);
 
-  *request = (LeaseRequest){ lease, mm_node_now(lease->node), lease_id };
+  *request = (LeaseRequest){ lease, mm_platform_now(lease->platform), lease_id };
   return request;
 }
 
@@ -88,10 +96,10 @@
     lease->lease_id = request->lease_id;
     lease->announced_version.v = mm_json_count(body, WIRE_REVISION, 0);
     lease->valid_until = lease_valid_until(lease, request->sent_at);
-    lease->next_request_at = mm_node_now(lease->node);
+    lease->next_request_at = mm_platform_now(lease->platform);
     mm_info("node lease acquired lease=%" G_GUINT64_FORMAT, request->lease_id);
   } else {
-    lease->next_request_at = mm_time_add_ms(mm_node_now(lease->node), 150);
+    lease->next_request_at = mm_time_add_ms(mm_platform_now(lease->platform), 150);
   }
   g_free(request);
 }
@@ -108,16 +116,16 @@
     /* The condition keeps a late announcement, carried out after a newer one, from binding the key
      * to the older lease: the key would go with that lease, and the other nodes would count this
      * node as gone while it still answers. */
-    mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
+    mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
                                    lease->node_key_version);
-    mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
+    mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
                        mm_record_encode_live_node(lease_id), lease_id);
     /* `sent_at` stays that of the grant: the lease has been running since then. */
-    mm_kv_client_commit(lease->node->kv, &transaction, on_lease_announced, request);
+    mm_kv_client_commit(lease->kv, &transaction, on_lease_announced, request);
     return;
   }
   lease->is_request_pending = FALSE;
-  lease->next_request_at = mm_time_add_ms(mm_node_now(lease->node), 150);
+  lease->next_request_at = mm_time_add_ms(mm_platform_now(lease->platform), 150);
   g_free(request);
 }
 
@@ -128,21 +136,21 @@
 
   if (status != 200 && status != 404) {
     lease->is_request_pending = FALSE;
-    lease->next_request_at = mm_time_add_ms(mm_node_now(lease->node), 150);
+    lease->next_request_at = mm_time_add_ms(mm_platform_now(lease->platform), 150);
     return;
   }
   lease->node_key_version.v = status == 200 ? mm_json_count(body, WIRE_VERSION, 0) : 0;
   grant_request = json_pack("{s:I}", WIRE_TTL, (json_int_t)lease_ttl_ms(lease));
-  mm_kv_client_request(lease->node->kv, "POST", WIRE_LEASES_PATH, grant_request, 1000,
-                       on_lease_granted, lease_request_new(lease, 0));
+  mm_kv_client_request(lease->kv, "POST", WIRE_LEASES_PATH, grant_request, 1000, on_lease_granted,
+                       lease_request_new(lease, 0));
 }
 
 static void
 on_lease_renewed(gpointer data, int status, json_t *body) {
   LeaseRequest *request = data;
   MmNodeLease *lease = request->lease;
-  MmTime now = mm_node_now(lease->node);
-  gint64 renew_interval_ms = (gint64)(lease->node->operators->claim_renew_s * 1000);
+  MmTime now = mm_platform_now(lease->platform);
+  gint64 renew_interval_ms = (gint64)(lease->operators->claim_renew_s * 1000);
 
   lease->is_request_pending = FALSE;
   if (status == 200) {
@@ -164,9 +172,9 @@
  * the lease must not have expired before it. */
 static void
 extend_lease_in_outage(MmNodeLease *lease) {
-  MmTime now = mm_node_now(lease->node);
-  MmTime own_refusal_at = lease->node->kv->last_refused_at;
-  MmTime peer_refusal_at = mm_peer_links_last_refused_at(lease->node->peer_links);
+  MmTime now = mm_platform_now(lease->platform);
+  MmTime own_refusal_at = lease->kv->last_refused_at;
+  MmTime peer_refusal_at = lease->peers.last_refused_at(lease->peers.context);
   MmTime proved_at = mm_time_min(own_refusal_at, peer_refusal_at);
 
   if (proved_at.us == 0 || mm_time_ms_since(now, proved_at) > OUTAGE_PROOF_MAX_AGE_MS
@@ -174,9 +182,9 @@
     return;
   /* A node that is served meanwhile shows that the others are refused alone, and that their leases
    * do expire. */
-  if (!mm_time_before(lease->node->kv->last_served_at, proved_at)
-      || !mm_time_before(mm_peer_links_last_served_at(lease->node->peer_links),
-                         lease->node->kv->refused_since))
+  if (!mm_time_before(lease->kv->last_served_at, proved_at)
+      || !mm_time_before(lease->peers.last_served_at(lease->peers.context),
+                         lease->kv->refused_since))
     return;
   lease->outage_proved_at = proved_at;
   lease->valid_until = mm_time_max(lease->valid_until, lease_valid_until(lease, proved_at));
@@ -186,9 +194,8 @@
  * has announced its lease: renewing an unseen lease would never entitle the node to anything. */
 static gboolean
 node_key_is_overwritten(const MmNodeLease *lease) {
-  const MmReplica *replica = lease->node->replica;
-  const MmLiveNode *own_node
-      = g_hash_table_lookup(replica->live_nodes, lease->node->settings->label.s);
+  const MmReplica *replica = lease->replica;
+  const MmLiveNode *own_node = g_hash_table_lookup(replica->live_nodes, lease->settings->label.s);
 
   return lease->lease_id != 0 && replica->is_loaded
          && replica->revision >= lease->announced_version.v
@@ -197,11 +204,12 @@
 
 static void
 renew_or_acquire_lease(MmNodeLease *lease) {
-  MmTime now = mm_node_now(lease->node);
+  MmTime now = mm_platform_now(lease->platform);
 
-  /* A node that does not know the active format lets its lease expire. */
+  /* A node that may not write, since it does not support the active format, lets its lease expire.
+   */
   if (lease->is_request_pending || mm_time_before(now, lease->next_request_at)
-      || !mm_format_is_supported(lease->node->format))
+      || !mm_kv_client_may_write(lease->kv))
     return;
   if (node_key_is_overwritten(lease)) {
     mm_info("node lease dropped, its key is overwritten lease=%" G_GUINT64_FORMAT, lease->lease_id);
@@ -209,12 +217,12 @@
   }
   lease->is_request_pending = TRUE;
   if (lease->lease_id == 0) {
-    mm_kv_client_get(lease->node->kv, MM_KEY_LIVE_NODE, lease->node->settings->label.s,
-                     on_node_key_read, lease);
+    mm_kv_client_get(lease->kv, MM_KEY_LIVE_NODE, lease->settings->label.s, on_node_key_read,
+                     lease);
   } else {
     g_autofree char *path
         = g_strdup_printf(WIRE_LEASES_PATH "/%" G_GUINT64_FORMAT "/renew", lease->lease_id);
-    mm_kv_client_request(lease->node->kv, "POST", path, NULL, 1000, on_lease_renewed,
+    mm_kv_client_request(lease->kv, "POST", path, NULL, 1000, on_lease_renewed,
                          lease_request_new(lease, lease->lease_id));
   }
 }
--- a/src/leases/node-lease.h
+++ b/src/leases/node-lease.h
@@ -7,10 +7,26 @@
  * than the store keeps it. */
 #pragma once
 
-#include "node/node.h"
+#include "config/operators.h"
+#include "config/settings.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
+#include "platform/platform.h"
 
-struct MmNodeLease {
-  MmNode *node;
+/* What the peers say of the key-value store, by this node's clock; 0: nothing yet. */
+typedef struct {
+  MmTime (*last_refused_at)(gconstpointer context);
+  MmTime (*last_served_at)(gconstpointer context);
+  gconstpointer context;
+} MmLeasePeers;
+
+typedef struct MmNodeLease {
+  const MmPlatform *platform;
+  const MmSettings *settings;
+  const MmOperators *operators;
+  MmKvClient *kv;
+  const MmReplica *replica;
+  MmLeasePeers peers;
   guint64 lease_id;               /* 0: none */
   MmTime valid_until;             /* the lease cannot have expired before this instant */
   gboolean is_request_pending;    /* a request about the lease is under way */
@@ -18,10 +34,14 @@
   MmKeyVersion announced_version; /* of the key that announces the lease */
   MmKeyVersion node_key_version;  /* of the node's key as read before the lease was requested */
   MmTime outage_proved_at;        /* the newest proof of an outage; 0: none */
-};
+} MmNodeLease;
 
-/* The node must outlive the lease. */
-MmNodeLease *mm_node_lease_new(MmNode *node);
+/* What is passed must outlive the lease. */
+MmNodeLease *mm_node_lease_new(const MmPlatform *platform, const MmSettings *settings,
+                               const MmOperators *operators, MmKvClient *kv,
+                               const MmReplica *replica);
+/* To be called before the first tick. */
+void mm_node_lease_set_peers(MmNodeLease *lease, const MmLeasePeers *peers);
 /* Only when no request about the lease can be answered any more. The store lets the lease expire.
  */
 void mm_node_lease_free(MmNodeLease *lease);
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -1,10 +1,6 @@
 #include "leases/shard-ownership.h"
 
-#include "leases/node-lease.h"
-#include "machines/machine-table.h"
-#include "peers/peer-links.h"
-#include "kv/replica.h"
-#include "kv/kv-client.h"
+#include "base/log.h"
 
 /* A shard that its rightful leader leaves without one this long goes to anyone. */
 #define LEADERLESS_PATIENCE_MS 1500
@@ -15,19 +11,25 @@
 #define CONFLICT_PAUSE_MS 2000
 
 MmShardOwnership *
-mm_shard_ownership_new(MmNode *node) {
+mm_shard_ownership_new(const MmPlatform *platform, const MmSettings *settings,
+                       const MmOperators *operators, MmKvClient *kv, const MmReplica *replica,
+                       const MmNodeLease *node_lease) {
   MmShardOwnership *ownership = g_new0(MmShardOwnership, 1);
 
-  ownership->node = node;
+  ownership->platform = platform;
+  ownership->settings = settings;
+  ownership->kv = kv;
+  ownership->replica = replica;
+  ownership->node_lease = node_lease;
   ownership->shard_names = g_ptr_array_new_with_free_func(g_free);
   ownership->leaderless_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   g_ptr_array_add(ownership->shard_names, g_strdup(MM_SHARD_AUTOSCALER));
-  if (node->operators->groups > 0)
+  if (operators->groups > 0)
     g_ptr_array_add(ownership->shard_names, g_strdup(MM_SHARD_SHARING));
-  for (guint i = 0; i < node->settings->teams->len; i++)
-    g_ptr_array_add(ownership->shard_names,
-                    mm_shard_ownership_shard_of_team(
-                        &g_array_index(node->settings->teams, MmTeamSettings, i).name));
+  for (guint i = 0; i < settings->teams->len; i++)
+    g_ptr_array_add(
+        ownership->shard_names,
+        mm_shard_ownership_shard_of_team(&g_array_index(settings->teams, MmTeamSettings, i).name));
   return ownership;
 }
 
@@ -38,6 +40,12 @@
   g_free(ownership);
 }
 
+void
+mm_shard_ownership_set_callbacks(MmShardOwnership *ownership,
+                                 const MmShardOwnershipCallbacks *callbacks) {
+  ownership->callbacks = *callbacks;
+}
+
 char *
 mm_shard_ownership_shard_of_team(const MmName *team) {
   return g_uri_escape_string(team->s, NULL, FALSE);
@@ -50,17 +58,33 @@
 
 gboolean
 mm_shard_ownership_leads(const MmShardOwnership *ownership, const char *shard_name) {
-  const MmShard *shard = mm_replica_shard(ownership->node->replica, shard_name);
+  const MmShard *shard = mm_replica_shard(ownership->replica, shard_name);
 
-  return shard != NULL && ownership->node->node_lease->lease_id != 0
-         && shard->lease_id == ownership->node->node_lease->lease_id
-         && mm_name_equal(&shard->leader, &ownership->node->settings->label);
+  return shard != NULL && ownership->node_lease->lease_id != 0
+         && shard->lease_id == ownership->node_lease->lease_id
+         && mm_name_equal(&shard->leader, &ownership->settings->label);
+}
+
+/* Whether a live peer has not yet announced, by its link, the lease that the replica shows of it.
+ */
+static gboolean
+any_peer_lease_is_new(const MmShardOwnership *ownership) {
+  const MmShardOwnershipCallbacks *callbacks = &ownership->callbacks;
+  const GArray *peers = ownership->settings->peers;
+
+  for (guint i = 0; i < peers->len; i++) {
+    const MmLiveNode *peer_node = g_hash_table_lookup(
+        ownership->replica->live_nodes, g_array_index(peers, MmPeerSettings, i).label.s);
+    if (peer_node != NULL
+        && peer_node->lease_id != callbacks->lease_announced_by_peer(callbacks->context, i))
+      return TRUE;
+  }
+  return FALSE;
 }
 
 gboolean
 mm_shard_ownership_is_unsettled(const MmShardOwnership *ownership) {
-  const MmReplica *replica = ownership->node->replica;
-  const MmPeerLinks *peer_links = ownership->node->peer_links;
+  const MmReplica *replica = ownership->replica;
 
   for (guint i = 0; i < ownership->shard_names->len; i++) {
     const MmShard *shard = mm_replica_shard(replica, g_ptr_array_index(ownership->shard_names, i));
@@ -69,13 +93,7 @@
     if (leader == NULL || leader->lease_id != shard->lease_id)
       return TRUE;
   }
-  for (guint i = 0; i < peer_links->n_peers; i++) {
-    const MmLiveNode *peer_node
-        = g_hash_table_lookup(replica->live_nodes, peer_links->peers[i].label.s);
-    if (peer_node != NULL && peer_node->lease_id != peer_links->peers[i].lease_id)
-      return TRUE;
-  }
-  return FALSE;
+  return any_peer_lease_is_new(ownership);
 }
 
 static void
@@ -84,13 +102,14 @@
 
   ownership->is_commit_pending = FALSE;
   if (status != 200)
-    ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), 200);
+    ownership->next_check_at = mm_time_add_ms(mm_platform_now(ownership->platform), 200);
   if (status == 409) {
     /* Each try costs writes that others need: first the watch must show what has changed. */
     mm_debug("shard transaction conflicted revision=%" G_GUINT64_FORMAT,
-             ownership->node->replica->revision);
-    ownership->conflict_revision = ownership->node->replica->revision;
-    ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), CONFLICT_PAUSE_MS);
+             ownership->replica->revision);
+    ownership->conflict_revision = ownership->replica->revision;
+    ownership->next_check_at
+        = mm_time_add_ms(mm_platform_now(ownership->platform), CONFLICT_PAUSE_MS);
   }
 }
 
@@ -98,13 +117,13 @@
 static gboolean
 may_be_acquired(const MmShardOwnership *ownership, const MmShard *shard) {
   return shard == NULL
-         || (mm_name_equal(&shard->leader, &ownership->node->settings->label)
-             && shard->lease_id != ownership->node->node_lease->lease_id);
+         || (mm_name_equal(&shard->leader, &ownership->settings->label)
+             && shard->lease_id != ownership->node_lease->lease_id);
 }
 
 static gint64
 leaderless_for_ms(MmShardOwnership *ownership, const char *shard_name, gboolean is_leaderless) {
-  MmTime now = mm_node_now(ownership->node);
+  MmTime now = mm_platform_now(ownership->platform);
   MmTime *since = g_hash_table_lookup(ownership->leaderless_since, shard_name);
 
   if (!is_leaderless) {
@@ -121,10 +140,10 @@
 
 static void
 acquire_shards(MmShardOwnership *ownership, GPtrArray *wanted) {
-  const MmReplica *replica = ownership->node->replica;
-  guint n_acquired = MIN(wanted->len, mm_kv_client_max_operations(ownership->node->kv) - 1);
-  MmShard acquired = { .leader = ownership->node->settings->label,
-                       .lease_id = ownership->node->node_lease->lease_id,
+  const MmReplica *replica = ownership->replica;
+  guint n_acquired = MIN(wanted->len, mm_kv_client_max_operations(ownership->kv) - 1);
+  MmShard acquired = { .leader = ownership->settings->label,
+                       .lease_id = ownership->node_lease->lease_id,
                        .term = { replica->term.v + 1 } };
   MmTransaction transaction = mm_transaction_begin();
 
@@ -140,7 +159,7 @@
   }
   mm_info("shards: acquiring n=%u term=%" G_GUINT64_FORMAT, n_acquired, acquired.term.v);
   ownership->is_commit_pending = TRUE;
-  mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
+  mm_kv_client_commit(ownership->kv, &transaction, on_shards_committed, ownership);
 }
 
 /* Releases the surplus of shards in one transaction, since each move costs a new term. */
@@ -153,15 +172,15 @@
     if (!mm_shard_ownership_leads(ownership, name))
       continue;
     mm_transaction_require_version(&transaction, MM_KEY_SHARD, name,
-                                   mm_replica_shard(ownership->node->replica, name)->version);
+                                   mm_replica_shard(ownership->replica, name)->version);
     mm_transaction_delete(&transaction, MM_KEY_SHARD, name);
-    if (transaction.n_operations >= mm_kv_client_max_operations(ownership->node->kv))
+    if (transaction.n_operations >= mm_kv_client_max_operations(ownership->kv))
       break;
     surplus--;
   }
   mm_info("shards: releasing n=%u", transaction.n_operations);
   ownership->is_commit_pending = TRUE;
-  mm_kv_client_commit(ownership->node->kv, &transaction, on_shards_committed, ownership);
+  mm_kv_client_commit(ownership->kv, &transaction, on_shards_committed, ownership);
 }
 
 /* Which node leads how many shards, by the replica. */
@@ -175,14 +194,14 @@
 
 static void
 distribution_init(const MmShardOwnership *ownership, ShardDistribution *distribution) {
-  const MmReplica *replica = ownership->node->replica;
+  const MmReplica *replica = ownership->replica;
 
   distribution->live_labels = mm_replica_live_labels(replica);
   distribution->n_led = g_new0(guint, distribution->live_labels->len);
   distribution->own_index = NOT_LIVE;
   for (guint n = 0; n < distribution->live_labels->len; n++) {
     const char *label = g_ptr_array_index(distribution->live_labels, n);
-    if (strcmp(label, ownership->node->settings->label.s) == 0)
+    if (strcmp(label, ownership->settings->label.s) == 0)
       distribution->own_index = n;
     for (guint i = 0; i < ownership->shard_names->len; i++) {
       const MmShard *shard
@@ -215,7 +234,7 @@
 
   for (guint i = 0; i < ownership->shard_names->len; i++) {
     const char *name = g_ptr_array_index(ownership->shard_names, i);
-    const MmShard *shard = mm_replica_shard(ownership->node->replica, name);
+    const MmShard *shard = mm_replica_shard(ownership->replica, name);
     gboolean is_leaderless = may_be_acquired(ownership, shard);
     gint64 leaderless_ms = leaderless_for_ms(ownership, name, is_leaderless);
     guint target_node;
@@ -238,11 +257,12 @@
  * team's starts until that machine is proved lost. */
 static void
 rebalance_shards(MmShardOwnership *ownership, const ShardDistribution *distribution) {
-  MmTime now = mm_node_now(ownership->node);
+  MmTime now = mm_platform_now(ownership->platform);
   guint n_led = distribution->n_led[distribution->own_index];
   guint n_fewest = distribution->n_led[node_with_fewest_shards(distribution)];
 
-  if (n_led < n_fewest + 2 || !mm_machine_table_all_seen_recently(ownership->node->machine_table)) {
+  if (n_led < n_fewest + 2
+      || !ownership->callbacks.all_machines_seen_recently(ownership->callbacks.context)) {
     ownership->uneven_since.us = 0;
   } else if (ownership->uneven_since.us == 0) {
     ownership->uneven_since = now;
@@ -255,13 +275,12 @@
 /* When all nodes start together, the others may be about to announce their leases. */
 static gboolean
 waits_for_other_nodes(const MmShardOwnership *ownership, const ShardDistribution *distribution) {
-  const MmReplica *replica = ownership->node->replica;
+  const MmReplica *replica = ownership->replica;
   const MmLiveNode *own_node
-      = g_hash_table_lookup(replica->live_nodes, ownership->node->settings->label.s);
+      = g_hash_table_lookup(replica->live_nodes, ownership->settings->label.s);
 
-  return distribution->live_labels->len < ownership->node->settings->node_count
-         && replica->term.v == 0
-         && mm_time_ms_since(mm_node_now(ownership->node), own_node->seen_since)
+  return distribution->live_labels->len < ownership->settings->node_count && replica->term.v == 0
+         && mm_time_ms_since(mm_platform_now(ownership->platform), own_node->seen_since)
                 < START_PATIENCE_MS;
 }
 
@@ -280,13 +299,13 @@
 
 static gboolean
 check_is_due(const MmShardOwnership *ownership) {
-  const MmReplica *replica = ownership->node->replica;
+  const MmReplica *replica = ownership->replica;
   gboolean replica_moved_on
       = ownership->conflict_revision != 0 && replica->revision > ownership->conflict_revision;
 
-  return !ownership->is_commit_pending && !mm_kv_client_is_refused(ownership->node->kv)
+  return !ownership->is_commit_pending && !mm_kv_client_is_refused(ownership->kv)
          && (replica_moved_on
-             || !mm_time_before(mm_node_now(ownership->node), ownership->next_check_at));
+             || !mm_time_before(mm_platform_now(ownership->platform), ownership->next_check_at));
 }
 
 static void
@@ -295,7 +314,8 @@
 
   if (!check_is_due(ownership))
     return;
-  ownership->next_check_at = mm_time_add_ms(mm_node_now(ownership->node), CHECK_INTERVAL_MS);
+  ownership->next_check_at
+      = mm_time_add_ms(mm_platform_now(ownership->platform), CHECK_INTERVAL_MS);
   ownership->conflict_revision = 0;
   distribution_init(ownership, &distribution);
   acquire_or_rebalance(ownership, &distribution);
@@ -304,6 +324,6 @@
 
 void
 mm_shard_ownership_tick(MmShardOwnership *ownership) {
-  if (mm_node_lease_is_valid(ownership->node->node_lease) && ownership->node->replica->is_loaded)
+  if (mm_node_lease_is_valid(ownership->node_lease) && ownership->replica->is_loaded)
     maintain_shards(ownership);
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -20,6 +20,7 @@
 #include "kv/kv-client.h"
 #include "upgrade/format.h"
 #include "upgrade/versions.h"
+#include "node/wiring.h"
 
 #define REFUSED_ALONE_MS 2000
 /* Overload is shed in this order: status polls, then submissions. Workers' leases, cancellations
@@ -39,15 +40,17 @@
   node->platform = *platform;
   node->rand = g_rand_new_with_seed(seed);
   node->started_at = mm_node_now(node);
-  node->kv = mm_kv_client_new(node);
-  node->replica = mm_replica_new(node);
-  node->node_lease = mm_node_lease_new(node);
-  node->shard_ownership = mm_shard_ownership_new(node);
+  node->kv = mm_kv_client_new(&node->platform, settings);
+  node->replica = mm_replica_new(&node->platform, settings, node->kv);
+  node->node_lease
+      = mm_node_lease_new(&node->platform, settings, operators, node->kv, node->replica);
+  node->shard_ownership = mm_shard_ownership_new(&node->platform, settings, operators, node->kv,
+                                                 node->replica, node->node_lease);
   node->job_table = mm_job_table_new(node);
   node->job_api = mm_job_api_new(node);
   node->dependencies = mm_dependencies_new(node);
-  node->versions = mm_versions_new(node);
-  node->format = mm_format_new(node);
+  node->versions = mm_versions_new(&node->platform, settings, operators, node->kv, node->replica);
+  node->format = mm_format_new();
   node->instance_types = mm_instance_types_new(node);
   node->machine_table = mm_machine_table_new(node);
   node->registry = mm_registry_new(node);
@@ -57,6 +60,7 @@
   node->autoscaler = mm_autoscaler_new(node);
   node->sharing = mm_sharing_new(node);
   node->peer_links = mm_peer_links_new(node);
+  mm_node_wire(node);
   return node;
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -63,8 +63,7 @@
 void mm_node_free(MmNode *node);
 
 void mm_node_start(MmNode *node);
-/* To be called every MM_NODE_TICK_MS: the loops that close the gap between wanted and real. */
-#define MM_NODE_TICK_MS 50
+/* To be called every MM_NODE_TICK_MS. */
 void mm_node_tick(MmNode *node);
 /* A request to `front`. Path without query; the body is lent and NULL when absent or not JSON. */
 void mm_node_handle_request(MmNode *node, const char *method, const char *path, json_t *body,
@@ -72,10 +71,10 @@
 
 static inline MmTime
 mm_node_now(const MmNode *node) {
-  return node->platform.now(node->platform.context);
+  return mm_platform_now(&node->platform);
 }
 
 static inline gint64
 mm_node_wall_ms(const MmNode *node) {
-  return node->platform.wall_ms(node->platform.context);
+  return mm_platform_wall_ms(&node->platform);
 }
--- /dev/null
+++ b/src/node/wiring.c
@@ -0,0 +1,208 @@
+#include "node/wiring.h"
+
+#include "autoscaler/instance-types.h"
+#include "heartbeat/heartbeat-server.h"
+#include "jobs/job-table.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
+#include "leases/node-lease.h"
+#include "leases/shard-ownership.h"
+#include "machines/machine-table.h"
+#include "machines/registry.h"
+#include "peers/peer-links.h"
+#include "scheduler/scheduler.h"
+#include "sharing/sharing.h"
+#include "upgrade/format.h"
+#include "upgrade/versions.h"
+
+/* ---- observers of the replica's keys ---- */
+
+static void
+put_job(gpointer context, const char *job_id, const json_t *value, MmKeyVersion version) {
+  mm_job_table_put(context, job_id, value, version);
+}
+
+static void
+remove_job(gpointer context, const char *job_id) {
+  mm_job_table_remove(context, job_id);
+}
+
+static void
+list_job_keys(gpointer context, const char *prefix, GPtrArray *keys) {
+  mm_job_table_list_keys(context, prefix, keys);
+}
+
+static void
+put_registry_pack(gpointer context, const char *pack_name, const json_t *value,
+                  MmKeyVersion version) {
+  mm_registry_apply_pack(context, pack_name, value, version);
+}
+
+static void
+remove_registry_pack(gpointer context, const char *pack_name) {
+  mm_registry_forget_pack(context, pack_name);
+}
+
+static void
+list_registry_keys(gpointer context, const char *prefix, GPtrArray *keys) {
+  mm_registry_list_keys(context, prefix, keys);
+}
+
+static void
+put_format(gpointer context, const char *name, const json_t *value, MmKeyVersion version) {
+  mm_format_key_changed(context, value);
+}
+
+static void
+remove_format(gpointer context, const char *name) {
+  mm_format_key_changed(context, NULL);
+}
+
+/* Always among the known keys: a format that is absent after a reload is the first one. */
+static void
+list_format_key(gpointer context, const char *prefix, GPtrArray *keys) {
+  g_ptr_array_add(keys, g_strdup(prefix));
+}
+
+static void
+format_page_loaded(gpointer context) {
+  mm_format_key_loaded(context);
+}
+
+static void
+put_machine_groups(gpointer context, const char *label, const json_t *value, MmKeyVersion version) {
+  mm_sharing_key_changed(context, label, value, version);
+}
+
+static void
+remove_machine_groups(gpointer context, const char *label) {
+  mm_sharing_key_changed(context, label, NULL, (MmKeyVersion){ 0 });
+}
+
+static void
+list_machine_group_keys(gpointer context, const char *prefix, GPtrArray *keys) {
+  const MmSharing *sharing = context;
+
+  if (sharing->map != NULL)
+    mm_group_map_list_keys(sharing->map, prefix, keys);
+}
+
+static void
+put_instance_types(gpointer context, const char *name, const json_t *value, MmKeyVersion version) {
+  mm_instance_types_load_stored(context, value, version);
+}
+
+static void
+put_node_version(gpointer context, const char *label, const json_t *value, MmKeyVersion version) {
+  mm_versions_key_changed(context, label, value, version);
+}
+
+/* After a reload vanished keys are removed in the order of these calls. */
+static void
+observe_replica_keys(MmNode *node) {
+  const MmReplicaObserver observers[] = {
+    { MM_KEY_JOB, put_job, remove_job, list_job_keys, NULL, node->job_table },
+    { MM_KEY_REGISTRY_PACK, put_registry_pack, remove_registry_pack, list_registry_keys, NULL,
+      node->registry },
+    { MM_KEY_FORMAT, put_format, remove_format, list_format_key, format_page_loaded, node->format },
+    { MM_KEY_MACHINE_GROUPS, put_machine_groups, remove_machine_groups, list_machine_group_keys,
+      NULL, node->sharing },
+    { MM_KEY_INSTANCE_TYPES, put_instance_types, NULL, NULL, NULL, node->instance_types },
+    { MM_KEY_NODE_VERSION, put_node_version, NULL, NULL, NULL, node->versions },
+  };
+
+  for (guint i = 0; i < G_N_ELEMENTS(observers); i++)
+    mm_replica_add_observer(node->replica, &observers[i]);
+}
+
+/* ---- listeners to changes of the replica as a whole ---- */
+
+static void
+scheduler_replica_changed(gpointer context) {
+  mm_scheduler_replica_changed(context);
+}
+
+static void
+sharing_replica_changed(gpointer context) {
+  mm_sharing_replica_changed(context);
+}
+
+static void
+heartbeat_server_replica_changed(gpointer context) {
+  mm_heartbeat_server_replica_changed(context);
+}
+
+/* The scheduler comes first: it determines which shards this node leads, and since when. */
+static void
+listen_to_replica(MmNode *node) {
+  mm_replica_add_change_listener(node->replica, scheduler_replica_changed, node->scheduler);
+  mm_replica_add_change_listener(node->replica, sharing_replica_changed, node->sharing);
+  mm_replica_add_change_listener(node->replica, heartbeat_server_replica_changed,
+                                 node->heartbeat_server);
+}
+
+/* ---- what lower modules ask ---- */
+
+static gboolean
+supports_format(gconstpointer context) {
+  return mm_format_is_supported(context);
+}
+
+static gboolean
+has_proved_outage(gconstpointer context) {
+  return mm_node_lease_has_proved_outage(context);
+}
+
+static MmTime
+peers_last_refused_at(gconstpointer context) {
+  return mm_peer_links_last_refused_at(context);
+}
+
+static MmTime
+peers_last_served_at(gconstpointer context) {
+  return mm_peer_links_last_served_at(context);
+}
+
+static guint64
+lease_announced_by_peer(gconstpointer context, guint peer) {
+  const MmNode *node = context;
+
+  return node->peer_links->peers[peer].lease_id;
+}
+
+static gboolean
+all_machines_seen_recently(gconstpointer context) {
+  const MmNode *node = context;
+
+  return mm_machine_table_all_seen_recently(node->machine_table);
+}
+
+static gboolean
+group_count_is_undisputed(gconstpointer context) {
+  const MmSharing *sharing = context;
+
+  return sharing->conflicting_groups == 0;
+}
+
+static void
+set_callbacks(MmNode *node) {
+  mm_kv_client_set_write_guard(node->kv, supports_format, node->format);
+  mm_replica_set_outage_proof(node->replica, has_proved_outage, node->node_lease);
+  mm_node_lease_set_peers(node->node_lease,
+                          &(MmLeasePeers){ .last_refused_at = peers_last_refused_at,
+                                           .last_served_at = peers_last_served_at,
+                                           .context = node->peer_links });
+  mm_shard_ownership_set_callbacks(
+      node->shard_ownership,
+      &(MmShardOwnershipCallbacks){ .lease_announced_by_peer = lease_announced_by_peer,
+                                    .all_machines_seen_recently = all_machines_seen_recently,
+                                    .context = node });
+  mm_versions_set_announce_guard(node->versions, group_count_is_undisputed, node->sharing);
+}
+
+void
+mm_node_wire(MmNode *node) {
+  observe_replica_keys(node);
+  listen_to_replica(node);
+  set_callbacks(node);
+}
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -29,6 +29,26 @@
   void (*call_after)(gpointer self, guint ms, void (*call)(gpointer data), gpointer data);
 } MmPlatform;
 
+/* How often the loops of a node run, each of which moves the actual state towards the wanted one.
+ */
+#define MM_NODE_TICK_MS 50
+
+static inline MmTime
+mm_platform_now(const MmPlatform *platform) {
+  return platform->now(platform->context);
+}
+
+static inline gint64
+mm_platform_wall_ms(const MmPlatform *platform) {
+  return platform->wall_ms(platform->context);
+}
+
+static inline void
+mm_platform_call_after(const MmPlatform *platform, guint ms, void (*call)(gpointer data),
+                       gpointer data) {
+  platform->call_after(platform->context, ms, call, data);
+}
+
 /* A request that somebody made of us; answered exactly once. */
 typedef struct MmHttpExchange MmHttpExchange;
 struct MmHttpExchange {
--- a/src/upgrade/format.c
+++ b/src/upgrade/format.c
@@ -1,12 +1,12 @@
 #include "upgrade/format.h"
 
+#include "base/log.h"
 #include "kv/records.h"
 
 MmFormat *
-mm_format_new(MmNode *node) {
+mm_format_new(void) {
   MmFormat *format = g_new0(MmFormat, 1);
 
-  format->node = node;
   format->lowest_supported = MM_FORMAT_LOWEST;
   format->highest_supported = MM_FORMAT_HIGHEST;
   format->active = MM_FORMAT_LOWEST;
--- a/src/upgrade/format.h
+++ b/src/upgrade/format.h
@@ -7,7 +7,9 @@
  * names a format that it supports. Without the key the format is MM_FORMAT_LOWEST. */
 #pragma once
 
-#include "node/node.h"
+#include <jansson.h>
+
+#include "base/types.h"
 
 /* The formats that this program reads and writes. */
 #define MM_FORMAT_LOWEST 1
@@ -16,15 +18,14 @@
 /* Value of `active` when the key is not readable, as mm_record_decode_format returns it. */
 #define MM_FORMAT_UNREADABLE 0
 
-struct MmFormat {
-  MmNode *node;
+typedef struct MmFormat {
   guint64 lowest_supported; /* MM_FORMAT_LOWEST and _HIGHEST; tests set others */
   guint64 highest_supported;
   guint64 active;
   gboolean is_known; /* the key, or its absence, has been read */
-};
+} MmFormat;
 
-MmFormat *mm_format_new(MmNode *node);
+MmFormat *mm_format_new(void);
 void mm_format_free(MmFormat *format);
 /* Takes over the value of the key as the replica shows it; NULL: the key is absent. */
 void mm_format_key_changed(MmFormat *format, const json_t *value);
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -1,16 +1,17 @@
 #include "upgrade/versions.h"
 
-#include "sharing/sharing.h"
-#include "kv/replica.h"
-#include "kv/kv-client.h"
-
 #define RETRY_AFTER_MS 500
 
 MmVersions *
-mm_versions_new(MmNode *node) {
+mm_versions_new(const MmPlatform *platform, const MmSettings *settings,
+                const MmOperators *operators, MmKvClient *kv, const MmReplica *replica) {
   MmVersions *versions = g_new0(MmVersions, 1);
 
-  versions->node = node;
+  versions->platform = platform;
+  versions->settings = settings;
+  versions->operators = operators;
+  versions->kv = kv;
+  versions->replica = replica;
   versions->node_versions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   versions->node_group_counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   return versions;
@@ -23,6 +24,13 @@
   g_free(versions);
 }
 
+void
+mm_versions_set_announce_guard(MmVersions *versions, gboolean (*may_announce)(gconstpointer),
+                               gconstpointer context) {
+  versions->may_announce = may_announce;
+  versions->may_announce_context = context;
+}
+
 static MmVersion
 version_of(const MmVersions *versions, const MmName *label) {
   return (MmVersion)GPOINTER_TO_UINT(g_hash_table_lookup(versions->node_versions, label->s));
@@ -35,14 +43,12 @@
 
 gboolean
 mm_versions_own_groups_announced(const MmVersions *versions) {
-  const MmNode *node = versions->node;
-
-  return group_count_of(versions, &node->settings->label) == (guint)node->operators->groups;
+  return group_count_of(versions, &versions->settings->label) == (guint)versions->operators->groups;
 }
 
 guint
 mm_versions_common_group_count(const MmVersions *versions) {
-  const MmSettings *settings = versions->node->settings;
+  const MmSettings *settings = versions->settings;
   guint group_count = group_count_of(versions, &settings->label);
 
   for (guint i = 0; i < settings->peers->len; i++)
@@ -60,7 +66,7 @@
   g_hash_table_replace(versions->node_versions, g_strdup(label), GUINT_TO_POINTER(record.version));
   g_hash_table_replace(versions->node_group_counts, g_strdup(label),
                        GUINT_TO_POINTER(record.group_count));
-  if (strcmp(label, versions->node->settings->label.s) == 0)
+  if (strcmp(label, versions->settings->label.s) == 0)
     versions->own_key_version = key_version;
 }
 
@@ -72,34 +78,44 @@
   versions->is_writing = FALSE;
 }
 
+/* Whether this node's key is absent or announces less than it should. */
+static gboolean
+own_key_is_outdated(const MmVersions *versions) {
+  return version_of(versions, &versions->settings->label) < MM_VERSION_CURRENT
+         || !mm_versions_own_groups_announced(versions);
+}
+
+static gboolean
+may_write_own_key(const MmVersions *versions) {
+  return !versions->is_writing && versions->replica->is_loaded
+         && !mm_time_before(mm_platform_now(versions->platform), versions->next_write_at)
+         && !mm_kv_client_is_refused(versions->kv)
+         && (versions->may_announce == NULL
+             || versions->may_announce(versions->may_announce_context));
+}
+
 void
 mm_versions_tick(MmVersions *versions) {
-  MmNode *node = versions->node;
-  MmTime now = mm_node_now(node);
-  const MmName *own_label = &node->settings->label;
+  const char *own_label = versions->settings->label.s;
   MmNodeVersionRecord own_record
-      = { .version = MM_VERSION_CURRENT, .group_count = (guint)node->operators->groups };
+      = { .version = MM_VERSION_CURRENT, .group_count = (guint)versions->operators->groups };
   MmTransaction transaction;
 
-  if (versions->is_writing || !node->replica->is_loaded
-      || mm_time_before(now, versions->next_write_at) || mm_kv_client_is_refused(node->kv)
-      || node->sharing->conflicting_groups != 0
-      || (version_of(versions, own_label) >= MM_VERSION_CURRENT
-          && mm_versions_own_groups_announced(versions)))
+  if (!may_write_own_key(versions) || !own_key_is_outdated(versions))
     return;
-  versions->next_write_at = mm_time_add_ms(now, RETRY_AFTER_MS);
+  versions->next_write_at = mm_time_add_ms(mm_platform_now(versions->platform), RETRY_AFTER_MS);
   versions->is_writing = TRUE;
   transaction = mm_transaction_begin();
-  mm_transaction_require_version(&transaction, MM_KEY_NODE_VERSION, own_label->s,
+  mm_transaction_require_version(&transaction, MM_KEY_NODE_VERSION, own_label,
                                  versions->own_key_version);
-  mm_transaction_put(&transaction, MM_KEY_NODE_VERSION, own_label->s,
+  mm_transaction_put(&transaction, MM_KEY_NODE_VERSION, own_label,
                      mm_record_encode_node_version(&own_record), 0);
-  mm_kv_client_commit(node->kv, &transaction, on_key_written, versions);
+  mm_kv_client_commit(versions->kv, &transaction, on_key_written, versions);
 }
 
 gboolean
 mm_versions_all_support(const MmVersions *versions, MmVersion version) {
-  const MmSettings *settings = versions->node->settings;
+  const MmSettings *settings = versions->settings;
 
   if (version_of(versions, &settings->label) < version)
     return FALSE;
--- a/src/upgrade/versions.h
+++ b/src/upgrade/versions.h
@@ -7,7 +7,11 @@
  * that the node's settings name. */
 #pragma once
 
-#include "node/node.h"
+#include "config/operators.h"
+#include "config/settings.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
+#include "platform/platform.h"
 
 typedef enum {
   MM_VERSION_NONE,        /* no key: may be older than these keys */
@@ -15,17 +19,28 @@
 } MmVersion;
 #define MM_VERSION_CURRENT MM_VERSION_DEPENDENCIES
 
-struct MmVersions {
-  MmNode *node;
+typedef struct MmVersions {
+  const MmPlatform *platform;
+  const MmSettings *settings;
+  const MmOperators *operators;
+  MmKvClient *kv;
+  const MmReplica *replica;
+  gboolean (*may_announce)(gconstpointer context); /* NULL: always */
+  gconstpointer may_announce_context;
   GHashTable *node_versions;     /* label -> MmVersion, by GUINT_TO_POINTER */
   GHashTable *node_group_counts; /* label -> number of machine groups, likewise; absent: 0 */
   MmKeyVersion own_key_version;  /* of this node's own key; 0: it is absent */
   gboolean is_writing;
   MmTime next_write_at;
-};
+} MmVersions;
 
-MmVersions *mm_versions_new(MmNode *node);
+/* What is passed must outlive it. */
+MmVersions *mm_versions_new(const MmPlatform *platform, const MmSettings *settings,
+                            const MmOperators *operators, MmKvClient *kv, const MmReplica *replica);
 void mm_versions_free(MmVersions *versions);
+/* This node's key is written only while `may_announce` says so. */
+void mm_versions_set_announce_guard(MmVersions *versions, gboolean (*may_announce)(gconstpointer),
+                                    gconstpointer context);
 /* Writes this node's key where it is absent or announces less than the node supports. */
 void mm_versions_tick(MmVersions *versions);
 /* Takes over a node's key as the replica shows it. */
