--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -254,9 +254,9 @@
   MmTime now = mm_node_now(node);
   MmMachine *machine = mm_machine_table_find(node->machine_table, cloud_machine->id.s);
   const MmInstanceType *type = mm_instance_types_find(node->instance_types, &cloud_machine->type);
-  double patience_s = type != NULL
-                          ? MAX(type->boot_s * node->operators->boot_patience, BOOT_PATIENCE_MIN_S)
-                          : 600;
+  double patience_s
+      = type != NULL ? MAX(type->boot_s * node->operators->boot_timeout_factor, BOOT_PATIENCE_MIN_S)
+                     : 600;
   gint64 listed_for_ms = mm_time_ms_since(now, cloud_machine->first_listed_at);
 
   if (cloud_machine->has_failed)
@@ -281,7 +281,7 @@
   /* Idle, with nothing waiting anywhere. */
   if (machine->reported_tasks->len == 0 && machine->placed_tasks->len == 0
       && mm_time_ms_since(now, machine->idle_since)
-             > (gint64)(node->operators->idle_return_s * 1000)) {
+             > (gint64)(node->operators->idle_release_s * 1000)) {
     for (guint view_index = 0; view_index < node->placement->n_views; view_index++)
       if (node->placement->views[view_index].n_pending_tasks > 0)
         return FALSE;
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -190,7 +190,8 @@
   MmTime now = mm_node_now(node);
   g_autoptr(GHashTable) reserved_slots = g_hash_table_new(g_direct_hash, g_direct_equal);
 
-  if (autoscaler->rent_in_flight || !autoscaler->has_machine_list || node->operators->rent < 0.5)
+  if (autoscaler->rent_in_flight || !autoscaler->has_machine_list
+      || node->operators->may_scale_out < 0.5)
     return;
   count_arriving(autoscaler);
   for (guint view_index = 0; view_index < placement->n_views; view_index++) {
--- a/src/config/operators.c
+++ b/src/config/operators.c
@@ -6,37 +6,44 @@
 #define WEIGHT_ELEMENT "group-weight"
 #define MAX_GROUP_WEIGHT 1000.0
 
-#define SETTING(field, unit, fallback, least, most, meaning)                                       \
-  { #field, unit, meaning, G_STRUCT_OFFSET(MmOperators, field), fallback, least, most }
+#define SETTING(name, field, unit, fallback, least, most, meaning)                                 \
+  { name, unit, meaning, G_STRUCT_OFFSET(MmOperators, field), fallback, least, most }
 
-/* Element names are the field names with dashes for underscores. docs/operators.md is kept in step
- * with this table by a test. */
+/* A setting's XML element is its name with dashes for underscores. A test compares
+ * docs/operators.md with this table. */
 const MmOperatorSetting mm_operator_settings[] = {
-  SETTING(claim_ttl_s, "s", 3, 0.5, 600, "how long a node's claim lasts without renewal"),
-  SETTING(claim_renew_s, "s", 0.7, 0.1, 300, "how often a node renews its claim"),
-  SETTING(peer_ping_s, "s", 0.5, 0.05, 60, "how often nodes ask each other for a sign of life"),
-  SETTING(wait_bound_s, "s", 8, 0, 86400,
+  SETTING("claim_ttl_s", lease_ttl_s, "s", 3, 0.5, 600,
+          "how long a node's claim lasts without renewal"),
+  SETTING("claim_renew_s", lease_renew_interval_s, "s", 0.7, 0.1, 300,
+          "how often a node renews its claim"),
+  SETTING("peer_ping_s", peer_ping_interval_s, "s", 0.5, 0.05, 60,
+          "how often nodes ask each other for a sign of life"),
+  SETTING("wait_bound_s", wait_bound_s, "s", 8, 0, 86400,
           "a task that waited longer goes first to any fitting machine, cached image or not"),
-  SETTING(ask_timeout_ms, "ms", 400, 10, 3000,
+  SETTING("ask_timeout_ms", start_request_timeout_ms, "ms", 400, 10, 3000,
           "how long an answer to a worker waits for owners' approvals"),
-  SETTING(starts_per_answer, "tasks", 8, 1, 1000, "most starts in one answer to a worker"),
-  SETTING(candidates, "tasks", 2, 1, 16, "candidates sent to an owner in one request"),
-  SETTING(idle_return_s, "s", 40, 1, 1e7, "a machine without tasks this long is returned"),
-  SETTING(silent_release_s, "s", 0, 0, 86400,
+  SETTING("starts_per_answer", max_starts_per_response, "tasks", 8, 1, 1000,
+          "most starts in one answer to a worker"),
+  SETTING("candidates", candidates_per_request, "tasks", 2, 1, 16,
+          "candidates sent to an owner in one request"),
+  SETTING("idle_return_s", idle_release_s, "s", 40, 1, 1e7,
+          "a machine without tasks this long is returned"),
+  SETTING("silent_release_s", silent_release_s, "s", 0, 0, 86400,
           "a machine silent this long is returned; 0: when a report is overdue and questions go "
           "unanswered"),
-  SETTING(boot_patience, "times", 3, 1, 100,
+  SETTING("boot_patience", boot_timeout_factor, "times", 3, 1, 100,
           "a machine booting this many times the nominal boot time is returned"),
-  SETTING(preempt_after_s, "s", 0.1, 0, 86400,
+  SETTING("preempt_after_s", preempt_after_s, "s", 0.1, 0, 86400,
           "how long urgent work waits for free room before it may preempt"),
-  SETTING(starve_s, "s", 90, 1, 86400,
+  SETTING("starve_s", starved_after_s, "s", 90, 1, 86400,
           "a job that waited longer with none of its tasks begun goes before all others"),
-  SETTING(rent, "0 or 1", 1, 0, 1, "whether machines are rented when work waits"),
-  SETTING(groups, "groups", 0, 0, MM_GROUPS_MAX,
+  SETTING("rent", may_scale_out, "0 or 1", 1, 0, 1, "whether machines are rented when work waits"),
+  SETTING("groups", group_count, "groups", 0, 0, MM_GROUPS_MAX,
           "machine groups that the nodes share out among them, the same on all nodes; 0: none"),
-  SETTING(group_hold_s, "s", 30, 0, 86400,
+  SETTING("group_hold_s", group_min_stay_s, "s", 30, 0, 86400,
           "a machine group that has moved stays where it is for this long"),
-  SETTING(group_moves, "moves", 4, 1, MM_GROUPS_MAX, "moves of machine groups under way at once"),
+  SETTING("group_moves", max_group_moves, "moves", 4, 1, MM_GROUPS_MAX,
+          "moves of machine groups under way at once"),
   { NULL },
 };
 
@@ -182,7 +189,7 @@
     int line = 0;
     g_markup_parse_context_get_position(context, &line, NULL);
     *reason = g_strdup_printf("%s: line %d: %s", path, line, error->message);
-  } else if (operators->claim_renew_s * 2 > operators->claim_ttl_s) {
+  } else if (operators->lease_renew_interval_s * 2 > operators->lease_ttl_s) {
     *reason = g_strdup_printf("%s: <claim-renew-s>: must be at most half of <claim-ttl-s>", path);
     is_valid = FALSE;
   }
@@ -208,7 +215,7 @@
                                     const char *path, char **reason) {
   double total_weight = mm_operators_group_weight(operators, settings->label.s);
 
-  if (operators->groups != floor(operators->groups)) {
+  if (operators->group_count != floor(operators->group_count)) {
     *reason = g_strdup_printf("%s: <groups>: must be a whole number", path);
     return FALSE;
   }
--- a/src/config/operators.h
+++ b/src/config/operators.h
@@ -18,22 +18,22 @@
 } MmNodeWeight;
 
 typedef struct {
-  double claim_ttl_s;       /* how long a node's claim lasts without renewal */
-  double claim_renew_s;     /* how often it is renewed */
-  double peer_ping_s;       /* how often peers are asked whether they still answer */
-  double wait_bound_s;      /* a task that waited longer goes first to any fitting machine */
-  double ask_timeout_ms;    /* how long a worker's answer waits for an owner's approval */
-  double starts_per_answer; /* most starts in one answer to a worker */
-  double candidates;        /* candidates sent in one request */
-  double idle_return_s;     /* a machine without tasks this long is returned */
-  double silent_release_s;  /* a listed machine this long silent is returned (0: by its lease) */
-  double boot_patience;     /* times the nominal boot time until a machine counts as stuck */
-  double preempt_after_s;   /* how long urgent work waits for room before it may preempt */
-  double starve_s;          /* a job that waited longer with nothing begun goes before all others */
-  double rent;              /* 1: rent machines when work waits, 0: never */
-  double groups;            /* machine groups that nodes share out among them; 0: none */
-  double group_hold_s;      /* a group that moved stays for this long, if no one asks by hand */
-  double group_moves;       /* moves under way at once */
+  double lease_ttl_s;              /* how long a node's claim lasts without renewal */
+  double lease_renew_interval_s;   /* how often it is renewed */
+  double peer_ping_interval_s;     /* how often peers are asked whether they still answer */
+  double wait_bound_s;             /* a task that waited longer goes first to any fitting machine */
+  double start_request_timeout_ms; /* how long a worker's answer waits for an owner's approval */
+  double max_starts_per_response;  /* most starts in one answer to a worker */
+  double candidates_per_request;   /* candidates sent in one request */
+  double idle_release_s;           /* a machine without tasks this long is returned */
+  double silent_release_s;    /* a listed machine this long silent is returned (0: by its lease) */
+  double boot_timeout_factor; /* times the nominal boot time until a machine counts as stuck */
+  double preempt_after_s;     /* how long urgent work waits for room before it may preempt */
+  double starved_after_s;  /* a job that waited longer with nothing begun goes before all others */
+  double may_scale_out;    /* 1: rent machines when work waits, 0: never */
+  double group_count;      /* machine groups that nodes share out among them; 0: none */
+  double group_min_stay_s; /* a group that moved stays for this long, if no one asks by hand */
+  double max_group_moves;  /* moves under way at once */
   MmNodeWeight group_weights[MM_NODE_WEIGHTS_MAX];
   guint n_group_weights;
 } MmOperators;
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -195,8 +195,8 @@
 
   response->awaits_grants = TRUE;
   response->request_id = ++server->last_request_id;
-  response->deadline
-      = mm_time_add_ms(mm_node_now(server->node), (gint64)server->node->operators->ask_timeout_ms);
+  response->deadline = mm_time_add_ms(mm_node_now(server->node),
+                                      (gint64)server->node->operators->start_request_timeout_ms);
   g_hash_table_insert(server->pending_responses, &response->request_id, response);
   for (guint i = 0; i < n_starts; i++) {
     MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
@@ -267,7 +267,7 @@
 request_next_start(MmPendingResponse *response) {
   MmHeartbeatServer *server = response->server;
   MmNode *node = server->node;
-  guint limit = (guint)node->operators->starts_per_answer;
+  guint limit = (guint)node->operators->max_starts_per_response;
 
   while (response->approved_starts->len < limit && response->failed_requests < FAILED_REQUESTS_MAX
          && mm_time_before(mm_node_now(node), response->deadline)) {
@@ -344,7 +344,8 @@
   response->available = mm_machine_available_resources(node->machine_table, machine);
   response->grant_source = mm_sharing_grant_source(node->sharing, machine, &response->grant_peer,
                                                    &response->grant_term);
-  response->deadline = mm_time_add_ms(mm_node_now(node), (gint64)node->operators->ask_timeout_ms);
+  response->deadline
+      = mm_time_add_ms(mm_node_now(node), (gint64)node->operators->start_request_timeout_ms);
   return response;
 }
 
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -34,7 +34,7 @@
 
 static gint64
 lease_ttl_ms(const MmNodeLease *lease) {
-  return (gint64)(lease->operators->claim_ttl_s * 1000);
+  return (gint64)(lease->operators->lease_ttl_s * 1000);
 }
 
 static MmTime
@@ -150,7 +150,7 @@
   LeaseRequest *request = data;
   MmNodeLease *lease = request->lease;
   MmTime now = mm_platform_now(lease->platform);
-  gint64 renew_interval_ms = (gint64)(lease->operators->claim_renew_s * 1000);
+  gint64 renew_interval_ms = (gint64)(lease->operators->lease_renew_interval_s * 1000);
 
   lease->is_request_pending = FALSE;
   if (status == 200) {
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -24,7 +24,7 @@
   ownership->shard_names = g_ptr_array_new_with_free_func(g_free);
   ownership->leaderless_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   g_ptr_array_add(ownership->shard_names, g_strdup(MM_SHARD_AUTOSCALER));
-  if (operators->groups > 0)
+  if (operators->group_count > 0)
     g_ptr_array_add(ownership->shard_names, g_strdup(MM_SHARD_SHARING));
   for (guint i = 0; i < settings->teams->len; i++)
     g_ptr_array_add(
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -404,8 +404,8 @@
 static void
 reconnect_silent_peers(MmPeerLinks *links, MmTime now) {
   gint64 elapsed_us = MIN(now.us - links->last_tick_at.us, TICK_GAP_MAX_MS * 1000);
-  gint64 silence_limit_ms
-      = MAX((gint64)(links->node->operators->peer_ping_s * 1000 * SILENT_PINGS), SILENT_MIN_MS);
+  gint64 silence_limit_ms = MAX(
+      (gint64)(links->node->operators->peer_ping_interval_s * 1000 * SILENT_PINGS), SILENT_MIN_MS);
 
   links->last_tick_at = now;
   for (guint i = 0; i < links->n_peers; i++) {
@@ -430,7 +430,8 @@
     mm_peer_broadcast_repeat_heartbeats(links);
   if (mm_time_before(now, links->next_ping_at))
     return;
-  links->next_ping_at = mm_time_add_ms(now, (gint64)(links->node->operators->peer_ping_s * 1000));
+  links->next_ping_at
+      = mm_time_add_ms(now, (gint64)(links->node->operators->peer_ping_interval_s * 1000));
   for (guint i = 0; i < links->n_peers; i++)
     send_ping(links, i);
 }
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -460,7 +460,8 @@
   g_autoptr(GArray) ranked = g_array_new(FALSE, FALSE, sizeof(RankedTask));
   guint n_machines = rank->node->machine_table->sorted_machines->len, n_controllers = rank->n_views,
         n_tasks = 0, task_offset = 0;
-  guint max_tasks = MIN((guint)rank->node->operators->candidates, MM_PLACEMENT_CANDIDATES_MAX);
+  guint max_tasks
+      = MIN((guint)rank->node->operators->candidates_per_request, MM_PLACEMENT_CANDIDATES_MAX);
 
   for (guint v = 0; v < rank->n_views; v++)
     for (guint i = 0; i < rank->views[v].pending->len; i++) {
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -4,7 +4,6 @@
 
 #include <stdlib.h>
 
-
 #define TASKS_PER_ROUND 16
 #define PREEMPTIONS_PER_ROUND 6
 /* Of these, for work that is neither urgent nor within a guarantee. */
@@ -44,7 +43,7 @@
 /* A job that has hardly begun after a long wait keeps the little it has. */
 static gboolean
 is_spared(const MmScheduler *owner, const MmJob *job) {
-  return mm_job_waiting_time_s(owner->node, job) > owner->node->operators->starve_s
+  return mm_job_waiting_time_s(owner->node, job) > owner->node->operators->starved_after_s
          && mm_machine_table_running_tasks(owner->node->machine_table, job->spec.id.s)
                 <= SPARED_TASKS_MAX;
 }
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -467,7 +467,7 @@
       job->is_starving
           = job->n_maybe_on_machines == 0 && job->completed.n_completed == 0 && !job->is_cancelled
             && mm_job_dependencies_are_done(job)
-            && mm_job_waiting_time_s(owner->node, job) > owner->node->operators->starve_s;
+            && mm_job_waiting_time_s(owner->node, job) > owner->node->operators->starved_after_s;
   }
   choose_gang_to_yield_to(owner);
   mm_scheduler_update_guarantees(owner);
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -113,7 +113,7 @@
 static void
 order_moves(MmSharing *sharing, MmSharePlan *plan) {
   guint n = plan->live->len;
-  guint max_moves = (guint)sharing->node->operators->group_moves;
+  guint max_moves = (guint)sharing->node->operators->max_group_moves;
   guint slack = 1 + sharing->n_groups / MAX(n, 1) / SLACK_DIVISOR;
   guint under_way = moves_under_way(sharing);
 
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -45,9 +45,9 @@
   if (g_hash_table_lookup(node->replica->live_nodes, target) == NULL)
     return MM_MOVE_TARGET_NOT_LIVE;
   owned_ms = mm_time_ms_since(mm_node_now(node), owned->acquired_at);
-  if (!by_hand && owned_ms < (gint64)(node->operators->group_hold_s * 1000))
+  if (!by_hand && owned_ms < (gint64)(node->operators->group_min_stay_s * 1000))
     return MM_MOVE_TOO_SOON;
-  if (!by_hand && sharing->n_moving >= (guint)node->operators->group_moves)
+  if (!by_hand && sharing->n_moving >= (guint)node->operators->max_group_moves)
     return MM_MOVE_TOO_MANY;
   return MM_MOVE_STARTED;
 }
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -10,7 +10,7 @@
   MmSharing *sharing = g_new0(MmSharing, 1);
 
   sharing->node = node;
-  sharing->n_groups = (guint)node->operators->groups;
+  sharing->n_groups = (guint)node->operators->group_count;
   sharing->grants = mm_grants_new(node);
   sharing->peer_moves = g_new0(GArray *, MAX(node->settings->peers->len, 1));
   for (guint i = 0; i < node->settings->peers->len; i++)
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -43,7 +43,8 @@
 
 gboolean
 mm_versions_own_groups_announced(const MmVersions *versions) {
-  return group_count_of(versions, &versions->settings->label) == (guint)versions->operators->groups;
+  return group_count_of(versions, &versions->settings->label)
+         == (guint)versions->operators->group_count;
 }
 
 guint
@@ -98,7 +99,7 @@
 mm_versions_tick(MmVersions *versions) {
   const char *own_label = versions->settings->label.s;
   MmNodeVersionRecord own_record
-      = { .version = MM_VERSION_CURRENT, .group_count = (guint)versions->operators->groups };
+      = { .version = MM_VERSION_CURRENT, .group_count = (guint)versions->operators->group_count };
   MmTransaction transaction;
 
   if (!may_write_own_key(versions) || !own_key_is_outdated(versions))
--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -64,8 +64,8 @@
         = 0;
   world_start(world);
   for (guint i = 0; i < WORLD_NODES; i++) {
-    world->nodes[i].operators.rent = 0;
-    world->nodes[i].operators.idle_return_s = NEVER_S;
+    world->nodes[i].operators.may_scale_out = 0;
+    world->nodes[i].operators.idle_release_s = NEVER_S;
   }
   world_run(world, SETTLE_S);
   return world;
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -24,7 +24,7 @@
                       world_uniform(world, 0.1, 2));
   world_start(world);
   for (guint i = 0; i < WORLD_NODES; i++)
-    world->nodes[i].operators.idle_return_s = 1e6;
+    world->nodes[i].operators.idle_release_s = 1e6;
   return world;
 }
 
--- a/tests/test-operators.c
+++ b/tests/test-operators.c
@@ -17,8 +17,8 @@
                       "<martenmount>\n <!-- why -->\n <claim-ttl-s>5</claim-ttl-s>\n"
                       " <candidates> 4 </candidates>\n</martenmount>",
                       &reason));
-  g_assert_cmpfloat(operators.claim_ttl_s, ==, 5);
-  g_assert_cmpfloat(operators.candidates, ==, 4);
+  g_assert_cmpfloat(operators.lease_ttl_s, ==, 5);
+  g_assert_cmpfloat(operators.candidates_per_request, ==, 4);
   g_assert_cmpfloat(operators.wait_bound_s, ==, mm_operators_defaults().wait_bound_s);
 }
 
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -352,7 +352,7 @@
 static void
 restart_with_groups(World *world, guint node, guint groups) {
   world_kill_node(world, node, 0.5);
-  world->nodes[node].operators.groups = groups;
+  world->nodes[node].operators.group_count = groups;
 }
 
 /* Machines are shared out once every node of the settings takes part, and no longer when one does
@@ -363,7 +363,7 @@
   const WorldKey *key;
 
   world_start(world);
-  world->nodes[2].operators.groups = 0;
+  world->nodes[2].operators.group_count = 0;
   world_run(world, 3);
   run_under_load(world, 8);
   g_assert_cmpuint(n_active(world), ==, 0);
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -498,8 +498,8 @@
     world_node->index = i;
     world_node->settings = world_node_settings(world, i);
     world_node->operators = mm_operators_defaults();
-    world_node->operators.groups = world_node->is_old_version ? 0 : world->groups;
-    world_node->operators.group_hold_s = world->group_hold_s;
+    world_node->operators.group_count = world_node->is_old_version ? 0 : world->groups;
+    world_node->operators.group_min_stay_s = world->group_hold_s;
     world_schedule(world, world->now_us + (gint64)i * 30000, boot_node, world_node);
   }
   check_periodically(world);
