--- a/src/config/operators.c
+++ b/src/config/operators.c
@@ -3,6 +3,8 @@
 #include <math.h>
 #include <string.h>
 
+#include "config/config-error.h"
+
 #define WEIGHT_ELEMENT "group-weight"
 #define MAX_GROUP_WEIGHT 1000.0
 
@@ -49,7 +51,6 @@
 
 typedef struct {
   MmOperators *operators;
-  const char *path;
   const MmOperatorSetting *open_setting; /* the setting whose element is open */
   MmNodeWeight *open_weight;             /* or the node's weight */
   gboolean is_inside_root;
@@ -77,18 +78,18 @@
     if (strcmp(attributes[i], "node") == 0)
       node = values[i];
   if (node == NULL || node[0] == '\0') {
-    g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_MISSING_ATTRIBUTE,
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
                 "<" WEIGHT_ELEMENT ">: names no node");
     return;
   }
   for (guint i = 0; i < operators->n_group_weights; i++)
     if (strcmp(operators->group_weights[i].node.s, node) == 0) {
-      g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT,
+      g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
                   "<" WEIGHT_ELEMENT ">: names %s twice", node);
       return;
     }
   if (operators->n_group_weights == MM_NODE_WEIGHTS_MAX) {
-    g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT,
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
                 "<" WEIGHT_ELEMENT ">: stands more than %d times", MM_NODE_WEIGHTS_MAX);
     return;
   }
@@ -104,13 +105,13 @@
 
   if (!parse->is_inside_root) {
     if (strcmp(name, "martenmount") != 0)
-      g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_UNKNOWN_ELEMENT,
+      g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
                   "the outermost element must be <martenmount>, not <%s>", name);
     parse->is_inside_root = TRUE;
     return;
   }
   if (parse->open_setting != NULL || parse->open_weight != NULL) {
-    g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT,
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
                 "<%s> stands inside another setting", name);
     return;
   }
@@ -121,8 +122,7 @@
   if (strcmp(name, WEIGHT_ELEMENT) == 0)
     start_weight_element(parse, attributes, values, error);
   else if (parse->open_setting == NULL)
-    g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_UNKNOWN_ELEMENT, "<%s>: unknown setting",
-                name);
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID, "<%s>: unknown setting", name);
 }
 
 static void
@@ -130,7 +130,7 @@
   ParseState *parse = data;
 
   if ((parse->open_setting != NULL || parse->open_weight != NULL) && !parse->has_value)
-    g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_EMPTY, "<%s>: has no value", name);
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID, "<%s>: has no value", name);
   parse->open_setting = NULL;
   parse->open_weight = NULL;
 }
@@ -158,11 +158,11 @@
   if (value[0] == '\0')
     return;
   if (parse->open_setting == NULL && parse->open_weight == NULL) {
-    g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT, "stray text \"%s\"", value);
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID, "stray text \"%s\"", value);
     return;
   }
   if (!read_number(value, min, max, &number)) {
-    g_set_error(error, G_MARKUP_ERROR, G_MARKUP_ERROR_INVALID_CONTENT,
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
                 "<%s>: \"%s\" must be a number from %g to %g (%s)",
                 g_markup_parse_context_get_element(context), value, min, max, unit);
     return;
@@ -174,62 +174,77 @@
   parse->has_value = TRUE;
 }
 
-gboolean
-mm_operators_parse(MmOperators *operators, const char *path, const char *xml, gssize length,
-                   char **reason) {
+/* Reads the document into the operators; errors name the line. */
+static gboolean
+parse_document(MmOperators *operators, const char *path, const char *xml, gssize length,
+               GError **error) {
   static const GMarkupParser parser
       = { .start_element = start_element, .end_element = end_element, .text = element_text };
-  ParseState parse = { .operators = operators, .path = path };
-  GMarkupParseContext *context = g_markup_parse_context_new(&parser, 0, &parse, NULL);
-  g_autoptr(GError) error = NULL;
-  gboolean is_valid = g_markup_parse_context_parse(context, xml, length, &error)
-                      && g_markup_parse_context_end_parse(context, &error);
-
-  if (!is_valid) {
-    int line = 0;
-    g_markup_parse_context_get_position(context, &line, NULL);
-    *reason = g_strdup_printf("%s: line %d: %s", path, line, error->message);
-  } else if (operators->lease_renew_interval_s * 2 > operators->lease_ttl_s) {
-    *reason = g_strdup_printf("%s: <claim-renew-s>: must be at most half of <claim-ttl-s>", path);
-    is_valid = FALSE;
+  ParseState parse = { .operators = operators };
+  g_autoptr(GMarkupParseContext) context = g_markup_parse_context_new(&parser, 0, &parse, NULL);
+  g_autoptr(GError) parse_error = NULL;
+  int line = 0;
+
+  if (g_markup_parse_context_parse(context, xml, length, &parse_error)
+      && g_markup_parse_context_end_parse(context, &parse_error))
+    return TRUE;
+  g_markup_parse_context_get_position(context, &line, NULL);
+  g_set_error(error, MM_CONFIG_ERROR,
+              parse_error->domain == MM_CONFIG_ERROR ? parse_error->code : MM_CONFIG_ERROR_SYNTAX,
+              "%s: line %d: %s", path, line, parse_error->message);
+  return FALSE;
+}
+
+gboolean
+mm_operators_parse(MmOperators *operators, const char *path, const char *xml, gssize length,
+                   GError **error) {
+  if (!parse_document(operators, path, xml, length, error))
+    return FALSE;
+  if (operators->lease_renew_interval_s * 2 > operators->lease_ttl_s) {
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
+                "%s: <claim-renew-s>: must be at most half of <claim-ttl-s>", path);
+    return FALSE;
   }
-  g_markup_parse_context_free(context);
-  return is_valid;
+  return TRUE;
 }
 
 gboolean
-mm_operators_read(MmOperators *operators, const char *path, char **reason) {
+mm_operators_read(MmOperators *operators, const char *path, GError **error) {
   g_autofree char *xml = NULL;
-  g_autoptr(GError) error = NULL;
+  g_autoptr(GError) read_error = NULL;
   gsize length;
 
-  if (!g_file_get_contents(path, &xml, &length, &error)) {
-    *reason = g_strdup_printf("%s: %s", path, error->message);
+  if (!g_file_get_contents(path, &xml, &length, &read_error)) {
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_UNREADABLE, "%s: %s", path,
+                read_error->message);
     return FALSE;
   }
-  return mm_operators_parse(operators, path, xml, (gssize)length, reason);
+  return mm_operators_parse(operators, path, xml, (gssize)length, error);
 }
 
 gboolean
 mm_operators_check_against_settings(const MmOperators *operators, const MmSettings *settings,
-                                    const char *path, char **reason) {
+                                    const char *path, GError **error) {
   double total_weight = mm_operators_group_weight(operators, settings->label.s);
 
   if (operators->group_count != floor(operators->group_count)) {
-    *reason = g_strdup_printf("%s: <groups>: must be a whole number", path);
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
+                "%s: <groups>: must be a whole number", path);
     return FALSE;
   }
   for (guint i = 0; i < operators->n_group_weights; i++)
     if (!mm_settings_has_node(settings, operators->group_weights[i].node.s)) {
-      *reason = g_strdup_printf("%s: <" WEIGHT_ELEMENT ">: %s is none of the settings' nodes", path,
-                                operators->group_weights[i].node.s);
+      g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
+                  "%s: <" WEIGHT_ELEMENT ">: %s is none of the settings' nodes", path,
+                  operators->group_weights[i].node.s);
       return FALSE;
     }
   for (guint i = 0; i < settings->peers->len; i++)
     total_weight += mm_operators_group_weight(
         operators, g_array_index(settings->peers, MmPeerSettings, i).label.s);
   if (total_weight <= 0)
-    *reason = g_strdup_printf("%s: <" WEIGHT_ELEMENT ">: is 0 for all nodes", path);
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
+                "%s: <" WEIGHT_ELEMENT ">: is 0 for all nodes", path);
   return total_weight > 0;
 }
 
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -1,20 +1,22 @@
 #include "config/settings.h"
 
 #include <math.h>
-#include <stdlib.h>
 
 #include "base/json.h"
+#include "config/config-error.h"
 #include "config/toml.h"
 
+/* Reads a whole file's settings and keeps the first error. */
 typedef struct {
   const char *path;
-  char *reason;
+  GError *error;
 } Validation;
 
 static void
 record_error(Validation *validation, const char *field, const char *problem) {
-  if (validation->reason == NULL)
-    validation->reason = g_strdup_printf("%s: %s: %s", validation->path, field, problem);
+  if (validation->error == NULL)
+    g_set_error(&validation->error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID, "%s: %s: %s",
+                validation->path, field, problem);
 }
 
 static const char *
@@ -37,7 +39,7 @@
   const char *colon = strrchr(value, ':');
   char *end = NULL;
 
-  if (validation->reason == NULL) {
+  if (validation->error == NULL) {
     guint64 port = colon != NULL ? g_ascii_strtoull(colon + 1, &end, 10) : 0;
     if (colon == NULL || colon == value || *end != '\0' || port == 0 || port > 65535) {
       g_autofree char *field = g_strconcat(prefix, key, NULL);
@@ -131,8 +133,7 @@
     MmObjective objective = { .kind = MM_OBJECTIVE_OTHER,
                               .job_class = mm_name(mm_json_string(item, "class")),
                               .within_s = mm_json_number(item, "within_s", 0),
-                              .deadline_factor = mm_json_number(item, "times", 1),
-                              .required_share = mm_json_number(item, "share", 0) };
+                              .deadline_factor = mm_json_number(item, "times", 1) };
     if (g_strcmp0(kind, "wait") == 0)
       objective.kind = MM_OBJECTIVE_WAIT;
     else if (g_strcmp0(kind, "finished") == 0)
@@ -158,17 +159,16 @@
       = read_number(validation, section, "settings.workers.", "report_s", 0.05, 3600);
   settings->worker_lease_s
       = read_number(validation, section, "settings.workers.", "lease_s", 0.1, 86400);
-  settings->gang_wait_s
-      = read_number(validation, section, "settings.workers.", "gang_wait_s", 0, 86400);
-  settings->gang_peer_s
-      = read_number(validation, section, "settings.workers.", "gang_peer_s", 0, 86400);
-  settings->cancel_s = read_number(validation, section, "settings.workers.", "cancel_s", 0, 86400);
+  /* Must be valid, though nothing here depends on their values. */
+  read_number(validation, section, "settings.workers.", "gang_wait_s", 0, 86400);
+  read_number(validation, section, "settings.workers.", "gang_peer_s", 0, 86400);
+  read_number(validation, section, "settings.workers.", "cancel_s", 0, 86400);
   if (settings->worker_lease_s <= settings->heartbeat_interval_s)
     record_error(validation, "settings.workers.lease_s", "must exceed report_s");
 }
 
-/* A limit of the state service: the smaller of what holds now and what is announced, from the start
- * on, since the change comes without notice. */
+/* A limit of the key-value store: from the start on the smaller of the present one and the one
+ * announced for later, since the change comes without notice. */
 static double
 read_kv_limit(Validation *validation, const json_t *section, const char *key, double min,
               double max) {
@@ -218,57 +218,59 @@
     record_error(validation, "settings.resources.max_sockets", "must be at least 16");
 }
 
-MmSettings *
-mm_settings_from_json(const char *path, const void *data, char **reason) {
-  const json_t *root = data;
-  Validation validation = { .path = path };
+static MmSettings *
+settings_new(void) {
   MmSettings *settings = g_new0(MmSettings, 1);
-  const json_t *external_table, *settings_table;
 
   settings->peers = g_array_new(FALSE, TRUE, sizeof(MmPeerSettings));
   g_array_set_clear_func(settings->peers, peer_clear);
   settings->teams = g_array_new(FALSE, TRUE, sizeof(MmTeamSettings));
   settings->objectives = g_array_new(FALSE, TRUE, sizeof(MmObjective));
+  return settings;
+}
 
-  settings->label = mm_name(read_text(&validation, root, "", "label"));
-  settings->zone = mm_name(read_text(&validation, root, "", "zone"));
-  settings->front_address = read_address(&validation, root, "", "front");
-  settings->peer_listen_address = read_address(&validation, root, "", "cluster_listen");
-  read_peers(&validation, settings, root);
-  external_table = read_table(&validation, root, "external", "external");
-  settings->cloud_address = read_address(&validation, external_table, "external.", "cloud");
-  settings->kv_address = read_address(&validation, external_table, "external.", "state");
+static void
+read_node(Validation *validation, MmSettings *settings, const json_t *root) {
+  const json_t *external_table;
+
+  settings->label = mm_name(read_text(validation, root, "", "label"));
+  settings->zone = mm_name(read_text(validation, root, "", "zone"));
+  settings->front_address = read_address(validation, root, "", "front");
+  settings->peer_listen_address = read_address(validation, root, "", "cluster_listen");
+  read_peers(validation, settings, root);
+  external_table = read_table(validation, root, "external", "external");
+  settings->cloud_address = read_address(validation, external_table, "external.", "cloud");
+  settings->kv_address = read_address(validation, external_table, "external.", "state");
+}
+
+MmSettings *
+mm_settings_from_json(const char *path, const json_t *root, GError **error) {
+  Validation validation = { .path = path };
+  g_autoptr(MmSettings) settings = settings_new();
+  const json_t *settings_table;
+
+  read_node(&validation, settings, root);
   settings_table = read_table(&validation, root, "settings", "settings");
   settings->node_count
       = (guint)read_number(&validation, settings_table, "settings.", "count", 1, 1000);
   read_teams(&validation, settings, settings_table);
   read_objectives(settings, settings_table);
-
   read_workers(&validation, settings, settings_table);
   read_kv_store(&validation, settings, settings_table);
   read_cloud(&validation, settings, settings_table);
   read_resources(&validation, settings, settings_table);
-
-  if (validation.reason != NULL) {
-    *reason = validation.reason;
-    mm_settings_free(settings);
+  if (validation.error != NULL) {
+    g_propagate_error(error, validation.error);
     return NULL;
   }
-  return settings;
+  return g_steal_pointer(&settings);
 }
 
 MmSettings *
-mm_settings_read(const char *path, char **reason) {
-  char *toml_error = NULL;
-  g_autoptr(json_t) root = mm_toml_read(path, &toml_error);
-  MmSettings *settings = NULL;
-
-  if (root == NULL)
-    *reason = g_strdup_printf("%s: %s", path, toml_error);
-  else
-    settings = mm_settings_from_json(path, root, reason);
-  free(toml_error);
-  return settings;
+mm_settings_read(const char *path, GError **error) {
+  g_autoptr(json_t) root = mm_toml_read(path, error);
+
+  return root != NULL ? mm_settings_from_json(path, root, error) : NULL;
 }
 
 gboolean
@@ -300,12 +302,12 @@
   for (guint i = 0; i < settings->teams->len; i++)
     if (mm_name_equal(&g_array_index(settings->teams, MmTeamSettings, i).name, name))
       return (gint)i;
-  return -1;
+  return MM_NO_TEAM;
 }
 
 const MmTeamSettings *
 mm_settings_team(const MmSettings *settings, const MmName *name) {
   gint i = mm_settings_team_index(settings, name);
 
-  return i >= 0 ? &g_array_index(settings->teams, MmTeamSettings, i) : NULL;
+  return i != MM_NO_TEAM ? &g_array_index(settings->teams, MmTeamSettings, i) : NULL;
 }
--- a/src/config/toml.cc
+++ b/src/config/toml.cc
@@ -1,5 +1,7 @@
 #include "config/toml.h"
 
+#include "config/config-error.h"
+
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
 
@@ -36,25 +38,26 @@
 }
 
 json_t *
-mm_toml_read(const char *path, char **reason) {
+mm_toml_read(const char *path, GError **error) {
   std::ifstream file(path);
   if (!file) {
-    *reason = strdup(std::strerror(errno));
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_UNREADABLE, "%s: %s", path,
+                std::strerror(errno));
     return nullptr;
   }
   std::stringstream text;
   text << file.rdbuf();
   if (file.bad() || text.fail()) {
-    *reason = strdup("cannot be read");
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_UNREADABLE, "%s: cannot be read", path);
     return nullptr;
   }
   try {
     const std::string document = text.str();
     return to_json(toml::parse(std::string_view(document), std::string_view(path)));
-  } catch (const toml::parse_error &error) {
-    std::ostringstream message;
-    message << "line " << error.source().begin.line << ": " << error.description();
-    *reason = strdup(message.str().c_str());
+  } catch (const toml::parse_error &failure) {
+    const std::string description(failure.description());
+    g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_SYNTAX, "%s: line %u: %s", path,
+                static_cast<unsigned>(failure.source().begin.line), description.c_str());
     return nullptr;
   }
 }
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -1,14 +1,16 @@
-/* TOML read into JSON values. Debian has no TOML library for C, hence one small C++ file. */
+/* Reads TOML files into JSON values. Debian has no TOML library for C, hence one small C++ file. */
 #pragma once
 
+#include <glib.h>
 #include <jansson.h>
 
 #ifdef __cplusplus
 extern "C" {
 #endif
 
-/* Reads the file as a JSON object; NULL with a reason (to be freed with free) when it can't. */
-json_t *mm_toml_read(const char *path, char **reason);
+/* The file's tables as a new JSON object; NULL with an error of MM_CONFIG_ERROR. Dates become null.
+ */
+json_t *mm_toml_read(const char *path, GError **error);
 
 #ifdef __cplusplus
 }
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -120,7 +120,6 @@
   g_autoptr(GError) error = NULL;
   g_autoptr(MmSettings) settings = NULL;
   MmOperators operators = mm_operators_defaults();
-  g_autofree char *reason = NULL;
 
   /* No name look-ups, proxies or volumes are wanted: loading GIO's modules only costs start-up. */
   g_setenv("GIO_MODULE_DIR", "/nonexistent", TRUE);
@@ -143,13 +142,13 @@
     fprintf(stderr, "martenmount: --config FILE is required\n");
     return EXIT_USAGE;
   }
-  settings = mm_settings_read(settings_path, &reason);
+  settings = mm_settings_read(settings_path, &error);
   if (settings == NULL
       || (operators_path != NULL
-          && (!mm_operators_read(&operators, operators_path, &reason)
+          && (!mm_operators_read(&operators, operators_path, &error)
               || !mm_operators_check_against_settings(&operators, settings, operators_path,
-                                                      &reason)))) {
-    fprintf(stderr, "martenmount: %s\n", reason);
+                                                      &error)))) {
+    fprintf(stderr, "martenmount: %s\n", error->message);
     return EXIT_USAGE;
   }
   if (only_check) {
--- a/tests/test-operators.c
+++ b/tests/test-operators.c
@@ -3,20 +3,20 @@
 #include <string.h>
 
 static gboolean
-parse(MmOperators *operators, const char *xml, char **reason) {
+parse(MmOperators *operators, const char *xml, GError **error) {
   *operators = mm_operators_defaults();
-  return mm_operators_parse(operators, "ops.xml", xml, -1, reason);
+  return mm_operators_parse(operators, "ops.xml", xml, -1, error);
 }
 
 static void
 test_good(void) {
-  g_autofree char *reason = NULL;
+  g_autoptr(GError) error = NULL;
   MmOperators operators;
 
   g_assert_true(parse(&operators,
                       "<martenmount>\n <!-- why -->\n <claim-ttl-s>5</claim-ttl-s>\n"
                       " <candidates> 4 </candidates>\n</martenmount>",
-                      &reason));
+                      &error));
   g_assert_cmpfloat(operators.lease_ttl_s, ==, 5);
   g_assert_cmpfloat(operators.candidates_per_request, ==, 4);
   g_assert_cmpfloat(operators.wait_bound_s, ==, mm_operators_defaults().wait_bound_s);
@@ -47,12 +47,12 @@
   };
 
   for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
-    g_autofree char *reason = NULL;
+    g_autoptr(GError) error = NULL;
     MmOperators operators;
-    g_assert_false(parse(&operators, faults[i].xml, &reason));
-    g_assert_nonnull(strstr(reason, "ops.xml"));
-    g_assert_nonnull(strstr(reason, faults[i].line));
-    g_assert_nonnull(strstr(reason, faults[i].about));
+    g_assert_false(parse(&operators, faults[i].xml, &error));
+    g_assert_nonnull(strstr(error->message, "ops.xml"));
+    g_assert_nonnull(strstr(error->message, faults[i].line));
+    g_assert_nonnull(strstr(error->message, faults[i].about));
   }
 }
 
@@ -67,22 +67,23 @@
     { "<martenmount><groups>2.5</groups></martenmount>", "whole number" },
   };
   g_autofree char *path = g_build_filename(g_getenv("MM_SOURCE_ROOT"), "docs", "sample.toml", NULL);
-  g_autofree char *ignored = NULL, *reason = NULL;
+  g_autoptr(GError) ignored = NULL;
+  g_autoptr(GError) error = NULL;
   g_autoptr(MmSettings) settings = mm_settings_read(path, &ignored);
   MmOperators operators;
 
   for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
-    g_autofree char *why = NULL;
+    g_autoptr(GError) why = NULL;
     g_assert_true(parse(&operators, faults[i].xml, &why));
     g_assert_false(mm_operators_check_against_settings(&operators, settings, "ops.xml", &why));
-    g_assert_nonnull(strstr(why, "ops.xml"));
-    g_assert_nonnull(strstr(why, faults[i].about));
+    g_assert_nonnull(strstr(why->message, "ops.xml"));
+    g_assert_nonnull(strstr(why->message, faults[i].about));
   }
   g_assert_true(parse(&operators,
                       "<martenmount><groups>256</groups>"
                       "<group-weight node=\"node-0\">2.5</group-weight></martenmount>",
-                      &reason));
-  g_assert_true(mm_operators_check_against_settings(&operators, settings, "ops.xml", &reason));
+                      &error));
+  g_assert_true(mm_operators_check_against_settings(&operators, settings, "ops.xml", &error));
   g_assert_cmpfloat(mm_operators_group_weight(&operators, "node-0"), ==, 2.5);
   g_assert_cmpfloat(mm_operators_group_weight(&operators, "node-9"), ==, 1);
 }
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -6,17 +6,17 @@
 static char *directory;
 
 static MmSettings *
-read_text(const char *text, char **reason) {
+read_text(const char *text, GError **error) {
   g_autofree char *path = g_build_filename(directory, "settings.toml", NULL);
 
   g_assert_true(g_file_set_contents(path, text, -1, NULL));
-  return mm_settings_read(path, reason);
+  return mm_settings_read(path, error);
 }
 
 static void
 test_good(void) {
-  g_autofree char *reason = NULL;
-  g_autoptr(MmSettings) settings = read_text(sample_settings, &reason);
+  g_autoptr(GError) error = NULL;
+  g_autoptr(MmSettings) settings = read_text(sample_settings, &error);
   MmName red = mm_name("red");
 
   g_assert_nonnull(settings);
@@ -49,24 +49,24 @@
   for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
     const char *at = strstr(sample_settings, faults[i].from);
     g_autofree char *text = NULL;
-    g_autofree char *reason = NULL;
+    g_autoptr(GError) error = NULL;
     g_assert_nonnull(at);
     text = g_strdup_printf("%.*s%s%s", (int)(at - sample_settings), sample_settings, faults[i].to,
                            at + strlen(faults[i].from));
-    g_assert_null(read_text(text, &reason));
-    g_assert_nonnull(strstr(reason, "settings.toml"));
-    g_assert_nonnull(strstr(reason, faults[i].field));
-    g_assert_null(strchr(reason, '\n'));
+    g_assert_null(read_text(text, &error));
+    g_assert_nonnull(strstr(error->message, "settings.toml"));
+    g_assert_nonnull(strstr(error->message, faults[i].field));
+    g_assert_null(strchr(error->message, '\n'));
   }
 }
 
 static MmSettings *
-read_with_next(const char *next, char **reason) {
+read_with_next(const char *next, GError **error) {
   const char *at = strstr(sample_settings, "[settings.cloud]");
   g_autofree char *text
       = g_strdup_printf("%.*s%s\n%s", (int)(at - sample_settings), sample_settings, next, at);
 
-  return read_text(text, reason);
+  return read_text(text, error);
 }
 
 /* Of the limits that hold and those that are announced, the smaller ones, from the start. */
@@ -94,18 +94,18 @@
   };
 
   for (guint i = 0; i < G_N_ELEMENTS(good); i++) {
-    g_autofree char *reason = NULL;
-    g_autoptr(MmSettings) settings = read_with_next(good[i].next, &reason);
-    g_assert_cmpstr(reason, ==, NULL);
+    g_autoptr(GError) error = NULL;
+    g_autoptr(MmSettings) settings = read_with_next(good[i].next, &error);
+    g_assert_no_error(error);
     g_assert_cmpfloat(settings->kv_writes_per_s, ==, good[i].write_rps);
     g_assert_cmpuint(settings->kv_max_value_bytes, ==, good[i].value_bytes);
     g_assert_cmpuint(settings->kv_max_operations, ==, good[i].txn_ops);
   }
   for (guint i = 0; i < G_N_ELEMENTS(bad); i++) {
-    g_autofree char *reason = NULL;
-    g_assert_null(read_with_next(bad[i].next, &reason));
-    g_assert_nonnull(strstr(reason, bad[i].field));
-    g_assert_null(strchr(reason, '\n'));
+    g_autoptr(GError) error = NULL;
+    g_assert_null(read_with_next(bad[i].next, &error));
+    g_assert_nonnull(strstr(error->message, bad[i].field));
+    g_assert_null(strchr(error->message, '\n'));
   }
 }
 
@@ -113,23 +113,24 @@
 static void
 test_too_many_others(void) {
   g_autoptr(GString) text = g_string_new(sample_settings);
-  g_autofree char *reason = NULL;
+  g_autoptr(GError) error = NULL;
 
   for (guint i = 0; i < MM_PEERS_MAX; i++)
     g_string_append_printf(
         text, "\n[[others]]\nlabel = \"x-%u\"\nzone = \"a\"\nendpoint = \"127.0.0.1:9\"\n", i);
-  g_assert_null(read_text(text->str, &reason));
-  g_assert_nonnull(strstr(reason, "others: must not be longer"));
+  g_assert_null(read_text(text->str, &error));
+  g_assert_nonnull(strstr(error->message, "others: must not be longer"));
 }
 
 static void
 test_unreadable(void) {
-  g_autofree char *reason = NULL, *other = NULL;
+  g_autoptr(GError) error = NULL;
+  g_autoptr(GError) other = NULL;
 
-  g_assert_null(mm_settings_read("/nonexistent/settings.toml", &reason));
-  g_assert_nonnull(strstr(reason, "/nonexistent/settings.toml"));
+  g_assert_null(mm_settings_read("/nonexistent/settings.toml", &error));
+  g_assert_nonnull(strstr(error->message, "/nonexistent/settings.toml"));
   g_assert_null(read_text("label = \n", &other));
-  g_assert_nonnull(strstr(other, "line 1"));
+  g_assert_nonnull(strstr(other->message, "line 1"));
 }
 
 int
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -414,7 +414,7 @@
 MmSettings *
 world_node_settings(World *world, guint index) {
   MmSettings *settings;
-  g_autofree char *reason = NULL;
+  g_autoptr(GError) error = NULL;
   g_autofree char *label = g_strdup_printf("n-%u", index);
   g_autoptr(json_t) root = json_pack(
       "{s:s, s:s, s:s, s:s, s:{s:s, s:s}, s:{s:i, s:{s:f, s:f, s:f, s:f, s:f},"
@@ -447,9 +447,9 @@
     json_object_set_new(json_object_get(json_object_get(root, "settings"), "state"), "next",
                         json_pack("{s:f, s:f, s:i}", "write_rps", WORLD_NEXT_WRITE_RPS, "value_kb",
                                   WORLD_NEXT_VALUE_BYTES / 1024.0, "txn_ops", WORLD_NEXT_TXN_OPS));
-  settings = mm_settings_from_json("world", root, &reason);
+  settings = mm_settings_from_json("world", root, &error);
   if (settings == NULL)
-    g_error("%s", reason);
+    g_error("%s", error->message);
   return settings;
 }
 
