--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,36 +1,37 @@
-/* Small types of their own for ids, versions and times, so that the compiler keeps them apart. */
+/* Types for ids, versions, times and resources. Each is a struct of its own, so that the compiler
+ * keeps them apart. */
 #pragma once
 
 #include <glib.h>
 #include <string.h>
 
-/* A steady instant, in microseconds. Zero is "never". */
+/* An instant of steady time, in microseconds. 0: never. */
 typedef struct {
   gint64 us;
 } MmTime;
 
-/* Who is entitled to give commands: the global term, sent to workers as their token. */
+/* The global term, sent to workers as fencing token: a command of an older term is not accepted. */
 typedef struct {
   guint64 v;
 } MmTerm;
 
-/* A revision of the state service. */
+/* A revision of the key-value store: of the whole, or of the last change of a key. 0: none. */
 typedef struct {
   guint64 v;
 } MmKeyVersion;
 
-/* One try at running a task: the term in the high bits, a running number in the low ones. */
+/* One attempt at running a task: the term in the high bits, a serial number in the low ones. */
 typedef struct {
   guint64 v;
 } MmAttempt;
 
-/* Where a worker's message stands among its others: the larger is the newer. */
+/* The order of a worker's heartbeats: by its agent's incarnation, then by number. */
 typedef struct {
   guint64 incarnation;
   guint64 sequence;
 } MmHeartbeatId;
 
-/* An id of a job, machine, node, team, zone, image or machine type. */
+/* An id of a job, machine, node, team, zone, image or machine type; longer ones are cut. */
 #define MM_NAME_MAX 63
 typedef struct {
   char s[MM_NAME_MAX + 1];
@@ -84,13 +85,14 @@
   return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.sequence > b.sequence;
 }
 
-/* Room on a machine, or what a task takes of it. */
+/* A machine's resources, or those that a task needs. */
 typedef struct {
   double cores;
   double accelerators;
   double memory_gb;
 } MmResources;
 
+/* Tolerance for sums of fractions. */
 #define MM_RESOURCES_SLACK 1e-6
 
 static inline gboolean
@@ -100,6 +102,7 @@
          && need.memory_gb <= have.memory_gb + MM_RESOURCES_SLACK;
 }
 
+/* The smaller of each. */
 static inline MmResources
 mm_resources_least(MmResources a, MmResources b) {
   return (MmResources){ MIN(a.cores, b.cores), MIN(a.accelerators, b.accelerators),
--- a/src/base/wire.h
+++ b/src/base/wire.h
@@ -1,7 +1,8 @@
-/* The one place that maps the wire's words to the field's terms used in the code. */
+/* The one place that maps the words of the wire protocols to the field's terms, which the code
+ * uses. */
 #pragma once
 
-/* users */
+/* Users: submission, status and cancellation of jobs. */
 #define WIRE_JOB_ID "nameId"
 #define WIRE_CLASS "guild"
 #define WIRE_TEAM "flock"
@@ -35,7 +36,7 @@
 #define WIRE_CANCEL_WORD "withdraw"
 #define WIRE_JOB_PREFIX "run-"
 
-/* workers */
+/* Workers: heartbeats, their responses, and commands. */
 #define WIRE_REPORT_PATH "/checkin"
 #define WIRE_DIRECT_PATH "/do"
 #define WIRE_STATUS_PATH "/status"
@@ -59,7 +60,7 @@
 #define WIRE_FORGET "clear"
 #define WIRE_GRACE "leewayS"
 
-/* cloud */
+/* Cloud: machine types, machines, requests and releases. */
 #define WIRE_MACHINE_TYPES_PATH "/machine_types"
 #define WIRE_MACHINES_PATH "/hosts"
 #define WIRE_RELEASE_PATH "/hosts/release"
@@ -79,7 +80,7 @@
 #define WIRE_BOOTING "booting"
 #define WIRE_FAILED "failed"
 
-/* state service */
+/* Key-value store: keys, transactions, leases and watches. */
 #define WIRE_KEYS_PATH "/keys"
 #define WIRE_TXN_PATH "/txn"
 #define WIRE_LEASES_PATH "/grants"
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -6,9 +6,9 @@
  */
 #pragma once
 
+#include "config/settings.h"
 #include "kv/records.h"
 #include "kv/transaction.h"
-#include "config/settings.h"
 #include "platform/platform.h"
 
 /* Whether this node may write, asked before each transaction. */
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -23,8 +23,8 @@
 #include "node/wiring.h"
 
 #define REFUSED_ALONE_MS 2000
-/* Overload is shed in this order: status polls, then submissions. Workers' leases, cancellations
- * and health checks are never turned away for it. */
+/* Under overload status polls are refused first, then submissions. Heartbeats, cancellations and
+ * health checks never are. */
 #define SHED_POLLS_DELAY_MS 600
 #define SHED_SUBMISSIONS_DELAY_MS 1500
 #define LOAD_SHED_RETRY_S 3
@@ -70,7 +70,7 @@
     mm_kv_client_fail_unsent(node->kv);
   mm_heartbeat_server_free(node->heartbeat_server);
   mm_job_api_free(node->job_api);
-  mm_replica_free(node->replica); /* answers those who wait for it */
+  mm_replica_free(node->replica); /* calls back those who wait for it */
   mm_peer_links_free(node->peer_links);
   mm_sharing_free(node->sharing);
   mm_autoscaler_free(node->autoscaler);
@@ -96,7 +96,7 @@
   mm_node_tick(node);
 }
 
-/* The worst of late, halved with each tick that is on time. */
+/* Keeps the worst delay, halved with each tick that is on time. */
 static void
 measure_tick_delay(MmNode *node) {
   MmTime now = mm_node_now(node);
@@ -106,7 +106,7 @@
 
   node->last_tick_at = now;
   if (delay_ms >= SHED_POLLS_DELAY_MS && node->tick_delay_ms < SHED_POLLS_DELAY_MS)
-    mm_info("too much to do: %" G_GINT64_FORMAT " ms late, polls are turned away", delay_ms);
+    mm_info("node overloaded, refuses status polls tick_delay_ms=%" G_GINT64_FORMAT, delay_ms);
   node->tick_delay_ms = MAX(delay_ms, node->tick_delay_ms / 2);
 }
 
@@ -139,8 +139,8 @@
   mm_autoscaler_tick(node->autoscaler);
 }
 
-/* A node that alone is refused by the state service, or has no answer from it, sends its users
- * elsewhere. In an outage for all, being unhealthy would help nobody. */
+/* A node that alone is refused by the key-value store, or gets no response from it, is unhealthy,
+ * so that its users go to other nodes. In an outage for all nodes that would help nobody. */
 static gboolean
 is_healthy(const MmNode *node) {
   MmTime now = mm_node_now(node);
@@ -183,7 +183,7 @@
   }
 }
 
-/* Before anything has been read nothing is fenced yet: there is nothing to misread. */
+/* Before the format has been read there is nothing to misread, and the node is not fenced. */
 static gboolean
 is_fenced(const MmNode *node) {
   return node->format->is_known && !mm_format_is_supported(node->format);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,5 @@
-/* One controller node: the slices and what they share. */
+/* One controller node: owns all its modules, drives their ticks and dispatches users' and workers'
+ * requests. src/node/wiring.c connects the modules. */
 #pragma once
 
 #include "base/json.h"
@@ -35,7 +36,8 @@
   GRand *rand;
   MmTime started_at;
   MmTime last_tick_at;
-  gint64 tick_delay_ms; /* how late ticks are, the worst of late: what waits to be done */
+  gint64
+      tick_delay_ms; /* how late ticks are: the worst recent delay, halved by each tick in time */
 
   MmKvClient *kv;
   MmReplica *replica;
@@ -57,15 +59,20 @@
   MmSharing *sharing;
 };
 
+/* Copies the platform; settings and operators must outlive the node. The seed is that of its random
+ * numbers. */
 MmNode *mm_node_new(const MmSettings *settings, const MmOperators *operators,
                     const MmPlatform *platform, guint32 seed);
-/* Only when no answer to one of its requests can come any more. */
+/* Only when no response to one of its requests can come any more. */
 void mm_node_free(MmNode *node);
 
+/* Starts to load the replica and runs the first tick. */
 void mm_node_start(MmNode *node);
 /* To be called every MM_NODE_TICK_MS. */
 void mm_node_tick(MmNode *node);
-/* A request to `front`. Path without query; the body is lent and NULL when absent or not JSON. */
+/* A request of a user or worker. Path without query; the body is lent, NULL when absent or not
+ * JSON.
+ */
 void mm_node_handle_request(MmNode *node, const char *method, const char *path, json_t *body,
                             MmHttpExchange *exchange);
 
