--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -415,7 +415,7 @@
 MmSettings *
 world_node_settings(World *world, guint index) {
   MmSettings *settings;
-  g_autofree char *reason = NULL;
+  g_autoptr(GError) error = NULL;
   g_autofree char *label = g_strdup_printf("n-%u", index);
   g_autoptr(json_t) root = json_pack(
       "{s:s, s:s, s:s, s:s, s:{s:s, s:s}, s:{s:i, s:{s:f, s:f, s:f, s:f, s:f},"
@@ -448,9 +448,9 @@
     json_object_set_new(json_object_get(json_object_get(root, "settings"), "state"), "next",
                         json_pack("{s:f, s:f, s:i}", "write_rps", WORLD_NEXT_WRITE_RPS, "value_kb",
                                   WORLD_NEXT_VALUE_BYTES / 1024.0, "txn_ops", WORLD_NEXT_TXN_OPS));
-  settings = mm_settings_from_json("world", root, &reason);
+  settings = mm_settings_from_json("world", root, &error);
   if (settings == NULL)
-    g_error("%s", reason);
+    g_error("%s", error->message);
   return settings;
 }
 
@@ -499,8 +499,8 @@
     world_node->index = i;
     world_node->settings = world_node_settings(world, i);
     world_node->operators = mm_operators_defaults();
-    world_node->operators.groups = world_node->is_old_version ? 0 : world->groups;
-    world_node->operators.group_hold_s = world->group_hold_s;
+    world_node->operators.group_count = world_node->is_old_version ? 0 : world->groups;
+    world_node->operators.group_min_stay_s = world->group_hold_s;
     world_schedule(world, world->now_us + (gint64)i * 30000, boot_node, world_node);
   }
   check_periodically(world);
