--- a/src/jobs/job-api.c
+++ b/src/jobs/job-api.c
@@ -307,11 +307,11 @@
 write_cancel(MmUserRequest *request, MmKeyVersion version) {
   MmTransaction transaction = mm_transaction_begin();
 
-  json_object_set_new(request->record, "c", json_integer(1));
+  mm_job_record_set_cancelled(request->record);
   /* Written under larger limits: which of its tasks are done matters no more. */
   if (json_dumpb(request->record, NULL, 0, JSON_COMPACT)
       > mm_kv_client_max_value_bytes(request->node->kv))
-    json_object_del(request->record, "d");
+    mm_job_record_clear_completed(request->record);
   mm_transaction_require_version(&transaction, MM_KEY_JOB, request->job_id.s, version);
   mm_transaction_put(&transaction, MM_KEY_JOB, request->job_id.s, json_incref(request->record), 0);
   mm_kv_client_commit(request->node->kv, &transaction, on_cancel_written, request);
@@ -333,13 +333,14 @@
   }
   json_decref(request->record);
   request->record = json_deep_copy(mm_json_get(body, WIRE_VALUE));
-  if (request->is_cancellation && mm_json_count(request->record, "c", 0) == 0)
+  if (request->is_cancellation && !mm_job_record_is_cancelled(request->record))
     write_cancel(request, (MmKeyVersion){ mm_json_count(body, WIRE_VERSION, 0) });
-  else if (mm_json_count(request->record, "c", 0) == 0 && mm_json_get(request->record, "w") != NULL)
+  else if (!mm_job_record_is_cancelled(request->record)
+           && mm_job_record_has_dependencies(request->record))
     mm_user_request_answer_from_replica(
         request); /* cancelled all the same, if what it depends on is */
   else
-    answer_unfinished(request, mm_json_count(request->record, "c", 0) != 0);
+    answer_unfinished(request, mm_job_record_is_cancelled(request->record));
 }
 
 void
--- /dev/null
+++ b/src/jobs/job.c
@@ -0,0 +1,32 @@
+#include "jobs/job.h"
+
+#include "node/node.h"
+
+void
+mm_job_free(MmJob *job) {
+  mm_job_spec_clear(&job->spec);
+  mm_completed_tasks_clear(&job->recorded_completed);
+  mm_completed_tasks_clear(&job->completed);
+  g_free(job->tasks);
+  g_free(job->shard);
+  g_free(job);
+}
+
+void
+mm_job_add_failed_machine(MmJob *job, const MmName *machine) {
+  for (guint i = 0; i < job->n_failed_machines; i++)
+    if (mm_name_equal(&job->failed_machines[i], machine))
+      return;
+  if (job->n_failed_machines < MM_JOB_MAX_FAILED_MACHINES)
+    job->failed_machines[job->n_failed_machines++] = *machine;
+}
+
+gboolean
+mm_job_fails_everywhere(const MmJob *job) {
+  return job->n_failed_machines == MM_JOB_MAX_FAILED_MACHINES && !job->has_succeeded;
+}
+
+double
+mm_job_waiting_time_s(const MmNode *node, const MmJob *job) {
+  return MAX(0.0, (double)(mm_node_wall_ms(node) - job->waiting_since_ms) / 1000.0);
+}
