--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -27,18 +27,25 @@
 
 /* A task as its shard leader knows it. Written by src/scheduler alone. */
 typedef struct {
-  guint8 state;
-  guint8 n_errors;
-  gboolean is_stopping; /* we told it to stop */
+  /* scheduler.c: the state, and the place where the task is or may be */
+  guint8 state; /* MmTaskState */
   MmMachine *machine;
   MmAttempt attempt;
-  MmHeartbeatId start_heartbeat_id; /* the report whose answer carries the start */
-  MmTime state_since;               /* when the state began; for idle tasks, when the wait began */
-  MmTime retry_not_before;          /* retry pause */
-  MmTime preempting_until;          /* until when room is being cleared for it, */
-  MmName preempting_on;             /* and where */
-  MmTime stop_sent_at;              /* when it was last told to stop */
-  MmName last_failed_on;            /* the machine that failed it last */
+  MmHeartbeatId start_heartbeat_id; /* the heartbeat whose response carries the start */
+  MmTime state_since;               /* for pending tasks: since when it waits */
+
+  /* heartbeats.c: errors */
+  guint8 n_errors;
+  MmTime retry_not_before;
+  MmName last_failed_on; /* the machine that reported its last error */
+
+  /* preemption.c */
+  MmTime preempting_until; /* until then resources are being freed for it, */
+  MmName preempting_on;    /* on this machine */
+
+  /* stop-commands.c */
+  gboolean is_stopping; /* a stop was sent, or announced by the machine's termination notice */
+  MmTime stop_sent_at;  /* the latest one */
 } MmTask;
 
 /* Where one more task of the job could run, as of the latest machine scan. Kept for a while: a scan
@@ -56,52 +63,66 @@
 #define MM_JOB_MAX_FAILED_MACHINES 2
 
 typedef struct {
+  /* job-table.c: the record in the key-value store */
   MmJobSpec spec;
-  gint64 submitted_at_ms;  /* time of day */
-  gint64 waiting_since_ms; /* time of day: submitted, or the last job that it depends on was done */
+  gint64 submitted_at_ms;              /* time of day */
+  MmKeyVersion record_version;         /* job-writer.c too, after its own write */
+  MmCompletedTasks recorded_completed; /* as in the record */
+  char *shard;                         /* the shard of its team */
+  gint team_index;                     /* among the settings' teams; below 0: none of them */
+
+  /* dependencies.c */
+  MmVertex *vertex; /* NULL: it depends on nothing and no unfinished job depends on it */
+
+  /* stop-commands.c: the cancellation, but for the fields that name another writer */
   gboolean is_cancelled;
-  MmVertex *vertex; /* in the dependency graph; NULL: it depends on nothing and is needed by none */
-  MmPriority
-      effective_priority; /* its own, or that of a job that depends on it where this is higher */
-  guint64 cancel_acked_by_peers; /* the peers that have taken note of that, a bit each */
-  MmKeyVersion
-      cancel_record_version; /* of the record that showed it; 0 while it is known by word only */
-  gint64 kv_served_us_at_cancel; /* the state service's time of service, see mm_kv_client_tick, when
-                              it was */
-  MmKeyVersion record_version;
-  char *shard;
-  MmCompletedTasks recorded_completed; /* what the state service holds */
-
-  /* The owner's view; NULL where the part is not held here. */
-  MmLedShard *led_shard;
-  MmTask *tasks;
-  MmCompletedTasks completed;
-  guint n_pending;           /* tasks in MM_TASK_PENDING */
-  guint n_maybe_on_machines; /* tasks that are or may be on a machine */
-  guint first_pending;       /* no idle task has a lower number */
+  gint64 kv_served_us_at_cancel;      /* MmKvClient.available_us when is_cancelled was set */
+  MmKeyVersion cancel_record_version; /* job-table.c: of the record that says so; 0: none seen */
+  guint64 cancel_acked_by_peers;      /* job-cancellation.c: a bit for each peer */
+
+  /* scheduler.c: the shard leader's view */
+  MmLedShard *led_shard; /* NULL: this node does not lead the shard */
+  MmTask *tasks;         /* spec.n_tasks of them; NULL likewise */
+  guint n_pending;
+  guint n_maybe_on_machines;        /* tasks that are or may be on a machine */
+  guint first_pending;              /* no pending task has a lower number */
+  gboolean submitted_after_acquire; /* submitted since this node acquired the shard */
+  gint64 waiting_since_ms; /* time of day: submitted, or its last dependency done (first set by
+                              job-table.c) */
+
+  /* heartbeats.c: what the workers reported */
+  MmCompletedTasks completed; /* set up by scheduler.c, with the recorded ones */
+  guint n_consecutive_errors; /* without a success between them: the job itself may be broken */
+  MmTime paused_until;
+  double observed_run_s_sum; /* sum of the run times of n_observed_runs tasks */
+  guint n_observed_runs;
+
+  /* job-writer.c */
   gboolean is_being_written;
   MmTime last_write_at;
-  MmTime unwritten_since;
-  MmName failed_machines[MM_JOB_MAX_FAILED_MACHINES]; /* different machines that reported an error
-                                                         of it */
+  MmTime unwritten_since; /* since when `completed` holds more than `recorded_completed` */
+
+  /* machine-health.c, through mm_job_add_failed_machine */
+  MmName failed_machines[MM_JOB_MAX_FAILED_MACHINES]; /* distinct machines that reported an error */
   guint n_failed_machines;
-  gboolean has_succeeded;     /* some task of it was seen to be done */
-  guint n_consecutive_errors; /* errors in a row without a success: the job itself may be broken */
-  MmTime paused_until;
-  gint team_index;          /* index among the settings' teams; -1: none of them */
-  gboolean is_within_quota; /* fits its team's guarantee together with the team's older unfinished
-                               jobs */
-  gboolean
-      has_quota_precedence; /* the same, where no aim of the settings gives guarantees a time */
-  gboolean is_starving;     /* waited past all patience with nothing begun */
-  gint64
-      due_at_ms; /* time of day by which to act for its next aim, see mm_scheduler_update_urgency */
+  gboolean has_succeeded; /* at least one of its tasks was done */
+
+  /* quota.c */
+  gboolean is_within_quota;      /* fits the team's quota along with the team's older jobs */
+  gboolean has_quota_precedence; /* likewise, where no objective gives quotas a time */
+
+  /* urgency.c */
   MmPriority inherited_priority; /* the highest of its own and of the jobs that depend on it */
-  gint64 inherited_due_at_ms;    /* the same, for the deadlines of jobs that depend on it */
+  MmPriority
+      effective_priority;     /* the one that counts: the inherited one, no more than normal
+                                 while that job's deadline is far off (first set by job-table.c) */
+  gint64 due_at_ms;           /* time of day by which to act for its next objective */
+  gint64 inherited_due_at_ms; /* the earliest of its own deadline and of its dependents' */
+  gboolean is_starving; /* waits longer than starve_s with no task begun; scheduler.c, and where
+                           another node leads the shard placement.c, from that node's broadcast */
+
+  /* admission.c */
   MmPlacementEstimate placement_estimate;
-  double observed_run_s_sum; /* sum of the run times seen, and how many */
-  guint n_observed_runs;
-  gboolean submitted_after_acquire; /* submitted after the part was taken */
 } MmJob;
 
 void mm_job_free(MmJob *job);
