--- /dev/null
+++ b/src/jobs/job-cancellation.c
@@ -0,0 +1,170 @@
+#include "jobs/job-cancellation.h"
+
+#include "base/wire.h"
+#include "dependencies/dependencies.h"
+#include "jobs/job-status.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
+#include "leases/node-lease.h"
+#include "peers/peer-broadcast.h"
+#include "peers/peer-links.h"
+#include "scheduler/scheduler.h"
+
+#define CANCEL_MAX_TRIES 6
+/* How long a user's request waits until the other nodes have acknowledged a cancellation. */
+#define CANCEL_ACK_TIMEOUT_MS 1200
+#define CANCEL_ANNOUNCE_INTERVAL_MS 400
+
+/* Whether every node that may still answer a worker knows the cancellation. From then on no
+ * response starts one of the job's tasks or lets one go on: each machine that gets a response stops
+ * them, and each that gets none ends them when its worker lease expires.
+ *
+ * A node that may answer workers has a node lease, which shows in a replica as new as the
+ * cancellation; a node that is granted one later reads the job record first. A peer that can't be
+ * reached knows the cancellation all the same, or answers no worker any more, once the key-value
+ * store has served this node for longer than a node may answer without reading what changed. */
+static gboolean
+cancel_is_known_everywhere(const MmUserRequest *request) {
+  const MmNode *node = request->node;
+  const MmJob *job = mm_job_table_find(node->job_table, request->job_id.s);
+
+  if (!node->replica->is_loaded)
+    return FALSE;
+  /* The record is gone: the job ended, and all its tasks with it. */
+  if (job == NULL)
+    return mm_job_table_is_over(node->job_table, request->job_id.s);
+  /* No task of it was ever started, and every node concludes from the dependency that it is
+   * cancelled. */
+  if (mm_job_has_cancelled_dependency(job))
+    return TRUE;
+  if (job->cancel_record_version.v == 0 || node->replica->revision < job->cancel_record_version.v)
+    return FALSE;
+  if (node->kv->available_us - job->kv_served_us_at_cancel
+      >= mm_node_lease_max_staleness_us(node->node_lease) * 2)
+    return TRUE;
+  for (guint i = 0; i < node->peer_links->n_peers; i++)
+    if (g_hash_table_contains(node->replica->live_nodes, node->peer_links->peers[i].label.s)
+        && (job->cancel_acked_by_peers & (G_GUINT64_CONSTANT(1) << i)) == 0)
+      return FALSE;
+  return TRUE;
+}
+
+static void
+respond_cancelled(MmUserRequest *request) {
+  mm_user_request_respond(request, 200,
+                          mm_job_state_to_json(request->job_id.s, WIRE_CANCELLED, 0, 0), 0);
+}
+
+void
+mm_job_cancellation_answer(MmUserRequest *request) {
+  MmTime now = mm_node_now(request->node);
+
+  if (cancel_is_known_everywhere(request)) {
+    respond_cancelled(request);
+    return;
+  }
+  request->deadline = mm_time_add_ms(now, CANCEL_ACK_TIMEOUT_MS);
+  request->cancel_announced_at = now;
+  g_queue_push_tail(request->node->job_api->awaiting_cancel_acks, request);
+  mm_peer_broadcast_cancellation(request->node->peer_links, request->job_id.s);
+}
+
+/* Takes the request out of the queue if it can be answered. */
+static gboolean
+respond_if_cancel_known(MmJobApi *job_api, GList *link) {
+  MmUserRequest *request = link->data;
+
+  if (!cancel_is_known_everywhere(request))
+    return FALSE;
+  g_queue_delete_link(job_api->awaiting_cancel_acks, link);
+  respond_cancelled(request);
+  return TRUE;
+}
+
+void
+mm_job_api_cancel_acked(MmJobApi *job_api, guint peer, const char *job_id) {
+  MmJob *job = mm_job_table_find(job_api->node->job_table, job_id);
+  GList *next;
+
+  if (job != NULL)
+    job->cancel_acked_by_peers |= G_GUINT64_CONSTANT(1) << peer;
+  for (GList *link = job_api->awaiting_cancel_acks->head; link != NULL; link = next) {
+    next = link->next;
+    if (strcmp(((MmUserRequest *)link->data)->job_id.s, job_id) == 0)
+      respond_if_cancel_known(job_api, link);
+  }
+}
+
+void
+mm_job_cancellation_tick(MmJobApi *job_api) {
+  MmTime now = mm_node_now(job_api->node);
+  GList *next;
+
+  for (GList *link = job_api->awaiting_cancel_acks->head; link != NULL; link = next) {
+    MmUserRequest *request = link->data;
+    next = link->next;
+    if (respond_if_cancel_known(job_api, link))
+      continue;
+    if (!mm_time_before(now, request->deadline)) {
+      g_queue_delete_link(job_api->awaiting_cancel_acks, link);
+      mm_user_request_respond_unavailable(request);
+    } else if (mm_time_ms_since(now, request->cancel_announced_at) >= CANCEL_ANNOUNCE_INTERVAL_MS) {
+      request->cancel_announced_at = now;
+      mm_peer_broadcast_cancellation(job_api->node->peer_links, request->job_id.s);
+    }
+  }
+}
+
+static void
+on_cancel_written(gpointer data, int status, json_t *body) {
+  MmUserRequest *request = data;
+  guint64 revision;
+
+  if (status == 409 && ++request->n_retries < CANCEL_MAX_TRIES) {
+    mm_job_status_answer_from_record(request);
+    return;
+  }
+  if (status == 429) {
+    mm_user_request_wait_out_rate_limit(request, mm_job_status_answer_from_record);
+    return;
+  }
+  if (status != 200) {
+    mm_user_request_respond_unavailable(request);
+    return;
+  }
+  /* The replica's watch may lag behind this write, or break off before it. */
+  revision = mm_json_count(body, WIRE_REVISION, 0);
+  if (revision > request->node->replica->revision && request->node->replica->is_loaded)
+    mm_job_table_put(request->node->job_table, request->job_id.s, request->record,
+                     (MmKeyVersion){ revision });
+  mm_scheduler_job_cancelled(request->node->scheduler, request->job_id.s);
+  mm_job_cancellation_answer(request);
+}
+
+void
+mm_job_cancellation_write(MmUserRequest *request, MmKeyVersion version) {
+  MmTransaction transaction = mm_transaction_begin();
+
+  mm_job_record_set_cancelled(request->record);
+  /* The record may be from a time of larger values. Of a cancelled job nobody needs the completed
+   * tasks. */
+  if (json_dumpb(request->record, NULL, 0, JSON_COMPACT)
+      > mm_kv_client_max_value_bytes(request->node->kv))
+    mm_job_record_clear_completed(request->record);
+  mm_transaction_require_version(&transaction, MM_KEY_JOB, request->job_id.s, version);
+  mm_transaction_put(&transaction, MM_KEY_JOB, request->job_id.s, json_incref(request->record), 0);
+  mm_kv_client_commit(request->node->kv, &transaction, on_cancel_written, request);
+}
+
+void
+mm_job_api_cancel(MmNode *node, const char *job_id, MmHttpExchange *exchange) {
+  MmUserRequest *request;
+
+  if (!mm_job_id_is_valid(job_id)) {
+    mm_http_exchange_respond(exchange, 404, mm_json_error("no such job"), 0);
+    return;
+  }
+  request = mm_user_request_new(node, exchange, job_id);
+  request->is_cancellation = TRUE;
+  mm_job_status_answer_from_record(request);
+}
--- /dev/null
+++ b/src/jobs/job-status.c
@@ -0,0 +1,176 @@
+#include "jobs/job-status.h"
+
+#include "base/wire.h"
+#include "dependencies/dependencies.h"
+#include "jobs/job-cancellation.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
+#include "machines/machine-table.h"
+
+/* How long a status request waits until it is known how the job's dependencies ended. */
+#define DEPENDENCIES_TIMEOUT_MS 1200
+
+json_t *
+mm_job_state_to_json(const char *job_id, const char *state, guint n_completed, guint n_running) {
+  return json_pack("{s:s, s:s, s:I, s:I}", WIRE_JOB_ID, job_id, WIRE_STATE, state, WIRE_DONE,
+                   (json_int_t)n_completed, WIRE_RUNNING, (json_int_t)n_running);
+}
+
+/* The counts are for display: they may be older than the state. */
+static void
+answer_unfinished(MmUserRequest *request, gboolean is_cancelled) {
+  MmJob *job = mm_job_table_find(request->node->job_table, request->job_id.s);
+  guint n_running = mm_machine_table_running_tasks(request->node->machine_table, request->job_id.s);
+  guint n_completed = 0;
+  const char *state = WIRE_PENDING;
+
+  if (is_cancelled) {
+    mm_job_cancellation_answer(request);
+    return;
+  }
+  if (job != NULL)
+    n_completed
+        = job->tasks != NULL ? job->completed.n_completed : job->recorded_completed.n_completed;
+  if (n_running > 0)
+    state = WIRE_RUNNING;
+  mm_user_request_respond(
+      request, 200, mm_job_state_to_json(request->job_id.s, state, n_completed, n_running), 0);
+}
+
+static void
+on_terminal_record_read(gpointer data, int status, json_t *body) {
+  MmUserRequest *request = data;
+  MmJobTable *job_table = request->node->job_table;
+  json_t *terminal_response = NULL;
+
+  if (status == 404) {
+    mm_user_request_respond(request, 404, mm_json_error("no such job"), 0);
+    return;
+  }
+  if (status == 200) {
+    mm_job_table_add_terminal_record(job_table, request->job_id.s, mm_json_get(body, WIRE_VALUE));
+    terminal_response = mm_job_table_terminal_response(job_table, request->job_id.s);
+  }
+  if (terminal_response != NULL)
+    mm_user_request_respond(request, 200, terminal_response, 0);
+  else
+    mm_user_request_respond_unavailable(request);
+}
+
+static void
+on_job_record_read(gpointer data, int status, json_t *body) {
+  MmUserRequest *request = data;
+
+  if (status == 404) {
+    /* A job that ends moves from this key to the other in one transaction, so reading them in this
+     * order misses none. */
+    mm_kv_client_get(request->node->kv, MM_KEY_TERMINAL_RECORD, request->job_id.s,
+                     on_terminal_record_read, request);
+    return;
+  }
+  if (status != 200 || !json_is_object(mm_json_get(body, WIRE_VALUE))) {
+    mm_user_request_respond_unavailable(request);
+    return;
+  }
+  json_decref(request->record);
+  request->record = json_deep_copy(mm_json_get(body, WIRE_VALUE));
+  if (request->is_cancellation && !mm_job_record_is_cancelled(request->record))
+    mm_job_cancellation_write(request, (MmKeyVersion){ mm_json_count(body, WIRE_VERSION, 0) });
+  else if (!mm_job_record_is_cancelled(request->record)
+           && mm_job_record_has_dependencies(request->record))
+    /* It is cancelled all the same if one of its dependencies is. */
+    mm_job_status_answer_from_replica(request);
+  else
+    answer_unfinished(request, mm_job_record_is_cancelled(request->record));
+}
+
+void
+mm_job_status_answer_from_record(MmUserRequest *request) {
+  json_t *terminal_response
+      = mm_job_table_terminal_response(request->node->job_table, request->job_id.s);
+
+  if (terminal_response != NULL)
+    mm_user_request_respond(request, 200, terminal_response, 0);
+  else if (request->n_retries == 0 && mm_user_request_kv_is_refusing(request->node))
+    mm_user_request_respond_unavailable(request);
+  else
+    mm_kv_client_get(request->node->kv, MM_KEY_JOB, request->job_id.s, on_job_record_read, request);
+}
+
+static void
+wait_for_dependencies(MmUserRequest *request) {
+  MmJobApi *job_api = request->node->job_api;
+
+  if (request->deadline.us == 0)
+    request->deadline = mm_time_add_ms(mm_node_now(request->node), DEPENDENCIES_TIMEOUT_MS);
+  g_queue_push_tail(job_api->awaiting_dependencies, request);
+}
+
+/* The replica holds all that was written when the request came in, hence all that any node had
+ * responded about the job by then. */
+static void
+on_replica_current(gpointer data, gboolean is_current) {
+  MmUserRequest *request = data;
+  const MmJob *job = mm_job_table_find(request->node->job_table, request->job_id.s);
+  json_t *terminal_response
+      = mm_job_table_terminal_response(request->node->job_table, request->job_id.s);
+
+  if (terminal_response != NULL)
+    mm_user_request_respond(request, 200, terminal_response, 0);
+  else if (!is_current)
+    mm_user_request_respond_unavailable(request);
+  else if (job == NULL)
+    mm_kv_client_get(request->node->kv, MM_KEY_TERMINAL_RECORD, request->job_id.s,
+                     on_terminal_record_read, request);
+  else if (!job->is_cancelled && mm_dependencies_is_undecided(request->node->dependencies, job))
+    wait_for_dependencies(request);
+  else
+    answer_unfinished(request, job->is_cancelled);
+}
+
+void
+mm_job_status_answer_from_replica(MmUserRequest *request) {
+  mm_replica_when_current(request->node->replica, on_replica_current, request);
+}
+
+/* Takes the request out of the queue and answers it if the state of all dependencies is known. */
+static gboolean
+respond_if_dependencies_known(MmJobApi *job_api, GList *link) {
+  MmUserRequest *request = link->data;
+  const MmJob *job = mm_job_table_find(job_api->node->job_table, request->job_id.s);
+
+  if (job != NULL && mm_dependencies_is_undecided(job_api->node->dependencies, job))
+    return FALSE;
+  g_queue_delete_link(job_api->awaiting_dependencies, link);
+  mm_job_status_answer_from_replica(request);
+  return TRUE;
+}
+
+void
+mm_job_status_tick(MmJobApi *job_api) {
+  MmTime now = mm_node_now(job_api->node);
+  GList *next;
+
+  for (GList *link = job_api->awaiting_dependencies->head; link != NULL; link = next) {
+    MmUserRequest *request = link->data;
+    next = link->next;
+    if (respond_if_dependencies_known(job_api, link) || mm_time_before(now, request->deadline))
+      continue;
+    g_queue_delete_link(job_api->awaiting_dependencies, link);
+    mm_user_request_respond_unavailable(request);
+  }
+}
+
+void
+mm_job_api_status(MmNode *node, const char *job_id, MmHttpExchange *exchange) {
+  json_t *terminal_response = mm_job_table_terminal_response(node->job_table, job_id);
+
+  if (terminal_response != NULL)
+    mm_http_exchange_respond(exchange, 200, terminal_response, 0);
+  else if (!mm_job_id_is_valid(job_id))
+    mm_http_exchange_respond(exchange, 404, mm_json_error("no such job"), 0);
+  else if (mm_user_request_kv_is_refusing(node))
+    mm_user_request_respond_unavailable(mm_user_request_new(node, exchange, job_id));
+  else
+    mm_job_status_answer_from_replica(mm_user_request_new(node, exchange, job_id));
+}
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -6,6 +6,7 @@
 #include "leases/shard-ownership.h"
 #include "placement/placement.h"
 
+/* How many jobs that ended are remembered. */
 #define TERMINAL_STATES_KEPT 4096
 #define REMOVED_IDS_KEPT 8192
 
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -1,26 +1,28 @@
-/* Submissions: checked, then written before they are answered. */
+/* Submission of a job (mm_job_api_submit): validated, its dependencies looked up, written, and only
+ * then answered. */
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 #include "autoscaler/instance-types.h"
 #include "jobs/job-api.h"
+#include "jobs/job-status.h"
 #include "jobs/user-request.h"
 #include "kv/replica.h"
 #include "kv/kv-client.h"
 #include "upgrade/versions.h"
 
-/* Of a record, what the set of done tasks and a cancellation may take: so much, and at most this
- * share of a value. */
+/* Bytes of a job record kept free for the completed tasks and a cancellation, which are added
+ * later; at most this share of a value. */
 #define RECORD_RESERVE_BYTES 512
 #define RECORD_RESERVE_DIVISOR 4
-/* How long a submission may look for the jobs that it depends on. */
+/* How long a submission may take to look up its dependencies. */
 #define FIND_DEPENDENCIES_TIMEOUT_MS 3500
 #define TYPES_UNKNOWN_RETRY_S 1
-/* Until a node that is being upgraded has come back. */
+/* By then a node that is being upgraded is back. */
 #define UPGRADE_RETRY_S 2
 
 static void write_job_record(MmUserRequest *request);
 
-/* Whether the job is cancelled from the start: so is one that it names. */
+/* Whether the job is cancelled from the start, since one of its dependencies is. */
 static gboolean
 has_cancelled_dependency(const MmUserRequest *request) {
   const MmJobTable *job_table = request->node->job_table;
@@ -43,15 +45,15 @@
   MmUserRequest *request = data;
 
   if (status == 200) {
-    mm_info("%s (%s of %s, %u tasks) is accepted", request->job_id.s, request->spec.job_class.s,
-            request->spec.team.s, request->spec.n_tasks);
+    mm_info("accepted job=%s class=%s team=%s tasks=%u", request->job_id.s,
+            request->spec.job_class.s, request->spec.team.s, request->spec.n_tasks);
     mm_user_request_respond(
         request, 201,
         json_pack("{s:s, s:s}", WIRE_JOB_ID, request->job_id.s, WIRE_STATE,
                   has_cancelled_dependency(request) ? WIRE_CANCELLED : WIRE_PENDING),
         0);
   } else if (status == 409) {
-    mm_user_request_answer_from_record(request); /* known already: its state now */
+    mm_job_status_answer_from_record(request); /* submitted before: answered with its status */
   } else if (status == 429) {
     mm_user_request_wait_out_rate_limit(request, write_job_record);
   } else {
@@ -80,7 +82,7 @@
   mm_kv_client_commit(node->kv, &transaction, on_job_record_written, request);
 }
 
-/* ---- the jobs that it depends on ---- */
+/* ---- the job's dependencies ---- */
 
 static void look_up_dependencies(MmUserRequest *request);
 
@@ -89,7 +91,8 @@
   mm_user_request_respond(request, 422, mm_json_error(reason), 0);
 }
 
-/* Goes on to the first job that is not known here. FALSE when the call is over. */
+/* Moves next_dependency on to the first one that this node does not know. FALSE when the request
+ * was refused, and freed. */
 static gboolean
 skip_known_dependencies(MmUserRequest *request) {
   const MmJobTable *job_table = request->node->job_table;
@@ -114,8 +117,8 @@
   MmUserRequest *request = data;
 
   if (status == 404) {
-    /* The replica that did not show its record is as new as the question, and a record that goes
-     * leaves a final state: it was never accepted. */
+    /* A replica as new as the request does not show its job record, and each job record that goes
+     * leaves a terminal record. */
     refuse_dependencies(request, "a job that it depends on was never accepted");
     return;
   }
@@ -130,7 +133,8 @@
   look_up_dependencies(request);
 }
 
-/* Reads the final states of those that the replica, which is current, does not show. */
+/* Reads the terminal records of the dependencies that the current replica does not show, one after
+ * another, then writes the job. */
 static void
 look_up_dependencies(MmUserRequest *request) {
   if (!skip_known_dependencies(request))
@@ -180,6 +184,7 @@
     mm_replica_when_current(request->node->replica, on_replica_current, request);
 }
 
+/* Why no machine or limit could ever let the job run, for the user; NULL: it may run. */
 static const char *
 reason_it_never_runs(const MmNode *node, const MmJobSpec *spec) {
   const MmTeamSettings *team = mm_settings_team(node->settings, &spec->team);
@@ -228,7 +233,8 @@
     mm_user_request_respond_unavailable(request);
     return;
   }
-  /* A repetition is answered with the job's state, whatever it depends on. */
+  /* A repeated submission is answered with the job's status, whatever became of its dependencies.
+   */
   if (request->spec.n_dependencies == 0 || is_known_job(node, request->job_id.s))
     write_job_record(request);
   else
--- a/src/jobs/user-request.h
+++ b/src/jobs/user-request.h
@@ -1,7 +1,10 @@
-/* One request of a user while it is worked on: within the users' interface only. */
+/* A user's request while it is worked on: within the job API only.
+ *
+ * A request is created when it comes in and freed with its response, which every path must give
+ * exactly once. While it waits, one of MmJobApi's queues or one pending callback owns it. */
 #pragma once
 
-#include "jobs/job-table.h"
+#include "jobs/job-spec.h"
 #include "node/node.h"
 
 typedef struct MmUserRequest MmUserRequest;
@@ -11,29 +14,25 @@
   MmName job_id;
   gboolean is_cancellation;
   guint n_retries;
-  MmJobSpec spec;
+  MmJobSpec spec; /* submission */
   gint64 submitted_at_ms;
-  json_t *record;  /* the job's record as last read */
-  MmTime deadline; /* while it waits for what other nodes or the state service are to say, */
-  MmTime cancel_announced_at; /* and when the others were last told of a cancellation */
-  guint
-      next_dependency; /* submission: the first job that it depends on and that is not found yet */
-  void (*resume)(MmUserRequest *call); /* what to go on with after a pause, */
-  MmTime resume_at;                    /* and when */
+  json_t *record;             /* the job record as last read, owned; NULL: not read */
+  MmTime deadline;            /* until when it may wait for other nodes or the key-value store */
+  MmTime cancel_announced_at; /* when the cancellation was last announced to the other nodes */
+  guint next_dependency;      /* submission: index of the first dependency not found yet */
+  void (*resume)(MmUserRequest *request); /* the step to repeat after a rate limit, */
+  MmTime resume_at;                       /* and when */
 };
 
 MmUserRequest *mm_user_request_new(MmNode *node, MmHttpExchange *exchange, const char *job_id);
-/* Answers the request and frees the call. Takes the body. */
+/* Responds and frees the request. Takes the body. `retry_after_s` 0: no such header. */
 void mm_user_request_respond(MmUserRequest *request, int status, json_t *body, guint retry_after_s);
-/* The final answer of this request: come again later. */
+/* Responds 503: the key-value store can't be reached, come again later. Frees the request. */
 void mm_user_request_respond_unavailable(MmUserRequest *request);
-/* The state service has said 429 to the call's write: goes on with `resume` a moment later, or
- * gives up after a few times. */
+/* The key-value store refused the request's write for its rate limit (429): calls `resume` a moment
+ * later, or responds 503 after a few such refusals. */
 void mm_user_request_wait_out_rate_limit(MmUserRequest *request,
-                                         void (*resume)(MmUserRequest *call));
-/* Whether the state service refuses this node at the moment: asking it would only take time. */
+                                         void (*resume)(MmUserRequest *request));
+/* Whether the key-value store refuses or ignores this node now: a request to it would only take
+ * time. */
 gboolean mm_user_request_kv_is_refusing(const MmNode *node);
-/* Answers with the job's state, read from its record. */
-void mm_user_request_answer_from_record(MmUserRequest *request);
-/* Answers with the job's state as the replica shows it, once that is as new as the question. */
-void mm_user_request_answer_from_replica(MmUserRequest *request);
