--- a/src/jobs/user-request.h
+++ b/src/jobs/user-request.h
@@ -15,7 +15,6 @@
   gboolean is_cancellation;
   guint n_retries;
   MmJobSpec spec; /* submission */
-  gint64 submitted_at_ms;
   json_t *record;             /* the job record as last read, owned; NULL: not read */
   MmTime deadline;            /* until when it may wait for other nodes or the key-value store */
   MmTime cancel_announced_at; /* when the cancellation was last announced to the other nodes */
