--- a/src/jobs/completed-tasks.c
+++ b/src/jobs/completed-tasks.c
@@ -51,6 +51,10 @@
   return x->first < y->first ? -1 : x->first > y->first;
 }
 
+/* Two numbers of ten digits, a dash, a separator and the end. */
+#define RANGE_TEXT_MAX 32
+
+/* Writes the range and a separator; returns their length. */
 static gsize
 print_range(const TaskRange *range, char *buffer, gsize size) {
   if (range->first == range->last)
@@ -58,13 +62,9 @@
   return (gsize)g_snprintf(buffer, size, "%u-%u,", range->first, range->last);
 }
 
-char *
-mm_completed_tasks_to_text(const MmCompletedTasks *set, gsize max_bytes) {
-  g_autoptr(GArray) ranges = g_array_new(FALSE, FALSE, sizeof(TaskRange));
-  GString *text = g_string_new(NULL);
-  char buffer[32];
-  gsize length = 0;
-  guint n_kept = 0;
+static GArray *
+collect_ranges(const MmCompletedTasks *set) {
+  GArray *ranges = g_array_new(FALSE, FALSE, sizeof(TaskRange));
 
   for (guint i = 0; i < set->n_tasks; i++) {
     TaskRange range = { i, i };
@@ -75,13 +75,32 @@
     g_array_append_val(ranges, range);
     i = range.last;
   }
+  return ranges;
+}
+
+/* Keeps the longest ranges whose texts, each with its separator, fit `max_bytes`. */
+static void
+keep_longest(GArray *ranges, gsize max_bytes) {
+  char buffer[RANGE_TEXT_MAX];
+  gsize length = 0;
+  guint n_kept = 0;
+
   g_array_sort(ranges, compare_longest_first);
-  while (
-      n_kept < ranges->len
-      && (length += print_range(&g_array_index(ranges, TaskRange, n_kept), buffer, sizeof buffer))
-             <= max_bytes)
-    n_kept++;
+  for (; n_kept < ranges->len; n_kept++) {
+    length += print_range(&g_array_index(ranges, TaskRange, n_kept), buffer, sizeof buffer);
+    if (length > max_bytes)
+      break;
+  }
   g_array_set_size(ranges, n_kept);
+}
+
+char *
+mm_completed_tasks_to_text(const MmCompletedTasks *set, gsize max_bytes) {
+  g_autoptr(GArray) ranges = collect_ranges(set);
+  GString *text = g_string_new(NULL);
+  char buffer[RANGE_TEXT_MAX];
+
+  keep_longest(ranges, max_bytes);
   g_array_sort(ranges, compare_lowest_first);
   for (guint i = 0; i < ranges->len; i++) {
     print_range(&g_array_index(ranges, TaskRange, i), buffer, sizeof buffer);
@@ -92,28 +111,37 @@
   return g_string_free(text, FALSE);
 }
 
+/* Reads "7" or "7-9" and moves on behind it. */
+static gboolean
+parse_range(const char **text, guint64 *first, guint64 *last) {
+  char *end;
+
+  if (!g_ascii_isdigit(**text))
+    return FALSE;
+  *first = *last = g_ascii_strtoull(*text, &end, 10);
+  if (*end == '-') {
+    *text = end + 1;
+    if (!g_ascii_isdigit(**text))
+      return FALSE;
+    *last = g_ascii_strtoull(*text, &end, 10);
+  }
+  *text = end;
+  return TRUE;
+}
+
 gboolean
 mm_completed_tasks_add_text(MmCompletedTasks *set, const char *text) {
   while (text != NULL && *text != '\0') {
-    char *end;
     guint64 first, last;
 
-    if (!g_ascii_isdigit(*text))
+    if (!parse_range(&text, &first, &last))
       return FALSE;
-    first = last = g_ascii_strtoull(text, &end, 10);
-    if (*end == '-') {
-      text = end + 1;
-      if (!g_ascii_isdigit(*text))
-        return FALSE;
-      last = g_ascii_strtoull(text, &end, 10);
-    }
-    if (last < first || last >= set->n_tasks || (*end != ',' && *end != '\0'))
+    if (last < first || last >= set->n_tasks || (*text != ',' && *text != '\0'))
       return FALSE;
     for (guint64 i = first; i <= last; i++)
       mm_completed_tasks_add(set, (guint)i);
-    if (*end == ',' && end[1] == '\0')
+    if (*text == ',' && *++text == '\0')
       return FALSE;
-    text = *end == ',' ? end + 1 : end;
   }
   return TRUE;
 }
--- a/src/jobs/job-spec.c
+++ b/src/jobs/job-spec.c
@@ -31,6 +31,10 @@
   return TRUE;
 }
 
+/* An amount that may not be absent: the fallback of read_amount. */
+#define REQUIRED NAN
+#define AMOUNT_LIMIT 1e12
+
 static gboolean
 read_amount(const json_t *json, const char *key, double *amount, double fallback) {
   const json_t *value = mm_json_get(json, key);
@@ -41,7 +45,7 @@
   if (!json_is_number(value))
     return FALSE;
   *amount = json_number_value(value);
-  return isfinite(*amount) && *amount >= 0 && *amount < 1e12;
+  return isfinite(*amount) && *amount >= 0 && *amount < AMOUNT_LIMIT;
 }
 
 static gboolean
@@ -115,65 +119,97 @@
 static const char *const kind_names[] = { WIRE_KIND_ARRAY, WIRE_KIND_GANG, WIRE_KIND_SERVICE };
 static const char *const priority_names[] = { "low", "normal", "urgent", "critical" };
 
+/* Each of these reads some of the fields, in the order in which users are told of errors. They
+ * return the reason (static text) why a field is malformed, or NULL. */
+
+static const char *
+read_identity(const json_t *json, MmJobSpec *spec) {
+  const json_t *n_tasks = mm_json_get(json, WIRE_TASKS);
+  guint kind, priority;
+
+  if (!mm_job_id_is_valid(mm_json_string(json, WIRE_JOB_ID)))
+    return WIRE_JOB_ID " must be " WIRE_JOB_PREFIX " and digits";
+  if (!read_name(json, WIRE_CLASS, &spec->job_class, TRUE))
+    return WIRE_CLASS " must be text";
+  if (!read_name(json, WIRE_TEAM, &spec->team, TRUE))
+    return WIRE_TEAM " must be text";
+  if (!read_keyword(json, WIRE_KIND, kind_names, G_N_ELEMENTS(kind_names), &kind))
+    return WIRE_KIND " must be array, group or service";
+  if (!read_keyword(json, WIRE_PRIORITY, priority_names, G_N_ELEMENTS(priority_names), &priority))
+    return WIRE_PRIORITY " must be critical, urgent, normal or low";
+  if (!json_is_integer(n_tasks) || json_integer_value(n_tasks) < 1
+      || json_integer_value(n_tasks) > MM_JOB_MAX_TASKS)
+    return WIRE_TASKS " must be a whole number from 1 to " G_STRINGIFY(MM_JOB_MAX_TASKS);
+  spec->id = mm_name(mm_json_string(json, WIRE_JOB_ID));
+  spec->kind = (MmJobKind)kind;
+  spec->priority = (MmPriority)priority;
+  spec->n_tasks = (guint)json_integer_value(n_tasks);
+  return NULL;
+}
+
+static const char *
+read_task_resources(const json_t *json, MmJobSpec *spec) {
+  if (!read_amount(json, WIRE_CORES, &spec->task_resources.cores, REQUIRED))
+    return WIRE_CORES " must be a number, 0 or more";
+  if (!read_amount(json, WIRE_ACCELERATORS, &spec->task_resources.accelerators, REQUIRED))
+    return WIRE_ACCELERATORS " must be a number, 0 or more";
+  if (!read_amount(json, WIRE_MEMORY, &spec->task_resources.memory_gb, REQUIRED))
+    return WIRE_MEMORY " must be a number, 0 or more";
+  if (!read_name(json, WIRE_IMAGE, &spec->image, TRUE))
+    return WIRE_IMAGE " must be text";
+  if (!read_amount(json, WIRE_IMAGE_GB, &spec->image_gb, REQUIRED))
+    return WIRE_IMAGE_GB " must be a number, 0 or more";
+  return NULL;
+}
+
+static const char *
+read_placement_rules(const json_t *json, MmJobSpec *spec) {
+  if (!read_allowed_types(json, spec))
+    return WIRE_TYPES " must be null or a list of names";
+  if (!read_name(json, WIRE_ZONE, &spec->zone, FALSE))
+    return WIRE_ZONE " must be null or text";
+  if (!read_boolean(json, WIRE_ONE_ZONE, &spec->requires_one_zone))
+    return WIRE_ONE_ZONE " must be true or false";
+  if (!read_boolean(json, WIRE_SPREAD, &spec->spreads_over_zones))
+    return WIRE_SPREAD " must be true or false";
+  if (!read_boolean(json, WIRE_SPOT, &spec->allows_spot))
+    return WIRE_SPOT " must be true or false";
+  return NULL;
+}
+
+static const char *
+read_times_and_dependencies(const json_t *json, MmJobSpec *spec) {
+  if (!read_amount(json, WIRE_ESTIMATE, &spec->run_estimate_s, REQUIRED))
+    return WIRE_ESTIMATE " must be a number, 0 or more";
+  if (!read_amount(json, WIRE_CHECKPOINT, &spec->checkpoint_interval_s, REQUIRED))
+    return WIRE_CHECKPOINT " must be a number, 0 or more";
+  if (!read_amount(json, WIRE_SAVE, &spec->checkpoint_save_s, REQUIRED))
+    return WIRE_SAVE " must be a number, 0 or more";
+  if (!read_amount(json, WIRE_DEADLINE, &spec->deadline_s, MM_JOB_NO_DEADLINE))
+    return WIRE_DEADLINE " must be null or a number, 0 or more";
+  if (!read_dependencies(json, spec))
+    return WIRE_NEEDS " must be null or a list of job ids";
+  return NULL;
+}
+
 gboolean
 mm_job_spec_parse(MmJobSpec *spec, const json_t *json, const char **reason) {
-  const json_t *n_tasks = mm_json_get(json, WIRE_TASKS);
-  guint kind = 0, priority = 0;
+  const char *error = NULL;
 
   memset(spec, 0, sizeof *spec);
   if (!json_is_object(json))
-    *reason = "the body must be a JSON object";
-  else if (!mm_job_id_is_valid(mm_json_string(json, WIRE_JOB_ID)))
-    *reason = WIRE_JOB_ID " must be " WIRE_JOB_PREFIX " and digits";
-  else if (!read_name(json, WIRE_CLASS, &spec->job_class, TRUE))
-    *reason = WIRE_CLASS " must be text";
-  else if (!read_name(json, WIRE_TEAM, &spec->team, TRUE))
-    *reason = WIRE_TEAM " must be text";
-  else if (!read_keyword(json, WIRE_KIND, kind_names, G_N_ELEMENTS(kind_names), &kind))
-    *reason = WIRE_KIND " must be array, group or service";
-  else if (!read_keyword(json, WIRE_PRIORITY, priority_names, G_N_ELEMENTS(priority_names),
-                         &priority))
-    *reason = WIRE_PRIORITY " must be critical, urgent, normal or low";
-  else if (!json_is_integer(n_tasks) || json_integer_value(n_tasks) < 1
-           || json_integer_value(n_tasks) > MM_JOB_MAX_TASKS)
-    *reason = WIRE_TASKS " must be a whole number from 1 to 100000";
-  else if (!read_amount(json, WIRE_CORES, &spec->task_resources.cores, NAN))
-    *reason = WIRE_CORES " must be a number, 0 or more";
-  else if (!read_amount(json, WIRE_ACCELERATORS, &spec->task_resources.accelerators, NAN))
-    *reason = WIRE_ACCELERATORS " must be a number, 0 or more";
-  else if (!read_amount(json, WIRE_MEMORY, &spec->task_resources.memory_gb, NAN))
-    *reason = WIRE_MEMORY " must be a number, 0 or more";
-  else if (!read_name(json, WIRE_IMAGE, &spec->image, TRUE))
-    *reason = WIRE_IMAGE " must be text";
-  else if (!read_amount(json, WIRE_IMAGE_GB, &spec->image_gb, NAN))
-    *reason = WIRE_IMAGE_GB " must be a number, 0 or more";
-  else if (!read_allowed_types(json, spec))
-    *reason = WIRE_TYPES " must be null or a list of names";
-  else if (!read_name(json, WIRE_ZONE, &spec->zone, FALSE))
-    *reason = WIRE_ZONE " must be null or text";
-  else if (!read_boolean(json, WIRE_ONE_ZONE, &spec->requires_one_zone))
-    *reason = WIRE_ONE_ZONE " must be true or false";
-  else if (!read_boolean(json, WIRE_SPREAD, &spec->spreads_over_zones))
-    *reason = WIRE_SPREAD " must be true or false";
-  else if (!read_boolean(json, WIRE_SPOT, &spec->allows_spot))
-    *reason = WIRE_SPOT " must be true or false";
-  else if (!read_amount(json, WIRE_ESTIMATE, &spec->run_estimate_s, NAN))
-    *reason = WIRE_ESTIMATE " must be a number, 0 or more";
-  else if (!read_amount(json, WIRE_CHECKPOINT, &spec->checkpoint_interval_s, NAN))
-    *reason = WIRE_CHECKPOINT " must be a number, 0 or more";
-  else if (!read_amount(json, WIRE_SAVE, &spec->checkpoint_save_s, NAN))
-    *reason = WIRE_SAVE " must be a number, 0 or more";
-  else if (!read_amount(json, WIRE_DEADLINE, &spec->deadline_s, -1))
-    *reason = WIRE_DEADLINE " must be null or a number, 0 or more";
-  else if (!read_dependencies(json, spec))
-    *reason = WIRE_NEEDS " must be null or a list of job ids";
-  else {
-    spec->id = mm_name(mm_json_string(json, WIRE_JOB_ID));
-    spec->kind = (MmJobKind)kind;
-    spec->priority = (MmPriority)priority;
-    spec->n_tasks = (guint)json_integer_value(n_tasks);
+    error = "the body must be a JSON object";
+  if (error == NULL)
+    error = read_identity(json, spec);
+  if (error == NULL)
+    error = read_task_resources(json, spec);
+  if (error == NULL)
+    error = read_placement_rules(json, spec);
+  if (error == NULL)
+    error = read_times_and_dependencies(json, spec);
+  if (error == NULL)
     return TRUE;
-  }
+  *reason = error;
   mm_job_spec_clear(spec);
   return FALSE;
 }
@@ -200,11 +236,12 @@
   json_object_set_new(json, WIRE_ESTIMATE, json_real(spec->run_estimate_s));
   json_object_set_new(json, WIRE_CHECKPOINT, json_real(spec->checkpoint_interval_s));
   json_object_set_new(json, WIRE_SAVE, json_real(spec->checkpoint_save_s));
-  if (spec->deadline_s >= 0)
+  if (mm_job_spec_has_deadline(spec))
     json_object_set_new(json, WIRE_DEADLINE, json_real(spec->deadline_s));
   return json;
 }
 
+/* In a job record, dependencies are the numbers of their ids. */
 #define DEPENDENCY_SEPARATOR ","
 
 char *
