--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -5,7 +5,7 @@
 #include "placement/placement.h"
 #include "kv/kv-client.h"
 
-/* Reads of final states at once, and the share of the state service's requests that they take. */
+/* Reads of terminal records at a time, and their share of the requests to the key-value store. */
 #define MAX_CONCURRENT_LOOKUPS 4
 #define LOOKUP_REQUEST_SHARE 0.1
 #define LOOKUP_RETRY_PAUSE_MS 500
@@ -52,7 +52,7 @@
     mm_dependency_graph_cancel_job(dependencies->graph, job->spec.id.s, change);
 }
 
-/* What this node knows already of the jobs that the new one depends on. */
+/* Adds what this node knows already of the jobs that the new one depends on. */
 static void
 add_known_dependencies(MmDependencies *dependencies, const MmJob *job, MmDependencyChange *change) {
   MmJobTable *job_table = dependencies->node->job_table;
@@ -71,36 +71,33 @@
 
 void
 mm_dependencies_job_added(MmDependencies *dependencies, MmJob *job) {
-  MmDependencyChange change;
+  g_auto(MmDependencyChange) change = { 0 };
 
   mm_dependency_change_init(&change);
   add_vertex(dependencies, job, &change);
   add_known_dependencies(dependencies, job, &change);
   notify_scheduler(dependencies, &change);
-  mm_dependency_change_clear(&change);
   if (job->spec.n_dependencies > 0 && mm_job_dependencies_are_done(job))
     mm_scheduler_job_ready(dependencies->node->scheduler, job);
 }
 
 void
 mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job_id) {
-  MmDependencyChange change;
+  g_auto(MmDependencyChange) change = { 0 };
 
   mm_dependency_change_init(&change);
   mm_dependency_graph_cancel_job(dependencies->graph, job_id, &change);
   notify_scheduler(dependencies, &change);
-  mm_dependency_change_clear(&change);
 }
 
 void
 mm_dependencies_job_ended(MmDependencies *dependencies, const char *job_id, gboolean is_cancelled,
                           gint64 done_at_ms) {
-  MmDependencyChange change;
+  g_auto(MmDependencyChange) change = { 0 };
 
   mm_dependency_change_init(&change);
   mm_dependency_graph_end_job(dependencies->graph, job_id, is_cancelled, done_at_ms, &change);
   notify_scheduler(dependencies, &change);
-  mm_dependency_change_clear(&change);
 }
 
 void
@@ -118,7 +115,7 @@
   return job->vertex != NULL && mm_vertex_has_cancelled_dependency(job->vertex);
 }
 
-/* ---- final states that nobody has told ---- */
+/* ---- terminal records that the replica did not bring ---- */
 
 typedef struct {
   MmDependencies *dependencies;
@@ -135,7 +132,7 @@
   dependencies->n_lookups--;
   if (vertex != NULL) {
     vertex->is_being_looked_up = FALSE;
-    /* 404: its record is about to show here, or has just been moved. */
+    /* 404: its job record is about to show in the replica, or has just ended. */
     vertex->lookup_not_before = mm_time_add_ms(mm_node_now(node), LOOKUP_RETRY_PAUSE_MS);
   }
   if (status == 200)
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -1,6 +1,9 @@
-/* Dependencies between jobs, as this node knows them: the graph, fed by the job table and by final
- * states, and what follows for the jobs. Final states that nobody has told are read from the state
- * service, a few at a time. */
+/* Dependencies between jobs, as this node knows them.
+ *
+ * Owns the dependency graph and feeds it: the job table reports jobs and terminal states, the
+ * scheduler cancellations. What follows from a change goes to the scheduler: jobs that are
+ * cancelled with a dependency, jobs that became ready. Terminal states that neither the replica nor
+ * a peer brought are read from the key-value store, a few at a time. */
 #pragma once
 
 #include "dependencies/dependency-graph.h"
@@ -10,7 +13,7 @@
 struct MmDependencies {
   MmNode *node;
   MmDependencyGraph *graph;
-  guint n_lookups; /* reads of final states under way */
+  guint n_lookups; /* reads of terminal records under way */
   MmTime next_lookup_at;
 };
 
@@ -18,22 +21,22 @@
 void mm_dependencies_free(MmDependencies *dependencies);
 void mm_dependencies_tick(MmDependencies *dependencies);
 
-/* The job has come into the job table. */
+/* The job was added to the job table. */
 void mm_dependencies_job_added(MmDependencies *dependencies, MmJob *job);
-/* The job's cancellation is in the state service. */
+/* The job's cancellation is in the key-value store. */
 void mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job_id);
-/* The job's final state is in the state service. `done_ms` 0: when it was done is not known. */
+/* The job's terminal record is in the key-value store. `done_at_ms` as in MmTerminalState. */
 void mm_dependencies_job_ended(MmDependencies *dependencies, const char *job_id,
                                gboolean is_cancelled, gint64 done_at_ms);
-/* The job's record has gone. To be told after its final state, where that is known. */
+/* The job's record is gone. To be called after mm_dependencies_job_ended, where that is known. */
 void mm_dependencies_job_removed(MmDependencies *dependencies, const char *job_id);
 
-/* Whether nothing is known yet of a job that this one depends on, directly or not. Until it is, no
- * user can be told whether this job is cancelled. */
+/* Whether the state of a job that this one depends on, directly or not, is unknown here. Until it
+ * is known, no user can learn whether this job is cancelled. */
 gboolean mm_dependencies_is_undecided(MmDependencies *dependencies, const MmJob *job);
 
-/* Whether the job's tasks may start as far as its dependencies go: the final state `done` of each
- * has been seen in the state service. */
+/* Whether the job's tasks may start as far as its dependencies go: the terminal record of each was
+ * seen in the key-value store, with the outcome done. */
 static inline gboolean
 mm_job_dependencies_are_done(const MmJob *job) {
   return job->vertex == NULL || mm_vertex_dependencies_are_done(job->vertex);
--- a/src/dependencies/dependency-graph.c
+++ b/src/dependencies/dependency-graph.c
@@ -69,7 +69,7 @@
   return vertex;
 }
 
-/* Nobody depends on it, it depends on nobody, and its record is gone. */
+/* Frees the vertex if no unfinished job depends on it and its own record is gone. */
 static void
 free_if_unused(MmDependencyGraph *graph, MmVertex *vertex) {
   if (vertex->is_in_job_table || vertex->dependents->len > 0 || vertex->dependencies->len > 0)
@@ -84,7 +84,8 @@
   return vertex->state == MM_VERTEX_DONE || vertex->state == MM_VERTEX_CANCELLED;
 }
 
-/* Marks the vertex and all that depend on it, directly or not. */
+/* Marks the vertex and all that depend on it, directly or not. The part of change->cancelled that
+ * this call adds is its queue. */
 static void
 cancel_from(MmDependencyGraph *graph, MmVertex *start, MmDependencyChange *change) {
   guint next = change->cancelled->len;
@@ -188,7 +189,7 @@
   }
   g_ptr_array_set_size(vertex->dependencies, 0);
   vertex->n_unmet = 0;
-  /* A cancellation that was seen stays true; how an unfinished job ended is still to be read. */
+  /* A cancellation that was seen stays true; how an unfinished job ended must be read. */
   if (vertex->state == MM_VERTEX_UNFINISHED)
     set_state(graph, vertex, MM_VERTEX_UNKNOWN);
   free_if_unused(graph, vertex);
