--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -1,14 +1,17 @@
 #include "autoscaler/autoscaler.h"
 
-#include "base/wire.h"
+#include "autoscaler/scale-in.h"
+#include "autoscaler/scale-out.h"
+#include "autoscaler/silence.h"
 #include "machines/registry.h"
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
 
 #define PLAN_INTERVAL_MS 500
 #define LIST_PAGE_SIZE 500
+#define LIST_TIMEOUT_MS 3000
 
-static void request_machine_list(MmAutoscaler *autoscaler, const char *after_id);
+static void request_machine_list(MmAutoscaler *autoscaler, const char *after);
 
 MmAutoscaler *
 mm_autoscaler_new(MmNode *node) {
@@ -29,7 +32,7 @@
   g_free(autoscaler);
 }
 
-/* ---- the list ---- */
+/* ---- the list of machines ---- */
 
 MmMachineOffer *
 mm_autoscaler_offer_for(MmAutoscaler *autoscaler, const MmName *type, const MmName *zone,
@@ -46,71 +49,65 @@
   return &g_array_index(autoscaler->offers, MmMachineOffer, autoscaler->offers->len - 1);
 }
 
-static void
-update_cloud_machine(MmAutoscaler *autoscaler, const json_t *item) {
-  MmTime now = mm_node_now(autoscaler->node);
-  const char *id = mm_json_string(item, WIRE_JOB_ID);
-  const char *state = mm_json_string(item, WIRE_STATE);
-  MmCloudMachine *cloud_machine;
+static MmCloudMachine *
+add_cloud_machine(MmAutoscaler *autoscaler, const MmListedMachine *listed) {
+  MmCloudMachine *cloud_machine = g_new0(MmCloudMachine, 1);
+  MmMachineOffer *offer
+      = mm_autoscaler_offer_for(autoscaler, &listed->type, &listed->zone, listed->is_spot);
+
+  cloud_machine->id = listed->id;
+  cloud_machine->type = listed->type;
+  cloud_machine->zone = listed->zone;
+  cloud_machine->is_spot = listed->is_spot;
+  cloud_machine->first_listed_at = mm_node_now(autoscaler->node);
+  g_hash_table_insert(autoscaler->cloud_machines, cloud_machine->id.s, cloud_machine);
+  if (offer->n_rented_unlisted > 0)
+    offer->n_rented_unlisted--;
+  return cloud_machine;
+}
 
-  if (id == NULL || id[0] == '\0' || strlen(id) > MM_NAME_MAX)
-    return;
-  cloud_machine = g_hash_table_lookup(autoscaler->cloud_machines, id);
-  if (cloud_machine == NULL) {
-    MmMachineOffer *offer;
-    cloud_machine = g_new0(MmCloudMachine, 1);
-    cloud_machine->id = mm_name(id);
-    cloud_machine->type = mm_name(mm_json_string(item, WIRE_TYPE));
-    cloud_machine->zone = mm_name(mm_json_string(item, WIRE_ZONE));
-    cloud_machine->is_spot = mm_json_flag(item, WIRE_SPOT);
-    cloud_machine->first_listed_at = now;
-    g_hash_table_insert(autoscaler->cloud_machines, cloud_machine->id.s, cloud_machine);
-    offer = mm_autoscaler_offer_for(autoscaler, &cloud_machine->type, &cloud_machine->zone,
-                                    cloud_machine->is_spot);
-    offer->n_rented_unlisted -= offer->n_rented_unlisted > 0;
-  }
-  cloud_machine->is_running = g_strcmp0(state, WIRE_RUNNING) == 0;
-  cloud_machine->has_failed = g_strcmp0(state, WIRE_FAILED) == 0;
-  cloud_machine->age_when_listed_s = mm_json_number(item, WIRE_AGE, 0);
-  cloud_machine->last_listed_at = now;
+static void
+update_cloud_machine(MmAutoscaler *autoscaler, const MmListedMachine *listed) {
+  MmCloudMachine *cloud_machine = g_hash_table_lookup(autoscaler->cloud_machines, listed->id.s);
+
+  if (cloud_machine == NULL)
+    cloud_machine = add_cloud_machine(autoscaler, listed);
+  cloud_machine->is_running = listed->is_running;
+  cloud_machine->has_failed = listed->has_failed;
+  cloud_machine->age_when_listed_s = listed->age_s;
+  cloud_machine->last_listed_at = mm_node_now(autoscaler->node);
 }
 
 static void
 on_machine_list(gpointer data, int status, json_t *body) {
   MmAutoscaler *autoscaler = data;
-  const json_t *items = mm_json_get(body, WIRE_MACHINES);
-  MmTime now = mm_node_now(autoscaler->node);
-  double list_lag_s = MAX(autoscaler->node->settings->cloud_list_delay_s, 1);
-  size_t i;
-  json_t *item;
-  const char *last_id = NULL;
+  double list_delay_s = MAX(autoscaler->node->settings->cloud_list_delay_s, 1);
+  g_auto(MmMachineListPage) page = { 0 };
 
   autoscaler->list_in_flight = FALSE;
-  autoscaler->next_list_at = mm_time_add_ms(now, (gint64)(list_lag_s * 1000 / 2));
-  if (status != 200 || !json_is_array(items)) {
-    mm_info("no machine list from the cloud: status %d", status);
-    return;
-  }
-  json_array_foreach(items, i, item) {
-    update_cloud_machine(autoscaler, item);
-    last_id = mm_json_string(item, WIRE_JOB_ID);
-  }
-  if (mm_json_flag(body, WIRE_MORE) && last_id != NULL) {
-    request_machine_list(autoscaler, last_id);
+  autoscaler->next_list_at
+      = mm_time_add_ms(mm_node_now(autoscaler->node), (gint64)(list_delay_s * 1000 / 2));
+  if (status != 200 || !mm_machine_list_page_parse(&page, body)) {
+    mm_info("machines not listed by the cloud status=%d", status);
     return;
   }
-  autoscaler->has_machine_list = TRUE;
+  for (guint i = 0; i < page.machines->len; i++)
+    update_cloud_machine(autoscaler, &g_array_index(page.machines, MmListedMachine, i));
+  if (page.next_after != NULL)
+    request_machine_list(autoscaler, page.next_after);
+  else
+    autoscaler->has_machine_list = TRUE;
 }
 
+/* `after`: the id after which the page begins; NULL: the first page. */
 static void
-request_machine_list(MmAutoscaler *autoscaler, const char *after_id) {
-  g_autofree char *path = g_strdup_printf(
-      WIRE_MACHINES_PATH "?%s%s%s" WIRE_LIMIT "=%d", after_id != NULL ? WIRE_AFTER "=" : "",
-      after_id != NULL ? after_id : "", after_id != NULL ? "&" : "", LIST_PAGE_SIZE);
+request_machine_list(MmAutoscaler *autoscaler, const char *after) {
+  const MmPlatform *platform = &autoscaler->node->platform;
+  g_autofree char *path = mm_machine_list_path(after, LIST_PAGE_SIZE);
 
   autoscaler->list_in_flight = TRUE;
-  autoscaler->node->platform.request(autoscaler->node->platform.context, MM_TARGET_CLOUD, NULL,
-                                     "GET", path, NULL, 3000, on_machine_list, autoscaler);
+  platform->request(platform->context, MM_TARGET_CLOUD, NULL, "GET", path, NULL, LIST_TIMEOUT_MS,
+                    on_machine_list, autoscaler);
 }
 
 void
@@ -124,7 +121,7 @@
     autoscaler->is_active = is_active;
     autoscaler->has_machine_list = FALSE;
     g_hash_table_remove_all(autoscaler->cloud_machines);
-    mm_info("the fleet is %s", is_active ? "held here" : "no longer held here");
+    mm_info("autoscaler %s", is_active ? "active" : "inactive");
   }
   if (!is_active || !mm_instance_types_are_known(node->instance_types))
     return;
@@ -135,8 +132,8 @@
   autoscaler->next_plan_at = mm_time_add_ms(now, PLAN_INTERVAL_MS);
   mm_autoscaler_count_silent(autoscaler);
   mm_autoscaler_scale_in(autoscaler);
-  /* A lost machine stays on the register for nobody: after the next taking of a part it would have
-   * to be proved lost once more before its tasks, or any others, could be given out. */
+  /* No machine that has ended stays in the registry: the next node to acquire a shard would have to
+   * prove once more that it is gone before it could start that machine's tasks, or any others. */
   mm_registry_remove_ended_machines(node->registry);
   mm_autoscaler_scale_out(autoscaler);
 }
--- /dev/null
+++ b/src/autoscaler/cloud-codec.c
@@ -0,0 +1,153 @@
+#include "autoscaler/cloud-codec.h"
+
+#include <stdlib.h>
+
+#include "base/wire.h"
+
+/* For a type that the cloud describes incompletely. */
+#define DEFAULT_BOOT_S 60
+#define DEFAULT_FETCH_GB_PER_S 1
+#define MIN_FETCH_GB_PER_S 1e-3
+
+/* ---- the list of machines ---- */
+
+static gboolean
+parse_machine(MmListedMachine *machine, const json_t *json) {
+  const char *id = mm_json_string(json, WIRE_JOB_ID);
+  const char *state = mm_json_string(json, WIRE_STATE);
+
+  if (id == NULL || id[0] == '\0' || strlen(id) > MM_NAME_MAX)
+    return FALSE;
+  *machine = (MmListedMachine){
+    .id = mm_name(id),
+    .type = mm_name(mm_json_string(json, WIRE_TYPE)),
+    .zone = mm_name(mm_json_string(json, WIRE_ZONE)),
+    .is_spot = mm_json_flag(json, WIRE_SPOT),
+    .is_running = g_strcmp0(state, WIRE_RUNNING) == 0,
+    .has_failed = g_strcmp0(state, WIRE_FAILED) == 0,
+    .age_s = mm_json_number(json, WIRE_AGE, 0),
+  };
+  return TRUE;
+}
+
+gboolean
+mm_machine_list_page_parse(MmMachineListPage *page, const json_t *body) {
+  const json_t *items = mm_json_get(body, WIRE_MACHINES);
+  const char *last_id = NULL;
+  size_t i;
+  json_t *item;
+
+  if (!json_is_array(items))
+    return FALSE;
+  page->machines = g_array_new(FALSE, FALSE, sizeof(MmListedMachine));
+  json_array_foreach(items, i, item) {
+    MmListedMachine machine;
+    if (parse_machine(&machine, item))
+      g_array_append_val(page->machines, machine);
+    last_id = mm_json_string(item, WIRE_JOB_ID);
+  }
+  page->next_after = mm_json_flag(body, WIRE_MORE) ? g_strdup(last_id) : NULL;
+  return TRUE;
+}
+
+void
+mm_machine_list_page_clear(MmMachineListPage *page) {
+  g_clear_pointer(&page->machines, g_array_unref);
+  g_clear_pointer(&page->next_after, g_free);
+}
+
+char *
+mm_machine_list_path(const char *after, guint page_size) {
+  if (after == NULL)
+    return g_strdup_printf(WIRE_MACHINES_PATH "?" WIRE_LIMIT "=%u", page_size);
+  return g_strdup_printf(WIRE_MACHINES_PATH "?" WIRE_AFTER "=%s&" WIRE_LIMIT "=%u", after,
+                         page_size);
+}
+
+/* ---- machine types ---- */
+
+void
+mm_instance_type_free(MmInstanceType *type) {
+  g_array_unref(type->zones);
+  g_free(type);
+}
+
+MmInstanceType *
+mm_instance_type_parse(const json_t *json) {
+  const char *name = mm_json_string(json, WIRE_TYPE_NAME);
+  MmInstanceType *type;
+  size_t i;
+  json_t *zone;
+
+  if (name == NULL || name[0] == '\0')
+    return NULL;
+  type = g_new0(MmInstanceType, 1);
+  type->name = mm_name(name);
+  type->resources = (MmResources){ mm_json_number(json, WIRE_CORES, 0),
+                                   mm_json_number(json, WIRE_ACCELERATORS, 0),
+                                   mm_json_number(json, WIRE_MEMORY, 0) };
+  type->image_cache_gb = mm_json_number(json, WIRE_CACHE_GB, 0);
+  type->image_fetch_gb_per_s
+      = MAX(mm_json_number(json, WIRE_FETCH_RATE, DEFAULT_FETCH_GB_PER_S), MIN_FETCH_GB_PER_S);
+  type->on_demand_price = mm_json_number(json, WIRE_PRICE, 0);
+  type->spot_price = mm_json_number(json, WIRE_SPOT_PRICE, type->on_demand_price);
+  type->boot_s = mm_json_number(json, WIRE_BOOT, DEFAULT_BOOT_S);
+  type->zones = g_array_new(FALSE, TRUE, sizeof(MmName));
+  json_array_foreach(mm_json_get(json, WIRE_ZONES), i, zone) {
+    MmName zone_name = mm_name(json_string_value(zone));
+    g_array_append_val(type->zones, zone_name);
+  }
+  return type;
+}
+
+const json_t *
+mm_instance_type_list_of(const json_t *body) {
+  const json_t *list = mm_json_get(body, WIRE_TYPES);
+
+  return json_is_array(list) ? list : NULL;
+}
+
+char *
+mm_instance_type_list_to_text_without_prices(const json_t *list) {
+  g_autoptr(json_t) copy = json_deep_copy(list);
+  size_t i;
+  json_t *item;
+  char *text, *copied_text;
+
+  json_array_foreach(copy, i, item) {
+    json_object_del(item, WIRE_PRICE);
+    json_object_del(item, WIRE_SPOT_PRICE);
+  }
+  text = json_dumps(copy, JSON_COMPACT | JSON_SORT_KEYS);
+  copied_text = g_strdup(text);
+  free(text);
+  return copied_text;
+}
+
+json_t *
+mm_instance_type_record_to_json(const json_t *list) {
+  return json_pack("{s:O}", WIRE_TYPES, list);
+}
+
+/* ---- renting and releasing ---- */
+
+json_t *
+mm_rent_request_to_json(const char *request_id, const MmName *type, const MmName *zone,
+                        gboolean is_spot, guint n_machines) {
+  return json_pack("{s:s, s:s, s:s, s:b, s:I}", WIRE_REQUEST, request_id, WIRE_TYPE, type->s,
+                   WIRE_ZONE, zone->s, WIRE_SPOT, is_spot, WIRE_COUNT, (json_int_t)n_machines);
+}
+
+guint
+mm_rent_response_count(const json_t *body) {
+  return (guint)json_array_size(mm_json_get(body, WIRE_MACHINES));
+}
+
+json_t *
+mm_release_request_to_json(const GPtrArray *machine_ids) {
+  json_t *list = json_array();
+
+  for (guint i = 0; i < machine_ids->len; i++)
+    json_array_append_new(list, json_string(g_ptr_array_index(machine_ids, i)));
+  return json_pack("{s:o}", WIRE_MACHINES, list);
+}
--- a/src/autoscaler/instance-types.c
+++ b/src/autoscaler/instance-types.c
@@ -1,7 +1,5 @@
 #include "autoscaler/instance-types.h"
 
-#include <stdlib.h>
-
 #include "base/wire.h"
 #include "leases/node-lease.h"
 #include "kv/kv-client.h"
@@ -9,21 +7,16 @@
 #define TYPES_REFRESH_MS 60000
 #define TYPES_RETRY_MS 1000
 #define UNSTORED_TYPES_REFRESH_MS 3000
-
-static void
-instance_type_free(gpointer data) {
-  MmInstanceType *type = data;
-
-  g_array_unref(type->zones);
-  g_free(type);
-}
+#define TYPES_TIMEOUT_MS 3000
+/* What the record takes beyond the text of the types. */
+#define RECORD_MARGIN_BYTES 512
 
 MmInstanceTypes *
 mm_instance_types_new(MmNode *node) {
   MmInstanceTypes *instance_types = g_new0(MmInstanceTypes, 1);
 
   instance_types->node = node;
-  instance_types->types = g_ptr_array_new_with_free_func(instance_type_free);
+  instance_types->types = g_ptr_array_new_with_free_func((GDestroyNotify)mm_instance_type_free);
   return instance_types;
 }
 
@@ -70,108 +63,83 @@
 }
 
 static void
-read_type(MmInstanceTypes *instance_types, const json_t *item) {
-  MmName name = mm_name(mm_json_string(item, WIRE_TYPE_NAME));
-  MmInstanceType *type = (MmInstanceType *)mm_instance_types_find(instance_types, &name);
-  size_t i;
-  json_t *zone;
+add_or_update(MmInstanceTypes *instance_types, MmInstanceType *parsed) {
+  MmInstanceType *known = (MmInstanceType *)mm_instance_types_find(instance_types, &parsed->name);
 
-  if (mm_name_is_empty(&name))
+  if (known == NULL) {
+    g_ptr_array_add(instance_types->types, parsed);
     return;
-  if (type == NULL) {
-    type = g_new0(MmInstanceType, 1);
-    type->name = name;
-    type->zones = g_array_new(FALSE, TRUE, sizeof(MmName));
-    g_ptr_array_add(instance_types->types, type);
-  }
-  type->resources = (MmResources){ mm_json_number(item, WIRE_CORES, 0),
-                                   mm_json_number(item, WIRE_ACCELERATORS, 0),
-                                   mm_json_number(item, WIRE_MEMORY, 0) };
-  type->image_cache_gb = mm_json_number(item, WIRE_CACHE_GB, 0);
-  type->image_fetch_gb_per_s = MAX(mm_json_number(item, WIRE_FETCH_RATE, 1), 1e-3);
-  type->on_demand_price = mm_json_number(item, WIRE_PRICE, 0);
-  type->spot_price = mm_json_number(item, WIRE_SPOT_PRICE, type->on_demand_price);
-  type->boot_s = mm_json_number(item, WIRE_BOOT, 60);
-  g_array_set_size(type->zones, 0);
-  json_array_foreach(mm_json_get(item, WIRE_ZONES), i, zone) {
-    MmName zone_name = mm_name(json_string_value(zone));
-    g_array_append_val(type->zones, zone_name);
   }
+  /* In place: others keep pointers to it. */
+  g_array_unref(known->zones);
+  *known = *parsed;
+  g_free(parsed);
 }
 
-/* What does not change from one answer to the next. */
-static char *
-text_without_prices(const json_t *list) {
-  g_autoptr(json_t) copy = json_deep_copy(list);
+static void
+load_types(MmInstanceTypes *instance_types, const json_t *list) {
   size_t i;
   json_t *item;
-  char *text, *copied_text;
 
-  json_array_foreach(copy, i, item) {
-    json_object_del(item, WIRE_PRICE);
-    json_object_del(item, WIRE_SPOT_PRICE);
+  json_array_foreach(list, i, item) {
+    MmInstanceType *type = mm_instance_type_parse(item);
+    if (type != NULL)
+      add_or_update(instance_types, type);
   }
-  text = json_dumps(copy, JSON_COMPACT | JSON_SORT_KEYS);
-  copied_text = g_strdup(text);
-  free(text);
-  return copied_text;
 }
 
 void
 mm_instance_types_load_stored(MmInstanceTypes *instance_types, const json_t *json,
                               MmKeyVersion version) {
-  const json_t *list = mm_json_get(json, WIRE_TYPES);
-  size_t i;
-  json_t *item;
+  const json_t *list = mm_instance_type_list_of(json);
 
-  if (!json_is_array(list))
+  if (list == NULL)
     return;
   g_free(instance_types->stored_text);
-  instance_types->stored_text = text_without_prices(list);
+  instance_types->stored_text = mm_instance_type_list_to_text_without_prices(list);
   instance_types->stored_version = version;
-  /* What the cloud itself has said since is newer. */
+  /* What the cloud itself has answered is newer. */
   if (mm_instance_types_are_known(instance_types))
     return;
-  json_array_foreach(list, i, item) read_type(instance_types, item);
+  load_types(instance_types, list);
 }
 
+/* Stores the types as the cloud sent them, if they differ from the stored ones. */
 static void
 write_types_record(MmInstanceTypes *instance_types, const json_t *list) {
   MmNode *node = instance_types->node;
-  g_autofree char *text = text_without_prices(list);
+  g_autofree char *text = mm_instance_type_list_to_text_without_prices(list);
   MmTransaction transaction;
 
   if (g_strcmp0(text, instance_types->stored_text) == 0
       || !mm_node_lease_may_answer_workers(node->node_lease)
-      || strlen(text) + 512 > node->settings->kv_max_value_bytes
+      || strlen(text) + RECORD_MARGIN_BYTES > node->settings->kv_max_value_bytes
       || !mm_kv_client_try_spend_writes(node->kv, 1))
     return;
   transaction = mm_transaction_begin();
-  /* One that is carried out late must not bring back what the cloud has changed since. */
+  /* A write that is carried out late must not bring back what the cloud has changed since. */
   mm_transaction_require_version(&transaction, MM_KEY_INSTANCE_TYPES, "",
                                  instance_types->stored_version);
-  mm_transaction_put(&transaction, MM_KEY_INSTANCE_TYPES, "", json_pack("{s:O}", WIRE_TYPES, list),
+  mm_transaction_put(&transaction, MM_KEY_INSTANCE_TYPES, "", mm_instance_type_record_to_json(list),
                      0);
-  /* Should it fail, the cloud's next answer is stored. */
+  /* Should it fail, the cloud's next response is stored. */
   mm_kv_client_commit(node->kv, &transaction, NULL, NULL);
 }
 
 static void
 on_machine_types(gpointer data, int status, json_t *body) {
   MmInstanceTypes *instance_types = data;
-  const json_t *list = mm_json_get(body, WIRE_TYPES);
+  const json_t *list = mm_instance_type_list_of(body);
   MmTime now = mm_node_now(instance_types->node);
-  size_t i;
-  json_t *item;
 
   instance_types->fetch_in_flight = FALSE;
   instance_types->next_fetch_at = mm_time_add_ms(now, TYPES_RETRY_MS);
-  if (status != 200 || !json_is_array(list)) {
-    mm_info("no machine types from the cloud: status %d", status);
+  if (status != 200 || list == NULL) {
+    mm_info("machine types not fetched from the cloud status=%d", status);
     return;
   }
-  json_array_foreach(list, i, item) read_type(instance_types, item);
-  /* Soon again until the state service holds them: a claim may not have been there yet. */
+  load_types(instance_types, list);
+  /* Soon again until they are stored: there may have been no node lease yet to write them under. */
   instance_types->next_fetch_at = mm_time_add_ms(
       now, instance_types->stored_text != NULL ? TYPES_REFRESH_MS : UNSTORED_TYPES_REFRESH_MS);
   write_types_record(instance_types, list);
@@ -184,6 +152,6 @@
     return;
   instance_types->fetch_in_flight = TRUE;
   instance_types->node->platform.request(instance_types->node->platform.context, MM_TARGET_CLOUD,
-                                         NULL, "GET", WIRE_MACHINE_TYPES_PATH, NULL, 3000,
-                                         on_machine_types, instance_types);
+                                         NULL, "GET", WIRE_MACHINE_TYPES_PATH, NULL,
+                                         TYPES_TIMEOUT_MS, on_machine_types, instance_types);
 }
