--- a/src/machines/machine.c
+++ b/src/machines/machine.c
@@ -1,8 +1,9 @@
 /* What is known of one machine: its tasks, images, free resources, and commands that wait for it.
  */
-#include "machines/machine-table.h"
+#include "machines/machine.h"
 
 #include "machines/machine-health.h"
+#include "machines/machine-table.h"
 
 #define QUEUED_COMMANDS_MAX 256
 
