--- a/src/machines/machine.h
+++ b/src/machines/machine.h
@@ -1,4 +1,11 @@
-/* One machine as its newest heartbeats show it. */
+/* One machine as its newest heartbeats, the registry and this node's own decisions show it.
+ *
+ * Every node keeps an MmMachine for every machine, whichever node its heartbeats reach. The machine
+ * table (machine-table.h) owns them; the pointers that others keep end with
+ * mm_scheduler_machine_gone() and mm_sharing_machine_gone().
+ *
+ * Invariants: `latest_heartbeat_id` and `latest_message_id` never go back; while
+ * `lease_has_expired` or `is_terminated` is set, the machine shows no task. */
 #pragma once
 
 #include "heartbeat/heartbeat.h"
@@ -17,89 +24,106 @@
   guint number;
 } MmTaskRef;
 
-#define MM_SERVING_NODE_SELF -1
-#define MM_SERVING_NODE_NONE -2 /* no report to any node is known, at most direct answers */
+/* A task of a job whose shard this node leads, on a machine where it runs or may run. */
+typedef struct {
+  MmJob *job; /* lent */
+  guint number;
+} MmPlacedTask;
+
+/* The node that serves a machine: the index of a peer, or one of these. */
+enum {
+  MM_SERVING_NODE_NONE = -2, /* no heartbeat to any node is known, at most direct replies */
+  MM_SERVING_NODE_SELF = -1,
+};
 
 struct MmMachine {
+  /* Identity. Written by the machine table. */
   MmName id;
   char addr[64];
   MmName type_name;
-  const MmInstanceType *type; /* NULL while the cloud's types are not known */
+  const MmInstanceType *type; /* lent; NULL while the cloud's types are not known */
   MmName zone;
   gboolean is_spot;
-  gboolean has_reported; /* a report has been seen; otherwise known from the register only */
-  MmHeartbeatId latest_message_id;
-  MmHeartbeatId
-      latest_heartbeat_id; /* newest report made to a node; `stamp` may be of a direct answer */
-  MmTerm acknowledged_term;
-  /* Answers that carried a term which no later report has shown: */
-  MmTime unacknowledged_since;      /* the first of them; 0: none */
-  guint unacknowledged_responses;   /* how many */
-  guint consecutive_refused_starts; /* in a row that were not carried out */
-  guint consecutive_lost_leases; /* in a row, each while its reports were being answered steadily */
-  guint responses_in_incarnation; /* in this session */
-  gboolean has_termination_notice;
-  MmTime termination_at;            /* when the cloud may take it */
-  GArray *reported_tasks;           /* MmReportedTask of the newest report */
-  gboolean needs_task_review;       /* the owner must look at the same tasks again */
-  gboolean has_live_task;           /* that shows a task which has not ended */
-  gboolean has_unsent_changes;      /* something here is new to the peers */
-  gint serving_node;                /* the node that heard it last: a peer's index or MM_HOST_... */
-  MmTime last_possible_response_at; /* it may have been answered up to here, as far as this node
-                                       knows */
-  MmTime steady_responses_since;    /* since then there was an answer in each half of a lease */
-  MmTime last_own_response_at;      /* when this node itself answered it last */
-  MmTime last_seen_at;              /* newest report of any kind */
-  MmTime last_heartbeat_at;         /* newest report made to a node */
-  gboolean is_in_registry;          /* in the state service, as the replica shows */
-  guint64 registered_incarnation;   /* starts need a registration of the session itself */
-  gboolean lease_has_expired;
-  gboolean is_terminated; /* returned: the cloud has said so */
-  gboolean is_being_terminated;
-  MmTime last_probed_at;           /* when it was last asked directly for a sign of life, */
-  guint unanswered_probes;         /* and how often since it last gave one */
-  GArray *cached_images;           /* MmCachedImage */
-  MmResources available_resources; /* as last worked out, */
-  guint64
-      available_generation; /* with the job table's jobs of that time; 0: to be worked out anew */
-  MmTime idle_since;
-  guint sorted_index; /* place in the order of names */
-  guint group;        /* of machines, that it belongs to for good */
+  guint sorted_index; /* position in MmMachineTable.sorted_machines */
+  guint group;        /* the machine group that it belongs to for good */
+
+  /* Its heartbeats and the registry. Written by the machine table; the autoscaler also writes
+   * `last_seen_at`, at a reply to its probe. */
+  gboolean has_reported;             /* else it is known from the registry only, or unverified */
+  MmHeartbeatId latest_message_id;   /* of the newest heartbeat or direct reply */
+  MmHeartbeatId latest_heartbeat_id; /* of the newest heartbeat that reached a node */
+  MmTerm acknowledged_term;          /* the fencing token in the newest message */
+  gint serving_node;                 /* that received the newest heartbeat: see above */
+  MmTime last_seen_at;               /* newest message of any kind */
+  MmTime last_heartbeat_at;          /* newest heartbeat that reached a node */
+  gboolean has_termination_notice;   /* the cloud has announced that it takes the machine back */
+  MmTime termination_at;             /* when it may do so; set with the notice */
+  gboolean is_in_registry;           /* as the replica shows */
+  guint64 registered_incarnation;    /* starts need a registration of the incarnation itself */
+  gboolean lease_has_expired;        /* for certain: its tasks may run elsewhere */
+  gboolean is_terminated;            /* the cloud has said so; final */
+  GArray *reported_tasks;            /* MmReportedTask of the newest message */
+  gboolean has_live_task;            /* a reported task has not ended */
+  MmTime idle_since;                 /* when it last showed a live task */
+  gboolean has_unsent_changes;       /* not yet sent to the peers; cleared by peer-broadcast */
+
+  /* Derived by machine.c. The scheduler resets `available_generation` as it moves tasks. */
+  GArray *cached_images;           /* MmCachedImage; inferred from tasks, a hint only */
+  MmResources available_resources; /* as last computed, */
+  guint64 available_generation;    /* at this generation of the job table; 0: to be computed */
 
-  /* the owner's */
-  GPtrArray *placed_tasks; /* MmPlacedTask: tasks of parts held here that are or may be on it */
-  GArray *kept_list;       /* MmTaskRef: the kept-list of this machine */
-  MmTime reserved_until;   /* until when `promised` holds */
-  MmResources
-      reserved_resources; /* room, free or being cleared, that is spoken for by work in a hurry */
-  MmTime acknowledgement_requested_at; /* when it was last asked to acknowledgement the term */
-  guint consecutive_failed_jobs; /* that had errors here, with no success of any job between */
+  /* Health. Written by machine-health; the machine table resets the two counters of unacknowledged
+   * responses as a term is acknowledged, and sets both response times as an incarnation begins; the
+   * scheduler resets `consecutive_refused_starts` as a start is carried out. */
+  MmTime unacknowledged_since;      /* first response whose term is unacknowledged; 0: none */
+  guint unacknowledged_responses;   /* how many such responses */
+  MmTime last_possible_response_at; /* latest instant at which a node may have answered it 200, as
+                                       far as this node knows: its lease counts from here */
+  MmTime steady_responses_since;    /* since then a response at least every half lease */
+  MmTime last_own_response_at;      /* newest response by this node */
+  guint responses_in_incarnation;   /* how many since the incarnation began */
+  guint consecutive_refused_starts; /* starts sent to it and not carried out */
+  guint consecutive_lost_leases;    /* each lost while its heartbeats were being answered */
+  guint consecutive_failed_jobs;    /* jobs with errors here, with no success between them */
   MmName last_failed_job;
   MmTime quarantined_until; /* it gets no work before */
-  MmTime full_until;        /* it refused a start for lack of room */
 
-  /* the check-in's */
-  MmTime last_redirected_at; /* when its worker was last sent to the owner of its group */
-  GArray *queued_commands;   /* MmCommand for the next answer */
-  guint64 queued_incarnation;
-};
+  /* Written by the scheduler, about jobs of the shards this node leads. */
+  gboolean needs_task_review;          /* the same reported tasks must be applied again */
+  GPtrArray *placed_tasks;             /* MmPlacedTask, owned: tasks that are or may be on it */
+  GArray *kept_list;                   /* MmTaskRef: tasks to try first at its next start request */
+  MmResources reserved_resources;      /* free or being freed, reserved for urgent work */
+  MmTime reserved_until;               /* when the reservation ends */
+  MmTime acknowledgement_requested_at; /* newest direct command that asks for the term */
+  MmTime full_until;                   /* it refused a start for lack of resources */
 
-typedef struct {
-  MmJob *job;
-  guint number;
-} MmPlacedTask;
+  /* Written by the autoscaler. */
+  gboolean is_being_terminated;
+  MmTime last_probed_at;   /* newest direct request for a sign of life, */
+  guint unanswered_probes; /* and how many since the last reply */
+
+  /* Written by sharing. */
+  MmTime last_redirected_at; /* when its worker was last sent to its group's owner */
+
+  /* Appended to by mm_machine_queue_command(), emptied by pending-response. */
+  GArray *queued_commands;    /* MmCommand for the next response, */
+  guint64 queued_incarnation; /* for this incarnation only */
+};
 
-/* Room left beside everything reported and everything placed by this node's parts. Not more than
- * nothing when a task on it belongs to a job that is not known here. */
+/* Resources free beside everything reported and everything placed by the shards led here. Zero
+ * while the type is unknown, or a task on it belongs to a job that is unknown here. Cached by the
+ * job table's generation. */
 MmResources mm_machine_available_resources(const MmMachineTable *machine_table, MmMachine *machine);
-/* The task as the newest report shows it, or NULL. */
+/* The task as the newest message shows it, or NULL. Lent until the next message. */
 const MmReportedTask *mm_machine_find_reported_task(const MmMachine *machine, const MmName *job_id,
                                                     guint number, MmAttempt attempt);
-/* The machine has this image now; the least recently used ones make room for it. */
+/* The machine has this image now; the least recently used ones make space for it. */
 void mm_machine_record_image(MmMachine *machine, MmTime now, const MmName *image, double image_gb);
 gboolean mm_machine_has_cached_image(const MmMachine *machine, const MmName *image);
-/* Whether its session is in the register: only then it may be given starts. */
+/* Whether its incarnation is in the registry: only then it may be given starts. */
 gboolean mm_machine_has_registered_incarnation(const MmMachine *machine);
-/* A machine that may be given work at all. */
+/* Whether the machine may be given work at all. */
 gboolean mm_machine_is_usable(const MmMachineTable *machine_table, const MmMachine *machine);
+/* Adds a command to the next response to a heartbeat of this incarnation, in place of an earlier
+ * one of the same kind for the same attempt. Commands of other incarnations are dropped. */
 void mm_machine_queue_command(MmMachine *machine, guint64 incarnation, const MmCommand *command);
