--- a/src/heartbeat/heartbeat-server.h
+++ b/src/heartbeat/heartbeat-server.h
@@ -1,4 +1,10 @@
-/* Dealings with workers: who may answer a report, and what the answer carries. */
+/* Heartbeats over HTTP: whether this node may answer one, now or later, and who else should.
+ *
+ * A heartbeat is answered only while the node lease allows it and with a term that is not older
+ * than the worker's; it is recorded and broadcast to the peers before it is answered, since the
+ * response renews the machine's lease. Every exchange is answered exactly once.
+ *
+ * Owns the deferred heartbeats and the table of pending responses (pending-response.h). */
 #pragma once
 
 #include "node/node.h"
@@ -6,28 +12,32 @@
 
 struct MmHeartbeatServer {
   MmNode *node;
-  GHashTable *pending_responses; /* id of the request to a peer -> MmPendingResponse */
-  guint64 last_request_id;
-  /* Reports that show a newer term than the replica does, or came while parts changed hands: */
+  GHashTable *pending_responses; /* request id -> MmPendingResponse; keys lie in the values */
+  guint64 last_request_id;       /* of requests to peers */
+  /* Heartbeats with a newer term than the replica's, or received while shards change leaders: */
   GQueue *deferred_heartbeats;
-  MmTime
-      ownership_unsettled_since; /* since when parts are about to change hands; 0: they are not */
+  /* Since when shards are about to change leaders; 0: they are not. */
+  MmTime ownership_unsettled_since;
   MmTime last_redirect_at;
   MmTime machines_counted_at;
   guint served_machines;
-  GHashTable *jobs_being_confirmed; /* jobs whose final state is being read */
+  GHashTable *jobs_being_confirmed; /* ids of jobs whose terminal record is being read */
 };
 
+/* The node must outlive the server. */
 MmHeartbeatServer *mm_heartbeat_server_new(MmNode *node);
+/* Answers everything that is deferred or pending with 503. */
 void mm_heartbeat_server_free(MmHeartbeatServer *server);
 void mm_heartbeat_server_tick(MmHeartbeatServer *server);
+/* A heartbeat came in. `body` is lent; the exchange is answered once, now or later. */
 void mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body,
                                  MmHttpExchange *exchange);
+/* The replica shows a newer state: deferred heartbeats are tried again. */
 void mm_heartbeat_server_replica_changed(MmHeartbeatServer *server);
-/* A peer's answer to a request for approval. */
+/* A peer's response to a start request. */
 void mm_pending_response_start_answered(MmHeartbeatServer *server, guint peer,
                                         const Mm__StartResponse *reply);
-/* Parts are changing hands at the moment: what is told of terms now would soon be old. */
+/* Whether shards are changing leaders: a term sent to workers now would soon be outdated. */
 gboolean mm_heartbeat_server_is_settling(const MmHeartbeatServer *server);
-/* Machines that report to this node. */
+/* How many machines send their heartbeats to this node. */
 guint mm_heartbeat_server_served_machines(const MmHeartbeatServer *server);
--- a/src/heartbeat/pending-response.h
+++ b/src/heartbeat/pending-response.h
@@ -1,9 +1,13 @@
-/* Answers to workers' reports while they are put together: the starts that owners approve for the
- * machine, one request after another, and the commands that go with them.
+/* Responses to heartbeats under construction: the starts that shard leaders approve for the
+ * machine, one start request after another, the grants of the machine's resources by the owner of
+ * its group, and the commands that go with them.
  *
- * Starts travel only in answers to reports, never in direct commands: an answer is never carried
- * out late, while a direct command may be. An approval is good for the one answer it was asked for.
- */
+ * Starts travel only in responses to heartbeats, never in direct commands: a response is never
+ * carried out late, while a direct command may be. An approval is valid for the one response it was
+ * requested for.
+ *
+ * A pending response frees itself as it answers its exchange, exactly once. While it waits for a
+ * peer it stands in MmHeartbeatServer.pending_responses, until its deadline. */
 #pragma once
 
 #include "heartbeat/heartbeat-server.h"
@@ -11,11 +15,11 @@
 #include "placement/placement.h"
 #include "sharing/sharing.h"
 
-/* A start that its owner has approved. */
+/* A start that the shard's leader has approved. */
 typedef struct {
   MmCommand command;
   MmName shard;
-  MmTerm shard_term;
+  MmTerm shard_term; /* the leader's, as it approved */
 } MmApprovedStart;
 
 typedef struct {
@@ -23,34 +27,35 @@
   MmHttpExchange *exchange;
   MmName machine_id;
   MmHeartbeatId heartbeat_id;
-  MmResources available;
-  GArray *approved_starts; /* Start */
-  GArray *tried_tasks;     /* MmTaskRef */
-  MmPlacementChoice choice;
-  guint exhausted_views;
+  MmResources available;    /* what is left of the machine's resources */
+  GArray *approved_starts;  /* MmApprovedStart */
+  GArray *tried_tasks;      /* MmTaskRef: requested without success */
+  MmPlacementChoice choice; /* the start request under way */
+  guint exhausted_views;    /* bit set of placement views that have nothing more to offer */
   guint failed_requests;
-  guint64 request_id;
+  guint64 request_id; /* of the request to a peer under way */
   MmTime deadline;
   MmGrantSource grant_source; /* who grants the machine's resources, */
   guint grant_peer;           /* which peer that is, */
   MmTerm grant_term;          /* and under which term it owns the machine's group */
-  gboolean awaits_grants;     /* the approved starts are being asked for there */
+  gboolean awaits_grants;     /* the request under way is a grant request */
 } MmPendingResponse;
 
-/* Begins the answer to a report that was taken in; the exchange is answered once, now or later. */
+/* Begins the response to a recorded heartbeat; the exchange is answered once, now or later. */
 void mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                                MmMachine *machine, MmHttpExchange *exchange);
-/* The group's owner has said which of the approved starts may have their resources. */
+/* The group's owner has answered which of the approved starts may have their resources. */
 void mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
                                          const Mm__GrantResponse *reply);
-/* Sends what there is to all whose time is up. */
+/* Sends what has been approved and granted so far in each response whose deadline has passed. */
 void mm_pending_responses_expire(MmHeartbeatServer *server);
-/* Answers all 503: the node ends. */
+/* Answers all with 503: the node ends. */
 void mm_pending_responses_refuse_all(MmHeartbeatServer *server);
 
-/* Adds commands for those of the tasks that have to go, whoever owns their shards. */
+/* Adds commands for those of the tasks that must stop or be forgotten, whoever leads their shards.
+ * `tasks`: MmReportedTask. */
 void mm_heartbeat_server_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
                                               json_t *commands);
-/* Answers 200 with the replica's term. Takes the commands. */
+/* Answers 200 with the replica's term as fencing token. Takes the commands. */
 void mm_heartbeat_server_send_commands(const MmNode *node, MmHttpExchange *exchange,
                                        json_t *commands);
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -1,5 +1,13 @@
-/* The machines as their newest reports show them, whichever node heard these, and until when each
- * may still have been answered. */
+/* All machines as their newest heartbeats show them, whichever node received these, and the expiry
+ * of their leases.
+ *
+ * Owns every MmMachine. A machine enters with its first heartbeat or its registration, and leaves
+ * with its registration.
+ *
+ * Invariants: a message that is not newer than what is known changes nothing but the lease; an
+ * incarnation whose lease has expired, or whose machine is terminated, never comes back, even when
+ * a late copy of a heartbeat arrives after its entry is gone (`ended_incarnations`). A lease counts
+ * as expired only once no node can have answered the machine for a whole lease. */
 #pragma once
 
 #include "machines/machine.h"
@@ -7,54 +15,63 @@
 
 struct MmMachineTable {
   MmNode *node;
-  GHashTable *running_tasks_by_job; /* job id -> how many of its tasks are seen running */
-  GHashTable *machines;             /* id -> MmMachine */
+  GHashTable *running_tasks_by_job; /* job id -> number of its tasks reported running */
+  GHashTable *machines;             /* id -> MmMachine, owned */
   GPtrArray *sorted_machines;       /* MmMachine by id */
-  GHashTable *ended_incarnations;   /* id -> newest session that is over for certain; bounded */
-  GQueue *ended_incarnations_order;
-  MmTime next_scan_at;
-  MmTime last_worker_contact_at; /* when any worker last reached this node, or answered it */
+  GHashTable *ended_incarnations;   /* id -> newest incarnation certainly over; bounded */
+  GQueue *ended_incarnations_order; /* its keys, oldest first */
+  MmTime next_scan_at;              /* for expired leases */
+  MmTime last_worker_contact_at;    /* newest heartbeat or direct reply to this node */
 };
 
+/* The node must outlive the table. */
 MmMachineTable *mm_machine_table_new(MmNode *node);
 void mm_machine_table_free(MmMachineTable *machine_table);
+/* NULL when unknown. Lent. */
 MmMachine *mm_machine_table_find(const MmMachineTable *machine_table, const char *machine_id);
 
-/* Whether the report is certainly a late copy, or of a session that is over: no worker waits for
- * its answer, since a worker has one report under way and it is not this one. */
+/* Whether the heartbeat is certainly a late copy, or of an incarnation that is over: no worker
+ * waits for its response, since a worker has one heartbeat under way and it is not this one. */
 gboolean mm_machine_table_is_stale_heartbeat(const MmMachineTable *machine_table,
                                              const MmHeartbeat *heartbeat);
-/* Whether the report alone is no proof that its machine still is: its session is not on the
- * register and it shows no term of this life of the node. It may be a late copy from a machine that
- * this node never knew. It is answered, so that the machine can show the term, and believed in
- * nothing. */
+/* Whether the heartbeat alone does not prove that its machine still exists: its incarnation is not
+ * in the registry, and its fencing token is older than the term at which this process started. It
+ * may be a late copy from a machine that this node never knew. It is answered, so that the machine
+ * can acknowledge the term, and its contents are ignored. */
 gboolean mm_machine_table_is_unverified(const MmMachineTable *machine_table,
                                         const MmHeartbeat *heartbeat);
-/* The entry of such a machine. */
+/* Records only the id of an unverified heartbeat. Returns its machine, lent. */
 MmMachine *mm_machine_table_add_unverified(MmMachineTable *machine_table,
                                            const MmHeartbeat *heartbeat);
 
-/* Takes a report in; NULL when it is older than what is known. `heard_at`: when it was made at the
- * latest; `host`: the node that heard it. */
+/* Applies a heartbeat or direct reply and notifies scheduler and sharing. NULL when it is older
+ * than what is known. `received_at`: the latest instant at which it was sent; `serving_node`: the
+ * node that received it, a peer's index or MM_SERVING_NODE_... */
 MmMachine *mm_machine_table_record_heartbeat(MmMachineTable *machine_table,
                                              const MmHeartbeat *heartbeat, MmTime received_at,
                                              gint serving_node);
-/* A peer answered a report that showed nothing new since the last one it told of. */
+/* A peer answered a heartbeat that showed no change since the last one it sent to this node. */
 void mm_machine_table_record_repeat(MmMachineTable *machine_table, const char *machine_id,
                                     MmHeartbeatId heartbeat_id, MmTime received_at,
                                     gint serving_node);
-/* Somebody answered the machine, and nothing else is known of it. */
+/* A node answered the machine: its lease may last until a lease after `responded_at`. */
 void mm_machine_table_record_response(MmMachineTable *machine_table, const char *machine_id,
                                       MmTime responded_at);
 typedef struct MmRegistryEntry MmRegistryEntry;
+/* The replica shows this entry in the registry. */
 void mm_machine_table_record_registration(MmMachineTable *machine_table,
                                           const MmRegistryEntry *entry);
+/* The replica shows no entry of the machine any more. Frees the machine, unless it is back with a
+ * newer incarnation. */
 void mm_machine_table_record_unregistration(MmMachineTable *machine_table, const char *machine_id);
+/* Frees the machine. */
 void mm_machine_table_remove(MmMachineTable *machine_table, MmMachine *machine);
-/* The cloud has proved it gone. Late reports of it may still come; they change nothing. */
+/* The cloud shows the machine as terminated. Late heartbeats of it change nothing. */
 void mm_machine_table_record_termination(MmMachineTable *machine_table, const char *machine_id);
+/* Ends leases that have certainly expired. */
 void mm_machine_table_tick(MmMachineTable *machine_table);
 
-/* Whether every registered machine has been heard lately. */
+/* Whether every registered machine was seen within two heartbeat intervals. */
 gboolean mm_machine_table_all_seen_recently(const MmMachineTable *machine_table);
+/* How many tasks of the job are reported running, on all machines. */
 guint mm_machine_table_running_tasks(const MmMachineTable *machine_table, const char *job_id);
