--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -1,4 +1,3 @@
-/* Which reports this node may answer, and when. */
 #include "heartbeat/heartbeat-server.h"
 #include "machines/machine-health.h"
 #include "heartbeat/pending-response.h"
@@ -12,6 +11,7 @@
 #include "kv/replica.h"
 #include "upgrade/versions.h"
 
+/* The worker waits meanwhile; its lease has to outlast this. */
 #define DEFER_MAX_MS 800
 #define DEFERRED_HEARTBEATS_MIN 256
 #define REDIRECT_INTERVAL_MS 400
@@ -49,7 +49,7 @@
   g_free(server);
 }
 
-/* ---- reports ---- */
+/* ---- redirects ---- */
 
 static void
 redirect_worker(MmHeartbeatServer *server, MmHttpExchange *exchange, gint peer) {
@@ -61,7 +61,8 @@
     mm_http_exchange_respond(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
 
-/* Machines are spread over the nodes by moving one now and then. */
+/* A peer that this machine should move to, or -1. Machines are balanced over the nodes one at a
+ * time; the counts are adjusted until the peer's next pong. */
 static gint
 less_loaded_peer(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
@@ -78,8 +79,8 @@
   return peer;
 }
 
-/* Each machine has one report under way, so the machine table bounds them; FALSE when it waits
- * already as long as it may. */
+/* FALSE when the heartbeat has waited as long as it may, or too many wait. Each machine has one
+ * heartbeat under way, so the number of machines bounds them. */
 static gboolean
 defer_heartbeat(MmHeartbeatServer *server, const json_t *body, MmHttpExchange *exchange,
                 MmTime received_at) {
@@ -95,10 +96,10 @@
   return TRUE;
 }
 
-/* While parts change hands, terms follow one another within a second, and a worker that is told of
- * one shows it at once, but the next only half a lease later or with a report that is due anyway:
- * parts then waited two report periods for their acknowledgements. So reports wait a moment for the
- * last of the terms. Not for ever, should nobody take a part. */
+/* While shards change leaders, terms follow one another within a second. A worker acknowledges the
+ * first one it gets at once, but the next only with a later heartbeat, so new leaders would wait
+ * two heartbeat intervals for their acknowledgements. So heartbeats wait a moment for the last of
+ * the terms; not longer, since a shard may stay without a leader. */
 gboolean
 mm_heartbeat_server_is_settling(const MmHeartbeatServer *server) {
   return server->ownership_unsettled_since.us != 0
@@ -119,8 +120,8 @@
   mm_http_exchange_respond(exchange, 503, mm_json_error(reason), 0);
 }
 
-/* It gets the term to show, and stops, which are always good; not for ever, should it show nothing.
- */
+/* The machine gets the term to acknowledge, and stop commands, which are always safe; not without
+ * end if it acknowledges nothing. */
 static void
 respond_unverified(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                    MmHttpExchange *exchange) {
@@ -140,7 +141,8 @@
   mm_heartbeat_server_send_commands(node, exchange, commands);
 }
 
-/* Reports that this node may not answer, or not yet; TRUE when the exchange is dealt with. */
+/* Handles heartbeats that this node may not answer, or not yet. TRUE when the exchange is answered
+ * or deferred. */
 static gboolean
 reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, const json_t *body,
                 MmHttpExchange *exchange, MmTime received_at) {
@@ -153,8 +155,8 @@
     return TRUE;
   }
   if (heartbeat->fencing_token.v > node->replica->term.v) {
-    /* A 200 with our term would be dropped and would hold the worker here: the watch must show the
-     * newer term, with the part map, first. */
+    /* The worker would drop a 200 with our older term and stay at this node: the replica must show
+     * the newer term, with its shard leaders, first. */
     if (!defer_heartbeat(server, body, exchange, received_at))
       refuse_heartbeat(exchange, "the term is not known here yet");
     return TRUE;
@@ -180,7 +182,7 @@
   return FALSE;
 }
 
-/* Takes the report into the machine table and tells the peers, before it is answered. */
+/* Records the heartbeat and broadcasts it to the peers, before it is answered. */
 static MmMachine *
 record_and_broadcast(MmHeartbeatServer *server, const MmHeartbeat *heartbeat) {
   MmNode *node = server->node;
@@ -191,16 +193,16 @@
     mm_peer_broadcast_heartbeat(node->peer_links, machine, !heartbeat->is_unanswered);
     return machine;
   }
-  /* Overtaken by a direct answer: it renews the lease if the worker still waits, so the peers must
-   * know of it, whatever stamp they know. */
+  /* A direct reply has overtaken it. The response renews the lease if the worker still waits for
+   * it, so the peers must know of it, whatever heartbeat id they know. */
   machine = mm_machine_table_find(node->machine_table, heartbeat->machine_id.s);
   if (!heartbeat->is_unanswered)
     mm_peer_broadcast_unverified(node->peer_links, &machine->id);
   return machine;
 }
 
-/* A machine that shows no sign of having had any answer gets 503. Were it answered on, nobody could
- * ever prove its lease over, and parts that were taken meanwhile would wait for its acknowledgement
+/* A machine that ignores responses gets 503. If it were answered with 200, its lease would never
+ * provably expire, and leaders that acquired shards meanwhile would wait for its acknowledgement
  * without end. */
 static void
 respond_to_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmHttpExchange *exchange) {
--- a/src/heartbeat/heartbeat.c
+++ b/src/heartbeat/heartbeat.c
@@ -6,8 +6,10 @@
 
 #define REPORTED_TASKS_MAX 4096
 
+/* By MmReportedState. */
 static const char *const wire_states[]
     = { "fetching", "gathering", "running", "flushing", "ended" };
+/* By MmEndCause. */
 static const char *const wire_causes[]
     = { "", "done", "halted", "peers", "alone", "error", "no_room", "busy", "no_such" };
 
@@ -30,7 +32,7 @@
   for (guint i = 0; i < G_N_ELEMENTS(wire_states); i++)
     if (g_strcmp0(state, wire_states[i]) == 0)
       task->state = (guint8)i;
-  /* An unknown cause of ending is treated as a stop: the task has left the machine. */
+  /* An unknown cause of ending counts as a stop: the task has left the machine. */
   task->cause = task->state == MM_REPORTED_ENDED ? MM_CAUSE_STOPPED : MM_CAUSE_NONE;
   for (guint i = 1; i < G_N_ELEMENTS(wire_causes); i++)
     if (g_strcmp0(cause, wire_causes[i]) == 0)
@@ -40,7 +42,7 @@
 
 gboolean
 mm_heartbeat_parse(MmHeartbeat *heartbeat, const json_t *body, const char **reason) {
-  const json_t *tasks = mm_json_get(body, "kits");
+  const json_t *tasks = mm_json_get(body, WIRE_TASKS);
   const char *addr = mm_json_string(body, WIRE_ADDR);
   size_t i;
   json_t *item;
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -17,7 +17,7 @@
   g_free(response);
 }
 
-/* ---- jobs that the replica does not know ---- */
+/* ---- confirming that unknown jobs are over ---- */
 
 typedef struct {
   MmHeartbeatServer *server;
@@ -50,11 +50,10 @@
                    confirmation);
 }
 
-/* What of these tasks has to go, whoever holds their parts. That a job is cancelled needs no judge:
- * an answer that leaves its tasks alone renews their lease, and with the holder refused by the
- * state service alone, and then nobody able to take its parts, they once ran on for as long. A job
- * without a record is over, unless the replica lags: only a final state that has been seen allows
- * its tasks to be cleared away. */
+/* Tasks of cancelled jobs are stopped without their shard leader: a response that leaves them alone
+ * renews their lease, and while the leader alone is refused by the key-value store and nobody can
+ * acquire its shards, they would run on. A job without a record is over unless the replica lags, so
+ * its tasks are removed only once its terminal record has been read. */
 void
 mm_heartbeat_server_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
                                          json_t *commands) {
@@ -73,7 +72,7 @@
   }
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static gboolean
 start_is_still_valid(const MmPendingResponse *response, const MmApprovedStart *start) {
@@ -81,7 +80,7 @@
   const MmShard *shard = mm_replica_shard(server->node->replica, start->shard.s);
   const MmJob *job = mm_job_table_find(server->node->job_table, start->command.job.s);
 
-  /* Adopting a term drops the approvals and the grants of superseded owners. */
+  /* A newer term invalidates the approvals and grants of earlier leaders and owners. */
   return mm_sharing_grant_is_current(server->node->sharing, response->machine_id.s,
                                      response->grant_term)
          && shard != NULL && shard->term.v == start->shard_term.v
@@ -104,7 +103,7 @@
   MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
   json_t *commands;
 
-  /* Without the machine's entry nothing is known of what must stop there. */
+  /* Without the machine's entry it is unknown what must stop there. */
   if (!mm_node_lease_may_answer_workers(node->node_lease) || machine == NULL) {
     mm_http_exchange_respond(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
     pending_response_free(response);
@@ -234,7 +233,7 @@
   }
 }
 
-/* The approved starts need their resources granted by whoever owns the machine's group. */
+/* The owner of the machine's group must grant the resources of the approved starts. */
 static void
 obtain_grants(MmPendingResponse *response) {
   if (response->approved_starts->len > 0 && response->grant_source == MM_GRANTS_AT_PEER) {
@@ -262,7 +261,7 @@
   send_response(response);
 }
 
-/* One request after another until the room is used, nothing fits or time is up. */
+/* Sends one start request after another until nothing more fits or the deadline has passed. */
 static void
 request_next_start(MmPendingResponse *response) {
   MmHeartbeatServer *server = response->server;
@@ -313,7 +312,8 @@
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
-  /* Too late: its answer has gone out without it, and the machine's next report denies it. */
+  /* Too late: the response has gone out without the start, and the machine's next heartbeat denies
+   * it. */
   if (response == NULL || response->awaits_grants || response->choice.view != (gint)peer + 1)
     return;
   g_hash_table_remove(server->pending_responses, &request_id);
@@ -353,7 +353,7 @@
                           MmMachine *machine, MmHttpExchange *exchange) {
   MmPendingResponse *response = pending_response_new(server, heartbeat, machine, exchange);
 
-  /* Where nobody can grant resources, nothing is asked for: it would only be denied later. */
+  /* Where nobody can grant resources no start is requested: its grant would only be denied. */
   if (response->grant_source == MM_GRANTS_NOWHERE)
     send_response(response);
   else
--- a/src/machines/machine-health.c
+++ b/src/machines/machine-health.c
@@ -3,16 +3,18 @@
 #include "jobs/job-table.h"
 #include "kv/replica.h"
 
-/* Errors of so many different jobs, with no success between them, are the machine's fault. */
+/* Errors of so many different jobs, with no success between them, count as the machine's fault. */
 #define FAILED_JOBS_TO_QUARANTINE 2
 #define FAILED_JOBS_QUARANTINE_MS 60000
 #define REFUSED_STARTS_TO_QUARANTINE 3
 #define LOST_LEASES_TO_QUARANTINE 2
-/* The first quarantine for anything but errors; each next one is twice as long. */
+/* The first quarantine for anything but errors; each next one is twice as long, up to the maximum.
+ */
 #define QUARANTINE_FIRST_MS 5000
 #define QUARANTINE_MAX_MS 60000
 #define QUARANTINE_DOUBLINGS_MAX 4
-/* Answers without a sign of having been had, and for how long, until a machine counts as deaf. */
+/* A machine ignores responses after so many unacknowledged ones, over so long a time: the longer of
+ * the milliseconds and the heartbeat intervals. */
 #define IGNORED_RESPONSES_MIN 4
 #define IGNORED_RESPONSES_MIN_MS 4000
 #define IGNORED_RESPONSES_MIN_PERIODS 3
@@ -20,11 +22,11 @@
 static void
 quarantine(const MmMachineTable *machine_table, MmMachine *machine, gint64 duration_ms,
            const char *reason) {
-  mm_info("machine %s is quarantined: %s", machine->id.s, reason);
+  mm_info("machine %s is quarantined duration_ms=%" G_GINT64_FORMAT " reason=\"%s\"", machine->id.s,
+          duration_ms, reason);
   machine->quarantined_until = mm_time_add_ms(mm_node_now(machine_table->node), duration_ms);
 }
 
-/* Longer each time. */
 static gint64
 repeated_quarantine_ms(guint repetitions) {
   return MIN((gint64)QUARANTINE_FIRST_MS << MIN(repetitions, QUARANTINE_DOUBLINGS_MAX),
@@ -41,7 +43,8 @@
   return previous != NULL && previous->state == MM_REPORTED_ENDED;
 }
 
-/* One that failed wherever it was tried and succeeded nowhere: it says nothing about machines. */
+/* Whether the job failed wherever it was tried and succeeded nowhere: that says nothing about
+ * machines. */
 static gboolean
 job_is_faulty(const MmMachineTable *machine_table, const MmName *job_id) {
   const MmJob *job = mm_job_table_find(machine_table->node->job_table, job_id->s);
@@ -49,8 +52,8 @@
   return job != NULL && mm_job_fails_everywhere(job);
 }
 
-/* Jobs with a mistake fail on every machine. They once had healthy machines quarantined by the
- * hundred: two such jobs were enough for each machine that had tried both. */
+/* A faulty job fails on every machine and is not counted: two such jobs would otherwise quarantine
+ * each healthy machine that had tried both. The last counted job may prove faulty later. */
 static void
 count_failed_job(MmMachineTable *machine_table, MmMachine *machine, const MmName *job_id) {
   if (machine->consecutive_failed_jobs > 0
@@ -86,7 +89,7 @@
   }
 }
 
-/* ---- starts and sessions ---- */
+/* ---- starts and incarnations ---- */
 
 void
 mm_machine_health_record_refused_start(const MmMachineTable *machine_table, MmMachine *machine) {
@@ -113,9 +116,9 @@
       = mm_time_max(machine->last_possible_response_at, responded_at);
 }
 
-/* A worker that is answered keeps its session. One whose nodes have ended finds another late, and
- * may lose its lease at the very moment of the first answer: healthy machines once got no work for
- * that, just when many had to start anew. */
+/* A worker that is answered steadily keeps its incarnation. One whose node has ended finds another
+ * late, and may lose its lease just as the first response arrives: that is not the machine's fault,
+ * so only losses after a whole lease of steady responses count. */
 void
 mm_machine_health_record_incarnation(const MmMachineTable *machine_table, MmMachine *machine) {
   MmTime now = mm_node_now(machine_table->node);
@@ -131,18 +134,18 @@
   machine->responses_in_incarnation = 0;
 }
 
-/* ---- machines that hear nothing ---- */
+/* ---- machines that ignore responses ---- */
 
 gboolean
 mm_machine_health_ignores_responses(const MmMachineTable *machine_table, const MmMachine *machine) {
   gint64 periods_ms = (gint64)(machine_table->node->settings->heartbeat_interval_s * 1000
                                * IGNORED_RESPONSES_MIN_PERIODS);
-  gint64 patience_ms = MAX(IGNORED_RESPONSES_MIN_MS, periods_ms);
+  gint64 min_duration_ms = MAX(IGNORED_RESPONSES_MIN_MS, periods_ms);
 
   return machine->unacknowledged_since.us != 0
          && machine->unacknowledged_responses >= IGNORED_RESPONSES_MIN
          && mm_time_ms_since(mm_node_now(machine_table->node), machine->unacknowledged_since)
-                > patience_ms;
+                > min_duration_ms;
 }
 
 void
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -11,12 +11,11 @@
 #include "sharing/sharing.h"
 #include "kv/replica.h"
 
-/* It looks at every machine. */
+/* Each scan visits every machine. */
 #define MACHINE_SCAN_INTERVAL_MS 150
-#define CLOCK_DRIFT 0.002
+#define CLOCK_DRIFT 0.002 /* between a worker's clock and this node's, as a fraction */
 #define LEASE_EXPIRY_MARGIN_MS 250
-/* Sessions that are over are remembered, for each machine that is known so many, and so many in any
- * case. */
+/* Bound on the ended incarnations remembered: so many per known machine, and at least a minimum. */
 #define ENDED_INCARNATIONS_PER_MACHINE 2
 #define ENDED_INCARNATIONS_MIN 4096
 
@@ -68,7 +67,7 @@
     ((MmMachine *)g_ptr_array_index(machine_table->sorted_machines, i))->sorted_index = i;
 }
 
-/* The order is by id, which is the order of renting: new ones mostly come last. */
+/* Sorted by id, which the cloud gives out in ascending order: new machines mostly come last. */
 static void
 insert_sorted(MmMachineTable *machine_table, MmMachine *machine) {
   guint position = machine_table->sorted_machines->len;
@@ -84,7 +83,7 @@
   renumber_from(machine_table, position);
 }
 
-/* ---- how many tasks of a job are seen running ---- */
+/* ---- reported tasks ---- */
 
 static void
 adjust_running_tasks(MmMachineTable *machine_table, const MmMachine *machine, gint delta) {
@@ -128,7 +127,7 @@
   machine->placed_tasks = g_ptr_array_new_with_free_func(g_free);
   machine->serving_node = MM_SERVING_NODE_NONE;
   machine->group = mm_group_of_machine(machine_id, machine_table->node->sharing->n_groups);
-  /* Nothing is known of its past: it may have been answered a moment ago. */
+  /* Its past is unknown: it may have been answered a moment ago. */
   machine->last_possible_response_at = mm_node_now(machine_table->node);
   machine->idle_since = machine->last_seen_at = machine->last_possible_response_at;
   machine->steady_responses_since = machine->last_possible_response_at;
@@ -139,7 +138,7 @@
 
 static void remember_ended_incarnation(MmMachineTable *machine_table, const MmMachine *machine);
 
-/* What a report says goes to whoever decides on the machine's tasks and resources. */
+/* Passes a recorded heartbeat to the modules that decide on the machine's tasks and resources. */
 static void
 notify_heartbeat(const MmMachineTable *machine_table, MmMachine *machine,
                  const MmHeartbeat *heartbeat, gboolean changed) {
@@ -167,9 +166,8 @@
   g_hash_table_remove(machine_table->machines, machine->id.s);
 }
 
-/* ---- taking reports in ---- */
+/* ---- recording heartbeats ---- */
 
-/* Whether the report shows what is known already. */
 static gboolean
 heartbeat_shows_no_change(const MmMachine *machine, const MmHeartbeat *heartbeat,
                           gint serving_node) {
@@ -201,14 +199,14 @@
   return newest_ended != NULL && incarnation <= *newest_ended;
 }
 
-/* Of those heard of or registered. */
+/* The newest incarnation that is known from a message or the registry. */
 static guint64
 newest_incarnation(const MmMachine *machine) {
   return MAX(machine->has_reported ? machine->latest_message_id.incarnation : 0,
              machine->registered_incarnation);
 }
 
-/* So that a late copy does not bring it back once its entry here is gone. */
+/* A late copy of a heartbeat would otherwise bring the machine back once its entry here is gone. */
 static void
 remember_ended_incarnation(MmMachineTable *machine_table, const MmMachine *machine) {
   guint64 *incarnation = g_new(guint64, 1);
@@ -263,11 +261,11 @@
   return machine;
 }
 
-/* A session that is seen for the first time began no later than that, and lives for a lease if
- * nobody answers it. It once was counted from the last answer to the session before: machines of a
- * zone that came back, seen by a direct answer in a session of a moment ago, were given up at once,
- * taken off the register, and their tasks run elsewhere as well; and who had given them up took
- * their reports for late ones for good. */
+/* An incarnation that is seen for the first time began no later than that, and lives for a lease
+ * even if nobody answers it. Its lease must not count from the last response to the previous
+ * incarnation: a machine that is back after an outage would be lost at once and removed from the
+ * registry, its tasks would run elsewhere as well, and its heartbeats would count as late copies
+ * for good. */
 static void
 begin_incarnation(MmMachine *machine, MmTime first_seen_at) {
   machine->last_possible_response_at
@@ -275,7 +273,6 @@
   machine->steady_responses_since = first_seen_at;
 }
 
-/* What the machine is, as the report says. */
 static void
 update_identity(MmMachineTable *machine_table, MmMachine *machine, const MmHeartbeat *heartbeat) {
   if (heartbeat->addr[0] != '\0')
@@ -299,7 +296,7 @@
   if (heartbeat->heartbeat_id.incarnation > newest_incarnation(machine))
     begin_incarnation(machine, received_at);
   if (machine->lease_has_expired)
-    mm_info("machine %s reports again, session %" G_GUINT64_FORMAT, machine->id.s,
+    mm_info("machine %s is back incarnation=%" G_GUINT64_FORMAT, machine->id.s,
             heartbeat->heartbeat_id.incarnation);
   machine->has_reported = TRUE;
   machine->lease_has_expired = FALSE;
@@ -308,7 +305,7 @@
 static void
 update_message_ids(MmMachine *machine, const MmHeartbeat *heartbeat, MmTime received_at,
                    gint serving_node) {
-  /* A direct answer shows that commands reach it; a higher term, that an answer did. */
+  /* A direct reply shows that commands reach the machine; a higher term, that a response did. */
   if (heartbeat->is_direct_reply || heartbeat->fencing_token.v > machine->acknowledged_term.v) {
     machine->unacknowledged_since.us = 0;
     machine->unacknowledged_responses = 0;
@@ -347,8 +344,8 @@
   }
 }
 
-/* A session whose lease has certainly run out is over: such a report was held back on its way, and
- * what it shows is gone. */
+/* An incarnation whose lease has certainly expired is over: such a message was delayed on its way,
+ * and the tasks it shows have stopped. */
 static gboolean
 lease_has_ended(const MmMachine *machine, MmHeartbeatId heartbeat_id) {
   return machine->is_terminated
@@ -356,7 +353,7 @@
              && heartbeat_id.incarnation <= machine->latest_message_id.incarnation);
 }
 
-/* A direct answer has overtaken the report, whose answer may still be waited for. */
+/* A direct reply has overtaken the heartbeat, whose response the worker may still wait for. */
 static void
 record_overtaken_heartbeat(MmMachine *machine, MmTime received_at, gint serving_node) {
   machine->has_unsent_changes
@@ -379,8 +376,8 @@
   machine = find_or_add(machine_table, heartbeat->machine_id.s);
   if (lease_has_ended(machine, heartbeat->heartbeat_id))
     return NULL;
-  /* One that is not newer than the newest report is a copy: an answer to it reaches nobody, and the
-   * lease of that report counts from when it was first sent. */
+  /* A heartbeat that is not newer than the newest one is a copy: a response to it reaches nobody,
+   * and must not renew the lease again. */
   is_newest_heartbeat
       = !heartbeat->is_direct_reply
         && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, machine->latest_heartbeat_id);
@@ -413,7 +410,7 @@
                                  MmTime responded_at) {
   MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
-  /* Unknown here: should it come back, it starts as just answered. */
+  /* A machine unknown here counts as just answered should it come back. */
   if (machine != NULL)
     mm_machine_health_record_response(machine_table, machine, responded_at);
 }
@@ -445,8 +442,8 @@
 mm_machine_table_record_registration(MmMachineTable *machine_table, const MmRegistryEntry *entry) {
   MmMachine *machine = find_or_add(machine_table, entry->machine_id.s);
 
-  /* Somebody has heard a newer session than is known here: it may hold tasks, also if the one
-   * before is lost. */
+  /* Another node has seen a newer incarnation than is known here: it may run tasks, also if the
+   * lease of the previous one has expired. */
   if (!machine->is_terminated && entry->incarnation > newest_incarnation(machine)) {
     machine->lease_has_expired = FALSE;
     begin_incarnation(machine, mm_node_now(machine_table->node));
@@ -462,7 +459,6 @@
   memcpy(machine->addr, entry->addr, sizeof machine->addr);
 }
 
-/* Only lost and returned machines are taken off the register. */
 void
 mm_machine_table_record_unregistration(MmMachineTable *machine_table, const char *machine_id) {
   MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
@@ -472,14 +468,14 @@
   machine->is_in_registry = FALSE;
   if (machine->has_reported && !machine->is_terminated
       && machine->latest_message_id.incarnation > machine->registered_incarnation)
-    /* It is back with a new session, which nothing has been started in: that needs a registration
-     * of its own. What was placed on it belongs to the old one. */
+    /* It is back with a new incarnation, in which nothing has been started: that would need a
+     * registration of its own. What was placed on it belongs to the old incarnation. */
     notify_machine_ended(machine_table, machine);
   else
     mm_machine_table_remove(machine_table, machine);
 }
 
-/* ---- lost machines ---- */
+/* ---- expiry of leases ---- */
 
 static void
 end_lease(MmMachineTable *machine_table, MmMachine *machine) {
@@ -500,8 +496,8 @@
   end_lease(machine_table, machine);
 }
 
-/* A machine is lost when its lease has certainly run out: no node can have answered it 200 for a
- * whole lease. `settled` is the instant up to which this node knows of all answers by all nodes. */
+/* A lease has certainly expired when no node can have answered the machine 200 for a whole lease:
+ * counted up to the instant until which this node knows of all responses of all nodes. */
 static void
 expire_leases(MmMachineTable *machine_table) {
   MmNode *node = machine_table->node;
@@ -516,7 +512,7 @@
     if (machine->lease_has_expired
         || mm_time_ms_since(responses_known_until, last_possible_response_at) < lease_ms)
       continue;
-    mm_info("machine %s is lost: its lease has run out", machine->id.s);
+    mm_info("machine %s is lost: its lease has expired", machine->id.s);
     end_lease(machine_table, machine);
   }
 }
@@ -531,7 +527,7 @@
   expire_leases(machine_table);
 }
 
-/* ---- rooms ---- */
+/* ---- queries ---- */
 
 gboolean
 mm_machine_table_all_seen_recently(const MmMachineTable *machine_table) {
@@ -550,5 +546,3 @@
 mm_machine_table_running_tasks(const MmMachineTable *machine_table, const char *job_id) {
   return GPOINTER_TO_UINT(g_hash_table_lookup(machine_table->running_tasks_by_job, job_id));
 }
-
-/* ---- commands ---- */
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -2,7 +2,7 @@
  * of their leases.
  *
  * Owns every MmMachine. A machine enters with its first heartbeat or its registration, and leaves
- * with its registration.
+ * with its registration, or as the cloud no longer lists it.
  *
  * Invariants: a message that is not newer than what is known changes nothing but the lease; an
  * incarnation whose lease has expired, or whose machine is terminated, never comes back, even when
--- a/src/machines/machine.c
+++ b/src/machines/machine.c
@@ -1,5 +1,3 @@
-/* What is known of one machine: its tasks, images, free resources, and commands that wait for it.
- */
 #include "machines/machine.h"
 
 #include "machines/machine-health.h"
@@ -7,7 +5,7 @@
 
 #define QUEUED_COMMANDS_MAX 256
 
-/* ---- image caches, which are inferred: a hint only ---- */
+/* ---- image cache ---- */
 
 void
 mm_machine_record_image(MmMachine *machine, MmTime now, const MmName *image, double image_gb) {
--- a/src/machines/machine.h
+++ b/src/machines/machine.h
@@ -64,8 +64,8 @@
   gboolean is_terminated;            /* the cloud has said so; final */
   GArray *reported_tasks;            /* MmReportedTask of the newest message */
   gboolean has_live_task;            /* a reported task has not ended */
-  MmTime idle_since;                 /* when it last showed a live task */
-  gboolean has_unsent_changes;       /* not yet sent to the peers; cleared by peer-broadcast */
+  MmTime idle_since;           /* when it last showed a live task, else when it was first known */
+  gboolean has_unsent_changes; /* not yet sent to the peers; cleared by peer-broadcast */
 
   /* Derived by machine.c. The scheduler resets `available_generation` as it moves tasks. */
   GArray *cached_images;           /* MmCachedImage; inferred from tasks, a hint only */
--- a/src/machines/registry.c
+++ b/src/machines/registry.c
@@ -7,7 +7,7 @@
 #include "kv/kv-client.h"
 
 #define WRITE_INTERVAL_MS 250
-/* All nodes read a pack anew whenever it changes: a few dozen machines each. */
+/* All nodes read a whole pack whenever it changes, so it is kept to a few dozen machines. */
 #define PACK_MAX_BYTES 4096
 #define PACK_OVERHEAD_BYTES 64
 
@@ -64,7 +64,7 @@
   return bytes;
 }
 
-/* What the entries of one pack may take. */
+/* How many bytes the entries of one pack may take. */
 static gsize
 pack_limit_bytes(const MmRegistry *registry) {
   return MIN(mm_kv_client_max_value_bytes(registry->node->kv), PACK_MAX_BYTES)
@@ -100,7 +100,7 @@
   return NULL;
 }
 
-/* The machine's newest session in the register, or NULL. */
+/* The entry of the machine's newest registered incarnation, or NULL. */
 static const MmRegistryEntry *
 find_newest_entry(const MmRegistry *registry, const char *machine_id) {
   const MmRegistryEntry *newest_entry = NULL;
@@ -118,7 +118,7 @@
 
 /* ---- from the replica ---- */
 
-/* Entries that a pack no longer has. */
+/* Handles the entries that a pack no longer has. */
 static void
 process_removed_entries(MmRegistry *registry, const GArray *previous, const GArray *current) {
   for (guint i = 0; i < previous->len; i++) {
@@ -183,13 +183,13 @@
     g_ptr_array_add(keys, g_strconcat(prefix, pack_name, NULL));
 }
 
-/* ---- entering ---- */
+/* ---- entering machines ---- */
 
 static void
 registrations_written(gpointer data, int status, json_t *body) {
   MmRegistry *registry = data;
 
-  /* Who is entered is for the replica to show; what is not shown is tried again. */
+  /* The replica shows which machines are entered; those it does not show are tried again. */
   registry->is_writing = FALSE;
   registry->next_write_at = mm_time_add_ms(mm_node_now(registry->node), WRITE_INTERVAL_MS);
 }
@@ -210,8 +210,8 @@
   return unregistered;
 }
 
-/* What the pack should hold: its entries without those that a newer session has replaced elsewhere,
- * and of the list as many as there is room for, which are taken off it. */
+/* The pack's entries without those that a newer incarnation has replaced elsewhere, and as many of
+ * `unregistered` as fit, which are removed from its end. */
 static GArray *
 fill_pack(const MmRegistry *registry, const MmRegistryPack *pack, GPtrArray *unregistered) {
   GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
@@ -245,7 +245,6 @@
   return entries;
 }
 
-/* Each node writes packs of its own, so that nodes do not get in each other's way. */
 void
 mm_registry_tick(MmRegistry *registry) {
   MmNode *node = registry->node;
@@ -281,14 +280,14 @@
   mm_kv_client_commit_unless_empty(node->kv, &transaction, registrations_written, registry);
 }
 
-/* ---- taking off ---- */
+/* ---- removing entries ---- */
 
 static void
 removals_written(gpointer data, int status, json_t *body) {
   ((MmRegistry *)data)->is_removing = FALSE;
 }
 
-/* A machine is in one session at a time: hearing a newer one ends the older. */
+/* A machine has one incarnation at a time: a message of a newer one ends the older. */
 static gboolean
 entry_has_ended(const MmMachine *machine, const MmRegistryEntry *entry) {
   if (machine->is_terminated
@@ -299,7 +298,7 @@
              || entry->incarnation == machine->latest_message_id.incarnation);
 }
 
-/* The pack other than this one that holds the same session of the machine, or NULL. */
+/* The name of another pack with the same incarnation of the machine, or NULL; lent. */
 static const char *
 find_copy_in_other_pack(const MmRegistry *registry, const MmRegistryPack *excluded_pack,
                         const MmRegistryEntry *entry, MmKeyVersion *version) {
@@ -330,9 +329,10 @@
   return FALSE;
 }
 
-/* What stays in the pack: without the sessions that are over and, of a pack written under larger
- * limits, without what has been copied to another pack. That pack must then stay as it is until
- * this one is written: of two copies one has to remain. */
+/* The entries that stay in the pack: without the incarnations that are over and, in a pack written
+ * under larger limits, without those that have been copied to another pack. `guards` then gets a
+ * condition that the other pack stays unchanged until this one is written: of two copies one has to
+ * remain. */
 static GArray *
 entries_to_keep(MmRegistry *registry, const MmRegistryPack *pack, MmTransaction *guards) {
   GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
@@ -366,9 +366,8 @@
   }
 }
 
-/* Copies the last entries, which the pack has no room for under the limits that hold now, to a new
- * pack. They leave this one once the replica shows the copies: no reader ever finds a machine in
- * neither. */
+/* Copies the last entries, which exceed the pack's present limit, to a new pack. They leave this
+ * one once the replica shows the copies: no reader ever finds a machine in neither. */
 static void
 copy_overflow(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
               const GArray *remaining, MmTransaction *transaction) {
@@ -400,7 +399,8 @@
     mm_transaction_delete(transaction, MM_KEY_REGISTRY_PACK, pack_name);
 }
 
-/* One pack a transaction where guards for copies are needed. */
+/* A pack whose removal needs conditions on other packs, or a copy, gets a transaction of its own.
+ */
 static void
 remove_ended_entries(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
                      MmTransaction *transaction) {
