--- a/src/machines/machine-health.c
+++ b/src/machines/machine-health.c
@@ -116,6 +116,18 @@
       = mm_time_max(machine->last_possible_response_at, responded_at);
 }
 
+/* An incarnation that is seen for the first time began no later than that, and lives for a lease
+ * even if nobody answers it. Its lease must not count from the last response to the previous
+ * incarnation: a machine that is back after an outage would be lost at once and removed from the
+ * registry, its tasks would run elsewhere as well, and its heartbeats would count as late copies
+ * for good. */
+void
+mm_machine_health_begin_incarnation(MmMachine *machine, MmTime first_seen_at) {
+  machine->last_possible_response_at
+      = mm_time_max(machine->last_possible_response_at, first_seen_at);
+  machine->steady_responses_since = first_seen_at;
+}
+
 /* A worker that is answered steadily keeps its incarnation. One whose node has ended finds another
  * late, and may lose its lease just as the first response arrives: that is not the machine's fault,
  * so only losses after a whole lease of steady responses count. */
--- a/src/machines/machine-health.h
+++ b/src/machines/machine-health.h
@@ -21,6 +21,10 @@
  * is quarantined. */
 void mm_machine_health_record_incarnation(const MmMachineTable *machine_table, MmMachine *machine);
 
+/* A newer incarnation than any before is seen for the first time, at `first_seen_at`: its lease
+ * counts from there. */
+void mm_machine_health_begin_incarnation(MmMachine *machine, MmTime first_seen_at);
+
 /* A response with this term is about to go to the machine, or a peer has sent one. */
 void mm_machine_health_count_response(const MmMachineTable *machine_table, MmMachine *machine,
                                       MmTerm term);
--- a/src/machines/machine.c
+++ b/src/machines/machine.c
@@ -62,6 +62,21 @@
          && machine->registered_incarnation >= machine->latest_message_id.incarnation;
 }
 
+guint64
+mm_machine_newest_incarnation(const MmMachine *machine) {
+  return MAX(machine->has_reported ? machine->latest_message_id.incarnation : 0,
+             machine->registered_incarnation);
+}
+
+/* An incarnation whose lease has certainly expired is over: such a message was delayed on its way,
+ * and the tasks it shows have stopped. */
+gboolean
+mm_machine_lease_has_ended(const MmMachine *machine, MmHeartbeatId heartbeat_id) {
+  return machine->is_terminated
+         || (machine->has_reported && machine->lease_has_expired
+             && heartbeat_id.incarnation <= machine->latest_message_id.incarnation);
+}
+
 MmResources
 mm_machine_available_resources(const MmMachineTable *machine_table, MmMachine *machine) {
   MmResources available = { 0 };
--- a/src/machines/machine.h
+++ b/src/machines/machine.h
@@ -122,6 +122,11 @@
 gboolean mm_machine_has_cached_image(const MmMachine *machine, const MmName *image);
 /* Whether its incarnation is in the registry: only then it may be given starts. */
 gboolean mm_machine_has_registered_incarnation(const MmMachine *machine);
+/* The newest incarnation that is known from a message or the registry. */
+guint64 mm_machine_newest_incarnation(const MmMachine *machine);
+/* Whether the message is of an incarnation whose lease has certainly expired, or of a terminated
+ * machine. */
+gboolean mm_machine_lease_has_ended(const MmMachine *machine, MmHeartbeatId heartbeat_id);
 /* Whether the machine may be given work at all. */
 gboolean mm_machine_is_usable(const MmMachineTable *machine_table, const MmMachine *machine);
 /* Adds a command to the next response to a heartbeat of this incarnation, in place of an earlier
