--- /dev/null
+++ b/src/machines/registry-pack.c
@@ -0,0 +1,77 @@
+#include "machines/registry-pack.h"
+
+#include "kv/kv-client.h"
+
+/* All nodes read a whole pack whenever it changes, so it is kept to a few dozen machines. */
+#define PACK_MAX_BYTES 4096
+#define PACK_OVERHEAD_BYTES 64
+
+void
+mm_registry_pack_free(gpointer data) {
+  MmRegistryPack *pack = data;
+
+  g_array_unref(pack->entries);
+  g_free(pack);
+}
+
+json_t *
+mm_registry_entries_to_json(const GArray *entries) {
+  json_t *list = json_array();
+
+  for (guint i = 0; i < entries->len; i++) {
+    const MmRegistryEntry *entry = &g_array_index(entries, MmRegistryEntry, i);
+    json_array_append_new(list, json_pack("[s, s, s, s, i, I]", entry->machine_id.s, entry->addr,
+                                          entry->type.s, entry->zone.s, entry->is_spot ? 1 : 0,
+                                          (json_int_t)entry->incarnation));
+  }
+  return json_pack("{s:o}", "v", list);
+}
+
+GArray *
+mm_registry_entries_from_json(const json_t *value) {
+  GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
+  size_t i;
+  json_t *item;
+
+  json_array_foreach(mm_json_get(value, "v"), i, item) {
+    MmRegistryEntry entry = { .machine_id = mm_name(json_string_value(json_array_get(item, 0))),
+                              .type = mm_name(json_string_value(json_array_get(item, 2))),
+                              .zone = mm_name(json_string_value(json_array_get(item, 3))),
+                              .is_spot = json_integer_value(json_array_get(item, 4)) != 0,
+                              .incarnation = (guint64)json_integer_value(json_array_get(item, 5)) };
+    const char *addr = json_string_value(json_array_get(item, 1));
+    if (mm_name_is_empty(&entry.machine_id))
+      continue;
+    g_strlcpy(entry.addr, addr != NULL ? addr : "", sizeof entry.addr);
+    g_array_append_val(entries, entry);
+  }
+  return entries;
+}
+
+const MmRegistryEntry *
+mm_registry_entries_find(const GArray *entries, const char *machine_id) {
+  for (guint i = 0; i < entries->len; i++)
+    if (strcmp(g_array_index(entries, MmRegistryEntry, i).machine_id.s, machine_id) == 0)
+      return &g_array_index(entries, MmRegistryEntry, i);
+  return NULL;
+}
+
+gsize
+mm_registry_entry_bytes(const MmRegistryEntry *entry) {
+  return strlen(entry->machine_id.s) + strlen(entry->addr) + strlen(entry->type.s)
+         + strlen(entry->zone.s) + 40;
+}
+
+gsize
+mm_registry_entries_bytes(const GArray *entries) {
+  gsize bytes = 0;
+
+  for (guint i = 0; i < entries->len; i++)
+    bytes += mm_registry_entry_bytes(&g_array_index(entries, MmRegistryEntry, i));
+  return bytes;
+}
+
+gsize
+mm_registry_pack_limit_bytes(const MmKvClient *kv) {
+  return MIN(mm_kv_client_max_value_bytes(kv), PACK_MAX_BYTES) - PACK_OVERHEAD_BYTES;
+}
--- /dev/null
+++ b/src/machines/registry-removal.c
@@ -0,0 +1,172 @@
+/* Removes ended incarnations from the registry, and splits packs that exceed the present limits. */
+#include "machines/registry.h"
+
+#include "base/wire.h"
+#include "kv/kv-client.h"
+
+static void
+removals_written(gpointer data, int status, json_t *body) {
+  ((MmRegistry *)data)->is_removing = FALSE;
+}
+
+/* A machine has one incarnation at a time: a message of a newer one ends the older. */
+static gboolean
+entry_has_ended(const MmMachine *machine, const MmRegistryEntry *entry) {
+  if (machine->is_terminated
+      || (machine->has_reported && entry->incarnation < machine->latest_message_id.incarnation))
+    return TRUE;
+  return machine->lease_has_expired
+         && (!machine->has_reported
+             || entry->incarnation == machine->latest_message_id.incarnation);
+}
+
+/* The name of another pack with the same incarnation of the machine, or NULL; lent. */
+static const char *
+find_copy_in_other_pack(const MmRegistry *registry, const MmRegistryPack *excluded_pack,
+                        const MmRegistryEntry *entry, MmKeyVersion *version) {
+  GHashTableIter iter;
+  gpointer pack_name, value;
+
+  g_hash_table_iter_init(&iter, registry->packs);
+  while (g_hash_table_iter_next(&iter, &pack_name, &value)) {
+    const MmRegistryPack *pack = value;
+    const MmRegistryEntry *copy = pack != excluded_pack
+                                      ? mm_registry_entries_find(pack->entries, entry->machine_id.s)
+                                      : NULL;
+    if (copy != NULL && copy->incarnation == entry->incarnation) {
+      *version = pack->version;
+      return pack_name;
+    }
+  }
+  return NULL;
+}
+
+static gboolean
+pack_is_guarded(const MmTransaction *transaction, const char *pack_name) {
+  g_autofree char *key = g_strconcat(MM_KEY_REGISTRY_PACK, pack_name, NULL);
+  size_t i;
+  json_t *guard;
+
+  json_array_foreach(transaction->conditions, i,
+                     guard) if (g_strcmp0(mm_json_string(guard, WIRE_KEY), key) == 0) return TRUE;
+  return FALSE;
+}
+
+/* The entries that stay in the pack: without the incarnations that are over and, in a pack written
+ * under larger limits, without those that have been copied to another pack. `guards` then gets a
+ * condition that the other pack stays unchanged until this one is written: of two copies one has to
+ * remain. */
+static GArray *
+entries_to_keep(MmRegistry *registry, const MmRegistryPack *pack, MmTransaction *guards) {
+  GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
+  gboolean too_large
+      = mm_registry_entries_bytes(pack->entries) > mm_registry_pack_limit_bytes(registry->node->kv);
+
+  for (guint i = 0; i < pack->entries->len; i++) {
+    const MmRegistryEntry *entry = &g_array_index(pack->entries, MmRegistryEntry, i);
+    const MmMachine *machine
+        = mm_machine_table_find(registry->node->machine_table, entry->machine_id.s);
+    const char *copied_to = NULL;
+    MmKeyVersion version;
+    if (machine != NULL && entry_has_ended(machine, entry))
+      continue;
+    if (too_large)
+      copied_to = find_copy_in_other_pack(registry, pack, entry, &version);
+    if (copied_to == NULL)
+      g_array_append_val(remaining, *entry);
+    else if (!pack_is_guarded(guards, copied_to))
+      mm_transaction_require_version(guards, MM_KEY_REGISTRY_PACK, copied_to, version);
+  }
+  return remaining;
+}
+
+static char *
+unused_pack_name(const MmRegistry *registry) {
+  for (guint pack_number = 0;; pack_number++) {
+    char *pack_name = g_strdup_printf("%s/%u", registry->node->settings->label.s, pack_number);
+    if (!g_hash_table_contains(registry->packs, pack_name))
+      return pack_name;
+    g_free(pack_name);
+  }
+}
+
+/* Copies the last entries, which exceed the pack's present limit, to a new pack. They leave this
+ * one once the replica shows the copies: no reader ever finds a machine in neither. */
+static void
+copy_overflow(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
+              const GArray *remaining, MmTransaction *transaction) {
+  g_autoptr(GArray) copied = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
+  g_autofree char *new_pack_name = unused_pack_name(registry);
+  gsize limit = mm_registry_pack_limit_bytes(registry->node->kv),
+        bytes_left = mm_registry_entries_bytes(remaining), bytes_copied = 0;
+
+  for (guint i = remaining->len; i > 0 && bytes_left > limit; i--) {
+    const MmRegistryEntry *entry = &g_array_index(remaining, MmRegistryEntry, i - 1);
+    if (bytes_copied + mm_registry_entry_bytes(entry) > limit)
+      break;
+    bytes_copied += mm_registry_entry_bytes(entry);
+    bytes_left -= mm_registry_entry_bytes(entry);
+    g_array_append_val(copied, *entry);
+  }
+  mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack->version);
+  mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, new_pack_name,
+                                 (MmKeyVersion){ 0 });
+  mm_transaction_put(transaction, MM_KEY_REGISTRY_PACK, new_pack_name,
+                     mm_registry_entries_to_json(copied), 0);
+}
+
+static void
+write_remaining(const char *pack_name, const MmRegistryPack *pack, const GArray *remaining,
+                MmTransaction *transaction) {
+  mm_transaction_require_version(transaction, MM_KEY_REGISTRY_PACK, pack_name, pack->version);
+  if (remaining->len > 0)
+    mm_transaction_put(transaction, MM_KEY_REGISTRY_PACK, pack_name,
+                       mm_registry_entries_to_json(remaining), 0);
+  else
+    mm_transaction_delete(transaction, MM_KEY_REGISTRY_PACK, pack_name);
+}
+
+/* A pack whose removal needs conditions on other packs, or a copy, gets a transaction of its own.
+ */
+static void
+remove_ended_entries(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
+                     MmTransaction *transaction) {
+  MmTransaction guards = mm_transaction_begin();
+  g_autoptr(GArray) remaining = entries_to_keep(registry, pack, &guards);
+  guint guards_limit = 4 * mm_kv_client_max_operations(registry->node->kv);
+  gboolean too_large
+      = mm_registry_entries_bytes(remaining) > mm_registry_pack_limit_bytes(registry->node->kv);
+  gboolean needs_own_transaction = too_large || json_array_size(guards.conditions) > 0;
+
+  if (remaining->len < pack->entries->len
+      && !(needs_own_transaction && transaction->n_operations > 0)
+      && json_array_size(guards.conditions) < guards_limit
+      && mm_kv_client_try_spend_writes(registry->node->kv, 1)) {
+    json_array_extend(transaction->conditions, guards.conditions);
+    if (too_large)
+      copy_overflow(registry, pack_name, pack, remaining, transaction);
+    else
+      write_remaining(pack_name, pack, remaining, transaction);
+  }
+  json_decref(guards.conditions);
+  json_decref(guards.operations);
+}
+
+void
+mm_registry_remove_ended_machines(MmRegistry *registry) {
+  MmNode *node = registry->node;
+  GHashTableIter iter;
+  gpointer pack_name, value;
+  MmTransaction transaction;
+
+  if (registry->is_removing || mm_kv_client_is_refused(node->kv))
+    return;
+  transaction = mm_transaction_begin();
+  g_hash_table_iter_init(&iter, registry->packs);
+  while (transaction.n_operations < mm_kv_client_max_operations(node->kv)
+         && json_array_size(transaction.conditions) <= mm_kv_client_max_operations(node->kv)
+         && g_hash_table_iter_next(&iter, &pack_name, &value))
+    remove_ended_entries(registry, pack_name, value, &transaction);
+  registry->is_removing = transaction.n_operations > 0;
+  mm_kv_client_commit_unless_empty(node->kv, &transaction, removals_written, registry);
+}
--- a/src/machines/registry.h
+++ b/src/machines/registry.h
@@ -11,22 +11,9 @@
 #pragma once
 
 #include "machines/machine-table.h"
+#include "machines/registry-pack.h"
 #include "node/node.h"
 
-struct MmRegistryEntry {
-  MmName machine_id;
-  char addr[64];
-  MmName type;
-  MmName zone;
-  gboolean is_spot;
-  guint64 incarnation;
-};
-
-typedef struct {
-  MmKeyVersion version;
-  GArray *entries; /* MmRegistryEntry */
-} MmRegistryPack;
-
 struct MmRegistry {
   MmNode *node;
   GHashTable *packs;    /* name -> MmRegistryPack, as the replica shows them */
