--- /dev/null
+++ b/src/heartbeat/heartbeat-response.c
@@ -0,0 +1,71 @@
+#include "heartbeat/heartbeat-response.h"
+
+#include "base/wire.h"
+#include "heartbeat/heartbeat.h"
+#include "jobs/job-table.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
+
+#define CONFIRMATIONS_MAX 16
+
+typedef struct {
+  MmHeartbeatServer *server;
+  MmName job_id;
+} TerminalConfirmation;
+
+static void
+terminal_state_received(gpointer data, int status, json_t *body) {
+  TerminalConfirmation *confirmation = data;
+
+  if (status == 200)
+    mm_job_table_add_terminal_record(confirmation->server->node->job_table, confirmation->job_id.s,
+                                     mm_json_get(body, WIRE_VALUE));
+  g_hash_table_remove(confirmation->server->jobs_being_confirmed, confirmation->job_id.s);
+  g_free(confirmation);
+}
+
+static void
+confirm_job_is_terminal(MmHeartbeatServer *server, const MmName *job_id) {
+  TerminalConfirmation *confirmation;
+
+  if (g_hash_table_size(server->jobs_being_confirmed) >= CONFIRMATIONS_MAX
+      || g_hash_table_contains(server->jobs_being_confirmed, job_id->s)
+      || mm_kv_client_is_refused(server->node->kv))
+    return;
+  g_hash_table_add(server->jobs_being_confirmed, g_strdup(job_id->s));
+  confirmation = g_new(TerminalConfirmation, 1);
+  *confirmation = (TerminalConfirmation){ server, *job_id };
+  mm_kv_client_get(server->node->kv, MM_KEY_TERMINAL_RECORD, job_id->s, terminal_state_received,
+                   confirmation);
+}
+
+/* Tasks of cancelled jobs are stopped without their shard leader: a response that leaves them alone
+ * renews their lease, and while the leader alone is refused by the key-value store and nobody can
+ * acquire its shards, they would run on. A job without a record is over unless the replica lags, so
+ * its tasks are removed only once its terminal record has been read. */
+void
+mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
+                                           json_t *commands) {
+  MmJobTable *job_table = server->node->job_table;
+
+  for (guint i = 0; i < tasks->len; i++) {
+    const MmReportedTask *reported = &g_array_index(tasks, MmReportedTask, i);
+    const MmJob *job = mm_job_table_find(job_table, reported->job.s);
+    MmCommand command = { reported->state == MM_REPORTED_ENDED ? MM_OP_FORGET : MM_OP_STOP,
+                          reported->job, reported->number, reported->attempt, 0 };
+    if (job != NULL ? job->is_cancelled && reported->state != MM_REPORTED_ENDED
+                    : mm_job_table_is_over(job_table, reported->job.s))
+      json_array_append_new(commands, mm_command_to_json(&command));
+    else if (job == NULL)
+      confirm_job_is_terminal(server, &reported->job);
+  }
+}
+
+void
+mm_heartbeat_response_send_commands(const MmNode *node, MmHttpExchange *exchange,
+                                    json_t *commands) {
+  mm_http_exchange_respond(exchange, 200,
+                           json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v,
+                                     WIRE_COMMANDS, commands),
+                           0);
+}
--- /dev/null
+++ b/src/heartbeat/heartbeat-response.h
@@ -0,0 +1,12 @@
+/* What a response to a heartbeat is made of: commands, and the message that carries them. */
+#pragma once
+
+#include "heartbeat/heartbeat-server.h"
+
+/* Adds commands for those of the tasks that must stop or be forgotten, whoever leads their shards.
+ * `tasks`: MmReportedTask. */
+void mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
+                                                json_t *commands);
+/* Answers 200 with the replica's term as fencing token. Takes the commands. */
+void mm_heartbeat_response_send_commands(const MmNode *node, MmHttpExchange *exchange,
+                                         json_t *commands);
--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -1,8 +1,9 @@
 #include "heartbeat/heartbeat-server.h"
-#include "machines/machine-health.h"
-#include "heartbeat/pending-response.h"
 
 #include "base/wire.h"
+#include "heartbeat/heartbeat-response.h"
+#include "heartbeat/pending-response.h"
+#include "machines/machine-health.h"
 #include "machines/machine-table.h"
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
@@ -137,8 +138,8 @@
   mm_machine_health_count_own_response(node->machine_table, machine);
   mm_peer_broadcast_unverified(node->peer_links, &machine->id);
   commands = json_array();
-  mm_heartbeat_server_add_cleanup_commands(server, heartbeat->tasks, commands);
-  mm_heartbeat_server_send_commands(node, exchange, commands);
+  mm_heartbeat_response_add_cleanup_commands(server, heartbeat->tasks, commands);
+  mm_heartbeat_response_send_commands(node, exchange, commands);
 }
 
 /* Handles heartbeats that this node may not answer, or not yet. TRUE when the exchange is answered
--- /dev/null
+++ b/src/heartbeat/pending-response-grants.c
@@ -0,0 +1,82 @@
+/* Grants of the machine's resources for the approved starts. */
+#include "heartbeat/pending-response-private.h"
+
+#include "peers/peer-links.h"
+
+static void
+request_grants(MmPendingResponse *response) {
+  MmHeartbeatServer *server = response->server;
+  guint n_starts = response->approved_starts->len;
+  Mm__Frame frame = MM__FRAME__INIT;
+  Mm__GrantRequest request = MM__GRANT_REQUEST__INIT;
+  g_autofree Mm__GrantStart *items = g_new(Mm__GrantStart, n_starts);
+  g_autofree Mm__GrantStart **list = g_new(Mm__GrantStart *, n_starts);
+
+  response->awaits_grants = TRUE;
+  response->request_id = ++server->last_request_id;
+  response->deadline
+      = mm_time_add_ms(mm_node_now(server->node), (gint64)server->node->operators->ask_timeout_ms);
+  g_hash_table_insert(server->pending_responses, &response->request_id, response);
+  for (guint i = 0; i < n_starts; i++) {
+    MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
+    mm__grant_start__init(&items[i]);
+    items[i].job = start->command.job.s;
+    items[i].number = start->command.number;
+    items[i].attempt = start->command.attempt.v;
+    list[i] = &items[i];
+  }
+  request.id = response->request_id;
+  request.machine = response->machine_id.s;
+  request.incarnation = response->heartbeat_id.incarnation;
+  request.sequence = response->heartbeat_id.sequence;
+  request.term = response->grant_term.v;
+  request.starts = list;
+  request.n_starts = n_starts;
+  frame.body_case = MM__FRAME__BODY_GRANT_REQUEST;
+  frame.grant_request = &request;
+  mm_peer_links_send(server->node->peer_links, response->grant_peer, &frame);
+}
+
+static void
+grant_locally(MmPendingResponse *response) {
+  MmSharing *sharing = response->server->node->sharing;
+  MmMachine *machine
+      = mm_machine_table_find(response->server->node->machine_table, response->machine_id.s);
+
+  for (guint i = response->approved_starts->len; i > 0; i--) {
+    const MmCommand *start
+        = &g_array_index(response->approved_starts, MmApprovedStart, i - 1).command;
+    MmGrant grant = { start->job, start->number, start->attempt, response->heartbeat_id };
+    if (machine == NULL || !mm_sharing_may_grant(sharing, machine)
+        || !mm_grants_try_grant(sharing->grants, machine, &grant))
+      g_array_remove_index(response->approved_starts, i - 1);
+  }
+}
+
+/* The owner of the machine's group must grant the resources of the approved starts. */
+void
+mm_pending_response_obtain_grants(MmPendingResponse *response) {
+  if (response->approved_starts->len > 0 && response->grant_source == MM_GRANTS_AT_PEER) {
+    request_grants(response);
+    return;
+  }
+  if (response->grant_source == MM_GRANTS_HERE)
+    grant_locally(response);
+  mm_pending_response_send(response);
+}
+
+void
+mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
+                                    const Mm__GrantResponse *reply) {
+  guint64 request_id = reply->id;
+  MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
+
+  if (response == NULL || !response->awaits_grants || response->grant_peer != peer
+      || reply->n_granted != response->approved_starts->len)
+    return;
+  g_hash_table_remove(server->pending_responses, &request_id);
+  for (guint i = response->approved_starts->len; i > 0; i--)
+    if (!reply->granted[i - 1])
+      g_array_remove_index(response->approved_starts, i - 1);
+  mm_pending_response_send(response);
+}
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -1,14 +1,13 @@
-#include "heartbeat/pending-response.h"
+#include "heartbeat/pending-response-private.h"
 
 #include "base/wire.h"
-#include "scheduler/scheduler.h"
+#include "heartbeat/heartbeat-response.h"
+#include "kv/replica.h"
 #include "leases/node-lease.h"
 #include "peers/peer-links.h"
-#include "kv/replica.h"
-#include "kv/kv-client.h"
+#include "scheduler/scheduler.h"
 
 #define FAILED_REQUESTS_MAX 4
-#define CONFIRMATIONS_MAX 16
 
 static void
 pending_response_free(MmPendingResponse *response) {
@@ -17,63 +16,6 @@
   g_free(response);
 }
 
-/* ---- confirming that unknown jobs are over ---- */
-
-typedef struct {
-  MmHeartbeatServer *server;
-  MmName job_id;
-} TerminalConfirmation;
-
-static void
-terminal_state_received(gpointer data, int status, json_t *body) {
-  TerminalConfirmation *confirmation = data;
-
-  if (status == 200)
-    mm_job_table_add_terminal_record(confirmation->server->node->job_table, confirmation->job_id.s,
-                                     mm_json_get(body, WIRE_VALUE));
-  g_hash_table_remove(confirmation->server->jobs_being_confirmed, confirmation->job_id.s);
-  g_free(confirmation);
-}
-
-static void
-confirm_job_is_terminal(MmHeartbeatServer *server, const MmName *job_id) {
-  TerminalConfirmation *confirmation;
-
-  if (g_hash_table_size(server->jobs_being_confirmed) >= CONFIRMATIONS_MAX
-      || g_hash_table_contains(server->jobs_being_confirmed, job_id->s)
-      || mm_kv_client_is_refused(server->node->kv))
-    return;
-  g_hash_table_add(server->jobs_being_confirmed, g_strdup(job_id->s));
-  confirmation = g_new(TerminalConfirmation, 1);
-  *confirmation = (TerminalConfirmation){ server, *job_id };
-  mm_kv_client_get(server->node->kv, MM_KEY_TERMINAL_RECORD, job_id->s, terminal_state_received,
-                   confirmation);
-}
-
-/* Tasks of cancelled jobs are stopped without their shard leader: a response that leaves them alone
- * renews their lease, and while the leader alone is refused by the key-value store and nobody can
- * acquire its shards, they would run on. A job without a record is over unless the replica lags, so
- * its tasks are removed only once its terminal record has been read. */
-void
-mm_heartbeat_server_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
-                                         json_t *commands) {
-  MmJobTable *job_table = server->node->job_table;
-
-  for (guint i = 0; i < tasks->len; i++) {
-    const MmReportedTask *reported = &g_array_index(tasks, MmReportedTask, i);
-    const MmJob *job = mm_job_table_find(job_table, reported->job.s);
-    MmCommand command = { reported->state == MM_REPORTED_ENDED ? MM_OP_FORGET : MM_OP_STOP,
-                          reported->job, reported->number, reported->attempt, 0 };
-    if (job != NULL ? job->is_cancelled && reported->state != MM_REPORTED_ENDED
-                    : mm_job_table_is_over(job_table, reported->job.s))
-      json_array_append_new(commands, mm_command_to_json(&command));
-    else if (job == NULL)
-      confirm_job_is_terminal(server, &reported->job);
-  }
-}
-
-/* ---- responses ---- */
-
 static gboolean
 start_is_still_valid(const MmPendingResponse *response, const MmApprovedStart *start) {
   const MmHeartbeatServer *server = response->server;
@@ -89,15 +31,7 @@
 }
 
 void
-mm_heartbeat_server_send_commands(const MmNode *node, MmHttpExchange *exchange, json_t *commands) {
-  mm_http_exchange_respond(exchange, 200,
-                           json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v,
-                                     WIRE_COMMANDS, commands),
-                           0);
-}
-
-static void
-send_response(MmPendingResponse *response) {
+mm_pending_response_send(MmPendingResponse *response) {
   MmHeartbeatServer *server = response->server;
   MmNode *node = server->node;
   MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
@@ -115,16 +49,18 @@
       json_array_append_new(
           commands, mm_command_to_json(&g_array_index(machine->queued_commands, MmCommand, i)));
   g_array_set_size(machine->queued_commands, 0);
-  mm_heartbeat_server_add_cleanup_commands(server, machine->reported_tasks, commands);
+  mm_heartbeat_response_add_cleanup_commands(server, machine->reported_tasks, commands);
   for (guint i = 0; i < response->approved_starts->len; i++) {
     const MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
     if (start_is_still_valid(response, start))
       json_array_append_new(commands, mm_command_to_json(&start->command));
   }
-  mm_heartbeat_server_send_commands(node, response->exchange, commands);
+  mm_heartbeat_response_send_commands(node, response->exchange, commands);
   pending_response_free(response);
 }
 
+/* ---- start requests ---- */
+
 static void
 add_approved_start(MmPendingResponse *response, const MmApproval *approval) {
   MmHeartbeatServer *server = response->server;
@@ -181,86 +117,6 @@
   mm_peer_links_send(server->node->peer_links, (guint)response->choice.view - 1, &frame);
 }
 
-/* ---- grants of the machine's resources ---- */
-
-static void
-request_grants(MmPendingResponse *response) {
-  MmHeartbeatServer *server = response->server;
-  guint n_starts = response->approved_starts->len;
-  Mm__Frame frame = MM__FRAME__INIT;
-  Mm__GrantRequest request = MM__GRANT_REQUEST__INIT;
-  g_autofree Mm__GrantStart *items = g_new(Mm__GrantStart, n_starts);
-  g_autofree Mm__GrantStart **list = g_new(Mm__GrantStart *, n_starts);
-
-  response->awaits_grants = TRUE;
-  response->request_id = ++server->last_request_id;
-  response->deadline
-      = mm_time_add_ms(mm_node_now(server->node), (gint64)server->node->operators->ask_timeout_ms);
-  g_hash_table_insert(server->pending_responses, &response->request_id, response);
-  for (guint i = 0; i < n_starts; i++) {
-    MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
-    mm__grant_start__init(&items[i]);
-    items[i].job = start->command.job.s;
-    items[i].number = start->command.number;
-    items[i].attempt = start->command.attempt.v;
-    list[i] = &items[i];
-  }
-  request.id = response->request_id;
-  request.machine = response->machine_id.s;
-  request.incarnation = response->heartbeat_id.incarnation;
-  request.sequence = response->heartbeat_id.sequence;
-  request.term = response->grant_term.v;
-  request.starts = list;
-  request.n_starts = n_starts;
-  frame.body_case = MM__FRAME__BODY_GRANT_REQUEST;
-  frame.grant_request = &request;
-  mm_peer_links_send(server->node->peer_links, response->grant_peer, &frame);
-}
-
-static void
-grant_locally(MmPendingResponse *response) {
-  MmSharing *sharing = response->server->node->sharing;
-  MmMachine *machine
-      = mm_machine_table_find(response->server->node->machine_table, response->machine_id.s);
-
-  for (guint i = response->approved_starts->len; i > 0; i--) {
-    const MmCommand *start
-        = &g_array_index(response->approved_starts, MmApprovedStart, i - 1).command;
-    MmGrant grant = { start->job, start->number, start->attempt, response->heartbeat_id };
-    if (machine == NULL || !mm_sharing_may_grant(sharing, machine)
-        || !mm_grants_try_grant(sharing->grants, machine, &grant))
-      g_array_remove_index(response->approved_starts, i - 1);
-  }
-}
-
-/* The owner of the machine's group must grant the resources of the approved starts. */
-static void
-obtain_grants(MmPendingResponse *response) {
-  if (response->approved_starts->len > 0 && response->grant_source == MM_GRANTS_AT_PEER) {
-    request_grants(response);
-    return;
-  }
-  if (response->grant_source == MM_GRANTS_HERE)
-    grant_locally(response);
-  send_response(response);
-}
-
-void
-mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
-                                    const Mm__GrantResponse *reply) {
-  guint64 request_id = reply->id;
-  MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
-
-  if (response == NULL || !response->awaits_grants || response->grant_peer != peer
-      || reply->n_granted != response->approved_starts->len)
-    return;
-  g_hash_table_remove(server->pending_responses, &request_id);
-  for (guint i = response->approved_starts->len; i > 0; i--)
-    if (!reply->granted[i - 1])
-      g_array_remove_index(response->approved_starts, i - 1);
-  send_response(response);
-}
-
 /* Sends one start request after another until nothing more fits or the deadline has passed. */
 static void
 request_next_start(MmPendingResponse *response) {
@@ -303,7 +159,7 @@
     else
       record_refusal(response);
   }
-  obtain_grants(response);
+  mm_pending_response_obtain_grants(response);
 }
 
 void
@@ -329,6 +185,8 @@
   request_next_start(response);
 }
 
+/* ---- begin and end ---- */
+
 static MmPendingResponse *
 pending_response_new(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmMachine *machine,
                      MmHttpExchange *exchange) {
@@ -355,7 +213,7 @@
 
   /* Where nobody can grant resources no start is requested: its grant would only be denied. */
   if (response->grant_source == MM_GRANTS_NOWHERE)
-    send_response(response);
+    mm_pending_response_send(response);
   else
     request_next_start(response);
 }
@@ -377,9 +235,9 @@
     if (response->awaits_grants)
       g_array_set_size(response->approved_starts, 0);
     if (response->awaits_grants || response->grant_source == MM_GRANTS_NOT_NEEDED)
-      send_response(response);
+      mm_pending_response_send(response);
     else
-      obtain_grants(response);
+      mm_pending_response_obtain_grants(response);
   }
 }
 
--- a/src/heartbeat/pending-response.h
+++ b/src/heartbeat/pending-response.h
@@ -51,11 +51,3 @@
 void mm_pending_responses_expire(MmHeartbeatServer *server);
 /* Answers all with 503: the node ends. */
 void mm_pending_responses_refuse_all(MmHeartbeatServer *server);
-
-/* Adds commands for those of the tasks that must stop or be forgotten, whoever leads their shards.
- * `tasks`: MmReportedTask. */
-void mm_heartbeat_server_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
-                                              json_t *commands);
-/* Answers 200 with the replica's term as fencing token. Takes the commands. */
-void mm_heartbeat_server_send_commands(const MmNode *node, MmHttpExchange *exchange,
-                                       json_t *commands);
