--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -8,6 +8,9 @@
 #include "scheduler/scheduler.h"
 
 #define FAILED_REQUESTS_MAX 4
+/* The placement view of this node; below it: no choice; above it: VIEW_OF_FIRST_PEER + peer. */
+#define VIEW_OF_THIS_NODE 0
+#define VIEW_OF_FIRST_PEER 1
 
 static void
 pending_response_free(MmPendingResponse *response) {
@@ -61,6 +64,11 @@
 
 /* ---- start requests ---- */
 
+static guint
+chosen_peer(const MmPendingResponse *response) {
+  return (guint)(response->choice.view - VIEW_OF_FIRST_PEER);
+}
+
 static void
 add_approved_start(MmPendingResponse *response, const MmApproval *approval) {
   MmHeartbeatServer *server = response->server;
@@ -114,50 +122,75 @@
   request.n_candidates = response->choice.n_tasks;
   frame.body_case = MM__FRAME__BODY_START_REQUEST;
   frame.start_request = &request;
-  mm_peer_links_send(server->node->peer_links, (guint)response->choice.view - 1, &frame);
+  mm_peer_links_send(server->node->peer_links, chosen_peer(response), &frame);
+}
+
+/* Sends the chosen start request to the peer it is for. FALSE when the peer is down. */
+static gboolean
+request_start_from_peer(MmPendingResponse *response) {
+  const MmPeerLinks *links = response->server->node->peer_links;
+
+  if (links->peers[chosen_peer(response)].is_up) {
+    send_start_request(response);
+    return TRUE;
+  }
+  record_refusal(response);
+  response->exhausted_views |= 1u << response->choice.view;
+  return FALSE;
+}
+
+static void
+request_start_here(MmPendingResponse *response, MmMachine *machine) {
+  MmApproval approval;
+  MmStartRequest request = { .machine = machine,
+                             .heartbeat_id = response->heartbeat_id,
+                             .free_resources = response->available,
+                             .is_local = TRUE,
+                             .is_pull = response->choice.is_pull,
+                             .n_tasks = response->choice.n_tasks };
+
+  memcpy(request.tasks, response->choice.tasks, sizeof request.tasks);
+  if (mm_scheduler_approve_start(response->server->node->scheduler, &request, &approval))
+    add_approved_start(response, &approval);
+  else
+    record_refusal(response);
+}
+
+static gboolean
+may_request_more(const MmPendingResponse *response) {
+  const MmNode *node = response->server->node;
+
+  return response->approved_starts->len < (guint)node->operators->starts_per_answer
+         && response->failed_requests < FAILED_REQUESTS_MAX
+         && mm_time_before(mm_node_now(node), response->deadline);
+}
+
+/* Whether the response would still be the machine's newest, and the machine may get work. */
+static gboolean
+machine_may_start_tasks(const MmPendingResponse *response, const MmMachine *machine) {
+  return machine != NULL
+         && !mm_heartbeat_id_is_newer(machine->latest_message_id, response->heartbeat_id)
+         && mm_machine_is_usable(response->server->node->machine_table, machine);
 }
 
 /* Sends one start request after another until nothing more fits or the deadline has passed. */
 static void
 request_next_start(MmPendingResponse *response) {
-  MmHeartbeatServer *server = response->server;
-  MmNode *node = server->node;
-  guint limit = (guint)node->operators->starts_per_answer;
+  MmNode *node = response->server->node;
 
-  while (response->approved_starts->len < limit && response->failed_requests < FAILED_REQUESTS_MAX
-         && mm_time_before(mm_node_now(node), response->deadline)) {
+  while (may_request_more(response)) {
     MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
-    MmApproval approval;
-    MmStartRequest request;
 
-    if (machine == NULL
-        || mm_heartbeat_id_is_newer(machine->latest_message_id, response->heartbeat_id)
-        || !mm_machine_is_usable(node->machine_table, machine))
+    if (!machine_may_start_tasks(response, machine))
       break;
     response->choice = mm_placement_choose(node->placement, machine, response->available,
                                            response->tried_tasks, response->exhausted_views);
-    if (response->choice.view < 0)
+    if (response->choice.view < VIEW_OF_THIS_NODE)
       break;
-    if (response->choice.view > 0) {
-      if (!node->peer_links->peers[response->choice.view - 1].is_up) {
-        record_refusal(response);
-        response->exhausted_views |= 1u << response->choice.view;
-        continue;
-      }
-      send_start_request(response);
+    if (response->choice.view == VIEW_OF_THIS_NODE)
+      request_start_here(response, machine);
+    else if (request_start_from_peer(response))
       return;
-    }
-    request = (MmStartRequest){ .machine = machine,
-                                .heartbeat_id = response->heartbeat_id,
-                                .free_resources = response->available,
-                                .is_local = TRUE,
-                                .is_pull = response->choice.is_pull,
-                                .n_tasks = response->choice.n_tasks };
-    memcpy(request.tasks, response->choice.tasks, sizeof request.tasks);
-    if (mm_scheduler_approve_start(node->scheduler, &request, &approval))
-      add_approved_start(response, &approval);
-    else
-      record_refusal(response);
   }
   mm_pending_response_obtain_grants(response);
 }
@@ -170,10 +203,11 @@
 
   /* Too late: the response has gone out without the start, and the machine's next heartbeat denies
    * it. */
-  if (response == NULL || response->awaits_grants || response->choice.view != (gint)peer + 1)
+  if (response == NULL || response->awaits_grants || response->choice.view < VIEW_OF_FIRST_PEER
+      || chosen_peer(response) != peer)
     return;
   g_hash_table_remove(server->pending_responses, &request_id);
-  server->node->placement->views[peer + 1].n_pending_tasks = reply->unfinished;
+  server->node->placement->views[VIEW_OF_FIRST_PEER + peer].n_pending_tasks = reply->unfinished;
   if (reply->approval != NULL) {
     MmApproval approval
         = { mm_name(reply->approval->job),  reply->approval->number,   { reply->approval->attempt },
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -156,11 +156,43 @@
                                 heartbeat->is_direct_reply);
 }
 
+/* Whether the message is the newest heartbeat that has reached a node; its response then counts. A
+ * heartbeat that is not newer than the newest one is a copy: a response to it reaches nobody, and
+ * must not renew the lease again. */
+static gboolean
+record_newest_heartbeat(const MmMachineTable *machine_table, MmMachine *machine,
+                        const MmHeartbeat *heartbeat, MmTime received_at) {
+  if (heartbeat->is_direct_reply
+      || !mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, machine->latest_heartbeat_id))
+    return FALSE;
+  machine->latest_heartbeat_id = heartbeat->heartbeat_id;
+  if (!heartbeat->is_unanswered)
+    mm_machine_health_record_response(machine_table, machine, received_at);
+  return TRUE;
+}
+
+/* Replaces what is known of the machine by what its newest message shows. */
+static void
+apply_message(MmMachineTable *machine_table, MmMachine *machine, const MmHeartbeat *heartbeat,
+              MmTime received_at, gint serving_node) {
+  gboolean unchanged = heartbeat_shows_no_change(machine, heartbeat, serving_node);
+
+  machine->has_unsent_changes = machine->has_unsent_changes || !unchanged;
+  update_incarnation(machine_table, machine, heartbeat, received_at);
+  update_identity(machine_table, machine, heartbeat);
+  update_message_ids(machine, heartbeat, received_at, serving_node);
+  if (!unchanged)
+    update_tasks(machine_table, machine, heartbeat);
+  if (machine->has_live_task)
+    machine->idle_since = received_at;
+  notify_heartbeat(machine_table, machine, heartbeat, !unchanged);
+}
+
 MmMachine *
 mm_machine_table_record_heartbeat(MmMachineTable *machine_table, const MmHeartbeat *heartbeat,
                                   MmTime received_at, gint serving_node) {
   MmMachine *machine;
-  gboolean unchanged, is_newest_heartbeat;
+  gboolean is_newest_heartbeat;
 
   if (serving_node == MM_SERVING_NODE_SELF || serving_node == MM_SERVING_NODE_NONE)
     machine_table->last_worker_contact_at = mm_node_now(machine_table->node);
@@ -170,32 +202,14 @@
   machine = mm_machine_table_find_or_add(machine_table, heartbeat->machine_id.s);
   if (mm_machine_lease_has_ended(machine, heartbeat->heartbeat_id))
     return NULL;
-  /* A heartbeat that is not newer than the newest one is a copy: a response to it reaches nobody,
-   * and must not renew the lease again. */
-  is_newest_heartbeat
-      = !heartbeat->is_direct_reply
-        && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, machine->latest_heartbeat_id);
-  if (is_newest_heartbeat) {
-    machine->latest_heartbeat_id = heartbeat->heartbeat_id;
-    if (!heartbeat->is_unanswered)
-      mm_machine_health_record_response(machine_table, machine, received_at);
-  }
+  is_newest_heartbeat = record_newest_heartbeat(machine_table, machine, heartbeat, received_at);
   if (machine->has_reported
       && !mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, machine->latest_message_id)) {
     if (is_newest_heartbeat)
       record_overtaken_heartbeat(machine, received_at, serving_node);
     return NULL;
   }
-  unchanged = heartbeat_shows_no_change(machine, heartbeat, serving_node);
-  machine->has_unsent_changes = machine->has_unsent_changes || !unchanged;
-  update_incarnation(machine_table, machine, heartbeat, received_at);
-  update_identity(machine_table, machine, heartbeat);
-  update_message_ids(machine, heartbeat, received_at, serving_node);
-  if (!unchanged)
-    update_tasks(machine_table, machine, heartbeat);
-  if (machine->has_live_task)
-    machine->idle_since = received_at;
-  notify_heartbeat(machine_table, machine, heartbeat, !unchanged);
+  apply_message(machine_table, machine, heartbeat, received_at, serving_node);
   return machine;
 }
 
