--- a/src/heartbeat/heartbeat-response.c
+++ b/src/heartbeat/heartbeat-response.c
@@ -15,13 +15,12 @@
 
 static void
 terminal_state_received(gpointer data, int status, json_t *body) {
-  TerminalConfirmation *confirmation = data;
+  g_autofree TerminalConfirmation *confirmation = data;
 
   if (status == 200)
     mm_job_table_add_terminal_record(confirmation->server->node->job_table, confirmation->job_id.s,
                                      mm_json_get(body, WIRE_VALUE));
   g_hash_table_remove(confirmation->server->jobs_being_confirmed, confirmation->job_id.s);
-  g_free(confirmation);
 }
 
 static void
@@ -45,7 +44,7 @@
  * its tasks are removed only once its terminal record has been read. */
 void
 mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
-                                           json_t *commands) {
+                                           GArray *commands) {
   MmJobTable *job_table = server->node->job_table;
 
   for (guint i = 0; i < tasks->len; i++) {
@@ -55,7 +54,7 @@
                           reported->job, reported->number, reported->attempt, 0 };
     if (job != NULL ? job->is_cancelled && reported->state != MM_REPORTED_ENDED
                     : mm_job_table_is_over(job_table, reported->job.s))
-      json_array_append_new(commands, mm_command_to_json(&command));
+      g_array_append_val(commands, command);
     else if (job == NULL)
       confirm_job_is_terminal(server, &reported->job);
   }
@@ -63,9 +62,7 @@
 
 void
 mm_heartbeat_response_send_commands(const MmNode *node, MmHttpExchange *exchange,
-                                    json_t *commands) {
+                                    const GArray *commands) {
   mm_http_exchange_respond(exchange, 200,
-                           json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v,
-                                     WIRE_COMMANDS, commands),
-                           0);
+                           mm_heartbeat_response_to_json(node->replica->term, commands), 0);
 }
--- a/src/heartbeat/heartbeat-response.h
+++ b/src/heartbeat/heartbeat-response.h
@@ -3,10 +3,10 @@
 
 #include "heartbeat/heartbeat-server.h"
 
-/* Adds commands for those of the tasks that must stop or be forgotten, whoever leads their shards.
- * `tasks`: MmReportedTask. */
+/* Appends commands (MmCommand) for those of the tasks that must stop or be forgotten, whoever leads
+ * their shards. `tasks`: MmReportedTask. */
 void mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
-                                                json_t *commands);
-/* Answers 200 with the replica's term as fencing token. Takes the commands. */
+                                                GArray *commands);
+/* Answers 200 with the replica's term as fencing token. `commands`: MmCommand. */
 void mm_heartbeat_response_send_commands(const MmNode *node, MmHttpExchange *exchange,
-                                         json_t *commands);
+                                         const GArray *commands);
--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -18,11 +18,19 @@
 #define REDIRECT_INTERVAL_MS 400
 
 typedef struct {
-  json_t *body;
+  MmHeartbeat heartbeat; /* owned */
   MmHttpExchange *exchange;
   MmTime received_at;
 } DeferredHeartbeat;
 
+static void
+deferred_heartbeat_free(DeferredHeartbeat *deferred) {
+  mm_heartbeat_clear(&deferred->heartbeat);
+  g_free(deferred);
+}
+
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(DeferredHeartbeat, deferred_heartbeat_free)
+
 MmHeartbeatServer *
 mm_heartbeat_server_new(MmNode *node) {
   MmHeartbeatServer *server = g_new0(MmHeartbeatServer, 1);
@@ -41,8 +49,7 @@
   mm_pending_responses_refuse_all(server);
   while ((deferred = g_queue_pop_head(server->deferred_heartbeats)) != NULL) {
     mm_http_exchange_respond(deferred->exchange, 503, NULL, 0);
-    json_decref(deferred->body);
-    g_free(deferred);
+    deferred_heartbeat_free(deferred);
   }
   g_queue_free(server->deferred_heartbeats);
   g_hash_table_unref(server->pending_responses);
@@ -83,7 +90,7 @@
 /* FALSE when the heartbeat has waited as long as it may, or too many wait. Each machine has one
  * heartbeat under way, so the number of machines bounds them. */
 static gboolean
-defer_heartbeat(MmHeartbeatServer *server, const json_t *body, MmHttpExchange *exchange,
+defer_heartbeat(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmHttpExchange *exchange,
                 MmTime received_at) {
   guint limit = MAX(DEFERRED_HEARTBEATS_MIN, server->node->machine_table->sorted_machines->len);
   DeferredHeartbeat *deferred;
@@ -92,7 +99,8 @@
       || g_queue_get_length(server->deferred_heartbeats) >= limit)
     return FALSE;
   deferred = g_new(DeferredHeartbeat, 1);
-  *deferred = (DeferredHeartbeat){ json_incref((json_t *)body), exchange, received_at };
+  *deferred = (DeferredHeartbeat){ *heartbeat, exchange, received_at };
+  g_array_ref(deferred->heartbeat.tasks);
   g_queue_push_tail(server->deferred_heartbeats, deferred);
   return TRUE;
 }
@@ -128,7 +136,7 @@
                    MmHttpExchange *exchange) {
   MmNode *node = server->node;
   MmMachine *machine = mm_machine_table_add_unverified(node->machine_table, heartbeat);
-  json_t *commands;
+  g_autoptr(GArray) commands = NULL;
 
   if (mm_machine_health_ignores_responses(node->machine_table, machine)) {
     refuse_heartbeat(exchange, "earlier answers were not taken");
@@ -137,7 +145,7 @@
   mm_machine_health_record_response(node->machine_table, machine, mm_node_now(node));
   mm_machine_health_count_own_response(node->machine_table, machine);
   mm_peer_broadcast_unverified(node->peer_links, &machine->id);
-  commands = json_array();
+  commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   mm_heartbeat_response_add_cleanup_commands(server, heartbeat->tasks, commands);
   mm_heartbeat_response_send_commands(node, exchange, commands);
 }
@@ -145,8 +153,8 @@
 /* Handles heartbeats that this node may not answer, or not yet. TRUE when the exchange is answered
  * or deferred. */
 static gboolean
-reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, const json_t *body,
-                MmHttpExchange *exchange, MmTime received_at) {
+reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmHttpExchange *exchange,
+                MmTime received_at) {
   MmNode *node = server->node;
   gint peer;
 
@@ -158,12 +166,12 @@
   if (heartbeat->fencing_token.v > node->replica->term.v) {
     /* The worker would drop a 200 with our older term and stay at this node: the replica must show
      * the newer term, with its shard leaders, first. */
-    if (!defer_heartbeat(server, body, exchange, received_at))
+    if (!defer_heartbeat(server, heartbeat, exchange, received_at))
       refuse_heartbeat(exchange, "the term is not known here yet");
     return TRUE;
   }
   if (mm_heartbeat_server_is_settling(server)
-      && defer_heartbeat(server, body, exchange, received_at))
+      && defer_heartbeat(server, heartbeat, exchange, received_at))
     return TRUE;
   peer = node->sharing->is_active
              ? mm_sharing_redirect_target(node->sharing, heartbeat->machine_id.s)
@@ -224,29 +232,29 @@
 }
 
 static void
-process_heartbeat(MmHeartbeatServer *server, const json_t *body, MmHttpExchange *exchange,
+process_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmHttpExchange *exchange,
                   MmTime received_at) {
-  const char *reason = NULL;
-  MmHeartbeat heartbeat;
-
-  if (!mm_heartbeat_parse(&heartbeat, body, &reason))
-    mm_http_exchange_respond(exchange, 400, mm_json_error(reason), 0);
-  else if (!reject_or_defer(server, &heartbeat, body, exchange, received_at))
-    respond_to_heartbeat(server, &heartbeat, exchange);
-  mm_heartbeat_clear(&heartbeat);
+  if (!reject_or_defer(server, heartbeat, exchange, received_at))
+    respond_to_heartbeat(server, heartbeat, exchange);
 }
 
 void
 mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body,
                             MmHttpExchange *exchange) {
-  process_heartbeat(server, body, exchange, mm_node_now(server->node));
+  const char *reason = NULL;
+  g_auto(MmHeartbeat) heartbeat = { 0 };
+
+  if (!mm_heartbeat_parse(&heartbeat, body, &reason))
+    mm_http_exchange_respond(exchange, 400, mm_json_error(reason), 0);
+  else
+    process_heartbeat(server, &heartbeat, exchange, mm_node_now(server->node));
 }
 
 static void
-retry_deferred(MmHeartbeatServer *server, DeferredHeartbeat *deferred) {
-  process_heartbeat(server, deferred->body, deferred->exchange, deferred->received_at);
-  json_decref(deferred->body);
-  g_free(deferred);
+retry_oldest_deferred(MmHeartbeatServer *server) {
+  g_autoptr(DeferredHeartbeat) deferred = g_queue_pop_head(server->deferred_heartbeats);
+
+  process_heartbeat(server, &deferred->heartbeat, deferred->exchange, deferred->received_at);
 }
 
 void
@@ -255,7 +263,7 @@
 
   track_ownership_changes(server);
   while (n_deferred-- > 0)
-    retry_deferred(server, g_queue_pop_head(server->deferred_heartbeats));
+    retry_oldest_deferred(server);
 }
 
 guint
@@ -290,10 +298,10 @@
       && !mm_shard_ownership_is_unsettled(server->node->shard_ownership))
     mm_heartbeat_server_replica_changed(server);
   while (!g_queue_is_empty(server->deferred_heartbeats)) {
-    DeferredHeartbeat *deferred = g_queue_peek_head(server->deferred_heartbeats);
+    const DeferredHeartbeat *deferred = g_queue_peek_head(server->deferred_heartbeats);
     if (mm_time_ms_since(now, deferred->received_at) < DEFER_MAX_MS)
       break;
-    retry_deferred(server, g_queue_pop_head(server->deferred_heartbeats));
+    retry_oldest_deferred(server);
   }
   mm_pending_responses_expire(server);
 }
--- a/src/heartbeat/heartbeat.c
+++ b/src/heartbeat/heartbeat.c
@@ -95,3 +95,12 @@
     json_object_set_new(json, WIRE_GRACE, json_real(command->grace_s));
   return json;
 }
+
+json_t *
+mm_heartbeat_response_to_json(MmTerm term, const GArray *commands) {
+  json_t *list = json_array();
+
+  for (guint i = 0; i < commands->len; i++)
+    json_array_append_new(list, mm_command_to_json(&g_array_index(commands, MmCommand, i)));
+  return json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)term.v, WIRE_COMMANDS, list);
+}
--- a/src/heartbeat/heartbeat.h
+++ b/src/heartbeat/heartbeat.h
@@ -63,6 +63,11 @@
 /* Reads a heartbeat from a request's body, which is lent. FALSE with a static reason when it is
  * none. The heartbeat is to be cleared in either case. */
 gboolean mm_heartbeat_parse(MmHeartbeat *heartbeat, const json_t *body, const char **reason);
+/* Drops the tasks. The heartbeat itself is the caller's. */
 void mm_heartbeat_clear(MmHeartbeat *heartbeat);
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(MmHeartbeat, mm_heartbeat_clear)
 /* A new reference. */
 json_t *mm_command_to_json(const MmCommand *command);
+/* The body of a response to a heartbeat: the term as fencing token and MmCommand in their order. A
+ * new reference. */
+json_t *mm_heartbeat_response_to_json(MmTerm term, const GArray *commands);
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -38,7 +38,7 @@
   MmHeartbeatServer *server = response->server;
   MmNode *node = server->node;
   MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
-  json_t *commands;
+  g_autoptr(GArray) commands = NULL;
 
   /* Without the machine's entry it is unknown what must stop there. */
   if (!mm_node_lease_may_answer_workers(node->node_lease) || machine == NULL) {
@@ -46,17 +46,15 @@
     pending_response_free(response);
     return;
   }
-  commands = json_array();
+  commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   if (machine->queued_incarnation == response->heartbeat_id.incarnation)
-    for (guint i = 0; i < machine->queued_commands->len; i++)
-      json_array_append_new(
-          commands, mm_command_to_json(&g_array_index(machine->queued_commands, MmCommand, i)));
+    g_array_append_vals(commands, machine->queued_commands->data, machine->queued_commands->len);
   g_array_set_size(machine->queued_commands, 0);
   mm_heartbeat_response_add_cleanup_commands(server, machine->reported_tasks, commands);
   for (guint i = 0; i < response->approved_starts->len; i++) {
     const MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
     if (start_is_still_valid(response, start))
-      json_array_append_new(commands, mm_command_to_json(&start->command));
+      g_array_append_val(commands, start->command);
   }
   mm_heartbeat_response_send_commands(node, response->exchange, commands);
   pending_response_free(response);
