--- a/src/heartbeat/heartbeat-server.h
+++ b/src/heartbeat/heartbeat-server.h
@@ -28,6 +28,7 @@
 MmHeartbeatServer *mm_heartbeat_server_new(MmNode *node);
 /* Answers everything that is deferred or pending with 503. */
 void mm_heartbeat_server_free(MmHeartbeatServer *server);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmHeartbeatServer, mm_heartbeat_server_free)
 void mm_heartbeat_server_tick(MmHeartbeatServer *server);
 /* A heartbeat came in. `body` is lent; the exchange is answered once, now or later. */
 void mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body,
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -27,6 +27,7 @@
 /* The node must outlive the table. */
 MmMachineTable *mm_machine_table_new(MmNode *node);
 void mm_machine_table_free(MmMachineTable *machine_table);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmMachineTable, mm_machine_table_free)
 /* NULL when unknown. Lent. */
 MmMachine *mm_machine_table_find(const MmMachineTable *machine_table, const char *machine_id);
 
--- a/src/machines/registry-pack.c
+++ b/src/machines/registry-pack.c
@@ -5,11 +5,21 @@
 /* All nodes read a whole pack whenever it changes, so it is kept to a few dozen machines. */
 #define PACK_MAX_BYTES 4096
 #define PACK_OVERHEAD_BYTES 64
+#define ENTRY_OVERHEAD_BYTES 40
 
-void
-mm_registry_pack_free(gpointer data) {
-  MmRegistryPack *pack = data;
+/* The record: an object with the list of entries, each an array in the order of EntryField. */
+#define RECORD_ENTRIES "v"
+typedef enum {
+  ENTRY_MACHINE_ID,
+  ENTRY_ADDR,
+  ENTRY_TYPE,
+  ENTRY_ZONE,
+  ENTRY_IS_SPOT,
+  ENTRY_INCARNATION
+} EntryField;
 
+void
+mm_registry_pack_free(MmRegistryPack *pack) {
   g_array_unref(pack->entries);
   g_free(pack);
 }
@@ -24,7 +34,7 @@
                                           entry->type.s, entry->zone.s, entry->is_spot ? 1 : 0,
                                           (json_int_t)entry->incarnation));
   }
-  return json_pack("{s:o}", "v", list);
+  return json_pack("{s:o}", RECORD_ENTRIES, list);
 }
 
 GArray *
@@ -33,13 +43,14 @@
   size_t i;
   json_t *item;
 
-  json_array_foreach(mm_json_get(value, "v"), i, item) {
-    MmRegistryEntry entry = { .machine_id = mm_name(json_string_value(json_array_get(item, 0))),
-                              .type = mm_name(json_string_value(json_array_get(item, 2))),
-                              .zone = mm_name(json_string_value(json_array_get(item, 3))),
-                              .is_spot = json_integer_value(json_array_get(item, 4)) != 0,
-                              .incarnation = (guint64)json_integer_value(json_array_get(item, 5)) };
-    const char *addr = json_string_value(json_array_get(item, 1));
+  json_array_foreach(mm_json_get(value, RECORD_ENTRIES), i, item) {
+    MmRegistryEntry entry
+        = { .machine_id = mm_name(json_string_value(json_array_get(item, ENTRY_MACHINE_ID))),
+            .type = mm_name(json_string_value(json_array_get(item, ENTRY_TYPE))),
+            .zone = mm_name(json_string_value(json_array_get(item, ENTRY_ZONE))),
+            .is_spot = json_integer_value(json_array_get(item, ENTRY_IS_SPOT)) != 0,
+            .incarnation = (guint64)json_integer_value(json_array_get(item, ENTRY_INCARNATION)) };
+    const char *addr = json_string_value(json_array_get(item, ENTRY_ADDR));
     if (mm_name_is_empty(&entry.machine_id))
       continue;
     g_strlcpy(entry.addr, addr != NULL ? addr : "", sizeof entry.addr);
@@ -59,7 +70,7 @@
 gsize
 mm_registry_entry_bytes(const MmRegistryEntry *entry) {
   return strlen(entry->machine_id.s) + strlen(entry->addr) + strlen(entry->type.s)
-         + strlen(entry->zone.s) + 40;
+         + strlen(entry->zone.s) + ENTRY_OVERHEAD_BYTES;
 }
 
 gsize
--- a/src/machines/registry-pack.h
+++ b/src/machines/registry-pack.h
@@ -20,7 +20,8 @@
   GArray *entries; /* MmRegistryEntry, owned */
 } MmRegistryPack;
 
-void mm_registry_pack_free(gpointer pack);
+void mm_registry_pack_free(MmRegistryPack *pack);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmRegistryPack, mm_registry_pack_free)
 
 /* `entries` are of MmRegistryEntry throughout. A new reference. */
 json_t *mm_registry_entries_to_json(const GArray *entries);
--- a/src/machines/registry.c
+++ b/src/machines/registry.c
@@ -5,7 +5,8 @@
   MmRegistry *registry = g_new0(MmRegistry, 1);
 
   registry->node = node;
-  registry->packs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, mm_registry_pack_free);
+  registry->packs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                          (GDestroyNotify)mm_registry_pack_free);
   return registry;
 }
 
--- a/src/machines/registry.h
+++ b/src/machines/registry.h
@@ -25,6 +25,7 @@
 /* The node must outlive the registry. */
 MmRegistry *mm_registry_new(MmNode *node);
 void mm_registry_free(MmRegistry *registry);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmRegistry, mm_registry_free)
 
 /* The replica shows this pack. An older version than the known one changes nothing. `value` is
  * lent.
