--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -16,6 +16,9 @@
 #define DEFER_MAX_MS 800
 #define DEFERRED_HEARTBEATS_MIN 256
 #define REDIRECT_INTERVAL_MS 400
+#define LOAD_DIFFERENCE_TO_REDIRECT 4 /* machines more than the peer has */
+#define COUNT_INTERVAL_MS 500
+#define NO_PEER (-1) /* in place of a peer's index */
 
 typedef struct {
   MmHeartbeat heartbeat; /* owned */
@@ -61,7 +64,7 @@
 
 static void
 redirect_worker(MmHeartbeatServer *server, MmHttpExchange *exchange, gint peer) {
-  if (peer >= 0)
+  if (peer != NO_PEER)
     mm_http_exchange_respond(
         exchange, 421,
         json_pack("{s:s}", WIRE_REPORT_TO, server->node->peer_links->peers[peer].label.s), 0);
@@ -69,18 +72,20 @@
     mm_http_exchange_respond(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
 
-/* A peer that this machine should move to, or -1. Machines are balanced over the nodes one at a
- * time; the counts are adjusted until the peer's next pong. */
+/* A peer that this machine should move to, or NO_PEER. Machines are balanced over the nodes one at
+ * a time; the counts are adjusted until the peer's next pong. */
 static gint
 less_loaded_peer(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
   gint peer;
 
   if (mm_time_ms_since(now, server->last_redirect_at) < REDIRECT_INTERVAL_MS)
-    return -1;
+    return NO_PEER;
   peer = mm_peer_links_least_loaded(server->node->peer_links);
-  if (peer < 0 || server->served_machines < server->node->peer_links->peers[peer].n_machines + 4)
-    return -1;
+  if (peer == NO_PEER
+      || server->served_machines
+             < server->node->peer_links->peers[peer].n_machines + LOAD_DIFFERENCE_TO_REDIRECT)
+    return NO_PEER;
   server->last_redirect_at = now;
   server->served_machines--;
   server->node->peer_links->peers[peer].n_machines++;
@@ -105,13 +110,18 @@
   return TRUE;
 }
 
+static gboolean
+ownership_was_unsettled(const MmHeartbeatServer *server) {
+  return server->ownership_unsettled_since.us != 0;
+}
+
 /* While shards change leaders, terms follow one another within a second. A worker acknowledges the
  * first one it gets at once, but the next only with a later heartbeat, so new leaders would wait
  * two heartbeat intervals for their acknowledgements. So heartbeats wait a moment for the last of
  * the terms; not longer, since a shard may stay without a leader. */
 gboolean
 mm_heartbeat_server_is_settling(const MmHeartbeatServer *server) {
-  return server->ownership_unsettled_since.us != 0
+  return ownership_was_unsettled(server)
          && mm_time_ms_since(mm_node_now(server->node), server->ownership_unsettled_since)
                 < DEFER_MAX_MS;
 }
@@ -120,7 +130,7 @@
 track_ownership_changes(MmHeartbeatServer *server) {
   if (!mm_shard_ownership_is_unsettled(server->node->shard_ownership))
     server->ownership_unsettled_since.us = 0;
-  else if (server->ownership_unsettled_since.us == 0)
+  else if (!ownership_was_unsettled(server))
     server->ownership_unsettled_since = mm_node_now(server->node);
 }
 
@@ -176,7 +186,7 @@
   peer = node->sharing->is_active
              ? mm_sharing_redirect_target(node->sharing, heartbeat->machine_id.s)
              : less_loaded_peer(server);
-  if (peer >= 0) {
+  if (peer != NO_PEER) {
     redirect_worker(server, exchange, peer);
     return TRUE;
   }
@@ -277,7 +287,7 @@
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->heartbeat_interval_s * 3000);
 
-  if (mm_time_ms_since(now, server->machines_counted_at) < 500)
+  if (mm_time_ms_since(now, server->machines_counted_at) < COUNT_INTERVAL_MS)
     return;
   server->machines_counted_at = now;
   server->served_machines = 0;
@@ -294,7 +304,7 @@
   MmTime now = mm_node_now(server->node);
 
   count_served_machines(server);
-  if (server->ownership_unsettled_since.us != 0
+  if (ownership_was_unsettled(server)
       && !mm_shard_ownership_is_unsettled(server->node->shard_ownership))
     mm_heartbeat_server_replica_changed(server);
   while (!g_queue_is_empty(server->deferred_heartbeats)) {
--- a/src/machines/machine-health.c
+++ b/src/machines/machine-health.c
@@ -148,13 +148,24 @@
 
 /* ---- machines that ignore responses ---- */
 
+static gboolean
+has_unacknowledged_response(const MmMachine *machine) {
+  return machine->unacknowledged_since.us != 0;
+}
+
+void
+mm_machine_health_record_acknowledgement(MmMachine *machine) {
+  machine->unacknowledged_since.us = 0;
+  machine->unacknowledged_responses = 0;
+}
+
 gboolean
 mm_machine_health_ignores_responses(const MmMachineTable *machine_table, const MmMachine *machine) {
   gint64 periods_ms = (gint64)(machine_table->node->settings->heartbeat_interval_s * 1000
                                * IGNORED_RESPONSES_MIN_PERIODS);
   gint64 min_duration_ms = MAX(IGNORED_RESPONSES_MIN_MS, periods_ms);
 
-  return machine->unacknowledged_since.us != 0
+  return has_unacknowledged_response(machine)
          && machine->unacknowledged_responses >= IGNORED_RESPONSES_MIN
          && mm_time_ms_since(mm_node_now(machine_table->node), machine->unacknowledged_since)
                 > min_duration_ms;
@@ -166,7 +177,7 @@
   machine->responses_in_incarnation++;
   if (term.v <= machine->acknowledged_term.v)
     return;
-  if (machine->unacknowledged_since.us == 0)
+  if (!has_unacknowledged_response(machine))
     machine->unacknowledged_since = mm_node_now(machine_table->node);
   machine->unacknowledged_responses++;
 }
--- a/src/machines/machine-health.h
+++ b/src/machines/machine-health.h
@@ -30,6 +30,8 @@
                                       MmTerm term);
 /* The same, by this node with its replica's term. */
 void mm_machine_health_count_own_response(const MmMachineTable *machine_table, MmMachine *machine);
+/* The machine has shown that a response or a direct command reached it. */
+void mm_machine_health_record_acknowledgement(MmMachine *machine);
 /* Whether its heartbeats arrive, but acknowledge none of the last several responses. */
 gboolean mm_machine_health_ignores_responses(const MmMachineTable *machine_table,
                                              const MmMachine *machine);
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -100,10 +100,8 @@
 update_message_ids(MmMachine *machine, const MmHeartbeat *heartbeat, MmTime received_at,
                    gint serving_node) {
   /* A direct reply shows that commands reach the machine; a higher term, that a response did. */
-  if (heartbeat->is_direct_reply || heartbeat->fencing_token.v > machine->acknowledged_term.v) {
-    machine->unacknowledged_since.us = 0;
-    machine->unacknowledged_responses = 0;
-  }
+  if (heartbeat->is_direct_reply || heartbeat->fencing_token.v > machine->acknowledged_term.v)
+    mm_machine_health_record_acknowledgement(machine);
   machine->latest_message_id = heartbeat->heartbeat_id;
   machine->acknowledged_term = heartbeat->fencing_token;
   machine->last_seen_at = mm_time_max(machine->last_seen_at, received_at);
--- a/src/machines/machine-table-leases.c
+++ b/src/machines/machine-table-leases.c
@@ -11,6 +11,8 @@
 /* Bound on the ended incarnations remembered: so many per known machine, and at least a minimum. */
 #define ENDED_INCARNATIONS_PER_MACHINE 2
 #define ENDED_INCARNATIONS_MIN 4096
+/* As newest ended incarnation: the machine is terminated and never comes back. */
+#define EVERY_INCARNATION G_MAXUINT64
 
 /* ---- ended incarnations ---- */
 
@@ -28,7 +30,8 @@
                                             const MmMachine *machine) {
   guint64 *incarnation = g_new(guint64, 1);
 
-  *incarnation = machine->is_terminated ? G_MAXUINT64 : mm_machine_newest_incarnation(machine);
+  *incarnation
+      = machine->is_terminated ? EVERY_INCARNATION : mm_machine_newest_incarnation(machine);
   if (!g_hash_table_contains(machine_table->ended_incarnations, machine->id.s))
     g_queue_push_tail(machine_table->ended_incarnations_order, g_strdup(machine->id.s));
   g_hash_table_insert(machine_table->ended_incarnations, g_strdup(machine->id.s), incarnation);
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -91,7 +91,7 @@
 void
 mm_machine_table_set_reported_tasks(MmMachineTable *machine_table, MmMachine *machine,
                                     const GArray *tasks) {
-  machine->available_generation = 0;
+  machine->available_generation = MM_GENERATION_NONE;
   adjust_running_tasks(machine_table, machine, -1);
   g_array_set_size(machine->reported_tasks, 0);
   if (tasks != NULL)
--- a/src/machines/machine.h
+++ b/src/machines/machine.h
@@ -30,6 +30,9 @@
   guint number;
 } MmPlacedTask;
 
+/* As MmMachine.available_generation: the available resources are to be computed anew. */
+#define MM_GENERATION_NONE 0
+
 /* The node that serves a machine: the index of a peer, or one of these. */
 enum {
   MM_SERVING_NODE_NONE = -2, /* no heartbeat to any node is known, at most direct replies */
@@ -70,11 +73,10 @@
   /* Derived by machine.c. The scheduler resets `available_generation` as it moves tasks. */
   GArray *cached_images;           /* MmCachedImage; inferred from tasks, a hint only */
   MmResources available_resources; /* as last computed, */
-  guint64 available_generation;    /* at this generation of the job table; 0: to be computed */
+  guint64 available_generation;    /* at this generation of the job table, or MM_GENERATION_NONE */
 
-  /* Health. Written by machine-health; the machine table resets the two counters of unacknowledged
-   * responses as a term is acknowledged, and sets both response times as an incarnation begins; the
-   * scheduler resets `consecutive_refused_starts` as a start is carried out. */
+  /* Health. Written by machine-health; the machine table sets both response times of a new entry,
+   * the scheduler resets `consecutive_refused_starts` as a start is carried out. */
   MmTime unacknowledged_since;      /* first response whose term is unacknowledged; 0: none */
   guint unacknowledged_responses;   /* how many such responses */
   MmTime last_possible_response_at; /* latest instant at which a node may have answered it 200, as
