--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -194,7 +194,7 @@
     refuse_heartbeat(exchange, "a newer report has come");
     return TRUE;
   }
-  if (mm_machine_table_is_unverified(node->machine_table, heartbeat)) {
+  if (mm_machine_table_is_unverified_heartbeat(node->machine_table, heartbeat)) {
     respond_unverified(server, heartbeat, exchange);
     return TRUE;
   }
--- a/src/heartbeat/pending-response-grants.c
+++ b/src/heartbeat/pending-response-grants.c
@@ -66,8 +66,8 @@
 }
 
 void
-mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
-                                    const Mm__GrantResponse *reply) {
+mm_pending_response_handle_grant_response(MmHeartbeatServer *server, guint peer,
+                                          const Mm__GrantResponse *reply) {
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -194,8 +194,8 @@
 }
 
 void
-mm_pending_response_start_answered(MmHeartbeatServer *server, guint peer,
-                                   const Mm__StartResponse *reply) {
+mm_pending_response_handle_start_response(MmHeartbeatServer *server, guint peer,
+                                          const Mm__StartResponse *reply) {
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
--- a/src/heartbeat/pending-response.h
+++ b/src/heartbeat/pending-response.h
@@ -45,8 +45,8 @@
 void mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                                MmMachine *machine, MmHttpExchange *exchange);
 /* The group's owner has answered which of the approved starts may have their resources. */
-void mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
-                                         const Mm__GrantResponse *reply);
+void mm_pending_response_handle_grant_response(MmHeartbeatServer *server, guint peer,
+                                               const Mm__GrantResponse *reply);
 /* Sends what has been approved and granted so far in each response whose deadline has passed. */
 void mm_pending_responses_expire(MmHeartbeatServer *server);
 /* Answers all with 503: the node ends. */
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -50,7 +50,8 @@
 }
 
 gboolean
-mm_machine_table_is_unverified(const MmMachineTable *machine_table, const MmHeartbeat *heartbeat) {
+mm_machine_table_is_unverified_heartbeat(const MmMachineTable *machine_table,
+                                         const MmHeartbeat *heartbeat) {
   const MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine_id.s);
 
   return !heartbeat->is_direct_reply && (machine == NULL || !machine->has_reported)
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -39,8 +39,8 @@
  * in the registry, and its fencing token is older than the term at which this process started. It
  * may be a late copy from a machine that this node never knew. It is answered, so that the machine
  * can acknowledge the term, and its contents are ignored. */
-gboolean mm_machine_table_is_unverified(const MmMachineTable *machine_table,
-                                        const MmHeartbeat *heartbeat);
+gboolean mm_machine_table_is_unverified_heartbeat(const MmMachineTable *machine_table,
+                                                  const MmHeartbeat *heartbeat);
 /* Records only the id of an unverified heartbeat. Returns its machine, lent. */
 MmMachine *mm_machine_table_add_unverified(MmMachineTable *machine_table,
                                            const MmHeartbeat *heartbeat);
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -320,8 +320,8 @@
     mm_sharing_grant_requested(sharing, peer_index, frame->grant_request);
     return TRUE;
   case MM__FRAME__BODY_GRANT_RESPONSE:
-    mm_pending_response_grants_answered(links->node->heartbeat_server, peer_index,
-                                        frame->grant_response);
+    mm_pending_response_handle_grant_response(links->node->heartbeat_server, peer_index,
+                                              frame->grant_response);
     return TRUE;
   case MM__FRAME__BODY_MOVE_ORDER:
     mm_sharing_move_ordered(sharing, peer_index, frame->move_order);
@@ -371,8 +371,8 @@
     mm_scheduler_peer_start_request(links->node->scheduler, peer_index, frame->start_request);
     break;
   case MM__FRAME__BODY_START_RESPONSE:
-    mm_pending_response_start_answered(links->node->heartbeat_server, peer_index,
-                                       frame->start_response);
+    mm_pending_response_handle_start_response(links->node->heartbeat_server, peer_index,
+                                              frame->start_response);
     break;
   case MM__FRAME__BODY_BACKLOG:
     mm_placement_backlog_received(links->node->placement, (gint)peer_index, frame->backlog);
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -288,15 +288,15 @@
   s.owner->node->replica->term_at_start.v = 7; /* as if it had started among others */
   report.machine_id = mm_name("m-000999");
   report.fencing_token.v = s.owner->node->replica->term_at_start.v - 1;
-  g_assert_true(mm_machine_table_is_unverified(machine_table, &report));
+  g_assert_true(mm_machine_table_is_unverified_heartbeat(machine_table, &report));
   report.fencing_token = s.owner->node->replica->term_at_start;
-  g_assert_false(mm_machine_table_is_unverified(machine_table, &report));
+  g_assert_false(mm_machine_table_is_unverified_heartbeat(machine_table, &report));
   /* One on the register may hold tasks: whatever it shows counts. */
   report.machine_id = s.machines[0]->id;
   report.heartbeat_id.incarnation = s.machines[0]->registered_incarnation;
   report.fencing_token.v = 0;
   s.machines[0]->has_reported = FALSE;
-  g_assert_false(mm_machine_table_is_unverified(machine_table, &report));
+  g_assert_false(mm_machine_table_is_unverified_heartbeat(machine_table, &report));
   mm_heartbeat_clear(&report);
   world_free(s.world);
 }
