--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -1,9 +1,9 @@
-/* Which reports this node may answer, and when. */
 #include "heartbeat/heartbeat-server.h"
-#include "machines/machine-health.h"
-#include "heartbeat/pending-response.h"
 
 #include "base/wire.h"
+#include "heartbeat/heartbeat-response.h"
+#include "heartbeat/pending-response.h"
+#include "machines/machine-health.h"
 #include "machines/machine-table.h"
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
@@ -13,16 +13,28 @@
 #include "kv/replica.h"
 #include "upgrade/versions.h"
 
+/* The worker waits meanwhile; its lease has to outlast this. */
 #define DEFER_MAX_MS 800
 #define DEFERRED_HEARTBEATS_MIN 256
 #define REDIRECT_INTERVAL_MS 400
+#define LOAD_DIFFERENCE_TO_REDIRECT 4 /* machines more than the peer has */
+#define COUNT_INTERVAL_MS 500
+#define NO_PEER (-1) /* in place of a peer's index */
 
 typedef struct {
-  json_t *body;
+  MmHeartbeat heartbeat; /* owned */
   MmHttpExchange *exchange;
   MmTime received_at;
 } DeferredHeartbeat;
 
+static void
+deferred_heartbeat_free(DeferredHeartbeat *deferred) {
+  mm_heartbeat_clear(&deferred->heartbeat);
+  g_free(deferred);
+}
+
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(DeferredHeartbeat, deferred_heartbeat_free)
+
 MmHeartbeatServer *
 mm_heartbeat_server_new(MmNode *node) {
   MmHeartbeatServer *server = g_new0(MmHeartbeatServer, 1);
@@ -41,8 +53,7 @@
   mm_pending_responses_refuse_all(server);
   while ((deferred = g_queue_pop_head(server->deferred_heartbeats)) != NULL) {
     mm_http_exchange_respond(deferred->exchange, 503, NULL, 0);
-    json_decref(deferred->body);
-    g_free(deferred);
+    deferred_heartbeat_free(deferred);
   }
   g_queue_free(server->deferred_heartbeats);
   g_hash_table_unref(server->pending_responses);
@@ -50,11 +61,11 @@
   g_free(server);
 }
 
-/* ---- reports ---- */
+/* ---- redirects ---- */
 
 static void
 redirect_worker(MmHeartbeatServer *server, MmHttpExchange *exchange, gint peer) {
-  if (peer >= 0)
+  if (peer != NO_PEER)
     mm_http_exchange_respond(
         exchange, 421,
         json_pack("{s:s}", WIRE_REPORT_TO, server->node->peer_links->peers[peer].label.s), 0);
@@ -62,27 +73,30 @@
     mm_http_exchange_respond(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
 
-/* Machines are spread over the nodes by moving one now and then. */
+/* A peer that this machine should move to, or NO_PEER. Machines are balanced over the nodes one at
+ * a time; the counts are adjusted until the peer's next pong. */
 static gint
 less_loaded_peer(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
   gint peer;
 
   if (mm_time_ms_since(now, server->last_redirect_at) < REDIRECT_INTERVAL_MS)
-    return -1;
+    return NO_PEER;
   peer = mm_peer_links_least_loaded(server->node->peer_links);
-  if (peer < 0 || server->served_machines < server->node->peer_links->peers[peer].n_machines + 4)
-    return -1;
+  if (peer == NO_PEER
+      || server->served_machines
+             < server->node->peer_links->peers[peer].n_machines + LOAD_DIFFERENCE_TO_REDIRECT)
+    return NO_PEER;
   server->last_redirect_at = now;
   server->served_machines--;
   server->node->peer_links->peers[peer].n_machines++;
   return peer;
 }
 
-/* Each machine has one report under way, so the machine table bounds them; FALSE when it waits
- * already as long as it may. */
+/* FALSE when the heartbeat has waited as long as it may, or too many wait. Each machine has one
+ * heartbeat under way, so the number of machines bounds them. */
 static gboolean
-defer_heartbeat(MmHeartbeatServer *server, const json_t *body, MmHttpExchange *exchange,
+defer_heartbeat(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmHttpExchange *exchange,
                 MmTime received_at) {
   guint limit = MAX(DEFERRED_HEARTBEATS_MIN, server->node->machine_table->sorted_machines->len);
   DeferredHeartbeat *deferred;
@@ -91,18 +105,24 @@
       || g_queue_get_length(server->deferred_heartbeats) >= limit)
     return FALSE;
   deferred = g_new(DeferredHeartbeat, 1);
-  *deferred = (DeferredHeartbeat){ json_incref((json_t *)body), exchange, received_at };
+  *deferred = (DeferredHeartbeat){ *heartbeat, exchange, received_at };
+  g_array_ref(deferred->heartbeat.tasks);
   g_queue_push_tail(server->deferred_heartbeats, deferred);
   return TRUE;
 }
 
-/* While parts change hands, terms follow one another within a second, and a worker that is told of
- * one shows it at once, but the next only half a lease later or with a report that is due anyway:
- * parts then waited two report periods for their acknowledgements. So reports wait a moment for the
- * last of the terms. Not for ever, should nobody take a part. */
+static gboolean
+ownership_was_unsettled(const MmHeartbeatServer *server) {
+  return server->ownership_unsettled_since.us != 0;
+}
+
+/* While shards change leaders, terms follow one another within a second. A worker acknowledges the
+ * first one it gets at once, but the next only with a later heartbeat, so new leaders would wait
+ * two heartbeat intervals for their acknowledgements. So heartbeats wait a moment for the last of
+ * the terms; not longer, since a shard may stay without a leader. */
 gboolean
 mm_heartbeat_server_is_settling(const MmHeartbeatServer *server) {
-  return server->ownership_unsettled_since.us != 0
+  return ownership_was_unsettled(server)
          && mm_time_ms_since(mm_node_now(server->node), server->ownership_unsettled_since)
                 < DEFER_MAX_MS;
 }
@@ -111,7 +131,7 @@
 track_ownership_changes(MmHeartbeatServer *server) {
   if (!mm_shard_ownership_is_unsettled(server->node->shard_ownership))
     server->ownership_unsettled_since.us = 0;
-  else if (server->ownership_unsettled_since.us == 0)
+  else if (!ownership_was_unsettled(server))
     server->ownership_unsettled_since = mm_node_now(server->node);
 }
 
@@ -120,14 +140,14 @@
   mm_http_exchange_respond(exchange, 503, mm_json_error(reason), 0);
 }
 
-/* It gets the term to show, and stops, which are always good; not for ever, should it show nothing.
- */
+/* The machine gets the term to acknowledge, and stop commands, which are always safe; not without
+ * end if it acknowledges nothing. */
 static void
 respond_unverified(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                    MmHttpExchange *exchange) {
   MmNode *node = server->node;
   MmMachine *machine = mm_machine_table_add_unverified(node->machine_table, heartbeat);
-  json_t *commands;
+  g_autoptr(GArray) commands = NULL;
 
   if (mm_machine_health_ignores_responses(node->machine_table, machine)) {
     refuse_heartbeat(exchange, "earlier answers were not taken");
@@ -136,15 +156,16 @@
   mm_machine_health_record_response(node->machine_table, machine, mm_node_now(node));
   mm_machine_health_count_own_response(node->machine_table, machine);
   mm_peer_broadcast_unverified(node->peer_links, &machine->id);
-  commands = json_array();
-  mm_heartbeat_server_add_cleanup_commands(server, heartbeat->tasks, commands);
-  mm_heartbeat_server_send_commands(node, exchange, commands);
+  commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
+  mm_heartbeat_response_add_cleanup_commands(server, heartbeat->tasks, commands);
+  mm_heartbeat_response_send_commands(node, exchange, commands);
 }
 
-/* Reports that this node may not answer, or not yet; TRUE when the exchange is dealt with. */
+/* Handles heartbeats that this node may not answer, or not yet. TRUE when the exchange is answered
+ * or deferred. */
 static gboolean
-reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, const json_t *body,
-                MmHttpExchange *exchange, MmTime received_at) {
+reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmHttpExchange *exchange,
+                MmTime received_at) {
   MmNode *node = server->node;
   gint peer;
 
@@ -154,19 +175,19 @@
     return TRUE;
   }
   if (heartbeat->fencing_token.v > node->replica->term.v) {
-    /* A 200 with our term would be dropped and would hold the worker here: the watch must show the
-     * newer term, with the part map, first. */
-    if (!defer_heartbeat(server, body, exchange, received_at))
+    /* The worker would drop a 200 with our older term and stay at this node: the replica must show
+     * the newer term, with its shard leaders, first. */
+    if (!defer_heartbeat(server, heartbeat, exchange, received_at))
       refuse_heartbeat(exchange, "the term is not known here yet");
     return TRUE;
   }
   if (mm_heartbeat_server_is_settling(server)
-      && defer_heartbeat(server, body, exchange, received_at))
+      && defer_heartbeat(server, heartbeat, exchange, received_at))
     return TRUE;
   peer = node->sharing->is_active
              ? mm_sharing_redirect_target(node->sharing, heartbeat->machine_id.s)
              : less_loaded_peer(server);
-  if (peer >= 0) {
+  if (peer != NO_PEER) {
     redirect_worker(server, exchange, peer);
     return TRUE;
   }
@@ -174,14 +195,14 @@
     refuse_heartbeat(exchange, "a newer report has come");
     return TRUE;
   }
-  if (mm_machine_table_is_unverified(node->machine_table, heartbeat)) {
+  if (mm_machine_table_is_unverified_heartbeat(node->machine_table, heartbeat)) {
     respond_unverified(server, heartbeat, exchange);
     return TRUE;
   }
   return FALSE;
 }
 
-/* Takes the report into the machine table and tells the peers, before it is answered. */
+/* Records the heartbeat and broadcasts it to the peers, before it is answered. */
 static MmMachine *
 record_and_broadcast(MmHeartbeatServer *server, const MmHeartbeat *heartbeat) {
   MmNode *node = server->node;
@@ -192,16 +213,16 @@
     mm_peer_broadcast_heartbeat(node->peer_links, machine, !heartbeat->is_unanswered);
     return machine;
   }
-  /* Overtaken by a direct answer: it renews the lease if the worker still waits, so the peers must
-   * know of it, whatever stamp they know. */
+  /* A direct reply has overtaken it. The response renews the lease if the worker still waits for
+   * it, so the peers must know of it, whatever heartbeat id they know. */
   machine = mm_machine_table_find(node->machine_table, heartbeat->machine_id.s);
   if (!heartbeat->is_unanswered)
     mm_peer_broadcast_unverified(node->peer_links, &machine->id);
   return machine;
 }
 
-/* A machine that shows no sign of having had any answer gets 503. Were it answered on, nobody could
- * ever prove its lease over, and parts that were taken meanwhile would wait for its acknowledgement
+/* A machine that ignores responses gets 503. If it were answered with 200, its lease would never
+ * provably expire, and leaders that acquired shards meanwhile would wait for its acknowledgement
  * without end. */
 static void
 respond_to_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmHttpExchange *exchange) {
@@ -222,29 +243,29 @@
 }
 
 static void
-process_heartbeat(MmHeartbeatServer *server, const json_t *body, MmHttpExchange *exchange,
+process_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmHttpExchange *exchange,
                   MmTime received_at) {
-  const char *reason = NULL;
-  MmHeartbeat heartbeat;
-
-  if (!mm_heartbeat_parse(&heartbeat, body, &reason))
-    mm_http_exchange_respond(exchange, 400, mm_json_error(reason), 0);
-  else if (!reject_or_defer(server, &heartbeat, body, exchange, received_at))
-    respond_to_heartbeat(server, &heartbeat, exchange);
-  mm_heartbeat_clear(&heartbeat);
+  if (!reject_or_defer(server, heartbeat, exchange, received_at))
+    respond_to_heartbeat(server, heartbeat, exchange);
 }
 
 void
 mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body,
                             MmHttpExchange *exchange) {
-  process_heartbeat(server, body, exchange, mm_node_now(server->node));
+  const char *reason = NULL;
+  g_auto(MmHeartbeat) heartbeat = { 0 };
+
+  if (!mm_heartbeat_parse(&heartbeat, body, &reason))
+    mm_http_exchange_respond(exchange, 400, mm_json_error(reason), 0);
+  else
+    process_heartbeat(server, &heartbeat, exchange, mm_node_now(server->node));
 }
 
 static void
-retry_deferred(MmHeartbeatServer *server, DeferredHeartbeat *deferred) {
-  process_heartbeat(server, deferred->body, deferred->exchange, deferred->received_at);
-  json_decref(deferred->body);
-  g_free(deferred);
+retry_oldest_deferred(MmHeartbeatServer *server) {
+  g_autoptr(DeferredHeartbeat) deferred = g_queue_pop_head(server->deferred_heartbeats);
+
+  process_heartbeat(server, &deferred->heartbeat, deferred->exchange, deferred->received_at);
 }
 
 void
@@ -253,7 +274,7 @@
 
   track_ownership_changes(server);
   while (n_deferred-- > 0)
-    retry_deferred(server, g_queue_pop_head(server->deferred_heartbeats));
+    retry_oldest_deferred(server);
 }
 
 guint
@@ -267,7 +288,7 @@
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->heartbeat_interval_s * 3000);
 
-  if (mm_time_ms_since(now, server->machines_counted_at) < 500)
+  if (mm_time_ms_since(now, server->machines_counted_at) < COUNT_INTERVAL_MS)
     return;
   server->machines_counted_at = now;
   server->served_machines = 0;
@@ -284,14 +305,14 @@
   MmTime now = mm_node_now(server->node);
 
   count_served_machines(server);
-  if (server->ownership_unsettled_since.us != 0
+  if (ownership_was_unsettled(server)
       && !mm_shard_ownership_is_unsettled(server->node->shard_ownership))
     mm_heartbeat_server_replica_changed(server);
   while (!g_queue_is_empty(server->deferred_heartbeats)) {
-    DeferredHeartbeat *deferred = g_queue_peek_head(server->deferred_heartbeats);
+    const DeferredHeartbeat *deferred = g_queue_peek_head(server->deferred_heartbeats);
     if (mm_time_ms_since(now, deferred->received_at) < DEFER_MAX_MS)
       break;
-    retry_deferred(server, g_queue_pop_head(server->deferred_heartbeats));
+    retry_oldest_deferred(server);
   }
   mm_pending_responses_expire(server);
 }
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -1,14 +1,16 @@
-#include "heartbeat/pending-response.h"
+#include "heartbeat/pending-response-private.h"
 
 #include "base/wire.h"
-#include "scheduler/scheduler.h"
+#include "heartbeat/heartbeat-response.h"
+#include "kv/replica.h"
 #include "leases/node-lease.h"
 #include "peers/peer-links.h"
-#include "kv/replica.h"
-#include "kv/kv-client.h"
+#include "scheduler/scheduler.h"
 
 #define FAILED_REQUESTS_MAX 4
-#define CONFIRMATIONS_MAX 16
+/* The placement view of this node; below it: no choice; above it: VIEW_OF_FIRST_PEER + peer. */
+#define VIEW_OF_THIS_NODE 0
+#define VIEW_OF_FIRST_PEER 1
 
 static void
 pending_response_free(MmPendingResponse *response) {
@@ -17,71 +19,13 @@
   g_free(response);
 }
 
-/* ---- jobs that the replica does not know ---- */
-
-typedef struct {
-  MmHeartbeatServer *server;
-  MmName job_id;
-} TerminalConfirmation;
-
-static void
-terminal_state_received(gpointer data, int status, json_t *body) {
-  TerminalConfirmation *confirmation = data;
-
-  if (status == 200)
-    mm_job_table_add_terminal_record(confirmation->server->node->job_table, confirmation->job_id.s,
-                                     mm_json_get(body, WIRE_VALUE));
-  g_hash_table_remove(confirmation->server->jobs_being_confirmed, confirmation->job_id.s);
-  g_free(confirmation);
-}
-
-static void
-confirm_job_is_terminal(MmHeartbeatServer *server, const MmName *job_id) {
-  TerminalConfirmation *confirmation;
-
-  if (g_hash_table_size(server->jobs_being_confirmed) >= CONFIRMATIONS_MAX
-      || g_hash_table_contains(server->jobs_being_confirmed, job_id->s)
-      || mm_kv_client_is_refused(server->node->kv))
-    return;
-  g_hash_table_add(server->jobs_being_confirmed, g_strdup(job_id->s));
-  confirmation = g_new(TerminalConfirmation, 1);
-  *confirmation = (TerminalConfirmation){ server, *job_id };
-  mm_kv_client_get(server->node->kv, MM_KEY_TERMINAL_RECORD, job_id->s, terminal_state_received,
-                   confirmation);
-}
-
-/* What of these tasks has to go, whoever holds their parts. That a job is cancelled needs no judge:
- * an answer that leaves its tasks alone renews their lease, and with the holder refused by the
- * state service alone, and then nobody able to take its parts, they once ran on for as long. A job
- * without a record is over, unless the replica lags: only a final state that has been seen allows
- * its tasks to be cleared away. */
-void
-mm_heartbeat_server_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
-                                         json_t *commands) {
-  MmJobTable *job_table = server->node->job_table;
-
-  for (guint i = 0; i < tasks->len; i++) {
-    const MmReportedTask *reported = &g_array_index(tasks, MmReportedTask, i);
-    const MmJob *job = mm_job_table_find(job_table, reported->job.s);
-    MmCommand command = { reported->state == MM_REPORTED_ENDED ? MM_OP_FORGET : MM_OP_STOP,
-                          reported->job, reported->number, reported->attempt, 0 };
-    if (job != NULL ? job->is_cancelled && reported->state != MM_REPORTED_ENDED
-                    : mm_job_table_is_over(job_table, reported->job.s))
-      json_array_append_new(commands, mm_command_to_json(&command));
-    else if (job == NULL)
-      confirm_job_is_terminal(server, &reported->job);
-  }
-}
-
-/* ---- answers ---- */
-
 static gboolean
 start_is_still_valid(const MmPendingResponse *response, const MmApprovedStart *start) {
   const MmHeartbeatServer *server = response->server;
   const MmShard *shard = mm_replica_shard(server->node->replica, start->shard.s);
   const MmJob *job = mm_job_table_find(server->node->job_table, start->command.job.s);
 
-  /* Adopting a term drops the approvals and the grants of superseded owners. */
+  /* A newer term invalidates the approvals and grants of earlier leaders and owners. */
   return mm_sharing_grant_is_current(server->node->sharing, response->machine_id.s,
                                      response->grant_term)
          && shard != NULL && shard->term.v == start->shard_term.v
@@ -90,42 +34,39 @@
 }
 
 void
-mm_heartbeat_server_send_commands(const MmNode *node, MmHttpExchange *exchange, json_t *commands) {
-  mm_http_exchange_respond(exchange, 200,
-                           json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v,
-                                     WIRE_COMMANDS, commands),
-                           0);
-}
-
-static void
-send_response(MmPendingResponse *response) {
+mm_pending_response_send(MmPendingResponse *response) {
   MmHeartbeatServer *server = response->server;
   MmNode *node = server->node;
   MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
-  json_t *commands;
+  g_autoptr(GArray) commands = NULL;
 
-  /* Without the machine's entry nothing is known of what must stop there. */
+  /* Without the machine's entry it is unknown what must stop there. */
   if (!mm_node_lease_may_answer_workers(node->node_lease) || machine == NULL) {
     mm_http_exchange_respond(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
     pending_response_free(response);
     return;
   }
-  commands = json_array();
+  commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   if (machine->queued_incarnation == response->heartbeat_id.incarnation)
-    for (guint i = 0; i < machine->queued_commands->len; i++)
-      json_array_append_new(
-          commands, mm_command_to_json(&g_array_index(machine->queued_commands, MmCommand, i)));
+    g_array_append_vals(commands, machine->queued_commands->data, machine->queued_commands->len);
   g_array_set_size(machine->queued_commands, 0);
-  mm_heartbeat_server_add_cleanup_commands(server, machine->reported_tasks, commands);
+  mm_heartbeat_response_add_cleanup_commands(server, machine->reported_tasks, commands);
   for (guint i = 0; i < response->approved_starts->len; i++) {
     const MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
     if (start_is_still_valid(response, start))
-      json_array_append_new(commands, mm_command_to_json(&start->command));
+      g_array_append_val(commands, start->command);
   }
-  mm_heartbeat_server_send_commands(node, response->exchange, commands);
+  mm_heartbeat_response_send_commands(node, response->exchange, commands);
   pending_response_free(response);
 }
 
+/* ---- start requests ---- */
+
+static guint
+chosen_peer(const MmPendingResponse *response) {
+  return (guint)(response->choice.view - VIEW_OF_FIRST_PEER);
+}
+
 static void
 add_approved_start(MmPendingResponse *response, const MmApproval *approval) {
   MmHeartbeatServer *server = response->server;
@@ -179,145 +120,92 @@
   request.n_candidates = response->choice.n_tasks;
   frame.body_case = MM__FRAME__BODY_START_REQUEST;
   frame.start_request = &request;
-  mm_peer_links_send(server->node->peer_links, (guint)response->choice.view - 1, &frame);
+  mm_peer_links_send(server->node->peer_links, chosen_peer(response), &frame);
 }
 
-/* ---- grants of the machine's resources ---- */
-
-static void
-request_grants(MmPendingResponse *response) {
-  MmHeartbeatServer *server = response->server;
-  guint n_starts = response->approved_starts->len;
-  Mm__Frame frame = MM__FRAME__INIT;
-  Mm__GrantRequest request = MM__GRANT_REQUEST__INIT;
-  g_autofree Mm__GrantStart *items = g_new(Mm__GrantStart, n_starts);
-  g_autofree Mm__GrantStart **list = g_new(Mm__GrantStart *, n_starts);
+/* Sends the chosen start request to the peer it is for. FALSE when the peer is down. */
+static gboolean
+request_start_from_peer(MmPendingResponse *response) {
+  const MmPeerLinks *links = response->server->node->peer_links;
 
-  response->awaits_grants = TRUE;
-  response->request_id = ++server->last_request_id;
-  response->deadline = mm_time_add_ms(mm_node_now(server->node),
-                                      (gint64)server->node->operators->start_request_timeout_ms);
-  g_hash_table_insert(server->pending_responses, &response->request_id, response);
-  for (guint i = 0; i < n_starts; i++) {
-    MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
-    mm__grant_start__init(&items[i]);
-    items[i].job = start->command.job.s;
-    items[i].number = start->command.number;
-    items[i].attempt = start->command.attempt.v;
-    list[i] = &items[i];
+  if (links->peers[chosen_peer(response)].is_up) {
+    send_start_request(response);
+    return TRUE;
   }
-  request.id = response->request_id;
-  request.machine = response->machine_id.s;
-  request.incarnation = response->heartbeat_id.incarnation;
-  request.sequence = response->heartbeat_id.sequence;
-  request.term = response->grant_term.v;
-  request.starts = list;
-  request.n_starts = n_starts;
-  frame.body_case = MM__FRAME__BODY_GRANT_REQUEST;
-  frame.grant_request = &request;
-  mm_peer_links_send(server->node->peer_links, response->grant_peer, &frame);
+  record_refusal(response);
+  response->exhausted_views |= 1u << response->choice.view;
+  return FALSE;
 }
 
 static void
-grant_locally(MmPendingResponse *response) {
-  MmSharing *sharing = response->server->node->sharing;
-  MmMachine *machine
-      = mm_machine_table_find(response->server->node->machine_table, response->machine_id.s);
-
-  for (guint i = response->approved_starts->len; i > 0; i--) {
-    const MmCommand *start
-        = &g_array_index(response->approved_starts, MmApprovedStart, i - 1).command;
-    MmGrant grant = { start->job, start->number, start->attempt, response->heartbeat_id };
-    if (machine == NULL || !mm_sharing_may_grant(sharing, machine)
-        || !mm_grants_try_grant(sharing->grants, machine, &grant))
-      g_array_remove_index(response->approved_starts, i - 1);
-  }
+request_start_here(MmPendingResponse *response, MmMachine *machine) {
+  MmApproval approval;
+  MmStartRequest request = { .machine = machine,
+                             .heartbeat_id = response->heartbeat_id,
+                             .free_resources = response->available,
+                             .is_local = TRUE,
+                             .is_pull = response->choice.is_pull,
+                             .n_tasks = response->choice.n_tasks };
+
+  memcpy(request.tasks, response->choice.tasks, sizeof request.tasks);
+  if (mm_scheduler_approve_start(response->server->node->scheduler, &request, &approval))
+    add_approved_start(response, &approval);
+  else
+    record_refusal(response);
 }
 
-/* The approved starts need their resources granted by whoever owns the machine's group. */
-static void
-obtain_grants(MmPendingResponse *response) {
-  if (response->approved_starts->len > 0 && response->grant_source == MM_GRANTS_AT_PEER) {
-    request_grants(response);
-    return;
-  }
-  if (response->grant_source == MM_GRANTS_HERE)
-    grant_locally(response);
-  send_response(response);
-}
+static gboolean
+may_request_more(const MmPendingResponse *response) {
+  const MmNode *node = response->server->node;
 
-void
-mm_pending_response_grants_answered(MmHeartbeatServer *server, guint peer,
-                                    const Mm__GrantResponse *reply) {
-  guint64 request_id = reply->id;
-  MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
+  return response->approved_starts->len < (guint)node->operators->max_starts_per_response
+         && response->failed_requests < FAILED_REQUESTS_MAX
+         && mm_time_before(mm_node_now(node), response->deadline);
+}
 
-  if (response == NULL || !response->awaits_grants || response->grant_peer != peer
-      || reply->n_granted != response->approved_starts->len)
-    return;
-  g_hash_table_remove(server->pending_responses, &request_id);
-  for (guint i = response->approved_starts->len; i > 0; i--)
-    if (!reply->granted[i - 1])
-      g_array_remove_index(response->approved_starts, i - 1);
-  send_response(response);
+/* Whether the response would still be the machine's newest, and the machine may get work. */
+static gboolean
+machine_may_start_tasks(const MmPendingResponse *response, const MmMachine *machine) {
+  return machine != NULL
+         && !mm_heartbeat_id_is_newer(machine->latest_message_id, response->heartbeat_id)
+         && mm_machine_is_usable(response->server->node->machine_table, machine);
 }
 
-/* One request after another until the room is used, nothing fits or time is up. */
+/* Sends one start request after another until nothing more fits or the deadline has passed. */
 static void
 request_next_start(MmPendingResponse *response) {
-  MmHeartbeatServer *server = response->server;
-  MmNode *node = server->node;
-  guint limit = (guint)node->operators->max_starts_per_response;
+  MmNode *node = response->server->node;
 
-  while (response->approved_starts->len < limit && response->failed_requests < FAILED_REQUESTS_MAX
-         && mm_time_before(mm_node_now(node), response->deadline)) {
+  while (may_request_more(response)) {
     MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
-    MmApproval approval;
-    MmStartRequest request;
 
-    if (machine == NULL
-        || mm_heartbeat_id_is_newer(machine->latest_message_id, response->heartbeat_id)
-        || !mm_machine_is_usable(node->machine_table, machine))
+    if (!machine_may_start_tasks(response, machine))
       break;
     response->choice = mm_placement_choose(node->placement, machine, response->available,
                                            response->tried_tasks, response->exhausted_views);
-    if (response->choice.view < 0)
+    if (response->choice.view < VIEW_OF_THIS_NODE)
       break;
-    if (response->choice.view > 0) {
-      if (!node->peer_links->peers[response->choice.view - 1].is_up) {
-        record_refusal(response);
-        response->exhausted_views |= 1u << response->choice.view;
-        continue;
-      }
-      send_start_request(response);
+    if (response->choice.view == VIEW_OF_THIS_NODE)
+      request_start_here(response, machine);
+    else if (request_start_from_peer(response))
       return;
-    }
-    request = (MmStartRequest){ .machine = machine,
-                                .heartbeat_id = response->heartbeat_id,
-                                .free_resources = response->available,
-                                .is_local = TRUE,
-                                .is_pull = response->choice.is_pull,
-                                .n_tasks = response->choice.n_tasks };
-    memcpy(request.tasks, response->choice.tasks, sizeof request.tasks);
-    if (mm_scheduler_approve_start(node->scheduler, &request, &approval))
-      add_approved_start(response, &approval);
-    else
-      record_refusal(response);
   }
-  obtain_grants(response);
+  mm_pending_response_obtain_grants(response);
 }
 
 void
-mm_pending_response_start_answered(MmHeartbeatServer *server, guint peer,
-                                   const Mm__StartResponse *reply) {
+mm_pending_response_handle_start_response(MmHeartbeatServer *server, guint peer,
+                                          const Mm__StartResponse *reply) {
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
-  /* Too late: its answer has gone out without it, and the machine's next report denies it. */
-  if (response == NULL || response->awaits_grants || response->choice.view != (gint)peer + 1)
+  /* Too late: the response has gone out without the start, and the machine's next heartbeat denies
+   * it. */
+  if (response == NULL || response->awaits_grants || response->choice.view < VIEW_OF_FIRST_PEER
+      || chosen_peer(response) != peer)
     return;
   g_hash_table_remove(server->pending_responses, &request_id);
-  server->node->placement->views[peer + 1].n_pending_tasks = reply->unfinished;
+  server->node->placement->views[VIEW_OF_FIRST_PEER + peer].n_pending_tasks = reply->unfinished;
   if (reply->approval != NULL) {
     MmApproval approval
         = { mm_name(reply->approval->job),  reply->approval->number,   { reply->approval->attempt },
@@ -329,6 +217,8 @@
   request_next_start(response);
 }
 
+/* ---- begin and end ---- */
+
 static MmPendingResponse *
 pending_response_new(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmMachine *machine,
                      MmHttpExchange *exchange) {
@@ -354,9 +244,9 @@
                           MmMachine *machine, MmHttpExchange *exchange) {
   MmPendingResponse *response = pending_response_new(server, heartbeat, machine, exchange);
 
-  /* Where nobody can grant resources, nothing is asked for: it would only be denied later. */
+  /* Where nobody can grant resources no start is requested: its grant would only be denied. */
   if (response->grant_source == MM_GRANTS_NOWHERE)
-    send_response(response);
+    mm_pending_response_send(response);
   else
     request_next_start(response);
 }
@@ -378,9 +268,9 @@
     if (response->awaits_grants)
       g_array_set_size(response->approved_starts, 0);
     if (response->awaits_grants || response->grant_source == MM_GRANTS_NOT_NEEDED)
-      send_response(response);
+      mm_pending_response_send(response);
     else
-      obtain_grants(response);
+      mm_pending_response_obtain_grants(response);
   }
 }
 
