--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -173,7 +173,6 @@
 
   *request
       = (Request){ kv, mm_platform_now(kv->platform), json_incref(transaction), on_response, data };
-  kv->n_requests++;
   kv->platform->request(kv->platform->context, MM_TARGET_KV_STORE, NULL, method, path, body,
                         timeout_ms, on_request_done, request);
 }
@@ -227,7 +226,6 @@
     }
     return;
   }
-  kv->n_writes += transaction->n_operations;
   send_request(kv, "POST", WIRE_TXN_PATH, body, REQUEST_TIMEOUT_MS, body, on_response, data);
   *transaction = (MmTransaction){ 0 };
 }
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -29,8 +29,6 @@
   MmTime write_budget_at;
   gint64 available_us; /* for how long the store has served this node, counted by ticks */
   MmTime last_tick_at;
-  guint64 n_writes; /* operations sent */
-  guint64 n_requests;
   /* Limits learned from transactions that were refused as too large; MM_KV_NO_LIMIT: none yet. */
   guint learned_max_value_bytes;
   guint learned_max_operations;
--- a/src/kv/records.h
+++ b/src/kv/records.h
@@ -24,6 +24,9 @@
 #define MM_KEY_NEVER_WRITTEN "mm/none"
 #define MM_KEY_TERMINAL_RECORD "mm/f/" /* of jobs; not watched */
 
+/* A lease id that stands for no lease. */
+#define MM_NO_LEASE 0
+
 /* A shard's record: who leads it, since which term. Its key is bound to the leader's lease. */
 typedef struct {
   MmName leader;
--- a/src/kv/transaction.c
+++ b/src/kv/transaction.c
@@ -2,6 +2,7 @@
 
 #include "base/json.h"
 #include "base/wire.h"
+#include "kv/records.h"
 
 MmTransaction
 mm_transaction_begin(void) {
@@ -30,7 +31,7 @@
   g_autofree char *path = g_strconcat(prefix, key, NULL);
   json_t *operation = json_pack("{s:s, s:o}", WIRE_PUT, path, WIRE_VALUE, value);
 
-  if (lease_id != 0)
+  if (lease_id != MM_NO_LEASE)
     json_object_set_new(operation, WIRE_LEASE, json_integer((json_int_t)lease_id));
   json_array_append_new(transaction->operations, operation);
   transaction->n_operations++;
--- a/src/kv/transaction.h
+++ b/src/kv/transaction.h
@@ -20,7 +20,7 @@
 /* The key, `prefix` and `key` put together, must have the version; 0: must be absent. */
 void mm_transaction_require_version(MmTransaction *transaction, const char *prefix, const char *key,
                                     MmKeyVersion version);
-/* Takes the value. With a lease id other than 0 the key is deleted as that lease expires. */
+/* Takes the value. The key is deleted as the lease expires; MM_NO_LEASE: it stays. */
 void mm_transaction_put(MmTransaction *transaction, const char *prefix, const char *key,
                         json_t *value, guint64 lease_id);
 void mm_transaction_delete(MmTransaction *transaction, const char *prefix, const char *key);
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -6,6 +6,13 @@
 
 /* Steady clocks diverge by at most 0.05%; twice that, against two clocks, and a little more. */
 #define CLOCK_DRIFT 0.002
+/* Taken off the validity of a lease on top of the drift. */
+#define VALIDITY_MARGIN_MS 20
+#define REQUEST_TIMEOUT_MS 1000
+/* After a lease that was not granted or announced. */
+#define ACQUIRE_RETRY_MS 150
+/* After a renewal that got no proper response; never more than half of the renewal interval. */
+#define RENEW_RETRY_MAX_MS 300
 #define OUTAGE_PROOF_MAX_AGE_MS 1000
 #define MAX_STALENESS_TTLS 2
 
@@ -39,12 +46,13 @@
 
 static MmTime
 lease_valid_until(const MmNodeLease *lease, MmTime sent_at) {
-  return mm_time_add_ms(sent_at, (gint64)((double)lease_ttl_ms(lease) * (1 - CLOCK_DRIFT)) - 20);
+  return mm_time_add_ms(sent_at, (gint64)((double)lease_ttl_ms(lease) * (1 - CLOCK_DRIFT))
+                                     - VALIDITY_MARGIN_MS);
 }
 
 gboolean
 mm_node_lease_is_valid(const MmNodeLease *lease) {
-  return lease->lease_id != 0 && mm_kv_client_may_write(lease->kv)
+  return lease->lease_id != MM_NO_LEASE && mm_kv_client_may_write(lease->kv)
          && mm_time_before(mm_platform_now(lease->platform), lease->valid_until);
 }
 
@@ -86,20 +94,26 @@
   return request;
 }
 
+static void
+retry_acquisition(MmNodeLease *lease) {
+  lease->is_request_pending = FALSE;
+  lease->next_request_at = mm_time_add_ms(mm_platform_now(lease->platform), ACQUIRE_RETRY_MS);
+}
+
 static void
 on_lease_announced(gpointer data, int status, json_t *body) {
   LeaseRequest *request = data;
   MmNodeLease *lease = request->lease;
 
-  lease->is_request_pending = FALSE;
   if (status == 200) {
+    lease->is_request_pending = FALSE;
     lease->lease_id = request->lease_id;
     lease->announced_version.v = mm_json_count(body, WIRE_REVISION, 0);
     lease->valid_until = lease_valid_until(lease, request->sent_at);
     lease->next_request_at = mm_platform_now(lease->platform);
     mm_info("node lease acquired lease=%" G_GUINT64_FORMAT, request->lease_id);
   } else {
-    lease->next_request_at = mm_time_add_ms(mm_platform_now(lease->platform), 150);
+    retry_acquisition(lease);
   }
   g_free(request);
 }
@@ -108,9 +122,9 @@
 on_lease_granted(gpointer data, int status, json_t *body) {
   LeaseRequest *request = data;
   MmNodeLease *lease = request->lease;
-  guint64 lease_id = mm_json_count(body, WIRE_LEASE, 0);
+  guint64 lease_id = mm_json_count(body, WIRE_LEASE, MM_NO_LEASE);
 
-  if (status == 200 && lease_id != 0) {
+  if (status == 200 && lease_id != MM_NO_LEASE) {
     MmTransaction transaction = mm_transaction_begin();
     request->lease_id = lease_id;
     /* The condition keeps a late announcement, carried out after a newer one, from binding the key
@@ -124,8 +138,7 @@
     mm_kv_client_commit(lease->kv, &transaction, on_lease_announced, request);
     return;
   }
-  lease->is_request_pending = FALSE;
-  lease->next_request_at = mm_time_add_ms(mm_platform_now(lease->platform), 150);
+  retry_acquisition(lease);
   g_free(request);
 }
 
@@ -135,14 +148,13 @@
   g_autoptr(json_t) grant_request = NULL;
 
   if (status != 200 && status != 404) {
-    lease->is_request_pending = FALSE;
-    lease->next_request_at = mm_time_add_ms(mm_platform_now(lease->platform), 150);
+    retry_acquisition(lease);
     return;
   }
   lease->node_key_version.v = status == 200 ? mm_json_count(body, WIRE_VERSION, 0) : 0;
   grant_request = json_pack("{s:I}", WIRE_TTL, (json_int_t)lease_ttl_ms(lease));
-  mm_kv_client_request(lease->kv, "POST", WIRE_LEASES_PATH, grant_request, 1000, on_lease_granted,
-                       lease_request_new(lease, 0));
+  mm_kv_client_request(lease->kv, "POST", WIRE_LEASES_PATH, grant_request, REQUEST_TIMEOUT_MS,
+                       on_lease_granted, lease_request_new(lease, MM_NO_LEASE));
 }
 
 static void
@@ -159,10 +171,10 @@
     lease->next_request_at = mm_time_add_ms(request->sent_at, renew_interval_ms);
   } else if (status == 404) {
     mm_info("node lease expired lease=%" G_GUINT64_FORMAT, lease->lease_id);
-    lease->lease_id = 0;
+    lease->lease_id = MM_NO_LEASE;
     lease->next_request_at = now;
   } else {
-    lease->next_request_at = mm_time_add_ms(now, MIN(renew_interval_ms / 2, 300));
+    lease->next_request_at = mm_time_add_ms(now, MIN(renew_interval_ms / 2, RENEW_RETRY_MAX_MS));
   }
   g_free(request);
 }
@@ -197,7 +209,7 @@
   const MmReplica *replica = lease->replica;
   const MmLiveNode *own_node = g_hash_table_lookup(replica->live_nodes, lease->settings->label.s);
 
-  return lease->lease_id != 0 && replica->is_loaded
+  return lease->lease_id != MM_NO_LEASE && replica->is_loaded
          && replica->revision >= lease->announced_version.v
          && (own_node == NULL || own_node->lease_id != lease->lease_id);
 }
@@ -213,16 +225,16 @@
     return;
   if (node_key_is_overwritten(lease)) {
     mm_info("node lease dropped, its key is overwritten lease=%" G_GUINT64_FORMAT, lease->lease_id);
-    lease->lease_id = 0;
+    lease->lease_id = MM_NO_LEASE;
   }
   lease->is_request_pending = TRUE;
-  if (lease->lease_id == 0) {
+  if (lease->lease_id == MM_NO_LEASE) {
     mm_kv_client_get(lease->kv, MM_KEY_LIVE_NODE, lease->settings->label.s, on_node_key_read,
                      lease);
   } else {
     g_autofree char *path
         = g_strdup_printf(WIRE_LEASES_PATH "/%" G_GUINT64_FORMAT "/renew", lease->lease_id);
-    mm_kv_client_request(lease->kv, "POST", path, NULL, 1000, on_lease_renewed,
+    mm_kv_client_request(lease->kv, "POST", path, NULL, REQUEST_TIMEOUT_MS, on_lease_renewed,
                          lease_request_new(lease, lease->lease_id));
   }
 }
--- a/src/leases/node-lease.h
+++ b/src/leases/node-lease.h
@@ -1,7 +1,7 @@
 /* This node's lease in the key-value store: its grant, renewal and expiry, and until when it
  * entitles the node to answer workers.
  *
- * The lease is announced by the node's own key, which hangs on it: the key goes as the lease
+ * The lease is announced by the node's own key, which is bound to it: the key goes as the lease
  * expires, which tells the other nodes. The lease counts from when its grant or renewal was
  * sent, by the steady clock and less its possible drift, so it is never believed for longer
  * than the store keeps it. */
@@ -27,7 +27,7 @@
   MmKvClient *kv;
   const MmReplica *replica;
   MmLeasePeers peers;
-  guint64 lease_id;               /* 0: none */
+  guint64 lease_id;               /* or MM_NO_LEASE */
   MmTime valid_until;             /* the lease cannot have expired before this instant */
   gboolean is_request_pending;    /* a request about the lease is under way */
   MmTime next_request_at;         /* when to renew the lease, or to request a new one */
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -2,12 +2,17 @@
 
 #include "base/log.h"
 
-/* A shard that its rightful leader leaves without one this long goes to anyone. */
+/* After this long without a leader any node may acquire a shard, not only the one that leads
+ * fewest. */
 #define LEADERLESS_PATIENCE_MS 1500
 /* Time for the nodes that start together to be seen before the first distribution. */
 #define START_PATIENCE_MS 1000
+/* How long the shards must be spread unevenly before any is released. */
 #define UNEVEN_PATIENCE_MS 10000
 #define CHECK_INTERVAL_MS 100
+/* After a transaction that failed. */
+#define RETRY_AFTER_MS 200
+/* After a conflict, unless the replica advances earlier. */
 #define CONFLICT_PAUSE_MS 2000
 
 MmShardOwnership *
@@ -60,7 +65,7 @@
 mm_shard_ownership_leads(const MmShardOwnership *ownership, const char *shard_name) {
   const MmShard *shard = mm_replica_shard(ownership->replica, shard_name);
 
-  return shard != NULL && ownership->node_lease->lease_id != 0
+  return shard != NULL && ownership->node_lease->lease_id != MM_NO_LEASE
          && shard->lease_id == ownership->node_lease->lease_id
          && mm_name_equal(&shard->leader, &ownership->settings->label);
 }
@@ -102,7 +107,7 @@
 
   ownership->is_commit_pending = FALSE;
   if (status != 200)
-    ownership->next_check_at = mm_time_add_ms(mm_platform_now(ownership->platform), 200);
+    ownership->next_check_at = mm_time_add_ms(mm_platform_now(ownership->platform), RETRY_AFTER_MS);
   if (status == 409) {
     /* Each try costs writes that others need: first the watch must show what has changed. */
     mm_debug("shard transaction conflicted revision=%" G_GUINT64_FORMAT,
@@ -148,7 +153,8 @@
   MmTransaction transaction = mm_transaction_begin();
 
   mm_transaction_require_version(&transaction, MM_KEY_TERM, "", replica->term_version);
-  mm_transaction_put(&transaction, MM_KEY_TERM, "", mm_record_encode_term(acquired.term), 0);
+  mm_transaction_put(&transaction, MM_KEY_TERM, "", mm_record_encode_term(acquired.term),
+                     MM_NO_LEASE);
   for (guint i = 0; i < n_acquired; i++) {
     const char *name = g_ptr_array_index(wanted, i);
     const MmShard *shard = mm_replica_shard(replica, name);
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -110,7 +110,7 @@
   mm_transaction_require_version(&transaction, MM_KEY_NODE_VERSION, own_label,
                                  versions->own_key_version);
   mm_transaction_put(&transaction, MM_KEY_NODE_VERSION, own_label,
-                     mm_record_encode_node_version(&own_record), 0);
+                     mm_record_encode_node_version(&own_record), MM_NO_LEASE);
   mm_kv_client_commit(versions->kv, &transaction, on_key_written, versions);
 }
 
