--- a/src/kv/replica.h
+++ b/src/kv/replica.h
@@ -12,7 +12,7 @@
 #include "kv/kv-client.h"
 #include "platform/platform.h"
 
-/* Is told of keys as the replica shows them, in the order of their changes. `suffix` is the key
+/* Receives changes of keys as the replica shows them, in their order. `suffix` is the key
  * after the prefix; values are lent. Functions that are NULL are not called. */
 typedef struct {
   const char *prefix; /* of keys, ending in '/'; or one whole key. Must outlive the replica */
