--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -97,7 +97,7 @@
   MmTerm term = { replica->term.v + 1 };
 
   mm_transaction_require_version(transaction, MM_KEY_TERM, "", replica->term_version);
-  mm_transaction_put(transaction, MM_KEY_TERM, "", json_pack("{s:I}", "t", (json_int_t)term.v), 0);
+  mm_transaction_put(transaction, MM_KEY_TERM, "", mm_record_encode_term(term), MM_NO_LEASE);
   return term;
 }
 
