--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -2,7 +2,6 @@
 
 #include "base/wire.h"
 #include "scheduler/scheduler.h"
-#include "placement/placement.h"
 #include "kv/kv-client.h"
 
 /* Reads of terminal records at a time, and their share of the requests to the key-value store. */
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -1,20 +1,28 @@
 #include "jobs/job-table.h"
 
 #include "base/wire.h"
-#include "dependencies/dependencies.h"
-#include "scheduler/scheduler.h"
 #include "leases/shard-ownership.h"
-#include "placement/placement.h"
+#include "node/node.h"
 
 /* How many jobs that ended are remembered. */
 #define TERMINAL_STATES_KEPT 4096
 #define REMOVED_IDS_KEPT 8192
 
+/* Calls a member of all observers that have it. */
+#define NOTIFY(job_table, member, ...)                                                             \
+  for (guint n_notified = 0; n_notified < (job_table)->observers->len; n_notified++) {             \
+    const MmJobObserver *observer                                                                  \
+        = &g_array_index((job_table)->observers, MmJobObserver, n_notified);                       \
+    if (observer->member != NULL)                                                                  \
+      observer->member(observer->context, __VA_ARGS__);                                            \
+  }
+
 MmJobTable *
 mm_job_table_new(MmNode *node) {
   MmJobTable *job_table = g_new0(MmJobTable, 1);
 
-  job_table->node = node;
+  job_table->settings = node->settings;
+  job_table->observers = g_array_new(FALSE, FALSE, sizeof(MmJobObserver));
   job_table->jobs
       = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, (GDestroyNotify)mm_job_free);
   job_table->by_submission = g_ptr_array_new();
@@ -28,6 +36,7 @@
 
 void
 mm_job_table_free(MmJobTable *job_table) {
+  g_array_unref(job_table->observers);
   g_ptr_array_unref(job_table->by_submission);
   g_hash_table_unref(job_table->jobs);
   g_queue_free(job_table->terminal_states_order);
@@ -37,6 +46,11 @@
   g_free(job_table);
 }
 
+void
+mm_job_table_add_observer(MmJobTable *job_table, const MmJobObserver *observer) {
+  g_array_append_vals(job_table->observers, observer, 1);
+}
+
 MmJob *
 mm_job_table_find(const MmJobTable *job_table, const char *id) {
   return g_hash_table_lookup(job_table->jobs, id);
@@ -66,14 +80,13 @@
   job->waiting_since_ms = job->submitted_at_ms;
   job->effective_priority = job->spec.priority;
   job->shard = mm_shard_ownership_shard_of_team(&job->spec.team);
-  job->team_index = mm_settings_team_index(job_table->node->settings, &job->spec.team);
+  job->team_index = mm_settings_team_index(job_table->settings, &job->spec.team);
   mm_completed_tasks_init(&job->recorded_completed, job->spec.n_tasks);
   g_hash_table_insert(job_table->jobs, job->spec.id.s, job);
   g_ptr_array_add(job_table->by_submission, job);
   job_table->generation++;
   g_ptr_array_sort(job_table->by_submission, compare_by_submission);
-  mm_placement_note_accelerated_job(job_table->node->placement, &job->spec);
-  mm_dependencies_job_added(job_table->node->dependencies, job);
+  NOTIFY(job_table, added, job);
   return job;
 }
 
@@ -94,9 +107,9 @@
   if (mm_job_record_is_cancelled(record)) {
     if (job->cancel_record_version.v == 0)
       job->cancel_record_version = version;
-    mm_scheduler_job_cancelled(job_table->node->scheduler, id);
+    NOTIFY(job_table, cancelled, id);
   }
-  mm_scheduler_job_changed(job_table->node->scheduler, job);
+  NOTIFY(job_table, changed, job);
 }
 
 /* Inserts into a table whose ids stand in `order`, oldest first; forgets the oldest beyond the
@@ -121,11 +134,11 @@
   add_bounded(job_table->removed_ids, job_table->removed_ids_order, REMOVED_IDS_KEPT, id, NULL);
   if (job == NULL)
     return;
-  mm_scheduler_job_removed(job_table->node->scheduler, job);
+  NOTIFY(job_table, removing, job);
   g_ptr_array_remove(job_table->by_submission, job);
   job_table->generation++;
   g_hash_table_remove(job_table->jobs, id);
-  mm_dependencies_job_removed(job_table->node->dependencies, id);
+  NOTIFY(job_table, removed, id);
 }
 
 void
@@ -150,8 +163,7 @@
     return;
   add_bounded(job_table->terminal_states, job_table->terminal_states_order, TERMINAL_STATES_KEPT,
               id, g_memdup2(&terminal, sizeof terminal));
-  mm_dependencies_job_ended(job_table->node->dependencies, id, terminal.is_cancelled,
-                            terminal.completed_at_ms);
+  NOTIFY(job_table, ended, id, &terminal);
 }
 
 gboolean
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -1,17 +1,38 @@
 /* The jobs that this node knows, as the replica of the key-value store shows them.
  *
  * The table owns the unfinished jobs, one MmJob for each job record, and remembers how the jobs
- * that ended lately did. The replica feeds it (put, remove, terminal records) and it tells the
- * dependencies and the scheduler. A MmJob is valid until its record goes; whoever keeps one over a
- * callback looks it up again by its id. */
+ * that ended lately did. The replica feeds it (put, remove, terminal records); modules above it
+ * observe it. A MmJob is valid until its record goes; whoever keeps one over a callback looks it up
+ * again by its id. */
 #pragma once
 
+#include "config/settings.h"
 #include "jobs/job-record.h"
 #include "jobs/job.h"
-#include "node/node.h"
+
+typedef struct MmJobTable MmJobTable;
+
+/* Whom the table notifies of its changes. Members may be NULL. Observers are called in the order in
+ * which they were added, from within the call that changes the table. */
+typedef struct {
+  /* The job was added; `changed` follows. */
+  void (*added)(gpointer context, MmJob *job);
+  /* A version of the job record was taken over. */
+  void (*changed)(gpointer context, MmJob *job);
+  /* A version of the job record says that the job is cancelled; `changed` follows. */
+  void (*cancelled)(gpointer context, const char *job_id);
+  /* The job is about to be removed and freed. */
+  void (*removing)(gpointer context, MmJob *job);
+  /* The job has been removed. */
+  void (*removed)(gpointer context, const char *job_id);
+  /* A terminal record was read, of a job that the table may or may not have. */
+  void (*ended)(gpointer context, const char *job_id, const MmTerminalState *terminal);
+  gpointer context; /* the observer's own */
+} MmJobObserver;
 
 struct MmJobTable {
-  MmNode *node;
+  const MmSettings *settings;
+  GArray *observers;           /* MmJobObserver */
   GHashTable *jobs;            /* id -> MmJob, owned */
   GPtrArray *by_submission;    /* MmJob, oldest submission first */
   guint64 generation;          /* rises when a job is added or removed */
@@ -23,6 +44,8 @@
 
 MmJobTable *mm_job_table_new(MmNode *node);
 void mm_job_table_free(MmJobTable *job_table);
+/* Copies the observer. */
+void mm_job_table_add_observer(MmJobTable *job_table, const MmJobObserver *observer);
 
 /* The unfinished job, lent, or NULL. */
 MmJob *mm_job_table_find(const MmJobTable *job_table, const char *id);
--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -1,6 +1,7 @@
 #include "node/wiring.h"
 
 #include "autoscaler/instance-types.h"
+#include "dependencies/dependencies.h"
 #include "heartbeat/heartbeat-server.h"
 #include "jobs/job-table.h"
 #include "kv/kv-client.h"
@@ -10,6 +11,7 @@
 #include "machines/machine-table.h"
 #include "machines/registry.h"
 #include "peers/peer-links.h"
+#include "placement/placement.h"
 #include "scheduler/scheduler.h"
 #include "sharing/sharing.h"
 #include "upgrade/format.h"
@@ -141,6 +143,62 @@
                                  node->heartbeat_server);
 }
 
+/* ---- observers of the job table ---- */
+
+static void
+placement_job_added(gpointer context, MmJob *job) {
+  mm_placement_note_accelerated_job(context, &job->spec);
+}
+
+static void
+scheduler_job_changed(gpointer context, MmJob *job) {
+  mm_scheduler_job_changed(context, job);
+}
+
+static void
+scheduler_job_cancelled(gpointer context, const char *job_id) {
+  mm_scheduler_job_cancelled(context, job_id);
+}
+
+static void
+scheduler_job_removing(gpointer context, MmJob *job) {
+  mm_scheduler_job_removed(context, job);
+}
+
+static void
+dependencies_job_added(gpointer context, MmJob *job) {
+  mm_dependencies_job_added(context, job);
+}
+
+static void
+dependencies_job_removed(gpointer context, const char *job_id) {
+  mm_dependencies_job_removed(context, job_id);
+}
+
+static void
+dependencies_job_ended(gpointer context, const char *job_id, const MmTerminalState *terminal) {
+  mm_dependencies_job_ended(context, job_id, terminal->is_cancelled, terminal->completed_at_ms);
+}
+
+/* The dependencies come last: they act on a new job by calling the scheduler. */
+static void
+observe_job_table(MmNode *node) {
+  const MmJobObserver observers[] = {
+    { .added = placement_job_added, .context = node->placement },
+    { .changed = scheduler_job_changed,
+      .cancelled = scheduler_job_cancelled,
+      .removing = scheduler_job_removing,
+      .context = node->scheduler },
+    { .added = dependencies_job_added,
+      .removed = dependencies_job_removed,
+      .ended = dependencies_job_ended,
+      .context = node->dependencies },
+  };
+
+  for (guint i = 0; i < G_N_ELEMENTS(observers); i++)
+    mm_job_table_add_observer(node->job_table, &observers[i]);
+}
+
 /* ---- what lower modules ask ---- */
 
 static gboolean
@@ -204,5 +262,6 @@
 mm_node_wire(MmNode *node) {
   observe_replica_keys(node);
   listen_to_replica(node);
+  observe_job_table(node);
   set_callbacks(node);
 }
