--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -32,6 +32,14 @@
   g_free(autoscaler);
 }
 
+void
+mm_autoscaler_set_release_callback(MmAutoscaler *autoscaler,
+                                   MmMachineReleasedCallback on_machine_released,
+                                   gpointer context) {
+  autoscaler->on_machine_released = on_machine_released;
+  autoscaler->on_machine_released_context = context;
+}
+
 /* ---- the list of machines ---- */
 
 MmMachineOffer *
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -46,6 +46,10 @@
   guint n_silent;
 } MmZoneSilence;
 
+/* Called when the cloud has released a machine, which proves that it and all tasks on it are gone.
+ */
+typedef void (*MmMachineReleasedCallback)(gpointer context, const char *machine_id);
+
 struct MmAutoscaler {
   MmNode *node;
   gboolean is_active;
@@ -67,6 +71,8 @@
   /* scale-in.c */
   gboolean release_in_flight;
   MmTime next_release_at;
+  MmMachineReleasedCallback on_machine_released;
+  gpointer on_machine_released_context;
 
   /* scale-out.c */
   gboolean rent_in_flight;
@@ -75,6 +81,9 @@
 
 MmAutoscaler *mm_autoscaler_new(MmNode *node);
 void mm_autoscaler_free(MmAutoscaler *autoscaler);
+void mm_autoscaler_set_release_callback(MmAutoscaler *autoscaler,
+                                        MmMachineReleasedCallback on_machine_released,
+                                        gpointer context);
 void mm_autoscaler_tick(MmAutoscaler *autoscaler);
 /* The offer, added where there is none; valid until another is added. */
 MmMachineOffer *mm_autoscaler_offer_for(MmAutoscaler *autoscaler, const MmName *type,
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -3,7 +3,6 @@
 #include "autoscaler/instance-types.h"
 #include "autoscaler/silence.h"
 #include "base/wire.h"
-#include "peers/peer-broadcast.h"
 #include "placement/placement.h"
 
 #define MAX_RELEASES_PER_REQUEST 100
@@ -73,7 +72,7 @@
   /* The response proves that the machine and all tasks on it are gone. */
   mm_info("released machine=%s", id);
   mm_machine_table_record_termination(node->machine_table, id);
-  mm_peer_broadcast_machine_gone(node->peer_links, id);
+  autoscaler->on_machine_released(autoscaler->on_machine_released_context, id);
   if (!machine->is_in_registry)
     mm_machine_table_remove(node->machine_table, machine);
 }
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -1,7 +1,6 @@
 #include "dependencies/dependencies.h"
 
 #include "base/wire.h"
-#include "scheduler/scheduler.h"
 #include "kv/kv-client.h"
 
 /* Reads of terminal records at a time, and their share of the requests to the key-value store. */
@@ -24,21 +23,27 @@
   g_free(dependencies);
 }
 
+void
+mm_dependencies_set_callbacks(MmDependencies *dependencies,
+                              const MmDependenciesCallbacks *callbacks) {
+  dependencies->callbacks = *callbacks;
+}
+
 /* ---- what follows from a change of the graph ---- */
 
 static void
-notify_scheduler(MmDependencies *dependencies, const MmDependencyChange *change) {
-  MmNode *node = dependencies->node;
+notify(MmDependencies *dependencies, const MmDependencyChange *change) {
+  const MmDependenciesCallbacks *callbacks = &dependencies->callbacks;
 
   for (guint i = 0; i < change->cancelled->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(change->cancelled, i);
-    mm_scheduler_job_cancelled(node->scheduler, vertex->job_id.s);
+    callbacks->job_cancelled(callbacks->context, vertex->job_id.s);
   }
   for (guint i = 0; i < change->ready->len; i++) {
     const MmVertex *vertex = g_ptr_array_index(change->ready, i);
-    MmJob *job = mm_job_table_find(node->job_table, vertex->job_id.s);
+    MmJob *job = mm_job_table_find(dependencies->node->job_table, vertex->job_id.s);
     if (job != NULL)
-      mm_scheduler_job_ready(node->scheduler, job);
+      callbacks->job_ready(callbacks->context, job);
   }
 }
 
@@ -75,9 +80,9 @@
   mm_dependency_change_init(&change);
   add_vertex(dependencies, job, &change);
   add_known_dependencies(dependencies, job, &change);
-  notify_scheduler(dependencies, &change);
+  notify(dependencies, &change);
   if (job->spec.n_dependencies > 0 && mm_job_dependencies_are_done(job))
-    mm_scheduler_job_ready(dependencies->node->scheduler, job);
+    dependencies->callbacks.job_ready(dependencies->callbacks.context, job);
 }
 
 void
@@ -86,7 +91,7 @@
 
   mm_dependency_change_init(&change);
   mm_dependency_graph_cancel_job(dependencies->graph, job_id, &change);
-  notify_scheduler(dependencies, &change);
+  notify(dependencies, &change);
 }
 
 void
@@ -96,7 +101,7 @@
 
   mm_dependency_change_init(&change);
   mm_dependency_graph_end_job(dependencies->graph, job_id, is_cancelled, done_at_ms, &change);
-  notify_scheduler(dependencies, &change);
+  notify(dependencies, &change);
 }
 
 void
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -10,8 +10,18 @@
 #include "jobs/job-table.h"
 #include "node/node.h"
 
+/* Whom the dependencies notify, from within the call that changes the graph. */
+typedef struct {
+  /* A job that the job depends on, directly or not, is cancelled, and the job with it. */
+  void (*job_cancelled)(gpointer context, const char *job_id);
+  /* The last dependency of the job is done. */
+  void (*job_ready)(gpointer context, MmJob *job);
+  gpointer context;
+} MmDependenciesCallbacks;
+
 struct MmDependencies {
   MmNode *node;
+  MmDependenciesCallbacks callbacks;
   MmDependencyGraph *graph;
   guint n_lookups; /* reads of terminal records under way */
   MmTime next_lookup_at;
@@ -19,6 +29,9 @@
 
 MmDependencies *mm_dependencies_new(MmNode *node);
 void mm_dependencies_free(MmDependencies *dependencies);
+/* Copies the callbacks. To be called before any job is added. */
+void mm_dependencies_set_callbacks(MmDependencies *dependencies,
+                                   const MmDependenciesCallbacks *callbacks);
 void mm_dependencies_tick(MmDependencies *dependencies);
 
 /* The job was added to the job table. */
--- a/src/jobs/job-spec.c
+++ b/src/jobs/job-spec.c
@@ -119,7 +119,7 @@
 static const char *const kind_names[] = { WIRE_KIND_ARRAY, WIRE_KIND_GANG, WIRE_KIND_SERVICE };
 static const char *const priority_names[] = { "low", "normal", "urgent", "critical" };
 
-/* Each of these reads some of the fields, in the order in which users are told of errors. They
+/* Each of these reads some of the fields, in the order in which users learn of errors. They
  * return the reason (static text) why a field is malformed, or NULL. */
 
 static const char *
--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -1,5 +1,6 @@
 #include "node/wiring.h"
 
+#include "autoscaler/autoscaler.h"
 #include "autoscaler/instance-types.h"
 #include "dependencies/dependencies.h"
 #include "heartbeat/heartbeat-server.h"
@@ -10,6 +11,7 @@
 #include "leases/shard-ownership.h"
 #include "machines/machine-table.h"
 #include "machines/registry.h"
+#include "peers/peer-broadcast.h"
 #include "peers/peer-links.h"
 #include "placement/placement.h"
 #include "scheduler/scheduler.h"
@@ -199,6 +201,27 @@
     mm_job_table_add_observer(node->job_table, &observers[i]);
 }
 
+/* ---- callbacks of the dependencies and the autoscaler ---- */
+
+static void
+scheduler_job_ready(gpointer context, MmJob *job) {
+  mm_scheduler_job_ready(context, job);
+}
+
+static void
+broadcast_machine_gone(gpointer context, const char *machine_id) {
+  mm_peer_broadcast_machine_gone(context, machine_id);
+}
+
+static void
+set_event_callbacks(MmNode *node) {
+  mm_dependencies_set_callbacks(
+      node->dependencies, &(MmDependenciesCallbacks){ .job_cancelled = scheduler_job_cancelled,
+                                                      .job_ready = scheduler_job_ready,
+                                                      .context = node->scheduler });
+  mm_autoscaler_set_release_callback(node->autoscaler, broadcast_machine_gone, node->peer_links);
+}
+
 /* ---- what lower modules ask ---- */
 
 static gboolean
@@ -263,5 +286,6 @@
   observe_replica_keys(node);
   listen_to_replica(node);
   observe_job_table(node);
+  set_event_callbacks(node);
   set_callbacks(node);
 }
