--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -25,48 +25,49 @@
 
 MmPlacement *
 mm_placement_new(MmNode *node) {
-  MmPlacement *rank = g_new0(MmPlacement, 1);
-
-  rank->node = node;
-  rank->n_views = 1 + node->settings->peers->len;
-  rank->lent_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  rank->views = g_new0(MmBacklogView, rank->n_views);
-  for (guint i = 0; i < rank->n_views; i++) {
-    rank->views[i].pending = g_ptr_array_new_with_free_func(pending_tasks_free);
-    rank->views[i].reserved_machines = g_array_new(FALSE, TRUE, sizeof(MmName));
+  MmPlacement *placement = g_new0(MmPlacement, 1);
+
+  placement->node = node;
+  placement->n_views = 1 + node->settings->peers->len;
+  placement->lent_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  placement->views = g_new0(MmBacklogView, placement->n_views);
+  for (guint i = 0; i < placement->n_views; i++) {
+    placement->views[i].pending = g_ptr_array_new_with_free_func(pending_tasks_free);
+    placement->views[i].reserved_machines = g_array_new(FALSE, TRUE, sizeof(MmName));
   }
-  return rank;
+  return placement;
 }
 
 void
-mm_placement_free(MmPlacement *rank) {
-  for (guint i = 0; i < rank->n_views; i++) {
-    g_ptr_array_unref(rank->views[i].pending);
-    g_array_unref(rank->views[i].reserved_machines);
+mm_placement_free(MmPlacement *placement) {
+  for (guint i = 0; i < placement->n_views; i++) {
+    g_ptr_array_unref(placement->views[i].pending);
+    g_array_unref(placement->views[i].reserved_machines);
   }
-  g_hash_table_unref(rank->lent_machines);
-  g_free(rank->views);
-  g_free(rank);
+  g_hash_table_unref(placement->lent_machines);
+  g_free(placement->views);
+  g_free(placement);
 }
 
 void
-mm_placement_backlog_changed(MmPlacement *rank) {
-  rank->is_backlog_changed = TRUE;
+mm_placement_backlog_changed(MmPlacement *placement) {
+  placement->is_backlog_changed = TRUE;
 }
 
 static void
-refresh_own_backlog(MmPlacement *rank) {
-  MmBacklogView *own_view = &rank->views[0];
+refresh_own_backlog(MmPlacement *placement) {
+  MmBacklogView *own_view = &placement->views[0];
 
   g_ptr_array_set_size(own_view->pending, 0);
   g_array_set_size(own_view->reserved_machines, 0);
-  mm_scheduler_list_backlog(rank->node->scheduler, own_view->pending, own_view->reserved_machines);
-  own_view->n_pending_tasks = mm_scheduler_count_pending_tasks(rank->node->scheduler);
+  mm_scheduler_list_backlog(placement->node->scheduler, own_view->pending,
+                            own_view->reserved_machines);
+  own_view->n_pending_tasks = mm_scheduler_count_pending_tasks(placement->node->scheduler);
 }
 
 void
-mm_placement_send_backlog(MmPlacement *rank, gint peer) {
-  const MmBacklogView *own_view = &rank->views[0];
+mm_placement_send_backlog(MmPlacement *placement, gint peer) {
+  const MmBacklogView *own_view = &placement->views[0];
   guint n_pending = own_view->pending->len;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Backlog backlog = MM__BACKLOG__INIT;
@@ -93,28 +94,28 @@
   backlog.unfinished = own_view->n_pending_tasks;
   frame.body_case = MM__FRAME__BODY_BACKLOG;
   frame.backlog = &backlog;
-  mm_peer_links_send(rank->node->peer_links, (guint)peer, &frame);
+  mm_peer_links_send(placement->node->peer_links, (guint)peer, &frame);
 }
 
 void
-mm_placement_tick(MmPlacement *rank) {
-  MmTime now = mm_node_now(rank->node);
-  gint64 announced_ms_ago = mm_time_ms_since(now, rank->announced_at);
+mm_placement_tick(MmPlacement *placement) {
+  MmTime now = mm_node_now(placement->node);
+  gint64 announced_ms_ago = mm_time_ms_since(now, placement->announced_at);
 
   /* Waits grow without anything changing, so the backlog is also told again now and then. */
-  if (!(rank->is_backlog_changed && announced_ms_ago >= BACKLOG_SEND_INTERVAL_MS)
+  if (!(placement->is_backlog_changed && announced_ms_ago >= BACKLOG_SEND_INTERVAL_MS)
       && announced_ms_ago < BACKLOG_RESEND_INTERVAL_MS)
     return;
-  rank->is_backlog_changed = FALSE;
-  rank->announced_at = now;
-  refresh_own_backlog(rank);
-  for (guint i = 1; i < rank->n_views; i++)
-    mm_placement_send_backlog(rank, (gint)i - 1);
+  placement->is_backlog_changed = FALSE;
+  placement->announced_at = now;
+  refresh_own_backlog(placement);
+  for (guint i = 1; i < placement->n_views; i++)
+    mm_placement_send_backlog(placement, (gint)i - 1);
 }
 
 void
-mm_placement_backlog_received(MmPlacement *rank, gint peer, const Mm__Backlog *backlog) {
-  MmBacklogView *view = &rank->views[peer + 1];
+mm_placement_backlog_received(MmPlacement *placement, gint peer, const Mm__Backlog *backlog) {
+  MmBacklogView *view = &placement->views[peer + 1];
 
   g_ptr_array_set_size(view->pending, 0);
   g_array_set_size(view->reserved_machines, 0);
@@ -126,7 +127,7 @@
   for (size_t i = 0; i < backlog->n_pending; i++) {
     const Mm__PendingTasks *item = backlog->pending[i];
     MmPendingTasks *pending = g_new0(MmPendingTasks, 1);
-    MmJob *job = mm_job_table_find(rank->node->job_table, item->job);
+    MmJob *job = mm_job_table_find(placement->node->job_table, item->job);
     pending->job = mm_name(item->job);
     pending->has_precedence = item->is_first;
     pending->is_starving = item->is_aged;
@@ -139,8 +140,8 @@
 }
 
 void
-mm_placement_remove_candidate(MmPlacement *rank, guint view, const char *job, guint number) {
-  GPtrArray *pending_list = rank->views[view].pending;
+mm_placement_remove_candidate(MmPlacement *placement, guint view, const char *job, guint number) {
+  GPtrArray *pending_list = placement->views[view].pending;
 
   for (guint i = 0; i < pending_list->len; i++) {
     MmPendingTasks *pending = g_ptr_array_index(pending_list, i);
@@ -173,28 +174,29 @@
 }
 
 void
-mm_placement_note_accelerated_job(MmPlacement *rank, const MmJobSpec *spec) {
+mm_placement_note_accelerated_job(MmPlacement *placement, const MmJobSpec *spec) {
   if (spec->task_resources.accelerators <= 0)
     return;
-  rank->has_seen_accelerated_work = TRUE;
-  rank->max_accelerated_priority = MAX(rank->max_accelerated_priority, spec->priority);
-  rank->accelerated_may_use_spot = rank->accelerated_may_use_spot || spec->allows_spot;
-  rank->largest_accelerated_need.cores
-      = MAX(rank->largest_accelerated_need.cores, spec->task_resources.cores);
-  rank->largest_accelerated_need.memory_gb
-      = MAX(rank->largest_accelerated_need.memory_gb, spec->task_resources.memory_gb);
+  placement->has_seen_accelerated_work = TRUE;
+  placement->max_accelerated_priority = MAX(placement->max_accelerated_priority, spec->priority);
+  placement->accelerated_may_use_spot = placement->accelerated_may_use_spot || spec->allows_spot;
+  placement->largest_accelerated_need.cores
+      = MAX(placement->largest_accelerated_need.cores, spec->task_resources.cores);
+  placement->largest_accelerated_need.memory_gb
+      = MAX(placement->largest_accelerated_need.memory_gb, spec->task_resources.memory_gb);
 }
 
 /* What work without accelerators takes of the machine: all that is taken, less the accelerated
  * tasks. Counting reported tasks alone once let one answer fill such a machine with services for
  * good. */
 static MmResources
-taken_by_other_work(const MmPlacement *rank, const MmMachine *machine, MmResources free_resources) {
+taken_by_other_work(const MmPlacement *placement, const MmMachine *machine,
+                    MmResources free_resources) {
   MmResources taken = mm_resources_sub(machine->type->resources, free_resources);
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *task_job = mm_job_table_find(rank->node->job_table, reported->job.s);
+    const MmJob *task_job = mm_job_table_find(placement->node->job_table, reported->job.s);
     if (reported->state != MM_REPORTED_ENDED && task_job != NULL
         && task_job->spec.task_resources.accelerators > 0)
       taken = mm_resources_sub(taken, task_job->spec.task_resources);
@@ -203,9 +205,10 @@
 }
 
 static gboolean
-is_unpreemptible(const MmPlacement *rank, const MmJob *job) {
-  MmPriority outranked_priority
-      = rank->has_seen_accelerated_work ? rank->max_accelerated_priority : MM_PRIORITY_URGENT;
+is_unpreemptible(const MmPlacement *placement, const MmJob *job) {
+  MmPriority outranked_priority = placement->has_seen_accelerated_work
+                                      ? placement->max_accelerated_priority
+                                      : MM_PRIORITY_URGENT;
 
   return job->spec.task_resources.accelerators <= 0 && job->effective_priority > outranked_priority;
 }
@@ -213,20 +216,20 @@
 /* What accelerated work could not stop. Counting arrays as well once gave up every such machine at
  * the start of a day, and services joined them for good. */
 static MmResources
-taken_by_unpreemptible_work(const MmPlacement *rank, const MmMachine *machine) {
+taken_by_unpreemptible_work(const MmPlacement *placement, const MmMachine *machine) {
   MmResources taken = { 0 };
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *task_job = mm_job_table_find(rank->node->job_table, reported->job.s);
+    const MmJob *task_job = mm_job_table_find(placement->node->job_table, reported->job.s);
     if (reported->state != MM_REPORTED_ENDED && task_job != NULL
-        && is_unpreemptible(rank, task_job))
+        && is_unpreemptible(placement, task_job))
       taken = mm_resources_add(taken, task_job->spec.task_resources);
   }
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
     if (placed->job->tasks[placed->number].state == MM_TASK_START_SENT
-        && is_unpreemptible(rank, placed->job))
+        && is_unpreemptible(placement, placed->job))
       taken = mm_resources_add(taken, placed->job->spec.task_resources);
   }
   return taken;
@@ -235,9 +238,9 @@
 /* Accelerated work may come any moment at the start of a day: nothing is taken for its absence yet.
  */
 static gboolean
-is_demand_unknown(const MmPlacement *rank) {
-  return !rank->has_seen_accelerated_work
-         && mm_time_ms_since(mm_node_now(rank->node), rank->node->started_at)
+is_demand_unknown(const MmPlacement *placement) {
+  return !placement->has_seen_accelerated_work
+         && mm_time_ms_since(mm_node_now(placement->node), placement->node->started_at)
                 < ACCELERATED_DEMAND_UNKNOWN_MS;
 }
 
@@ -245,22 +248,23 @@
  * as taken: after a restart of all nodes a second one was given up, since nothing was known of the
  * first. */
 static gboolean
-fits_largest_task(const MmPlacement *rank, const MmMachine *machine, MmResources taken) {
+fits_largest_task(const MmPlacement *placement, const MmMachine *machine, MmResources taken) {
   MmResources capacity = machine->type->resources;
 
-  if (!rank->has_seen_accelerated_work)
+  if (!placement->has_seen_accelerated_work)
     return taken.cores <= MM_RESOURCES_SLACK;
-  return taken.cores + rank->largest_accelerated_need.cores <= capacity.cores + MM_RESOURCES_SLACK
-         && taken.memory_gb + rank->largest_accelerated_need.memory_gb
+  return taken.cores + placement->largest_accelerated_need.cores
+             <= capacity.cores + MM_RESOURCES_SLACK
+         && taken.memory_gb + placement->largest_accelerated_need.memory_gb
                 <= capacity.memory_gb + MM_RESOURCES_SLACK;
 }
 
 static gboolean
-accelerated_work_waits(const MmPlacement *rank) {
-  for (guint v = 0; v < rank->n_views; v++)
-    for (guint i = 0; i < rank->views[v].pending->len; i++) {
-      const MmPendingTasks *pending = g_ptr_array_index(rank->views[v].pending, i);
-      const MmJob *job = mm_job_table_find(rank->node->job_table, pending->job.s);
+accelerated_work_waits(const MmPlacement *placement) {
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].pending->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
+      const MmJob *job = mm_job_table_find(placement->node->job_table, pending->job.s);
       if (job != NULL && !job->is_cancelled && job->spec.task_resources.accelerators > 0)
         return TRUE;
     }
@@ -268,10 +272,10 @@
 }
 
 static gboolean
-runs_accelerated_work(const MmPlacement *rank, const MmMachine *machine) {
+runs_accelerated_work(const MmPlacement *placement, const MmMachine *machine) {
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *job = mm_job_table_find(rank->node->job_table, reported->job.s);
+    const MmJob *job = mm_job_table_find(placement->node->job_table, reported->job.s);
     if (reported->state != MM_REPORTED_ENDED && job != NULL
         && job->spec.task_resources.accelerators > 0)
       return TRUE;
@@ -280,30 +284,31 @@
 }
 
 static gboolean
-is_reserved(const MmPlacement *rank, const MmMachine *machine) {
-  for (guint v = 0; v < rank->n_views; v++)
-    for (guint i = 0; i < rank->views[v].reserved_machines->len; i++)
-      if (mm_name_equal(&g_array_index(rank->views[v].reserved_machines, MmName, i), &machine->id))
+is_reserved(const MmPlacement *placement, const MmMachine *machine) {
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].reserved_machines->len; i++)
+      if (mm_name_equal(&g_array_index(placement->views[v].reserved_machines, MmName, i),
+                        &machine->id))
         return TRUE;
   return FALSE;
 }
 
 /* Machines that accelerated work could have at once, or after stopping what they are lent to. */
 static GPtrArray *
-list_idle_accelerated(const MmPlacement *rank, guint *n_all) {
-  const GPtrArray *order = rank->node->machine_table->sorted_machines;
+list_idle_accelerated(const MmPlacement *placement, guint *n_all) {
+  const GPtrArray *order = placement->node->machine_table->sorted_machines;
   GPtrArray *idle = g_ptr_array_new();
 
   *n_all = 0;
   for (guint i = 0; i < order->len; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
-    if (!mm_machine_is_usable(rank->node->machine_table, machine)
+    if (!mm_machine_is_usable(placement->node->machine_table, machine)
         || machine->type->resources.accelerators <= 0
-        || (machine->is_spot && !rank->accelerated_may_use_spot))
+        || (machine->is_spot && !placement->accelerated_may_use_spot))
       continue;
     ++*n_all;
-    if (!runs_accelerated_work(rank, machine) && !is_reserved(rank, machine)
-        && fits_largest_task(rank, machine, taken_by_unpreemptible_work(rank, machine)))
+    if (!runs_accelerated_work(placement, machine) && !is_reserved(placement, machine)
+        && fits_largest_task(placement, machine, taken_by_unpreemptible_work(placement, machine)))
       g_ptr_array_add(idle, machine);
   }
   return idle;
@@ -311,25 +316,25 @@
 
 /* The first of them by name are kept, so that all nodes lend the same ones. */
 static void
-choose_lent_machines(MmPlacement *rank) {
-  MmTime now = mm_node_now(rank->node);
+choose_lent_machines(MmPlacement *placement) {
+  MmTime now = mm_node_now(placement->node);
   g_autoptr(GPtrArray) idle = NULL;
   guint n_all;
 
-  if (mm_time_ms_since(now, rank->lent_chosen_at) < LENDING_UPDATE_INTERVAL_MS)
+  if (mm_time_ms_since(now, placement->lent_chosen_at) < LENDING_UPDATE_INTERVAL_MS)
     return;
-  rank->lent_chosen_at = now;
-  g_hash_table_remove_all(rank->lent_machines);
-  if (!rank->has_seen_accelerated_work || accelerated_work_waits(rank))
+  placement->lent_chosen_at = now;
+  g_hash_table_remove_all(placement->lent_machines);
+  if (!placement->has_seen_accelerated_work || accelerated_work_waits(placement))
     return;
-  idle = list_idle_accelerated(rank, &n_all);
+  idle = list_idle_accelerated(placement, &n_all);
   for (guint i = MAX(IDLE_RESERVE_MIN, n_all / IDLE_RESERVE_DIVISOR); i < idle->len; i++)
-    g_hash_table_add(rank->lent_machines,
+    g_hash_table_add(placement->lent_machines,
                      g_strdup(((MmMachine *)g_ptr_array_index(idle, i))->id.s));
 }
 
 MmReserveVerdict
-mm_placement_check_reserve(MmPlacement *rank, const MmJob *job, const MmMachine *machine,
+mm_placement_check_reserve(MmPlacement *placement, const MmJob *job, const MmMachine *machine,
                            MmResources free_resources) {
   gboolean is_released;
   MmResources taken;
@@ -337,23 +342,25 @@
   if (machine->type == NULL || machine->type->resources.accelerators <= 0
       || job->spec.task_resources.accelerators > 0)
     return MM_RESERVE_KEPT;
-  if (!rank->has_seen_accelerated_work && job->spec.kind != MM_JOB_KIND_SERVICE)
+  if (!placement->has_seen_accelerated_work && job->spec.kind != MM_JOB_KIND_SERVICE)
     return MM_RESERVE_KEPT;
-  if (rank->has_seen_accelerated_work && machine->is_spot && !rank->accelerated_may_use_spot)
+  if (placement->has_seen_accelerated_work && machine->is_spot
+      && !placement->accelerated_may_use_spot)
     return MM_RESERVE_KEPT;
-  if (is_demand_unknown(rank))
+  if (is_demand_unknown(placement))
     return MM_RESERVE_WOULD_SHRINK;
-  taken = taken_by_other_work(rank, machine, free_resources);
-  if (fits_largest_task(rank, machine, mm_resources_add(taken, job->spec.task_resources)))
+  taken = taken_by_other_work(placement, machine, free_resources);
+  if (fits_largest_task(placement, machine, mm_resources_add(taken, job->spec.task_resources)))
     return MM_RESERVE_KEPT;
-  is_released = !fits_largest_task(rank, machine, taken_by_unpreemptible_work(rank, machine));
+  is_released
+      = !fits_largest_task(placement, machine, taken_by_unpreemptible_work(placement, machine));
   /* Beside services that keep accelerated work away, other work takes nothing from it, and can be
    * stopped for it. A quarter of all room once lay idle there while arrays waited for minutes. */
-  if (job->effective_priority <= rank->max_accelerated_priority) {
-    if (job->effective_priority == rank->max_accelerated_priority)
+  if (job->effective_priority <= placement->max_accelerated_priority) {
+    if (job->effective_priority == placement->max_accelerated_priority)
       return MM_RESERVE_FORBIDDEN;
-    choose_lent_machines(rank);
-    return is_released || g_hash_table_contains(rank->lent_machines, machine->id.s)
+    choose_lent_machines(placement);
+    return is_released || g_hash_table_contains(placement->lent_machines, machine->id.s)
                ? MM_RESERVE_RELEASED
                : MM_RESERVE_FORBIDDEN;
   }
@@ -361,32 +368,32 @@
 }
 
 gboolean
-mm_placement_may_release_machine(MmPlacement *rank, const MmMachine *machine) {
-  const MmMachineTable *machine_table = rank->node->machine_table;
+mm_placement_may_release_machine(MmPlacement *placement, const MmMachine *machine) {
+  const MmMachineTable *machine_table = placement->node->machine_table;
   const MmMachine *next = NULL;
   guint n_accelerated = 0, n_released = 0;
-  MmTime now = mm_node_now(rank->node);
+  MmTime now = mm_node_now(placement->node);
 
-  if (mm_time_ms_since(now, rank->release_checked_at) < RELEASE_CHECK_INTERVAL_MS)
-    return machine == rank->next_released_machine;
+  if (mm_time_ms_since(now, placement->release_checked_at) < RELEASE_CHECK_INTERVAL_MS)
+    return machine == placement->next_released_machine;
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     const MmMachine *other = g_ptr_array_index(machine_table->sorted_machines, i);
     if (!mm_machine_is_usable(machine_table, other) || other->type->resources.accelerators <= 0
-        || (other->is_spot && !rank->accelerated_may_use_spot))
+        || (other->is_spot && !placement->accelerated_may_use_spot))
       continue;
     n_accelerated++;
-    if (!fits_largest_task(rank, other, taken_by_unpreemptible_work(rank, other)))
+    if (!fits_largest_task(placement, other, taken_by_unpreemptible_work(placement, other)))
       n_released++;
     else if (next == NULL)
       next = other;
   }
-  rank->release_checked_at = now;
-  rank->next_released_machine
-      = !is_demand_unknown(rank) && n_accelerated >= 2 && n_released < MAX(n_accelerated / 3, 1)
-            ? next
-            : NULL;
-  return next != NULL && machine == rank->next_released_machine;
+  placement->release_checked_at = now;
+  placement->next_released_machine = !is_demand_unknown(placement) && n_accelerated >= 2
+                                             && n_released < MAX(n_accelerated / 3, 1)
+                                         ? next
+                                         : NULL;
+  return next != NULL && machine == placement->next_released_machine;
 }
 
 typedef struct {
@@ -396,7 +403,7 @@
 } RankedTask;
 
 static gint
-highest_first(gconstpointer a, gconstpointer b) {
+compare_ranked_tasks(gconstpointer a, gconstpointer b) {
   const RankedTask *x = a, *y = b;
 
   return x->priority > y->priority ? -1 : x->priority < y->priority;
@@ -414,29 +421,30 @@
 
 /* Gangs are listed for the fleet; their places are the owner's to pick. */
 static const MmJob *
-fitting_job(MmPlacement *rank, const MmPendingTasks *pending, const MmMachine *machine,
+fitting_job(MmPlacement *placement, const MmPendingTasks *pending, const MmMachine *machine,
             MmResources free_resources) {
-  const MmJob *job = mm_job_table_find(rank->node->job_table, pending->job.s);
+  const MmJob *job = mm_job_table_find(placement->node->job_table, pending->job.s);
 
   return job != NULL && !job->is_cancelled && !mm_job_is_gang(job) && pending->ranges->len > 0
                  && mm_resources_fits(job->spec.task_resources, free_resources)
                  && mm_placement_allows(job, machine)
-                 && mm_placement_check_reserve(rank, job, machine, free_resources)
+                 && mm_placement_check_reserve(placement, job, machine, free_resources)
                         != MM_RESERVE_FORBIDDEN
              ? job
              : NULL;
 }
 
 static gboolean
-choose_precedence(MmPlacement *rank, const MmMachine *machine, MmResources free_resources,
+choose_precedence(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
                   const GArray *requested, guint exhausted_views, MmPlacementChoice *choice) {
   const MmJob *best = NULL;
 
-  for (guint v = 0; v < rank->n_views; v++) {
-    for (guint i = 0; i < rank->views[v].pending->len && !(exhausted_views >> v & 1); i++) {
-      const MmPendingTasks *pending = g_ptr_array_index(rank->views[v].pending, i);
-      const MmJob *job
-          = pending->has_precedence ? fitting_job(rank, pending, machine, free_resources) : NULL;
+  for (guint v = 0; v < placement->n_views; v++) {
+    for (guint i = 0; i < placement->views[v].pending->len && !(exhausted_views >> v & 1); i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
+      const MmJob *job = pending->has_precedence
+                             ? fitting_job(placement, pending, machine, free_resources)
+                             : NULL;
       guint number;
       if (job == NULL)
         continue;
@@ -455,23 +463,23 @@
 
 /* The ordinary path: the machine's own order of the tasks whose image it caches. */
 static gboolean
-choose_cached(MmPlacement *rank, const MmMachine *machine, MmResources free_resources,
+choose_cached(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
               const GArray *requested, MmPlacementChoice *choice) {
   g_autoptr(GArray) ranked = g_array_new(FALSE, FALSE, sizeof(RankedTask));
-  guint n_machines = rank->node->machine_table->sorted_machines->len, n_controllers = rank->n_views,
-        n_tasks = 0, task_offset = 0;
-  guint max_tasks = MIN((guint)rank->node->operators->candidates, MM_PLACEMENT_CANDIDATES_MAX);
+  guint n_machines = placement->node->machine_table->sorted_machines->len,
+        n_controllers = placement->n_views, n_tasks = 0, task_offset = 0;
+  guint max_tasks = MIN((guint)placement->node->operators->candidates, MM_PLACEMENT_CANDIDATES_MAX);
 
-  for (guint v = 0; v < rank->n_views; v++)
-    for (guint i = 0; i < rank->views[v].pending->len; i++) {
-      const MmPendingTasks *pending = g_ptr_array_index(rank->views[v].pending, i);
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].pending->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
       for (guint k = 0; k + 1 < pending->ranges->len; k += 2)
         n_tasks += g_array_index(pending->ranges, guint, k + 1);
     }
-  for (guint v = 0; v < rank->n_views; v++)
-    for (guint i = 0; i < rank->views[v].pending->len; i++) {
-      const MmPendingTasks *pending = g_ptr_array_index(rank->views[v].pending, i);
-      const MmJob *job = fitting_job(rank, pending, machine, free_resources);
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].pending->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
+      const MmJob *job = fitting_job(placement, pending, machine, free_resources);
       gboolean cached = job != NULL && mm_machine_has_cached_image(machine, &job->spec.image);
       for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
         guint first = g_array_index(pending->ranges, guint, k);
@@ -490,7 +498,7 @@
     }
   if (ranked->len == 0)
     return FALSE;
-  g_array_sort(ranked, highest_first);
+  g_array_sort(ranked, compare_ranked_tasks);
   choice->view = (gint)g_array_index(ranked, RankedTask, 0).view;
   for (guint i = 0; i < ranked->len && choice->n_tasks < max_tasks; i++) {
     const RankedTask *item = &g_array_index(ranked, RankedTask, i);
@@ -502,24 +510,25 @@
 
 /* A pull: an owner drawn in proportion to what it has unfinished. */
 static gboolean
-choose_pull(MmPlacement *rank, const MmMachine *machine, MmResources free_resources,
+choose_pull(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
             guint exhausted_views, MmPlacementChoice *choice) {
-  g_autofree guint *weights = g_new0(guint, rank->n_views);
+  g_autofree guint *weights = g_new0(guint, placement->n_views);
   guint total = 0, drawn;
 
-  for (guint v = 0; v < rank->n_views; v++) {
+  for (guint v = 0; v < placement->n_views; v++) {
     gboolean has_fitting_job = FALSE;
     for (guint i = 0;
-         i < rank->views[v].pending->len && !has_fitting_job && !(exhausted_views >> v & 1); i++)
-      has_fitting_job
-          = fitting_job(rank, g_ptr_array_index(rank->views[v].pending, i), machine, free_resources)
-            != NULL;
-    weights[v] = has_fitting_job ? MAX(rank->views[v].n_pending_tasks, 1) : 0;
+         i < placement->views[v].pending->len && !has_fitting_job && !(exhausted_views >> v & 1);
+         i++)
+      has_fitting_job = fitting_job(placement, g_ptr_array_index(placement->views[v].pending, i),
+                                    machine, free_resources)
+                        != NULL;
+    weights[v] = has_fitting_job ? MAX(placement->views[v].n_pending_tasks, 1) : 0;
     total += weights[v];
   }
   if (total == 0)
     return FALSE;
-  drawn = (guint)g_rand_int_range(rank->node->rand, 0, (gint32)MIN(total, G_MAXINT32));
+  drawn = (guint)g_rand_int_range(placement->node->rand, 0, (gint32)MIN(total, G_MAXINT32));
   choice->view = 0;
   while (drawn >= weights[choice->view])
     drawn -= weights[choice->view++];
@@ -530,11 +539,12 @@
 /* A gang's place is given out whatever else there is: without this, a machine with nothing else to
  * ask for would never fetch the start that is reserved for it. */
 static gboolean
-choose_reserved(MmPlacement *rank, const MmMachine *machine, guint exhausted_views,
+choose_reserved(MmPlacement *placement, const MmMachine *machine, guint exhausted_views,
                 MmPlacementChoice *choice) {
-  for (guint v = 0; v < rank->n_views; v++)
-    for (guint i = 0; i < rank->views[v].reserved_machines->len && !(exhausted_views >> v & 1); i++)
-      if (mm_name_equal(&g_array_index(rank->views[v].reserved_machines, MmName, i),
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].reserved_machines->len && !(exhausted_views >> v & 1);
+         i++)
+      if (mm_name_equal(&g_array_index(placement->views[v].reserved_machines, MmName, i),
                         &machine->id)) {
         choice->view = (gint)v;
         return TRUE;
@@ -543,15 +553,15 @@
 }
 
 MmPlacementChoice
-mm_placement_choose(MmPlacement *rank, const MmMachine *machine, MmResources free_resources,
+mm_placement_choose(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
                     const GArray *requested, guint exhausted_views) {
   MmPlacementChoice choice = { .view = -1 };
 
-  if (rank->is_backlog_changed && rank->views[0].pending->len == 0)
-    refresh_own_backlog(rank);
-  if (!choose_reserved(rank, machine, exhausted_views, &choice)
-      && !choose_precedence(rank, machine, free_resources, requested, exhausted_views, &choice)
-      && !choose_cached(rank, machine, free_resources, requested, &choice))
-    choose_pull(rank, machine, free_resources, exhausted_views, &choice);
+  if (placement->is_backlog_changed && placement->views[0].pending->len == 0)
+    refresh_own_backlog(placement);
+  if (!choose_reserved(placement, machine, exhausted_views, &choice)
+      && !choose_precedence(placement, machine, free_resources, requested, exhausted_views, &choice)
+      && !choose_cached(placement, machine, free_resources, requested, &choice))
+    choose_pull(placement, machine, free_resources, exhausted_views, &choice);
   return choice;
 }
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -48,20 +48,21 @@
 } MmPlacementChoice;
 
 MmPlacement *mm_placement_new(MmNode *node);
-void mm_placement_free(MmPlacement *rank);
-void mm_placement_tick(MmPlacement *rank);
-void mm_placement_backlog_changed(MmPlacement *rank);
+void mm_placement_free(MmPlacement *placement);
+void mm_placement_tick(MmPlacement *placement);
+void mm_placement_backlog_changed(MmPlacement *placement);
 /* Sends our backlog to a peer. */
-void mm_placement_send_backlog(MmPlacement *rank, gint peer);
-void mm_placement_backlog_received(MmPlacement *rank, gint peer, const Mm__Backlog *backlog);
+void mm_placement_send_backlog(MmPlacement *placement, gint peer);
+void mm_placement_backlog_received(MmPlacement *placement, gint peer, const Mm__Backlog *backlog);
 /* `tried`: MmTaskRef already asked for in this answer; `dry`: views that had nothing, by bit. */
-MmPlacementChoice mm_placement_choose(MmPlacement *rank, const MmMachine *machine,
+MmPlacementChoice mm_placement_choose(MmPlacement *placement, const MmMachine *machine,
                                       MmResources free_resources, const GArray *requested,
                                       guint exhausted_views);
 /* Takes a task out of a view: it has been given out or refused. */
-void mm_placement_remove_candidate(MmPlacement *rank, guint view, const char *job, guint number);
+void mm_placement_remove_candidate(MmPlacement *placement, guint view, const char *job,
+                                   guint number);
 /* A job has come: what accelerated work needs is remembered. */
-void mm_placement_note_accelerated_job(MmPlacement *rank, const MmJobSpec *spec);
+void mm_placement_note_accelerated_job(MmPlacement *placement, const MmJobSpec *spec);
 gboolean mm_placement_allows(const MmJob *job, const MmMachine *machine);
 /* Machines with accelerators are left to the work that needs them: other work takes only what stays
  * beside the largest such task seen, unless that work may not run there anyway. Such a machine may
@@ -74,8 +75,8 @@
   MM_RESERVE_FORBIDDEN     /* of too low a priority for that */
 } MmReserveVerdict;
 /* `room` is what is left, starts that no report shows yet already taken off. */
-MmReserveVerdict mm_placement_check_reserve(MmPlacement *rank, const MmJob *job,
+MmReserveVerdict mm_placement_check_reserve(MmPlacement *placement, const MmJob *job,
                                             const MmMachine *machine, MmResources free_resources);
 /* Whether one more such machine may be given up, and this is the one: owners that decide at the
  * same time must not each choose another. */
-gboolean mm_placement_may_release_machine(MmPlacement *rank, const MmMachine *machine);
+gboolean mm_placement_may_release_machine(MmPlacement *placement, const MmMachine *machine);
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -14,46 +14,47 @@
 #define ESTIMATE_AGE_MAX_MS 2000
 
 MmAttempt
-mm_scheduler_next_attempt(MmScheduler *owner, const MmLedShard *held) {
+mm_scheduler_next_attempt(MmScheduler *scheduler, const MmLedShard *shard) {
   /* Terms never come twice and the sequence starts anew with the process, which takes a new term
    * before it approves anything: so no attempt is ever given out twice, with no write per start. */
-  return (MmAttempt){ held->term.v << 24 | (++owner->attempt_sequence & 0xffffff) };
+  return (MmAttempt){ shard->term.v << 24 | (++scheduler->attempt_sequence & 0xffffff) };
 }
 
 /* Earlier holders kept to the same rules of place, and what a machine is never changes: on a
  * machine that the job may not use, there is none of its tasks, heard or not. So services need not
  * wait for a spot machine that was taken, nor gangs for one without accelerators. */
 static gboolean
-may_be_on_unacknowledged(const MmLedShard *held, const MmJob *job) {
-  for (guint i = 0; i < held->unacknowledged_kinds->len; i++) {
-    const MmMachineKind *kind = &g_array_index(held->unacknowledged_kinds, MmMachineKind, i);
+may_be_on_unacknowledged(const MmLedShard *shard, const MmJob *job) {
+  for (guint i = 0; i < shard->unacknowledged_kinds->len; i++) {
+    const MmMachineKind *kind = &g_array_index(shard->unacknowledged_kinds, MmMachineKind, i);
     if (mm_name_is_empty(&kind->type)
-        || mm_job_spec_allows_machine(&job->spec, &kind->type, &kind->zone, kind->spot))
+        || mm_job_spec_allows_machine(&job->spec, &kind->type, &kind->zone, kind->is_spot))
       return TRUE;
   }
   return FALSE;
 }
 
 gboolean
-mm_scheduler_knows_all_starts(MmScheduler *owner, const MmJob *job) {
-  MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
+mm_scheduler_knows_all_starts(MmScheduler *scheduler, const MmJob *job) {
+  MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
 
-  if (held->is_ready || job->submitted_after_acquire)
+  if (shard->is_ready || job->submitted_after_acquire)
     return TRUE;
-  mm_scheduler_sum_unacknowledged(owner, held);
-  return !may_be_on_unacknowledged(held, job);
+  mm_scheduler_update_unacknowledged(scheduler, shard);
+  return !may_be_on_unacknowledged(shard, job);
 }
 
 gboolean
-mm_scheduler_job_is_schedulable(MmScheduler *owner, const MmJob *job) {
-  return mm_scheduler_shard_of_job(owner, job) != NULL && job->tasks != NULL && !job->is_cancelled
-         && mm_job_dependencies_are_done(job) && mm_scheduler_knows_all_starts(owner, job)
-         && !mm_time_before(mm_node_now(owner->node), job->paused_until);
+mm_scheduler_job_is_schedulable(MmScheduler *scheduler, const MmJob *job) {
+  return mm_scheduler_shard_of_job(scheduler, job) != NULL && job->tasks != NULL
+         && !job->is_cancelled && mm_job_dependencies_are_done(job)
+         && mm_scheduler_knows_all_starts(scheduler, job)
+         && !mm_time_before(mm_node_now(scheduler->node), job->paused_until);
 }
 
 gboolean
-mm_scheduler_must_yield_to_gang(const MmScheduler *owner, const MmJob *job) {
-  const MmJob *gang = owner->yield_to_gang;
+mm_scheduler_must_yield_to_gang(const MmScheduler *scheduler, const MmJob *job) {
+  const MmJob *gang = scheduler->yield_to_gang;
 
   return gang != NULL && gang != job && job->spec.task_resources.accelerators > 0
          && mm_scheduler_compare_urgency(&gang, &job) < 0;
@@ -92,52 +93,53 @@
 }
 
 gboolean
-mm_scheduler_constraints_will_allow(const MmScheduler *owner, const MmJob *job,
+mm_scheduler_constraints_will_allow(const MmScheduler *scheduler, const MmJob *job,
                                     const MmMachine *machine) {
-  return constraints_allow(owner->node->machine_table, job, machine, mm_node_now(owner->node));
+  return constraints_allow(scheduler->node->machine_table, job, machine,
+                           mm_node_now(scheduler->node));
 }
 
 static void
-add_unacknowledged_kind(MmLedShard *held, const MmMachine *machine) {
+add_unacknowledged_kind(MmLedShard *shard, const MmMachine *machine) {
   /* Of one that is not known, everything may be true. */
   MmMachineKind kind = machine != NULL
                            ? (MmMachineKind){ machine->type_name, machine->zone, machine->is_spot }
                            : (MmMachineKind){ 0 };
 
-  for (guint i = 0; i < held->unacknowledged_kinds->len; i++) {
-    const MmMachineKind *known = &g_array_index(held->unacknowledged_kinds, MmMachineKind, i);
+  for (guint i = 0; i < shard->unacknowledged_kinds->len; i++) {
+    const MmMachineKind *known = &g_array_index(shard->unacknowledged_kinds, MmMachineKind, i);
     if (mm_name_equal(&known->type, &kind.type) && mm_name_equal(&known->zone, &kind.zone)
-        && known->spot == kind.spot)
+        && known->is_spot == kind.is_spot)
       return;
   }
-  g_array_append_val(held->unacknowledged_kinds, kind);
+  g_array_append_val(shard->unacknowledged_kinds, kind);
 }
 
 void
-mm_scheduler_sum_unacknowledged(MmScheduler *owner, MmLedShard *held) {
+mm_scheduler_update_unacknowledged(MmScheduler *scheduler, MmLedShard *shard) {
   GHashTableIter iter;
   gpointer machine_id;
-  guint n_kinds_before = held->unacknowledged_kinds->len;
+  guint n_kinds_before = shard->unacknowledged_kinds->len;
 
-  if (!held->unacknowledged_changed)
+  if (!shard->unacknowledged_changed)
     return;
-  held->unacknowledged_changed = FALSE;
-  g_array_set_size(held->unacknowledged_kinds, 0);
-  held->has_unacknowledged_of_unknown_type = FALSE;
-  held->unacknowledged_resources = (MmResources){ 0 };
-  g_hash_table_iter_init(&iter, held->unacknowledged_machines);
+  shard->unacknowledged_changed = FALSE;
+  g_array_set_size(shard->unacknowledged_kinds, 0);
+  shard->has_unacknowledged_of_unknown_type = FALSE;
+  shard->unacknowledged_resources = (MmResources){ 0 };
+  g_hash_table_iter_init(&iter, shard->unacknowledged_machines);
   while (g_hash_table_iter_next(&iter, &machine_id, NULL)) {
-    const MmMachine *machine = mm_machine_table_find(owner->node->machine_table, machine_id);
-    add_unacknowledged_kind(held, machine);
+    const MmMachine *machine = mm_machine_table_find(scheduler->node->machine_table, machine_id);
+    add_unacknowledged_kind(shard, machine);
     if (machine == NULL || machine->type == NULL)
-      held->has_unacknowledged_of_unknown_type = held->unacknowledged_changed
+      shard->has_unacknowledged_of_unknown_type = shard->unacknowledged_changed
           = TRUE; /* its type may become known */
     else
-      held->unacknowledged_resources
-          = mm_resources_add(held->unacknowledged_resources, machine->type->resources);
+      shard->unacknowledged_resources
+          = mm_resources_add(shard->unacknowledged_resources, machine->type->resources);
   }
-  if (held->unacknowledged_kinds->len < n_kinds_before)
-    mm_placement_backlog_changed(owner->node->placement);
+  if (shard->unacknowledged_kinds->len < n_kinds_before)
+    mm_placement_backlog_changed(scheduler->node->placement);
 }
 
 /* Who needs nothing of what is limited takes nothing of it, however much is used or owed: a team
@@ -151,34 +153,35 @@
 /* What the team's tasks take or might take: all that may be on a machine, stops under way included,
  * and on a machine that has not been heard whatever fits there. */
 gboolean
-mm_scheduler_quota_allows(MmScheduler *owner, MmLedShard *held, const MmJob *job, guint tasks) {
-  MmResources limit = held->team->limit;
+mm_scheduler_quota_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
+                          guint tasks) {
+  MmResources limit = shard->team->limit;
   MmResources used;
 
   if (limit.cores <= 0 && limit.accelerators <= 0)
     return TRUE;
-  mm_scheduler_sum_unacknowledged(owner, held);
-  if (held->has_unacknowledged_of_unknown_type)
+  mm_scheduler_update_unacknowledged(scheduler, shard);
+  if (shard->has_unacknowledged_of_unknown_type)
     return FALSE;
-  used = mm_resources_add(held->used, held->unacknowledged_resources);
+  used = mm_resources_add(shard->used, shard->unacknowledged_resources);
   /* Else small jobs take what is left of the limit one by one: a large one never begins, and work
    * of higher priority waits for lower. */
-  if (held->quota_reserved_for != NULL && held->quota_reserved_for != job
-      && mm_scheduler_compare_urgency(&held->quota_reserved_for, &job) < 0)
-    used = mm_resources_add(used, held->reserved_quota);
+  if (shard->quota_reserved_for != NULL && shard->quota_reserved_for != job
+      && mm_scheduler_compare_urgency(&shard->quota_reserved_for, &job) < 0)
+    used = mm_resources_add(used, shard->reserved_quota);
   return within_quota(limit.cores, used.cores, tasks * job->spec.task_resources.cores)
          && within_quota(limit.accelerators, used.accelerators,
                          tasks * job->spec.task_resources.accelerators);
 }
 
 guint
-mm_scheduler_count_colocated_tasks(const MmScheduler *owner, const MmJob *job,
+mm_scheduler_count_colocated_tasks(const MmScheduler *scheduler, const MmJob *job,
                                    const MmMachine *machine) {
   guint n_tasks = 0;
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *other = mm_job_table_find(owner->node->job_table, reported->job.s);
+    const MmJob *other = mm_job_table_find(scheduler->node->job_table, reported->job.s);
     n_tasks += reported->state != MM_REPORTED_ENDED && other != NULL
                && other->effective_priority >= job->effective_priority;
   }
@@ -192,27 +195,27 @@
 
 /* The outlook, not older than a moment; of a job that could not be looked at in time, as it was. */
 static const MmPlacementEstimate *
-estimate_placement(MmScheduler *owner, MmJob *job) {
-  MmNode *node = owner->node;
+estimate_placement(MmScheduler *scheduler, MmJob *job) {
+  MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
   MmPlacementEstimate *estimate = &job->placement_estimate;
 
   if (estimate->estimated_at.us != 0
       && mm_time_ms_since(now, estimate->estimated_at) < ESTIMATE_FRESH_MS)
     return estimate;
-  if (owner->machine_scans_left == 0)
+  if (scheduler->machine_scans_left == 0)
     return estimate->estimated_at.us != 0
                    && mm_time_ms_since(now, estimate->estimated_at) < ESTIMATE_AGE_MAX_MS
                ? estimate
                : NULL;
-  owner->machine_scans_left--;
+  scheduler->machine_scans_left--;
   *estimate = (MmPlacementEstimate){ .estimated_at = now,
                                      .soonest_delay_s = -1,
                                      .next_soonest_delay_s = -1,
                                      .fewest_colocated_tasks = G_MAXUINT };
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
-    double delay_s = mm_scheduler_start_delay_s(owner, job, machine);
+    double delay_s = mm_scheduler_start_delay_s(scheduler, job, machine);
 
     if (delay_s < 0)
       continue;
@@ -228,7 +231,7 @@
                           + node->settings->heartbeat_interval_s)
       estimate->fewest_colocated_tasks
           = MIN(estimate->fewest_colocated_tasks,
-                mm_scheduler_count_colocated_tasks(owner, job, machine));
+                mm_scheduler_count_colocated_tasks(scheduler, job, machine));
   }
   return estimate;
 }
@@ -239,8 +242,9 @@
  * for the next ones, leaves beside it work that can be stopped for them, and bounds what a
  * machine's end takes. */
 static gboolean
-starts_sooner_elsewhere(MmScheduler *owner, MmJob *job, const MmTask *task, const MmMachine *here) {
-  MmNode *node = owner->node;
+starts_sooner_elsewhere(MmScheduler *scheduler, MmJob *job, const MmTask *task,
+                        const MmMachine *here) {
+  MmNode *node = scheduler->node;
   double period_s = node->settings->heartbeat_interval_s;
   double fetch_s = mm_scheduler_image_fetch_s(job, here);
   double waited_s = (double)mm_time_ms_since(mm_node_now(node), task->state_since) / 1000.0;
@@ -255,7 +259,7 @@
   if (mm_time_before(mm_node_now(node), task->preempting_until)
       && mm_name_equal(&task->preempting_on, &here->id))
     return FALSE;
-  estimate = estimate_placement(owner, job);
+  estimate = estimate_placement(scheduler, job);
   if (estimate == NULL)
     return FALSE;
   elsewhere_s = mm_name_equal(&estimate->soonest_machine, &here->id)
@@ -264,7 +268,7 @@
   if ((elsewhere_s < 0 || elsewhere_s >= fetch_s)
       && !(spread_out
            && estimate->fewest_colocated_tasks
-                  < mm_scheduler_count_colocated_tasks(owner, job, here)))
+                  < mm_scheduler_count_colocated_tasks(scheduler, job, here)))
     return FALSE;
   mm_debug("%s waits %.1f s: another would run it in %.1f s, %s in %.1f s", job->spec.id.s,
            waited_s, elsewhere_s, here->id.s, fetch_s);
@@ -274,8 +278,9 @@
 /* A machine with accelerators is given up only to a task that has waited a little and that nothing
  * else could run, be it by stopping something. */
 static gboolean
-reserve_allows(MmScheduler *owner, MmJob *job, const MmTask *task, const MmStartRequest *request) {
-  MmNode *node = owner->node;
+reserve_allows(MmScheduler *scheduler, MmJob *job, const MmTask *task,
+               const MmStartRequest *request) {
+  MmNode *node = scheduler->node;
   MmReserveVerdict verdict
       = mm_placement_check_reserve(node->placement, job, request->machine, request->free_resources);
   const MmPlacementEstimate *estimate;
@@ -286,69 +291,71 @@
       || mm_time_ms_since(mm_node_now(node), task->state_since) < RELEASE_MACHINE_AFTER_MS
       || !mm_placement_may_release_machine(node->placement, request->machine))
     return FALSE;
-  estimate = estimate_placement(owner, job);
+  estimate = estimate_placement(scheduler, job);
   return estimate != NULL && estimate->soonest_delay_s < 0;
 }
 
 /* What holds for all tasks of the job alike. */
 static gboolean
-job_may_start(MmScheduler *owner, const MmJob *job, const MmStartRequest *request) {
+job_may_start(MmScheduler *scheduler, const MmJob *job, const MmStartRequest *request) {
   return mm_resources_fits(job->spec.task_resources, request->free_resources)
-         && !mm_scheduler_must_yield_to_gang(owner, job)
+         && !mm_scheduler_must_yield_to_gang(scheduler, job)
          && mm_scheduler_constraints_allow(job, request->machine)
-         && mm_scheduler_quota_allows(owner, job->led_shard, job, 1);
+         && mm_scheduler_quota_allows(scheduler, job->led_shard, job, 1);
 }
 
 static gboolean
-task_may_start(MmScheduler *owner, MmJob *job, guint number, const MmStartRequest *request) {
+task_may_start(MmScheduler *scheduler, MmJob *job, guint number, const MmStartRequest *request) {
   const MmTask *task = &job->tasks[number];
-  MmTime now = mm_node_now(owner->node);
+  MmTime now = mm_node_now(scheduler->node);
 
   return task->state == MM_TASK_PENDING && !mm_time_before(now, task->retry_not_before)
          && !(mm_name_equal(&task->last_failed_on, &request->machine->id)
               && mm_time_ms_since(now, task->state_since) < AVOID_FAILED_MACHINE_MS)
-         && reserve_allows(owner, job, task, request)
-         && !(mm_scheduler_has_precedence(owner, job)
-              && starts_sooner_elsewhere(owner, job, task, request->machine));
+         && reserve_allows(scheduler, job, task, request)
+         && !(mm_scheduler_has_precedence(scheduler, job)
+              && starts_sooner_elsewhere(scheduler, job, task, request->machine));
 }
 
 static void
-approve_task(MmScheduler *owner, MmLedShard *held, MmJob *job, guint number,
+approve_task(MmScheduler *scheduler, MmLedShard *shard, MmJob *job, guint number,
              const MmStartRequest *request, MmApproval *approval) {
-  MmAttempt attempt = mm_scheduler_next_attempt(owner, held);
+  MmAttempt attempt = mm_scheduler_next_attempt(scheduler, shard);
 
-  mm_scheduler_place_task(owner, job, number, request->machine, MM_TASK_START_SENT, attempt);
+  mm_scheduler_place_task(scheduler, job, number, request->machine, MM_TASK_START_SENT, attempt);
   job->tasks[number].start_heartbeat_id = request->heartbeat_id;
-  *approval = (MmApproval){ job->spec.id, number, attempt, mm_name(held->name), held->term, FALSE };
+  *approval
+      = (MmApproval){ job->spec.id, number, attempt, mm_name(shard->name), shard->term, FALSE };
   mm_debug("%s/%u may start on %s (%s%s) after %.1f s", job->spec.id.s, number,
            request->machine->id.s, request->machine->type_name.s,
            mm_machine_has_cached_image(request->machine, &job->spec.image) ? ", cached" : "",
-           mm_job_waiting_time_s(owner->node, job));
+           mm_job_waiting_time_s(scheduler->node, job));
 }
 
 static gboolean
-try_task(MmScheduler *owner, MmJob *job, guint number, const MmStartRequest *request,
-         MmApproval *approval) {
-  if (job == NULL || !mm_scheduler_job_is_schedulable(owner, job) || number >= job->spec.n_tasks
-      || mm_job_is_gang(job) || !job_may_start(owner, job, request)
-      || !task_may_start(owner, job, number, request))
+try_start_task(MmScheduler *scheduler, MmJob *job, guint number, const MmStartRequest *request,
+               MmApproval *approval) {
+  if (job == NULL || !mm_scheduler_job_is_schedulable(scheduler, job) || number >= job->spec.n_tasks
+      || mm_job_is_gang(job) || !job_may_start(scheduler, job, request)
+      || !task_may_start(scheduler, job, number, request))
     return FALSE;
-  approve_task(owner, job->led_shard, job, number, request, approval);
+  approve_task(scheduler, job->led_shard, job, number, request, approval);
   return TRUE;
 }
 
 /* The job's lowest unassigned task, if it may start there. */
 static gboolean
-try_job(MmScheduler *owner, MmJob *job, const MmStartRequest *request, MmApproval *approval) {
+try_start_any_task(MmScheduler *scheduler, MmJob *job, const MmStartRequest *request,
+                   MmApproval *approval) {
   guint tries = 8;
 
-  if (!job_may_start(owner, job, request))
+  if (!job_may_start(scheduler, job, request))
     return FALSE;
   for (guint i = job->first_pending; i < job->spec.n_tasks && tries > 0; i++) {
     if (job->tasks[i].state != MM_TASK_PENDING)
       continue;
-    if (task_may_start(owner, job, i, request)) {
-      approve_task(owner, job->led_shard, job, i, request, approval);
+    if (task_may_start(scheduler, job, i, request)) {
+      approve_task(scheduler, job->led_shard, job, i, request, approval);
       return TRUE;
     }
     tries--;
@@ -358,11 +365,12 @@
 
 /* Work that goes first to any fitting machine, most pressing first. */
 static gboolean
-try_precedence_jobs(MmScheduler *owner, const MmStartRequest *request, GPtrArray *jobs,
+try_precedence_jobs(MmScheduler *scheduler, const MmStartRequest *request, GPtrArray *jobs,
                     MmApproval *approval) {
   for (guint i = 0; i < jobs->len; i++) {
     MmJob *job = g_ptr_array_index(jobs, i);
-    if (mm_scheduler_has_precedence(owner, job) && try_job(owner, job, request, approval))
+    if (mm_scheduler_has_precedence(scheduler, job)
+        && try_start_any_task(scheduler, job, request, approval))
       return TRUE;
   }
   return FALSE;
@@ -381,19 +389,20 @@
 
 /* The kept-list answers the machine's next request first. */
 static gboolean
-try_kept_task(MmScheduler *owner, const MmStartRequest *request, MmMachine *list_machine,
+try_kept_task(MmScheduler *scheduler, const MmStartRequest *request, MmMachine *list_machine,
               guint position, MmApproval *approval) {
   MmTaskRef task = g_array_index(list_machine->kept_list, MmTaskRef, position);
 
   g_array_remove_index(list_machine->kept_list, position);
-  return try_task(owner, mm_job_table_find(owner->node->job_table, task.job.s), task.number,
-                  request, approval);
+  return try_start_task(scheduler, mm_job_table_find(scheduler->node->job_table, task.job.s),
+                        task.number, request, approval);
 }
 
 /* A random task from the longest kept-list; without any, the oldest unassigned task that fits. */
 static gboolean
-try_pull(MmScheduler *owner, const MmStartRequest *request, GPtrArray *jobs, MmApproval *approval) {
-  MmMachineTable *machine_table = owner->node->machine_table;
+try_pull(MmScheduler *scheduler, const MmStartRequest *request, GPtrArray *jobs,
+         MmApproval *approval) {
+  MmMachineTable *machine_table = scheduler->node->machine_table;
   MmMachine *longest = NULL;
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
@@ -403,68 +412,69 @@
   }
   if (longest != NULL
       && try_kept_task(
-          owner, request, longest,
-          (guint)g_rand_int_range(owner->node->rand, 0, (gint32)longest->kept_list->len), approval))
+          scheduler, request, longest,
+          (guint)g_rand_int_range(scheduler->node->rand, 0, (gint32)longest->kept_list->len),
+          approval))
     return TRUE;
   for (guint i = 0; i < jobs->len; i++)
-    if (try_job(owner, g_ptr_array_index(jobs, i), request, approval))
+    if (try_start_any_task(scheduler, g_ptr_array_index(jobs, i), request, approval))
       return TRUE;
   return FALSE;
 }
 
 /* In an order as old as the last slow tick at most. */
 const GPtrArray *
-mm_scheduler_jobs_by_urgency(MmScheduler *owner) {
-  MmJobTable *job_table = owner->node->job_table;
+mm_scheduler_jobs_by_urgency(MmScheduler *scheduler) {
+  MmJobTable *job_table = scheduler->node->job_table;
 
-  if (!owner->is_urgency_order_stale)
-    return owner->jobs_by_urgency;
-  owner->is_urgency_order_stale = FALSE;
-  g_ptr_array_set_size(owner->jobs_by_urgency, 0);
+  if (!scheduler->is_urgency_order_stale)
+    return scheduler->jobs_by_urgency;
+  scheduler->is_urgency_order_stale = FALSE;
+  g_ptr_array_set_size(scheduler->jobs_by_urgency, 0);
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     if (job->tasks != NULL && !mm_job_is_gang(job) && !job->is_cancelled)
-      g_ptr_array_add(owner->jobs_by_urgency, job);
+      g_ptr_array_add(scheduler->jobs_by_urgency, job);
   }
-  g_ptr_array_sort(owner->jobs_by_urgency, mm_scheduler_compare_urgency);
-  return owner->jobs_by_urgency;
+  g_ptr_array_sort(scheduler->jobs_by_urgency, mm_scheduler_compare_urgency);
+  return scheduler->jobs_by_urgency;
 }
 
 gboolean
-mm_scheduler_approve_start(MmScheduler *owner, MmStartRequest *request, MmApproval *approval) {
-  MmJobTable *job_table = owner->node->job_table;
+mm_scheduler_approve_start(MmScheduler *scheduler, MmStartRequest *request, MmApproval *approval) {
+  MmJobTable *job_table = scheduler->node->job_table;
   g_autoptr(GPtrArray) jobs = NULL;
   const GPtrArray *by_urgency;
 
-  if (!mm_node_lease_is_valid(owner->node->node_lease)
-      || !mm_machine_is_usable(owner->node->machine_table, request->machine)
+  if (!mm_node_lease_is_valid(scheduler->node->node_lease)
+      || !mm_machine_is_usable(scheduler->node->machine_table, request->machine)
       || mm_heartbeat_id_is_newer(request->machine->latest_message_id, request->heartbeat_id)
-      || mm_time_before(mm_node_now(owner->node), request->machine->full_until))
+      || mm_time_before(mm_node_now(scheduler->node), request->machine->full_until))
     return FALSE;
-  if (mm_scheduler_approve_reserved_start(owner, request, approval))
+  if (mm_scheduler_approve_reserved_start(scheduler, request, approval))
     return TRUE;
   request->free_resources = mm_resources_least(
       request->free_resources,
-      mm_machine_available_resources(owner->node->machine_table, request->machine));
-  by_urgency = mm_scheduler_jobs_by_urgency(owner);
+      mm_machine_available_resources(scheduler->node->machine_table, request->machine));
+  by_urgency = mm_scheduler_jobs_by_urgency(scheduler);
   jobs = g_ptr_array_sized_new(by_urgency->len);
   for (guint i = 0; i < by_urgency->len; i++) {
     MmJob *job = g_ptr_array_index(by_urgency, i);
     if (job->n_pending > 0 && mm_resources_fits(job->spec.task_resources, request->free_resources)
-        && mm_scheduler_job_is_schedulable(owner, job)
-        && mm_scheduler_quota_allows(owner, job->led_shard, job, 1))
+        && mm_scheduler_job_is_schedulable(scheduler, job)
+        && mm_scheduler_quota_allows(scheduler, job->led_shard, job, 1))
       g_ptr_array_add(jobs, job);
   }
   if (jobs->len == 0)
     return FALSE;
-  if (try_precedence_jobs(owner, request, jobs, approval))
+  if (try_precedence_jobs(scheduler, request, jobs, approval))
     return TRUE;
   while (request->machine->kept_list->len > 0)
-    if (try_kept_task(owner, request, request->machine, 0, approval))
+    if (try_kept_task(scheduler, request, request->machine, 0, approval))
       return TRUE;
   for (guint i = 0; i < request->n_tasks; i++) {
-    if (!try_task(owner, mm_job_table_find(job_table, request->tasks[i].job.s),
-                  request->tasks[i].number, request, approval))
+    if (!try_start_task(scheduler, mm_job_table_find(job_table, request->tasks[i].job.s),
+                        request->tasks[i].number, request, approval))
       continue;
     for (guint k = i + 1; k < request->n_tasks; k++) {
       const MmJob *job = mm_job_table_find(job_table, request->tasks[k].job.s);
@@ -474,12 +484,13 @@
     }
     return TRUE;
   }
-  return request->is_pull && try_pull(owner, request, jobs, approval);
+  return request->is_pull && try_pull(scheduler, request, jobs, approval);
 }
 
 void
-mm_scheduler_peer_start_request(MmScheduler *owner, guint peer, const Mm__StartRequest *message) {
-  MmMachine *machine = mm_machine_table_find(owner->node->machine_table, message->machine);
+mm_scheduler_peer_start_request(MmScheduler *scheduler, guint peer,
+                                const Mm__StartRequest *message) {
+  MmMachine *machine = mm_machine_table_find(scheduler->node->machine_table, message->machine);
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__StartResponse answer = MM__START_RESPONSE__INIT;
   Mm__Approval approval_message = MM__APPROVAL__INIT;
@@ -495,7 +506,7 @@
     request.tasks[request.n_tasks++]
         = (MmTaskRef){ mm_name(message->candidates[i]->job), message->candidates[i]->number };
   answer.id = message->id;
-  if (machine != NULL && mm_scheduler_approve_start(owner, &request, &approval)) {
+  if (machine != NULL && mm_scheduler_approve_start(scheduler, &request, &approval)) {
     approval_message.job = approval.job.s;
     approval_message.number = approval.number;
     approval_message.attempt = approval.attempt.v;
@@ -503,8 +514,8 @@
     approval_message.term = approval.term.v;
     answer.approval = &approval_message;
   }
-  answer.unfinished = mm_scheduler_count_pending_tasks(owner);
+  answer.unfinished = mm_scheduler_count_pending_tasks(scheduler);
   frame.body_case = MM__FRAME__BODY_START_RESPONSE;
   frame.start_response = &answer;
-  mm_peer_links_send(owner->node->peer_links, peer, &frame);
+  mm_peer_links_send(scheduler->node->peer_links, peer, &frame);
 }
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -2,7 +2,6 @@
  * the machines report. A gang that is not complete in time is stopped and planned anew. */
 #include "scheduler/scheduler.h"
 
-
 /* Several report periods: within them every machine asks for work. */
 #define RESERVATION_PERIODS 3
 #define UNUSED_RESERVATION_PAUSE_MS 10000
@@ -13,16 +12,16 @@
 } Place;
 
 static void
-release_gang(MmScheduler *owner, MmJob *job) {
+release_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++) {
     MmTask *task = &job->tasks[i];
     if (task->state == MM_TASK_PLACE_RESERVED) {
       /* It did not ask in time, whatever the reason: not the same place again at once. */
       task->machine->full_until
-          = mm_time_add_ms(mm_node_now(owner->node), UNUSED_RESERVATION_PAUSE_MS);
-      mm_scheduler_unplace_task(owner, job, i);
+          = mm_time_add_ms(mm_node_now(scheduler->node), UNUSED_RESERVATION_PAUSE_MS);
+      mm_scheduler_unplace_task(scheduler, job, i);
     } else if (task->machine != NULL && !task->is_stopping) {
-      mm_scheduler_stop_task(owner, job, i);
+      mm_scheduler_stop_task(scheduler, job, i);
     }
   }
 }
@@ -31,18 +30,18 @@
  * so. A member can't run alone, so the whole gang is started again: results are kept, and a member
  * whose result is there ends as done at once. Its being done is not assumed. */
 static void
-restart_gang(MmScheduler *owner, MmJob *job) {
+restart_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++)
     if (job->tasks[i].state == MM_TASK_DONE)
-      mm_scheduler_unplace_task(owner, job, i);
+      mm_scheduler_unplace_task(scheduler, job, i);
 }
 
 static GArray *
-free_places(MmScheduler *owner, const MmJob *job, const MmName *zone) {
-  MmMachineTable *machine_table = owner->node->machine_table;
+free_places(MmScheduler *scheduler, const MmJob *job, const MmName *zone) {
+  MmMachineTable *machine_table = scheduler->node->machine_table;
   GArray *places = g_array_new(FALSE, FALSE, sizeof(Place));
-  MmTime now = mm_node_now(owner->node);
-  gint64 recent_ms = (gint64)(owner->node->settings->heartbeat_interval_s * 2500);
+  MmTime now = mm_node_now(scheduler->node);
+  gint64 recent_ms = (gint64)(scheduler->node->settings->heartbeat_interval_s * 2500);
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     Place place = { g_ptr_array_index(machine_table->sorted_machines, i), { 0 } };
@@ -61,8 +60,8 @@
 
 /* Reserves places for the whole gang; FALSE, with nothing reserved, when they do not suffice. */
 static gboolean
-reserve_gang(MmScheduler *owner, MmLedShard *held, MmJob *job, const MmName *zone) {
-  g_autoptr(GArray) places = free_places(owner, job, zone);
+reserve_gang(MmScheduler *scheduler, MmLedShard *shard, MmJob *job, const MmName *zone) {
+  g_autoptr(GArray) places = free_places(scheduler, job, zone);
   g_autoptr(GPtrArray) chosen = g_ptr_array_new();
   MmAttempt attempt;
 
@@ -89,37 +88,37 @@
   }
   if (chosen->len < job->spec.n_tasks)
     return FALSE;
-  attempt = mm_scheduler_next_attempt(owner, held);
+  attempt = mm_scheduler_next_attempt(scheduler, shard);
   for (guint i = 0; i < job->spec.n_tasks; i++)
-    mm_scheduler_place_task(owner, job, i, g_ptr_array_index(chosen, i), MM_TASK_PLACE_RESERVED,
+    mm_scheduler_place_task(scheduler, job, i, g_ptr_array_index(chosen, i), MM_TASK_PLACE_RESERVED,
                             attempt);
   return TRUE;
 }
 
 static void
-plan_gang(MmScheduler *owner, MmLedShard *held, MmJob *job) {
-  MmNode *node = owner->node;
+plan_gang(MmScheduler *scheduler, MmLedShard *shard, MmJob *job) {
+  MmNode *node = scheduler->node;
 
-  if (mm_scheduler_must_yield_to_gang(owner, job)
-      || !mm_scheduler_quota_allows(owner, held, job, job->spec.n_tasks))
+  if (mm_scheduler_must_yield_to_gang(scheduler, job)
+      || !mm_scheduler_quota_allows(scheduler, shard, job, job->spec.n_tasks))
     return;
   if (!job->spec.requires_one_zone) {
     /* Only where nothing else takes the places as they get free, one after another: machines with
      * accelerators are lent no more while such a gang waits. */
-    if (!reserve_gang(owner, held, job, NULL) && job->spec.task_resources.accelerators > 0)
-      mm_scheduler_preempt_for_gang(owner, job, job->spec.n_tasks);
+    if (!reserve_gang(scheduler, shard, job, NULL) && job->spec.task_resources.accelerators > 0)
+      mm_scheduler_preempt_for_gang(scheduler, job, job->spec.n_tasks);
     return;
   }
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
-    if (machine->type != NULL && reserve_gang(owner, held, job, &machine->zone))
+    if (machine->type != NULL && reserve_gang(scheduler, shard, job, &machine->zone))
       return;
   }
 }
 
 void
-mm_scheduler_plan_gangs(MmScheduler *owner) {
-  MmNode *node = owner->node;
+mm_scheduler_plan_gangs(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
   g_autoptr(GPtrArray) jobs = g_ptr_array_new();
   gint64 reservation_ms
@@ -127,13 +126,14 @@
 
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
-    if (job->tasks != NULL && mm_job_is_gang(job) && mm_scheduler_job_is_schedulable(owner, job))
+    if (job->tasks != NULL && mm_job_is_gang(job)
+        && mm_scheduler_job_is_schedulable(scheduler, job))
       g_ptr_array_add(jobs, job);
   }
   g_ptr_array_sort(jobs, mm_scheduler_compare_urgency);
   for (guint i = 0; i < jobs->len; i++) {
     MmJob *job = g_ptr_array_index(jobs, i);
-    MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
+    MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
     guint n_started = 0;
     gboolean is_reservation_expired = FALSE, is_paused = FALSE;
 
@@ -147,35 +147,35 @@
     }
     /* Some members are gone while others live, or a place did not ask in time: all or none. */
     if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
-      release_gang(owner, job);
+      release_gang(scheduler, job);
     else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
-      restart_gang(owner, job);
+      restart_gang(scheduler, job);
     else if (!is_paused && job->n_pending == job->spec.n_tasks)
-      plan_gang(owner, held, job);
+      plan_gang(scheduler, shard, job);
   }
 }
 
 gboolean
-mm_scheduler_approve_reserved_start(MmScheduler *owner, const MmStartRequest *request,
+mm_scheduler_approve_reserved_start(MmScheduler *scheduler, const MmStartRequest *request,
                                     MmApproval *approval) {
   for (guint i = 0; i < request->machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(request->machine->placed_tasks, i);
     MmTask *task = &placed->job->tasks[placed->number];
-    MmLedShard *held = mm_scheduler_shard_of_job(owner, placed->job);
+    MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, placed->job);
     MmResources need = placed->job->spec.task_resources;
     /* Own requests have its room taken off already. Compared without it, no gang ever began that
      * had a place on a machine which reports to its owner. */
     MmResources free_resources = request->is_local ? mm_resources_add(request->free_resources, need)
                                                    : request->free_resources;
 
-    if (task->state != MM_TASK_PLACE_RESERVED || held == NULL || placed->job->is_cancelled
+    if (task->state != MM_TASK_PLACE_RESERVED || shard == NULL || placed->job->is_cancelled
         || !mm_resources_fits(need, free_resources))
       continue;
-    mm_scheduler_place_task(owner, placed->job, placed->number, request->machine,
+    mm_scheduler_place_task(scheduler, placed->job, placed->number, request->machine,
                             MM_TASK_START_SENT, task->attempt);
     task->start_heartbeat_id = request->heartbeat_id;
     *approval = (MmApproval){ placed->job->spec.id, placed->number, task->attempt,
-                              mm_name(held->name),  held->term,     TRUE };
+                              mm_name(shard->name), shard->term,    TRUE };
     return TRUE;
   }
   return FALSE;
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -8,24 +8,25 @@
 
 /* Old days weigh less and less: guesses may be too high on one day and too low on the next. */
 static void
-learn_run_time(MmScheduler *owner, const MmJob *job, double ran_s) {
+learn_estimate_error(MmScheduler *scheduler, const MmJob *job, double ran_s) {
   MmEstimateError *estimate_error
-      = g_hash_table_lookup(owner->estimate_errors, job->spec.job_class.s);
+      = g_hash_table_lookup(scheduler->estimate_errors, job->spec.job_class.s);
 
   if (job->spec.run_estimate_s <= 0)
     return;
   if (estimate_error == NULL) {
     estimate_error = g_new0(MmEstimateError, 1);
-    g_hash_table_insert(owner->estimate_errors, g_strdup(job->spec.job_class.s), estimate_error);
+    g_hash_table_insert(scheduler->estimate_errors, g_strdup(job->spec.job_class.s),
+                        estimate_error);
   }
   estimate_error->actual_s = estimate_error->actual_s * 0.98 + ran_s;
   estimate_error->estimated_s = estimate_error->estimated_s * 0.98 + job->spec.run_estimate_s;
 }
 
 static void
-task_done(MmScheduler *owner, MmJob *job, guint number) {
+task_done(MmScheduler *scheduler, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
-  MmTime now = mm_node_now(owner->node);
+  MmTime now = mm_node_now(scheduler->node);
 
   if (task->state == MM_TASK_DONE || job->spec.kind == MM_JOB_KIND_SERVICE)
     return;
@@ -33,11 +34,11 @@
     double ran_s = (double)mm_time_ms_since(now, task->state_since) / 1000.0;
     job->observed_run_s_sum += ran_s;
     job->n_observed_runs++;
-    learn_run_time(owner, job, ran_s);
+    learn_estimate_error(scheduler, job, ran_s);
   }
   if (task->machine != NULL)
-    mm_scheduler_unplace_task(owner, job, number);
-  mm_scheduler_set_task_state(owner, job, number, MM_TASK_DONE);
+    mm_scheduler_unplace_task(scheduler, job, number);
+  mm_scheduler_set_task_state(scheduler, job, number, MM_TASK_DONE);
   mm_completed_tasks_add(&job->completed, number);
   job->n_consecutive_errors = 0;
   if (job->unwritten_since.us == 0)
@@ -46,11 +47,11 @@
 
 /* What each cause of ending asks for. The task has left the machine in every case. */
 static void
-task_ended(MmScheduler *owner, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
+task_ended(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
   MmTask *task = &job->tasks[number];
-  MmTime now = mm_node_now(owner->node);
+  MmTime now = mm_node_now(scheduler->node);
 
-  mm_scheduler_unplace_task(owner, job, number);
+  mm_scheduler_unplace_task(scheduler, job, number);
   switch (cause) {
   case MM_CAUSE_ERROR:
     task->n_errors = MIN(task->n_errors + 1, 10);
@@ -64,7 +65,7 @@
   case MM_CAUSE_NO_RESOURCES:
     /* Our idea of its room was wrong; the next report but one shows better. */
     machine->full_until
-        = mm_time_add_ms(now, (gint64)(owner->node->settings->heartbeat_interval_s * 1000));
+        = mm_time_add_ms(now, (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000));
     break;
   case MM_CAUSE_NO_SUCH_TASK:
     /* The user has not uploaded it yet, or never does. */
@@ -87,16 +88,16 @@
 }
 
 static void
-apply_reported_task(MmScheduler *owner, MmMachine *machine, MmJob *job,
+apply_reported_task(MmScheduler *scheduler, MmMachine *machine, MmJob *job,
                     const MmReportedTask *reported) {
   MmTask *task = &job->tasks[reported->number];
   gboolean is_same_attempt = task->machine == machine && task->attempt.v == reported->attempt.v;
 
   if (reported->state == MM_REPORTED_ENDED) {
     if (reported->cause == MM_CAUSE_DONE && (is_same_attempt || !mm_task_is_live(task->state)))
-      task_done(owner, job, reported->number);
+      task_done(scheduler, job, reported->number);
     else if (is_same_attempt && mm_task_is_live(task->state))
-      task_ended(owner, job, reported->number, machine, reported->cause);
+      task_ended(scheduler, job, reported->number, machine, reported->cause);
     return;
   }
   if (is_same_attempt || !mm_task_is_live(task->state) || task->state == MM_TASK_PLACE_RESERVED
@@ -105,7 +106,7 @@
       return; /* to be stopped, see commands_for */
     if (is_same_attempt && task->state == MM_TASK_START_SENT)
       machine->consecutive_refused_starts = 0;
-    mm_scheduler_place_task(owner, job, reported->number, machine,
+    mm_scheduler_place_task(scheduler, job, reported->number, machine,
                             state_of_reported(reported->state), reported->attempt);
     return;
   }
@@ -114,7 +115,7 @@
   if (reported->attempt.v > task->attempt.v) {
     mm_info("task %s/%u is on %s: what %s showed is over", job->spec.id.s, reported->number,
             machine->id.s, task->machine->id.s);
-    mm_scheduler_place_task(owner, job, reported->number, machine,
+    mm_scheduler_place_task(scheduler, job, reported->number, machine,
                             state_of_reported(reported->state), reported->attempt);
     return;
   }
@@ -123,28 +124,29 @@
 }
 
 void
-mm_scheduler_apply_reported_tasks(MmScheduler *owner, MmMachine *machine, const char *only_shard) {
-  gboolean unsettled = FALSE;
+mm_scheduler_apply_reported_tasks(MmScheduler *scheduler, MmMachine *machine,
+                                  const char *only_shard) {
+  gboolean needs_review = FALSE;
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
-    unsettled = unsettled || job == NULL || reported->state == MM_REPORTED_ENDED;
+    MmJob *job = mm_job_table_find(scheduler->node->job_table, reported->job.s);
+    needs_review = needs_review || job == NULL || reported->state == MM_REPORTED_ENDED;
     if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
       continue;
     if (only_shard == NULL || strcmp(only_shard, job->shard) == 0)
-      apply_reported_task(owner, machine, job, reported);
-    unsettled = unsettled || job->tasks[reported->number].machine != machine;
+      apply_reported_task(scheduler, machine, job, reported);
+    needs_review = needs_review || job->tasks[reported->number].machine != machine;
   }
   /* A record may come after the report that shows its tasks, and a result may be taken only once
    * another attempt has left its machine: the same report must then be looked at again. */
-  machine->needs_task_review = unsettled;
+  machine->needs_task_review = needs_review;
 }
 
 /* Tasks placed on the machine that this report does not show have left it; a start is denied only
  * by a report that was sent after the one whose answer carried it. */
 static void
-unplace_missing_tasks(MmScheduler *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
+unplace_missing_tasks(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   for (guint i = machine->placed_tasks->len; i > 0; i--) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i - 1);
     MmJob *job = placed->job;
@@ -163,21 +165,21 @@
         continue;
       mm_debug("start of %s/%u on %s was not carried out", job->spec.id.s, number, machine->id.s);
       if (heartbeat->heartbeat_id.incarnation == task->start_heartbeat_id.incarnation)
-        mm_machine_health_record_refused_start(owner->node->machine_table, machine);
+        mm_machine_health_record_refused_start(scheduler->node->machine_table, machine);
     }
-    mm_scheduler_unplace_task(owner, job, number);
+    mm_scheduler_unplace_task(scheduler, job, number);
   }
 }
 
 /* Stops and clears that follow from the report. */
 static void
-queue_commands(MmScheduler *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
+queue_commands(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
-  MmTime now = mm_node_now(owner->node);
+  MmTime now = mm_node_now(scheduler->node);
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
+    MmJob *job = mm_job_table_find(scheduler->node->job_table, reported->job.s);
     MmCommand command = { MM_OP_FORGET, reported->job, reported->number, reported->attempt, 0 };
     MmTask *task;
 
@@ -214,7 +216,7 @@
       mm_machine_queue_command(machine, machine->latest_message_id.incarnation,
                                &g_array_index(commands, MmCommand, i));
   else if (machine->serving_node >= 0)
-    mm_peer_links_send_commands(owner->node->peer_links, (guint)machine->serving_node, machine,
+    mm_peer_links_send_commands(scheduler->node->peer_links, (guint)machine->serving_node, machine,
                                 commands);
 }
 
@@ -222,55 +224,55 @@
  * register when the part was taken: the old session's tasks are gone, and starts for the new one
  * need an entry that only who has seen the part's term can believe. */
 static gboolean
-has_acknowledged_term(const MmLedShard *held, const MmMachine *machine) {
+has_acknowledged_term(const MmLedShard *shard, const MmMachine *machine) {
   gpointer registered_incarnation;
 
-  return machine->acknowledged_term.v >= held->term.v
-         || (g_hash_table_lookup_extended(held->unacknowledged_machines, machine->id.s, NULL,
+  return machine->acknowledged_term.v >= shard->term.v
+         || (g_hash_table_lookup_extended(shard->unacknowledged_machines, machine->id.s, NULL,
                                           &registered_incarnation)
              && machine->latest_message_id.incarnation > GPOINTER_TO_SIZE(registered_incarnation));
 }
 
 void
-mm_scheduler_heartbeat_received(MmScheduler *owner, MmMachine *machine,
-                                const MmHeartbeat *heartbeat, gboolean changed) {
+mm_scheduler_heartbeat_received(MmScheduler *scheduler, MmMachine *machine,
+                                const MmHeartbeat *heartbeat, gboolean tasks_changed) {
   GHashTableIter iter;
   gpointer value;
 
-  if (g_hash_table_size(owner->led_shards) == 0)
+  if (g_hash_table_size(scheduler->led_shards) == 0)
     return;
-  if (changed || machine->needs_task_review)
-    mm_scheduler_apply_reported_tasks(owner, machine, NULL);
-  unplace_missing_tasks(owner, machine, heartbeat);
-  g_hash_table_iter_init(&iter, owner->led_shards);
+  if (tasks_changed || machine->needs_task_review)
+    mm_scheduler_apply_reported_tasks(scheduler, machine, NULL);
+  unplace_missing_tasks(scheduler, machine, heartbeat);
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmLedShard *held = value;
-    if (!held->is_ready && has_acknowledged_term(held, machine)
-        && g_hash_table_remove(held->unacknowledged_machines, machine->id.s)) {
-      held->unacknowledged_changed = TRUE;
-      mm_scheduler_check_shard_ready(owner, held);
+    MmLedShard *shard = value;
+    if (!shard->is_ready && has_acknowledged_term(shard, machine)
+        && g_hash_table_remove(shard->unacknowledged_machines, machine->id.s)) {
+      shard->unacknowledged_changed = TRUE;
+      mm_scheduler_check_shard_ready(scheduler, shard);
     }
   }
-  queue_commands(owner, machine, heartbeat);
+  queue_commands(scheduler, machine, heartbeat);
 }
 
 /* Lost or returned: nothing is on it any more and no start can reach it. */
 void
-mm_scheduler_machine_gone(MmScheduler *owner, MmMachine *machine) {
+mm_scheduler_machine_gone(MmScheduler *scheduler, MmMachine *machine) {
   GHashTableIter iter;
   gpointer value;
 
   while (machine->placed_tasks->len > 0) {
     const MmPlacedTask *placed
         = g_ptr_array_index(machine->placed_tasks, machine->placed_tasks->len - 1);
-    mm_scheduler_unplace_task(owner, placed->job, placed->number);
+    mm_scheduler_unplace_task(scheduler, placed->job, placed->number);
   }
-  g_hash_table_iter_init(&iter, owner->led_shards);
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmLedShard *held = value;
-    if (g_hash_table_remove(held->unacknowledged_machines, machine->id.s)) {
-      held->unacknowledged_changed = TRUE;
-      mm_scheduler_check_shard_ready(owner, held);
+    MmLedShard *shard = value;
+    if (g_hash_table_remove(shard->unacknowledged_machines, machine->id.s)) {
+      shard->unacknowledged_changed = TRUE;
+      mm_scheduler_check_shard_ready(scheduler, shard);
     }
   }
 }
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -15,7 +15,7 @@
 } WrittenJob;
 
 typedef struct {
-  MmScheduler *owner;
+  MmScheduler *scheduler;
   GArray *jobs; /* Written */
 } JobWrite;
 
@@ -28,13 +28,13 @@
 static void
 jobs_written(gpointer data, int status, json_t *body) {
   JobWrite *write = data;
-  MmScheduler *owner = write->owner;
-  MmNode *node = owner->node;
+  MmScheduler *scheduler = write->scheduler;
+  MmNode *node = scheduler->node;
   guint64 revision = mm_json_count(body, WIRE_REVISION, 0);
 
-  owner->is_writing = FALSE;
+  scheduler->is_writing = FALSE;
   if (status == 409)
-    owner->single_job_writes = write->jobs->len;
+    scheduler->single_job_writes = write->jobs->len;
   for (guint i = 0; i < write->jobs->len; i++) {
     const WrittenJob *written_job = &g_array_index(write->jobs, WrittenJob, i);
     MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
@@ -59,45 +59,46 @@
 }
 
 static gboolean
-needs_terminal_record(MmScheduler *owner, const MmJob *job) {
+needs_terminal_record(MmScheduler *scheduler, const MmJob *job) {
   if (job->is_cancelled)
     return job->n_maybe_on_machines == 0
-           && (mm_job_has_cancelled_dependency(job) || mm_scheduler_knows_all_starts(owner, job));
+           && (mm_job_has_cancelled_dependency(job)
+               || mm_scheduler_knows_all_starts(scheduler, job));
   return job->spec.kind != MM_JOB_KIND_SERVICE && job->completed.n_completed == job->spec.n_tasks;
 }
 
 /* The longest done set's text that fits beside the rest of the record. */
 static char *
-completed_tasks_text(const MmScheduler *owner, const MmJob *job) {
+completed_tasks_text(const MmScheduler *scheduler, const MmJob *job) {
   g_autoptr(json_t) bare_record
       = mm_job_record_to_json(&job->spec, job->submitted_at_ms, FALSE, NULL);
   gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + 64;
-  gsize max_bytes = mm_kv_client_max_value_bytes(owner->node->kv);
+  gsize max_bytes = mm_kv_client_max_value_bytes(scheduler->node->kv);
 
   return mm_completed_tasks_to_text(&job->completed,
                                     max_bytes > record_bytes ? max_bytes - record_bytes : 0);
 }
 
 static void
-add_to_write(MmScheduler *owner, MmTransaction *transaction, JobWrite *write, MmLedShard *held,
+add_to_write(MmScheduler *scheduler, MmTransaction *transaction, JobWrite *write, MmLedShard *shard,
              MmJob *job, gboolean is_terminal) {
   WrittenJob written_job = { .id = job->spec.id };
 
   mm_transaction_require_version(transaction, MM_KEY_JOB, job->spec.id.s, job->record_version);
-  mm_transaction_require_version(transaction, MM_KEY_SHARD, held->name, held->version);
+  mm_transaction_require_version(transaction, MM_KEY_SHARD, shard->name, shard->version);
   if (is_terminal) {
     mm_info("%s (%s, %u tasks, guess %.0f s) is %s after %.1f s, due %.0f s, runs seen %.0f s",
             job->spec.id.s, job->spec.job_class.s, job->spec.n_tasks, job->spec.run_estimate_s,
-            job->is_cancelled ? WIRE_CANCELLED : WIRE_DONE, mm_job_waiting_time_s(owner->node, job),
-            job->spec.deadline_s,
+            job->is_cancelled ? WIRE_CANCELLED : WIRE_DONE,
+            mm_job_waiting_time_s(scheduler->node, job), job->spec.deadline_s,
             job->n_observed_runs > 0 ? job->observed_run_s_sum / job->n_observed_runs : 0);
     written_job.terminal_record = mm_terminal_record_to_json(&(MmTerminalState){
-        job->is_cancelled, job->completed.n_completed, mm_node_wall_ms(owner->node) });
+        job->is_cancelled, job->completed.n_completed, mm_node_wall_ms(scheduler->node) });
     mm_transaction_put(transaction, MM_KEY_TERMINAL_RECORD, job->spec.id.s,
                        json_incref(written_job.terminal_record), 0);
     mm_transaction_delete(transaction, MM_KEY_JOB, job->spec.id.s);
   } else {
-    written_job.completed_text = completed_tasks_text(owner, job);
+    written_job.completed_text = completed_tasks_text(scheduler, job);
     mm_transaction_put(transaction, MM_KEY_JOB, job->spec.id.s,
                        mm_job_record_to_json(&job->spec, job->submitted_at_ms, job->is_cancelled,
                                              written_job.completed_text),
@@ -105,36 +106,36 @@
   }
   job->is_being_written = TRUE;
   job->unwritten_since.us = 0;
-  job->last_write_at = mm_node_now(owner->node);
+  job->last_write_at = mm_node_now(scheduler->node);
   g_array_append_val(write->jobs, written_job);
 }
 
 void
-mm_scheduler_write_jobs(MmScheduler *owner) {
-  MmNode *node = owner->node;
+mm_scheduler_write_jobs(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
   guint max_ops = mm_kv_client_max_operations(node->kv);
   guint max_guards = 4 * max_ops;
   MmTransaction transaction;
   JobWrite *write;
 
-  if (owner->is_writing || mm_kv_client_is_refused(node->kv))
+  if (scheduler->is_writing || mm_kv_client_is_refused(node->kv))
     return;
   transaction = mm_transaction_begin();
   write = g_new(JobWrite, 1);
-  *write = (JobWrite){ owner, g_array_new(FALSE, TRUE, sizeof(WrittenJob)) };
+  *write = (JobWrite){ scheduler, g_array_new(FALSE, TRUE, sizeof(WrittenJob)) };
   g_array_set_clear_func(write->jobs, written_job_clear);
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
-    MmLedShard *held = job->tasks != NULL ? mm_scheduler_shard_of_job(owner, job) : NULL;
+    MmLedShard *shard = job->tasks != NULL ? mm_scheduler_shard_of_job(scheduler, job) : NULL;
     gboolean is_terminal;
 
-    if (held == NULL || job->is_being_written)
+    if (shard == NULL || job->is_being_written)
       continue;
-    is_terminal = needs_terminal_record(owner, job);
+    is_terminal = needs_terminal_record(scheduler, job);
     if (transaction.n_operations + 2 > max_ops
         || json_array_size(transaction.conditions) + 2 > max_guards
-        || (owner->single_job_writes > 0 && transaction.n_operations > 0))
+        || (scheduler->single_job_writes > 0 && transaction.n_operations > 0))
       break;
     /* Dependents of a cancelled job show as cancelled without a record that says so: there may be
      * thousands, and their records can wait. */
@@ -142,17 +143,17 @@
         && !mm_kv_client_try_spend_writes(node->kv, 2))
       continue;
     if (is_terminal && mm_time_ms_since(now, job->last_write_at) > 100) {
-      add_to_write(owner, &transaction, write, held, job, TRUE);
+      add_to_write(scheduler, &transaction, write, shard, job, TRUE);
     } else if (!is_terminal && !job->is_cancelled && job->unwritten_since.us != 0
                && mm_time_ms_since(now, job->unwritten_since) >= JOB_WRITE_DELAY_MS
                && mm_time_ms_since(now, job->last_write_at) >= JOB_WRITE_INTERVAL_MS
                && mm_kv_client_try_spend_writes(node->kv, 1)) {
-      add_to_write(owner, &transaction, write, held, job, FALSE);
+      add_to_write(scheduler, &transaction, write, shard, job, FALSE);
     }
   }
   if (transaction.n_operations > 0) {
-    owner->is_writing = TRUE;
-    owner->single_job_writes -= owner->single_job_writes > 0;
+    scheduler->is_writing = TRUE;
+    scheduler->single_job_writes -= scheduler->single_job_writes > 0;
     mm_kv_client_commit(node->kv, &transaction, jobs_written, write);
     return;
   }
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -8,33 +8,33 @@
 #define QUOTA_UPDATE_INTERVAL_MS 1000
 
 static gboolean
-fits_guarantee(const MmResources *guaranteed, const MmResources *team_sum, const MmJobSpec *spec) {
+fits_quota(const MmResources *quota, const MmResources *team_sum, const MmJobSpec *spec) {
   /* An amount of 0 is no guarantee at all. */
   if (spec->task_resources.accelerators > 0
-      && team_sum->accelerators > guaranteed->accelerators + MM_RESOURCES_SLACK)
+      && team_sum->accelerators > quota->accelerators + MM_RESOURCES_SLACK)
     return FALSE;
-  if (guaranteed->cores <= 0)
+  if (quota->cores <= 0)
     return spec->task_resources.accelerators > 0;
-  return team_sum->cores <= guaranteed->cores + MM_RESOURCES_SLACK;
+  return team_sum->cores <= quota->cores + MM_RESOURCES_SLACK;
 }
 
 void
-mm_scheduler_update_guarantees(MmScheduler *owner) {
-  MmNode *node = owner->node;
+mm_scheduler_update_quotas(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
   const GArray *teams = node->settings->teams;
   MmTime now = mm_node_now(node);
   g_autofree MmResources *team_sums = NULL;
-  gboolean has_guarantee_aim = FALSE;
+  gboolean has_quota_objective = FALSE;
 
-  if (mm_time_before(now, owner->next_guarantees_at))
+  if (mm_time_before(now, scheduler->next_quota_update_at))
     return;
-  owner->next_guarantees_at = mm_time_add_ms(now, QUOTA_UPDATE_INTERVAL_MS);
+  scheduler->next_quota_update_at = mm_time_add_ms(now, QUOTA_UPDATE_INTERVAL_MS);
   for (guint i = 0; i < node->settings->objectives->len; i++)
-    has_guarantee_aim
-        = has_guarantee_aim
+    has_quota_objective
+        = has_quota_objective
           || g_array_index(node->settings->objectives, MmObjective, i).kind == MM_OBJECTIVE_QUOTA;
   team_sums = g_new0(MmResources, teams->len);
-  memset(owner->team_used, 0, teams->len * sizeof *owner->team_used);
+  memset(scheduler->team_used, 0, teams->len * sizeof *scheduler->team_used);
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     const MmTeamSettings *team;
@@ -45,8 +45,8 @@
     team_sums[job->team_index].cores += job->spec.n_tasks * job->spec.task_resources.cores;
     team_sums[job->team_index].accelerators
         += job->spec.n_tasks * job->spec.task_resources.accelerators;
-    job->is_within_quota = fits_guarantee(&team->quota, &team_sums[job->team_index], &job->spec);
-    job->has_quota_precedence = job->is_within_quota && !has_guarantee_aim;
+    job->is_within_quota = fits_quota(&team->quota, &team_sums[job->team_index], &job->spec);
+    job->has_quota_precedence = job->is_within_quota && !has_quota_objective;
   }
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
@@ -56,14 +56,15 @@
                              ? mm_job_table_find(node->job_table, reported->job.s)
                              : NULL;
       if (job != NULL && job->team_index >= 0)
-        owner->team_used[job->team_index]
-            = mm_resources_add(owner->team_used[job->team_index], job->spec.task_resources);
+        scheduler->team_used[job->team_index]
+            = mm_resources_add(scheduler->team_used[job->team_index], job->spec.task_resources);
     }
   }
 }
 
 gboolean
-mm_scheduler_may_reclaim_quota(const MmScheduler *owner, const MmJob *job, const MmJob *victim) {
+mm_scheduler_may_reclaim_quota(const MmScheduler *scheduler, const MmJob *job,
+                               const MmJob *victim) {
   const MmTeamSettings *team;
   MmResources team_use_after;
 
@@ -71,9 +72,9 @@
       || victim->is_within_quota || victim->spec.kind == MM_JOB_KIND_SERVICE
       || victim->effective_priority > job->effective_priority)
     return FALSE;
-  team = &g_array_index(owner->node->settings->teams, MmTeamSettings, victim->team_index);
+  team = &g_array_index(scheduler->node->settings->teams, MmTeamSettings, victim->team_index);
   team_use_after
-      = mm_resources_sub(owner->team_used[victim->team_index], victim->spec.task_resources);
+      = mm_resources_sub(scheduler->team_used[victim->team_index], victim->spec.task_resources);
   return team_use_after.cores >= team->quota.cores - MM_RESOURCES_SLACK
          && team_use_after.accelerators >= team->quota.accelerators - MM_RESOURCES_SLACK;
 }
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -17,39 +17,39 @@
 
 static void
 led_shard_free(gpointer data) {
-  MmLedShard *held = data;
+  MmLedShard *shard = data;
 
-  g_hash_table_unref(held->unacknowledged_machines);
-  g_array_unref(held->unacknowledged_kinds);
-  g_free(held->name);
-  g_free(held);
+  g_hash_table_unref(shard->unacknowledged_machines);
+  g_array_unref(shard->unacknowledged_kinds);
+  g_free(shard->name);
+  g_free(shard);
 }
 
 MmScheduler *
 mm_scheduler_new(MmNode *node) {
-  MmScheduler *owner = g_new0(MmScheduler, 1);
-
-  owner->node = node;
-  owner->jobs_by_urgency = g_ptr_array_new();
-  owner->team_used = g_new0(MmResources, node->settings->teams->len);
-  owner->led_shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, led_shard_free);
-  owner->estimate_errors = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  return owner;
+  MmScheduler *scheduler = g_new0(MmScheduler, 1);
+
+  scheduler->node = node;
+  scheduler->jobs_by_urgency = g_ptr_array_new();
+  scheduler->team_used = g_new0(MmResources, node->settings->teams->len);
+  scheduler->led_shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, led_shard_free);
+  scheduler->estimate_errors = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+  return scheduler;
 }
 
 void
-mm_scheduler_free(MmScheduler *owner) {
-  g_ptr_array_unref(owner->jobs_by_urgency);
-  g_free(owner->team_used);
-  g_hash_table_unref(owner->led_shards);
-  g_hash_table_unref(owner->estimate_errors);
-  g_free(owner);
+mm_scheduler_free(MmScheduler *scheduler) {
+  g_ptr_array_unref(scheduler->jobs_by_urgency);
+  g_free(scheduler->team_used);
+  g_hash_table_unref(scheduler->led_shards);
+  g_hash_table_unref(scheduler->estimate_errors);
+  g_free(scheduler);
 }
 
 MmLedShard *
-mm_scheduler_shard_of_job(const MmScheduler *owner, const MmJob *job) {
+mm_scheduler_shard_of_job(const MmScheduler *scheduler, const MmJob *job) {
   return job->led_shard != NULL ? job->led_shard
-                                : g_hash_table_lookup(owner->led_shards, job->shard);
+                                : g_hash_table_lookup(scheduler->led_shards, job->shard);
 }
 
 /* ---- where tasks are ---- */
@@ -68,7 +68,7 @@
 }
 
 void
-mm_scheduler_set_task_state(MmScheduler *owner, MmJob *job, guint number, guint8 state) {
+mm_scheduler_set_task_state(MmScheduler *scheduler, MmJob *job, guint number, guint8 state) {
   MmTask *task = &job->tasks[number];
 
   if (task->state == state)
@@ -78,20 +78,21 @@
   job->n_pending += state == MM_TASK_PENDING;
   job->n_maybe_on_machines += mm_task_is_live(state);
   if (mm_task_is_live(state) != mm_task_is_live(task->state)) {
-    MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
-    if (held != NULL)
-      held->used = mm_task_is_live(state) ? mm_resources_add(held->used, job->spec.task_resources)
-                                          : mm_resources_sub(held->used, job->spec.task_resources);
+    MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
+    if (shard != NULL)
+      shard->used = mm_task_is_live(state)
+                        ? mm_resources_add(shard->used, job->spec.task_resources)
+                        : mm_resources_sub(shard->used, job->spec.task_resources);
   }
   task->state = state;
-  task->state_since = mm_node_now(owner->node);
+  task->state_since = mm_node_now(scheduler->node);
   if (state == MM_TASK_PENDING)
     job->first_pending = MIN(job->first_pending, number);
-  mm_placement_backlog_changed(owner->node->placement);
+  mm_placement_backlog_changed(scheduler->node->placement);
 }
 
 void
-mm_scheduler_place_task(MmScheduler *owner, MmJob *job, guint number, MmMachine *machine,
+mm_scheduler_place_task(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine,
                         MmTaskState state, MmAttempt attempt) {
   MmTask *task = &job->tasks[number];
 
@@ -112,30 +113,30 @@
     task->is_stopping = FALSE;
   task->attempt = attempt;
   machine->available_generation = 0;
-  mm_scheduler_set_task_state(owner, job, number, (guint8)state);
+  mm_scheduler_set_task_state(scheduler, job, number, (guint8)state);
 }
 
 void
-mm_scheduler_unplace_task(MmScheduler *owner, MmJob *job, guint number) {
+mm_scheduler_unplace_task(MmScheduler *scheduler, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
 
   remove_from_machine(task->machine, job, number);
   task->machine = NULL;
   task->is_stopping = FALSE;
-  mm_scheduler_set_task_state(owner, job, number, MM_TASK_PENDING);
+  mm_scheduler_set_task_state(scheduler, job, number, MM_TASK_PENDING);
 }
 
 /* ---- taking and dropping parts ---- */
 
 static void
-drop_job(MmScheduler *owner, MmJob *job) {
-  MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
-
-  if (held != NULL && held->quota_reserved_for == job)
-    held->quota_reserved_for = NULL;
-  if (held != NULL && job->n_maybe_on_machines > 0) {
-    held->used.cores -= job->n_maybe_on_machines * job->spec.task_resources.cores;
-    held->used.accelerators -= job->n_maybe_on_machines * job->spec.task_resources.accelerators;
+drop_job(MmScheduler *scheduler, MmJob *job) {
+  MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
+
+  if (shard != NULL && shard->quota_reserved_for == job)
+    shard->quota_reserved_for = NULL;
+  if (shard != NULL && job->n_maybe_on_machines > 0) {
+    shard->used.cores -= job->n_maybe_on_machines * job->spec.task_resources.cores;
+    shard->used.accelerators -= job->n_maybe_on_machines * job->spec.task_resources.accelerators;
   }
   for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++)
     remove_from_machine(job->tasks[i].machine, job, i);
@@ -144,16 +145,16 @@
   job->n_pending = job->n_maybe_on_machines = 0;
   job->is_being_written = FALSE;
   job->led_shard = NULL;
-  owner->is_urgency_order_stale = TRUE;
-  mm_placement_backlog_changed(owner->node->placement);
+  scheduler->is_urgency_order_stale = TRUE;
+  mm_placement_backlog_changed(scheduler->node->placement);
 }
 
 static void
-adopt_job(MmScheduler *owner, MmLedShard *held, MmJob *job) {
-  MmTime now = mm_node_now(owner->node);
+adopt_job(MmScheduler *scheduler, MmLedShard *shard, MmJob *job) {
+  MmTime now = mm_node_now(scheduler->node);
 
-  job->led_shard = held;
-  owner->is_urgency_order_stale = TRUE;
+  job->led_shard = shard;
+  scheduler->is_urgency_order_stale = TRUE;
   job->tasks = g_new0(MmTask, job->spec.n_tasks);
   mm_completed_tasks_init(&job->completed, job->spec.n_tasks);
   job->first_pending = 0;
@@ -170,50 +171,50 @@
   }
   if (job->completed.n_completed == job->spec.n_tasks)
     job->unwritten_since = now;
-  mm_placement_backlog_changed(owner->node->placement);
+  mm_placement_backlog_changed(scheduler->node->placement);
 }
 
 static void
-stop_leading_shard(MmScheduler *owner, const char *name) {
-  MmJobTable *job_table = owner->node->job_table;
+stop_leading_shard(MmScheduler *scheduler, const char *name) {
+  MmJobTable *job_table = scheduler->node->job_table;
 
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     if (strcmp(job->shard, name) == 0)
-      drop_job(owner, job);
+      drop_job(scheduler, job);
   }
   mm_info("part %s is no longer held here", name);
-  g_hash_table_remove(owner->led_shards, name);
+  g_hash_table_remove(scheduler->led_shards, name);
 }
 
 void
-mm_scheduler_check_shard_ready(MmScheduler *owner, MmLedShard *held) {
-  if (held->is_ready || g_hash_table_size(held->unacknowledged_machines) > 0)
+mm_scheduler_check_shard_ready(MmScheduler *scheduler, MmLedShard *shard) {
+  if (shard->is_ready || g_hash_table_size(shard->unacknowledged_machines) > 0)
     return;
-  held->is_ready = TRUE;
-  mm_info("part %s is ready %" G_GINT64_FORMAT " ms after it was taken", held->name,
-          mm_time_ms_since(mm_node_now(owner->node), held->acquired_at));
-  mm_placement_backlog_changed(owner->node->placement);
+  shard->is_ready = TRUE;
+  mm_info("part %s is ready %" G_GINT64_FORMAT " ms after it was taken", shard->name,
+          mm_time_ms_since(mm_node_now(scheduler->node), shard->acquired_at));
+  mm_placement_backlog_changed(scheduler->node->placement);
 }
 
 static void
-start_leading_shard(MmScheduler *owner, const char *name, const MmTeamSettings *team,
+start_leading_shard(MmScheduler *scheduler, const char *name, const MmTeamSettings *team,
                     const MmShard *shard_record) {
-  MmNode *node = owner->node;
-  MmLedShard *held = g_new0(MmLedShard, 1);
-
-  held->name = g_strdup(name);
-  held->term = shard_record->term;
-  held->version = shard_record->version;
-  held->team = team;
-  held->acquired_at = mm_node_now(node);
-  held->unacknowledged_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  held->unacknowledged_kinds = g_array_new(FALSE, TRUE, sizeof(MmMachineKind));
-  g_hash_table_insert(owner->led_shards, held->name, held);
+  MmNode *node = scheduler->node;
+  MmLedShard *shard = g_new0(MmLedShard, 1);
+
+  shard->name = g_strdup(name);
+  shard->term = shard_record->term;
+  shard->version = shard_record->version;
+  shard->team = team;
+  shard->acquired_at = mm_node_now(node);
+  shard->unacknowledged_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  shard->unacknowledged_kinds = g_array_new(FALSE, TRUE, sizeof(MmMachineKind));
+  g_hash_table_insert(scheduler->led_shards, shard->name, shard);
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     if (strcmp(job->shard, name) == 0)
-      adopt_job(owner, held, job);
+      adopt_job(scheduler, shard, job);
   }
   /* Machines registered later than this term only ever get starts of this term or a later one:
    * whoever answers them has seen their registration, and so the term, in the replica. */
@@ -221,59 +222,59 @@
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     if (!machine->is_in_registry || machine->lease_has_expired)
       continue;
-    if (machine->has_reported && machine->acknowledged_term.v >= held->term.v)
-      mm_scheduler_apply_reported_tasks(owner, machine, name);
+    if (machine->has_reported && machine->acknowledged_term.v >= shard->term.v)
+      mm_scheduler_apply_reported_tasks(scheduler, machine, name);
     else
-      g_hash_table_insert(held->unacknowledged_machines, g_strdup(machine->id.s),
+      g_hash_table_insert(shard->unacknowledged_machines, g_strdup(machine->id.s),
                           GSIZE_TO_POINTER(machine->registered_incarnation));
     machine->acknowledgement_requested_at.us = 0;
   }
-  held->unacknowledged_changed = TRUE;
+  shard->unacknowledged_changed = TRUE;
   mm_info("part %s is held here with term %" G_GUINT64_FORMAT ", %u machines to hear", name,
-          held->term.v, g_hash_table_size(held->unacknowledged_machines));
-  mm_scheduler_check_shard_ready(owner, held);
+          shard->term.v, g_hash_table_size(shard->unacknowledged_machines));
+  mm_scheduler_check_shard_ready(scheduler, shard);
 }
 
 void
-mm_scheduler_replica_changed(MmScheduler *owner) {
-  MmNode *node = owner->node;
+mm_scheduler_replica_changed(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
 
   for (guint i = 0; i < node->settings->teams->len; i++) {
     const MmTeamSettings *team = &g_array_index(node->settings->teams, MmTeamSettings, i);
     g_autofree char *name = mm_shard_ownership_shard_of_team(&team->name);
-    MmLedShard *held = g_hash_table_lookup(owner->led_shards, name);
+    MmLedShard *shard = g_hash_table_lookup(scheduler->led_shards, name);
     gboolean is_leader = mm_shard_ownership_leads(node->shard_ownership, name);
     const MmShard *shard_record = mm_replica_shard(node->replica, name);
 
-    if (held != NULL && (!is_leader || shard_record->term.v != held->term.v)) {
-      stop_leading_shard(owner, name);
-      held = NULL;
+    if (shard != NULL && (!is_leader || shard_record->term.v != shard->term.v)) {
+      stop_leading_shard(scheduler, name);
+      shard = NULL;
     }
-    if (held == NULL && is_leader)
-      start_leading_shard(owner, name, team, shard_record);
+    if (shard == NULL && is_leader)
+      start_leading_shard(scheduler, name, team, shard_record);
   }
 }
 
 void
-mm_scheduler_job_changed(MmScheduler *owner, MmJob *job) {
-  MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
+mm_scheduler_job_changed(MmScheduler *scheduler, MmJob *job) {
+  MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
 
-  mm_scheduler_update_urgency(owner, job);
+  mm_scheduler_update_urgency(scheduler, job);
 
-  if (held != NULL && job->tasks == NULL) {
-    adopt_job(owner, held, job);
+  if (shard != NULL && job->tasks == NULL) {
+    adopt_job(scheduler, shard, job);
     /* The watch shows changes in order: this job came after the part was taken, so no earlier
      * holder can have started any of it. */
     job->submitted_after_acquire
-        = job->record_version.v > held->version.v && owner->node->replica->is_loaded;
+        = job->record_version.v > shard->version.v && scheduler->node->replica->is_loaded;
   }
   if (job->tasks != NULL && job->is_cancelled)
-    mm_placement_backlog_changed(owner->node->placement);
+    mm_placement_backlog_changed(scheduler->node->placement);
 }
 
 void
-mm_scheduler_job_ready(MmScheduler *owner, MmJob *job) {
-  MmTime now = mm_node_now(owner->node);
+mm_scheduler_job_ready(MmScheduler *scheduler, MmJob *job) {
+  MmTime now = mm_node_now(scheduler->node);
 
   job->waiting_since_ms = MAX(job->submitted_at_ms, mm_vertex_dependencies_done_at_ms(job->vertex));
   for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++)
@@ -281,26 +282,26 @@
       job->tasks[i].state_since = now;
   mm_info("%s (%s) is ready: all that it depends on is done", job->spec.id.s,
           job->spec.job_class.s);
-  owner->is_urgency_order_stale = TRUE;
-  mm_placement_backlog_changed(owner->node->placement);
+  scheduler->is_urgency_order_stale = TRUE;
+  mm_placement_backlog_changed(scheduler->node->placement);
 }
 
 void
-mm_scheduler_job_removed(MmScheduler *owner, MmJob *job) {
-  if (owner->yield_to_gang == job)
-    owner->yield_to_gang = NULL;
-  drop_job(owner, job);
+mm_scheduler_job_removed(MmScheduler *scheduler, MmJob *job) {
+  if (scheduler->yield_to_gang == job)
+    scheduler->yield_to_gang = NULL;
+  drop_job(scheduler, job);
 }
 
 /* ---- backlog ---- */
 
 static void
-add_pending_tasks(MmScheduler *owner, MmJob *job, GPtrArray *list, guint *tasks_left) {
-  MmTime now = mm_node_now(owner->node);
+add_pending_tasks(MmScheduler *scheduler, MmJob *job, GPtrArray *list, guint *tasks_left) {
+  MmTime now = mm_node_now(scheduler->node);
   MmPendingTasks *pending = g_new0(MmPendingTasks, 1);
 
   pending->job = job->spec.id;
-  pending->has_precedence = mm_scheduler_has_precedence(owner, job);
+  pending->has_precedence = mm_scheduler_has_precedence(scheduler, job);
   pending->is_starving = job->is_starving;
   pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
   while (job->first_pending < job->spec.n_tasks
@@ -341,8 +342,8 @@
 }
 
 void
-mm_scheduler_list_backlog(MmScheduler *owner, GPtrArray *pending, GArray *reserved_machines) {
-  MmJobTable *job_table = owner->node->job_table;
+mm_scheduler_list_backlog(MmScheduler *scheduler, GPtrArray *pending, GArray *reserved_machines) {
+  MmJobTable *job_table = scheduler->node->job_table;
   g_autoptr(GPtrArray) jobs = g_ptr_array_new();
   guint tasks_left = BACKLOG_TASKS_MAX;
 
@@ -351,19 +352,19 @@
     if (job->tasks != NULL && mm_job_is_gang(job))
       add_reserved_machines(job, reserved_machines);
     /* What its team's limit keeps from starting need not be asked for, nor machines rented. */
-    if (job->tasks != NULL && job->n_pending > 0 && mm_scheduler_job_is_schedulable(owner, job)
-        && mm_scheduler_quota_allows(owner, job->led_shard, job,
+    if (job->tasks != NULL && job->n_pending > 0 && mm_scheduler_job_is_schedulable(scheduler, job)
+        && mm_scheduler_quota_allows(scheduler, job->led_shard, job,
                                      mm_job_is_gang(job) ? job->spec.n_tasks : 1))
       g_ptr_array_add(jobs, job);
   }
   g_ptr_array_sort(jobs, mm_scheduler_compare_urgency);
   for (guint i = 0; i < jobs->len && i < BACKLOG_JOBS_MAX && tasks_left > 0; i++)
-    add_pending_tasks(owner, g_ptr_array_index(jobs, i), pending, &tasks_left);
+    add_pending_tasks(scheduler, g_ptr_array_index(jobs, i), pending, &tasks_left);
 }
 
 guint
-mm_scheduler_count_pending_tasks(const MmScheduler *owner) {
-  MmJobTable *job_table = owner->node->job_table;
+mm_scheduler_count_pending_tasks(const MmScheduler *scheduler) {
+  MmJobTable *job_table = scheduler->node->job_table;
   guint n_pending_tasks = 0;
 
   for (guint i = 0; i < job_table->by_submission->len; i++) {
@@ -378,37 +379,37 @@
 
 /* Sums that are kept as tasks come and go are taken anew now and then: amounts are fractions. */
 static void
-recount_resources(MmScheduler *owner) {
-  MmJobTable *job_table = owner->node->job_table;
+recount_resources(MmScheduler *scheduler) {
+  MmJobTable *job_table = scheduler->node->job_table;
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, owner->led_shards);
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmLedShard *held = value;
-    held->used = held->reserved_quota = (MmResources){ 0 };
-    held->quota_reserved_for = NULL;
-    mm_scheduler_sum_unacknowledged(owner, held);
+    MmLedShard *shard = value;
+    shard->used = shard->reserved_quota = (MmResources){ 0 };
+    shard->quota_reserved_for = NULL;
+    mm_scheduler_update_unacknowledged(scheduler, shard);
   }
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
-    MmLedShard *held = job->tasks != NULL ? job->led_shard : NULL;
-    if (held != NULL && job->n_pending > 0
+    MmLedShard *shard = job->tasks != NULL ? job->led_shard : NULL;
+    if (shard != NULL && job->n_pending > 0
         && (job->is_starving || job->spec.priority >= MM_PRIORITY_URGENT)
-        && mm_scheduler_job_is_schedulable(owner, job)
-        && (held->quota_reserved_for == NULL
-            || mm_scheduler_compare_urgency(&job, &held->quota_reserved_for) < 0)) {
+        && mm_scheduler_job_is_schedulable(scheduler, job)
+        && (shard->quota_reserved_for == NULL
+            || mm_scheduler_compare_urgency(&job, &shard->quota_reserved_for) < 0)) {
       guint tasks
           = mm_job_is_gang(job) ? job->spec.n_tasks : MIN(job->n_pending, RESERVED_QUOTA_TASKS);
-      held->quota_reserved_for = job;
-      held->reserved_quota = (MmResources){ tasks * job->spec.task_resources.cores,
-                                            tasks * job->spec.task_resources.accelerators, 0 };
+      shard->quota_reserved_for = job;
+      shard->reserved_quota = (MmResources){ tasks * job->spec.task_resources.cores,
+                                             tasks * job->spec.task_resources.accelerators, 0 };
     }
-    if (held == NULL || job->n_maybe_on_machines == 0)
+    if (shard == NULL || job->n_maybe_on_machines == 0)
       continue;
-    held->used.cores += job->n_maybe_on_machines * job->spec.task_resources.cores;
-    held->used.accelerators += job->n_maybe_on_machines * job->spec.task_resources.accelerators;
-    held->used.memory_gb += job->n_maybe_on_machines * job->spec.task_resources.memory_gb;
+    shard->used.cores += job->n_maybe_on_machines * job->spec.task_resources.cores;
+    shard->used.accelerators += job->n_maybe_on_machines * job->spec.task_resources.accelerators;
+    shard->used.memory_gb += job->n_maybe_on_machines * job->spec.task_resources.memory_gb;
   }
 }
 
@@ -417,8 +418,8 @@
  * idle until it has all of them, so where much waits, only a gang that starves is given that; and
  * not for ever, should it find no place for another reason. */
 static void
-choose_gang_to_yield_to(MmScheduler *owner) {
-  MmNode *node = owner->node;
+choose_gang_to_yield_to(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
   MmJobTable *job_table = node->job_table;
   gint64 now_ms = mm_node_wall_ms(node);
   gint64 wait_bound_ms = (gint64)(node->operators->wait_bound_s * 1000);
@@ -444,38 +445,38 @@
         *best = job;
     }
   }
-  owner->yield_to_gang = starving_gang != NULL                      ? starving_gang
-                         : n_waiting_jobs <= YIELD_TO_GANG_JOBS_MAX ? waiting_gang
-                                                                    : NULL;
+  scheduler->yield_to_gang = starving_gang != NULL                      ? starving_gang
+                             : n_waiting_jobs <= YIELD_TO_GANG_JOBS_MAX ? waiting_gang
+                                                                        : NULL;
 }
 
 void
-mm_scheduler_tick(MmScheduler *owner) {
-  MmTime now = mm_node_now(owner->node);
+mm_scheduler_tick(MmScheduler *scheduler) {
+  MmTime now = mm_node_now(scheduler->node);
 
-  if (!mm_node_lease_is_valid(owner->node->node_lease))
+  if (!mm_node_lease_is_valid(scheduler->node->node_lease))
     return;
-  mm_scheduler_write_jobs(owner);
-  if (mm_time_before(now, owner->next_slow_tick_at))
+  mm_scheduler_write_jobs(scheduler);
+  if (mm_time_before(now, scheduler->next_slow_tick_at))
     return;
-  owner->next_slow_tick_at = mm_time_add_ms(now, SLOW_TICK_MS);
+  scheduler->next_slow_tick_at = mm_time_add_ms(now, SLOW_TICK_MS);
   /* The newest first: a job's dependents come after it. */
-  for (guint i = owner->node->job_table->by_submission->len; i > 0; i--) {
-    MmJob *job = g_ptr_array_index(owner->node->job_table->by_submission, i - 1);
-    mm_scheduler_update_urgency(owner, job);
+  for (guint i = scheduler->node->job_table->by_submission->len; i > 0; i--) {
+    MmJob *job = g_ptr_array_index(scheduler->node->job_table->by_submission, i - 1);
+    mm_scheduler_update_urgency(scheduler, job);
     if (job->tasks != NULL)
       job->is_starving
           = job->n_maybe_on_machines == 0 && job->completed.n_completed == 0 && !job->is_cancelled
             && mm_job_dependencies_are_done(job)
-            && mm_job_waiting_time_s(owner->node, job) > owner->node->operators->starve_s;
+            && mm_job_waiting_time_s(scheduler->node, job) > scheduler->node->operators->starve_s;
   }
-  choose_gang_to_yield_to(owner);
-  mm_scheduler_update_guarantees(owner);
-  recount_resources(owner);
-  owner->is_urgency_order_stale = TRUE;
-  owner->machine_scans_left = MACHINE_SCANS_PER_TICK;
-  mm_scheduler_request_acknowledgements(owner);
-  mm_scheduler_resend_stops(owner);
-  mm_scheduler_plan_gangs(owner);
-  mm_scheduler_preempt(owner);
+  choose_gang_to_yield_to(scheduler);
+  mm_scheduler_update_quotas(scheduler);
+  recount_resources(scheduler);
+  scheduler->is_urgency_order_stale = TRUE;
+  scheduler->machine_scans_left = MACHINE_SCANS_PER_TICK;
+  mm_scheduler_request_acknowledgements(scheduler);
+  mm_scheduler_resend_stops(scheduler);
+  mm_scheduler_plan_gangs(scheduler);
+  mm_scheduler_preempt(scheduler);
 }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -34,7 +34,7 @@
 typedef struct {
   MmName type;
   MmName zone;
-  gboolean spot;
+  gboolean is_spot;
 } MmMachineKind;
 
 typedef struct {
@@ -52,7 +52,7 @@
   GPtrArray *jobs_by_urgency; /* MmJob of the parts held here, most pressing first */
   gboolean is_urgency_order_stale;
   MmResources *team_used; /* by the settings' teams, on all machines, as seen a moment ago */
-  MmTime next_guarantees_at;
+  MmTime next_quota_update_at;
   const MmJob *yield_to_gang; /* the most pressing gang that waits for accelerators, anywhere */
   guint64 n_machines_scanned; /* machines looked at for some job, ever */
   guint machine_scans_left;   /* at all machines, that are left until the next slow tick */
@@ -82,89 +82,90 @@
 } MmApproval;
 
 MmScheduler *mm_scheduler_new(MmNode *node);
-void mm_scheduler_free(MmScheduler *owner);
-void mm_scheduler_tick(MmScheduler *owner);
+void mm_scheduler_free(MmScheduler *scheduler);
+void mm_scheduler_tick(MmScheduler *scheduler);
 
-void mm_scheduler_replica_changed(MmScheduler *owner);
-void mm_scheduler_job_changed(MmScheduler *owner, MmJob *job);
-void mm_scheduler_job_removed(MmScheduler *owner, MmJob *job);
+void mm_scheduler_replica_changed(MmScheduler *scheduler);
+void mm_scheduler_job_changed(MmScheduler *scheduler, MmJob *job);
+void mm_scheduler_job_removed(MmScheduler *scheduler, MmJob *job);
 /* The job's cancellation is in the state service, which needs no judge: whoever holds its part,
  * this node stops its tasks wherever it can from now on, and lets none start. FALSE when it knows
  * nothing of the job yet. */
-gboolean mm_scheduler_job_cancelled(MmScheduler *owner, const char *job_id);
+gboolean mm_scheduler_job_cancelled(MmScheduler *scheduler, const char *job_id);
 /* `changed`: the report shows other tasks than the one before. */
-void mm_scheduler_heartbeat_received(MmScheduler *owner, MmMachine *machine,
-                                     const MmHeartbeat *heartbeat, gboolean changed);
-void mm_scheduler_machine_gone(MmScheduler *owner, MmMachine *machine);
+void mm_scheduler_heartbeat_received(MmScheduler *scheduler, MmMachine *machine,
+                                     const MmHeartbeat *heartbeat, gboolean tasks_changed);
+void mm_scheduler_machine_gone(MmScheduler *scheduler, MmMachine *machine);
 /* Adds MmPendingTasks for what is unassigned in the parts held here, most pressing first, and the
  * names of machines with reserved places. */
-void mm_scheduler_list_backlog(MmScheduler *owner, GPtrArray *pending, GArray *reserved_machines);
-guint mm_scheduler_count_pending_tasks(const MmScheduler *owner);
+void mm_scheduler_list_backlog(MmScheduler *scheduler, GPtrArray *pending,
+                               GArray *reserved_machines);
+guint mm_scheduler_count_pending_tasks(const MmScheduler *scheduler);
 
 /* admission.c */
 /* Lowers the request's room to what is free as seen here. */
-gboolean mm_scheduler_approve_start(MmScheduler *owner, MmStartRequest *request,
+gboolean mm_scheduler_approve_start(MmScheduler *scheduler, MmStartRequest *request,
                                     MmApproval *approval);
-void mm_scheduler_peer_start_request(MmScheduler *owner, guint peer,
+void mm_scheduler_peer_start_request(MmScheduler *scheduler, guint peer,
                                      const Mm__StartRequest *message);
-MmLedShard *mm_scheduler_shard_of_job(const MmScheduler *owner, const MmJob *job);
+MmLedShard *mm_scheduler_shard_of_job(const MmScheduler *scheduler, const MmJob *job);
 /* Whether all is known that earlier holders of its part may have started of the job: every machine
  * has been heard that it was ever allowed on. */
-gboolean mm_scheduler_knows_all_starts(MmScheduler *owner, const MmJob *job);
+gboolean mm_scheduler_knows_all_starts(MmScheduler *scheduler, const MmJob *job);
 /* Takes up which machines are still to be heard, if that has changed. */
-void mm_scheduler_sum_unacknowledged(MmScheduler *owner, MmLedShard *held);
+void mm_scheduler_update_unacknowledged(MmScheduler *scheduler, MmLedShard *shard);
 /* Whether the job's tasks may be given out at all at the moment. */
-gboolean mm_scheduler_job_is_schedulable(MmScheduler *owner, const MmJob *job);
+gboolean mm_scheduler_job_is_schedulable(MmScheduler *scheduler, const MmJob *job);
 /* The last of the jobs that it depends on is done: its waiting times count from then. */
-void mm_scheduler_job_ready(MmScheduler *owner, MmJob *job);
+void mm_scheduler_job_ready(MmScheduler *scheduler, MmJob *job);
 /* Whether the job leaves its places to a gang that presses more. */
-gboolean mm_scheduler_must_yield_to_gang(const MmScheduler *owner, const MmJob *job);
+gboolean mm_scheduler_must_yield_to_gang(const MmScheduler *scheduler, const MmJob *job);
 /* The rules that bind a task to places: type, zone, kind of machine, the job's other tasks. */
 gboolean mm_scheduler_constraints_allow(const MmJob *job, const MmMachine *machine);
 /* The same, counting also places that are being cleared for the job's waiting tasks. */
-gboolean mm_scheduler_constraints_will_allow(const MmScheduler *owner, const MmJob *job,
+gboolean mm_scheduler_constraints_will_allow(const MmScheduler *scheduler, const MmJob *job,
                                              const MmMachine *machine);
-gboolean mm_scheduler_quota_allows(MmScheduler *owner, MmLedShard *held, const MmJob *job,
+gboolean mm_scheduler_quota_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
                                    guint tasks);
-MmAttempt mm_scheduler_next_attempt(MmScheduler *owner, const MmLedShard *held);
+MmAttempt mm_scheduler_next_attempt(MmScheduler *scheduler, const MmLedShard *shard);
 
 /* scheduler.c */
 static inline gboolean
 mm_task_is_live(guint8 state) {
   return state != MM_TASK_PENDING && state != MM_TASK_DONE;
 }
-void mm_scheduler_set_task_state(MmScheduler *owner, MmJob *job, guint number, guint8 state);
-void mm_scheduler_place_task(MmScheduler *owner, MmJob *job, guint number, MmMachine *machine,
+void mm_scheduler_set_task_state(MmScheduler *scheduler, MmJob *job, guint number, guint8 state);
+void mm_scheduler_place_task(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine,
                              MmTaskState state, MmAttempt attempt);
-void mm_scheduler_unplace_task(MmScheduler *owner, MmJob *job, guint number);
+void mm_scheduler_unplace_task(MmScheduler *scheduler, MmJob *job, guint number);
 /* Notes when nothing is left to hear for the part. */
-void mm_scheduler_check_shard_ready(MmScheduler *owner, MmLedShard *held);
+void mm_scheduler_check_shard_ready(MmScheduler *scheduler, MmLedShard *shard);
 
 /* heartbeats.c */
 /* Places what the machine's newest report shows, of one part only unless that is NULL. */
-void mm_scheduler_apply_reported_tasks(MmScheduler *owner, MmMachine *machine,
+void mm_scheduler_apply_reported_tasks(MmScheduler *scheduler, MmMachine *machine,
                                        const char *only_shard);
 
 /* job-writer.c */
-void mm_scheduler_write_jobs(MmScheduler *owner);
+void mm_scheduler_write_jobs(MmScheduler *scheduler);
 
 /* stop-commands.c */
 /* Tells a task's machine to stop it, at once and with every answer until it is gone. */
-void mm_scheduler_send_stop(MmScheduler *owner, MmMachine *machine, const MmName *job, guint number,
-                            MmAttempt attempt, double grace_s);
+void mm_scheduler_send_stop(MmScheduler *scheduler, MmMachine *machine, const MmName *job,
+                            guint number, MmAttempt attempt, double grace_s);
 /* Tells a placed task to stop, and again with later reports. */
-void mm_scheduler_stop_task(MmScheduler *owner, MmJob *job, guint number);
+void mm_scheduler_stop_task(MmScheduler *scheduler, MmJob *job, guint number);
 /* The smallest grace that lets the job save. */
 double mm_scheduler_stop_grace_s(const MmJob *job);
-void mm_scheduler_request_acknowledgements(MmScheduler *owner);
+void mm_scheduler_request_acknowledgements(MmScheduler *scheduler);
 /* Tasks that were told to stop are told again, should the command have got lost. */
-void mm_scheduler_resend_stops(MmScheduler *owner);
+void mm_scheduler_resend_stops(MmScheduler *scheduler);
 
-const GPtrArray *mm_scheduler_jobs_by_urgency(MmScheduler *owner);
+const GPtrArray *mm_scheduler_jobs_by_urgency(MmScheduler *scheduler);
 
 /* gang.c */
-void mm_scheduler_plan_gangs(MmScheduler *owner);
-gboolean mm_scheduler_approve_reserved_start(MmScheduler *owner, const MmStartRequest *request,
+void mm_scheduler_plan_gangs(MmScheduler *scheduler);
+gboolean mm_scheduler_approve_reserved_start(MmScheduler *scheduler, const MmStartRequest *request,
                                              MmApproval *approval);
 static inline gboolean
 mm_job_is_gang(const MmJob *job) {
@@ -172,30 +173,30 @@
 }
 
 /* quota.c */
-void mm_scheduler_update_guarantees(MmScheduler *owner);
+void mm_scheduler_update_quotas(MmScheduler *scheduler);
 /* Whether a task of `from` may be stopped to give the job, of another team, what that is
  * guaranteed. */
-gboolean mm_scheduler_may_reclaim_quota(const MmScheduler *owner, const MmJob *job,
+gboolean mm_scheduler_may_reclaim_quota(const MmScheduler *scheduler, const MmJob *job,
                                         const MmJob *victim);
 
 /* urgency.c */
-gboolean mm_scheduler_has_precedence(const MmScheduler *owner, const MmJob *job);
+gboolean mm_scheduler_has_precedence(const MmScheduler *scheduler, const MmJob *job);
 /* Sets the job's priority, and by when it must be given machines for the first of the aims that it
  * can still meet: its own, and those of the jobs that depend on it. */
-void mm_scheduler_update_urgency(MmScheduler *owner, MmJob *job);
+void mm_scheduler_update_urgency(MmScheduler *scheduler, MmJob *job);
 /* The order of pressing: jobs that starve, the oldest first; then priority, then what is due first.
  * Jobs past all their aims come last, until they starve. */
 gint mm_scheduler_compare_urgency(gconstpointer a, gconstpointer b);
 
 /* preemption.c */
-void mm_scheduler_preempt(MmScheduler *owner);
+void mm_scheduler_preempt(MmScheduler *scheduler);
 /* Stops work of lower priority on as many machines, each of which could then take a task of the
  * gang. Not again within a report period. */
-void mm_scheduler_preempt_for_gang(MmScheduler *owner, MmJob *job, guint machines);
+void mm_scheduler_preempt_for_gang(MmScheduler *scheduler, MmJob *job, guint machines);
 /* Seconds until the machine could run a task of the job that is given to it now, its image and what
  * must be stopped for it included; below 0 when that can't be. */
-double mm_scheduler_start_delay_s(MmScheduler *owner, const MmJob *job, MmMachine *machine);
+double mm_scheduler_start_delay_s(MmScheduler *scheduler, const MmJob *job, MmMachine *machine);
 double mm_scheduler_image_fetch_s(const MmJob *job, const MmMachine *machine);
 /* Tasks on the machine that outrank or equal the job: they cannot be stopped for it. */
-guint mm_scheduler_count_colocated_tasks(const MmScheduler *owner, const MmJob *job,
+guint mm_scheduler_count_colocated_tasks(const MmScheduler *scheduler, const MmJob *job,
                                          const MmMachine *machine);
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -31,22 +31,22 @@
 }
 
 void
-mm_scheduler_stop_task(MmScheduler *owner, MmJob *job, guint number) {
+mm_scheduler_stop_task(MmScheduler *scheduler, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
 
   if (task->machine == NULL || task->state == MM_TASK_PLACE_RESERVED)
     return;
   task->is_stopping = TRUE;
-  task->stop_sent_at = mm_node_now(owner->node);
-  mm_scheduler_send_stop(owner, task->machine, &job->spec.id, number, task->attempt,
+  task->stop_sent_at = mm_node_now(scheduler->node);
+  mm_scheduler_send_stop(scheduler, task->machine, &job->spec.id, number, task->attempt,
                          mm_scheduler_stop_grace_s(job));
 }
 
 /* Those of its tasks that show on machines which this node answers, and that no part held here has
  * placed there: perhaps no part's holder can be reached, or none is left. */
 static void
-stop_reported_tasks(MmScheduler *owner, const MmJob *job) {
-  const GPtrArray *machines = owner->node->machine_table->sorted_machines;
+stop_reported_tasks(MmScheduler *scheduler, const MmJob *job) {
+  const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
 
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
@@ -56,62 +56,64 @@
       if (reported->state != MM_REPORTED_ENDED && mm_name_equal(&reported->job, &job->spec.id)
           && (job->tasks == NULL || reported->number >= job->spec.n_tasks
               || job->tasks[reported->number].machine != machine))
-        mm_scheduler_send_stop(owner, machine, &reported->job, reported->number, reported->attempt,
-                               0);
+        mm_scheduler_send_stop(scheduler, machine, &reported->job, reported->number,
+                               reported->attempt, 0);
     }
   }
 }
 
 gboolean
-mm_scheduler_job_cancelled(MmScheduler *owner, const char *job_id) {
-  MmJob *job = mm_job_table_find(owner->node->job_table, job_id);
+mm_scheduler_job_cancelled(MmScheduler *scheduler, const char *job_id) {
+  MmJob *job = mm_job_table_find(scheduler->node->job_table, job_id);
 
   if (job == NULL)
-    return mm_job_table_is_over(owner->node->job_table, job_id);
+    return mm_job_table_is_over(scheduler->node->job_table, job_id);
   if (job->is_cancelled)
     return TRUE;
   job->is_cancelled = TRUE;
-  job->kv_served_us_at_cancel = owner->node->kv->available_us;
+  job->kv_served_us_at_cancel = scheduler->node->kv->available_us;
   for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++) {
     if (job->tasks[i].state == MM_TASK_PLACE_RESERVED)
-      mm_scheduler_unplace_task(owner, job, i);
+      mm_scheduler_unplace_task(scheduler, job, i);
     else if (mm_task_is_live(job->tasks[i].state))
-      mm_scheduler_stop_task(owner, job, i);
+      mm_scheduler_stop_task(scheduler, job, i);
   }
   /* What depends on a cancelled job has never been started. */
   if (!mm_job_has_cancelled_dependency(job))
-    stop_reported_tasks(owner, job);
-  mm_placement_backlog_changed(owner->node->placement);
-  mm_dependencies_job_cancelled(owner->node->dependencies, job_id);
+    stop_reported_tasks(scheduler, job);
+  mm_placement_backlog_changed(scheduler->node->placement);
+  mm_dependencies_job_cancelled(scheduler->node->dependencies, job_id);
   return TRUE;
 }
 
 static void
 direct_command_answered(gpointer data, int status, json_t *body) {
-  MmScheduler *owner = data;
+  MmScheduler *scheduler = data;
   MmHeartbeat heartbeat;
   const char *reason = NULL;
 
   if (status != 200 && status != 409)
     return;
   if (mm_heartbeat_parse(&heartbeat, body, &reason)) {
-    MmMachine *machine = mm_machine_table_find(owner->node->machine_table, heartbeat.machine_id.s);
+    MmMachine *machine
+        = mm_machine_table_find(scheduler->node->machine_table, heartbeat.machine_id.s);
     gboolean is_acknowledgement
         = machine != NULL && heartbeat.fencing_token.v > machine->acknowledged_term.v;
     heartbeat.is_direct_reply = TRUE;
     if (machine != NULL)
-      machine = mm_machine_table_record_heartbeat(owner->node->machine_table, &heartbeat,
-                                                  mm_node_now(owner->node), MM_SERVING_NODE_NONE);
+      machine
+          = mm_machine_table_record_heartbeat(scheduler->node->machine_table, &heartbeat,
+                                              mm_node_now(scheduler->node), MM_SERVING_NODE_NONE);
     /* Other nodes may wait for the same acknowledgement. */
     if (is_acknowledgement && machine != NULL)
-      mm_peer_broadcast_direct_reply(owner->node->peer_links, machine);
+      mm_peer_broadcast_direct_reply(scheduler->node->peer_links, machine);
   }
   mm_heartbeat_clear(&heartbeat);
 }
 
 static void
-send_direct_commands(MmScheduler *owner, MmMachine *machine, json_t *commands) {
-  MmNode *node = owner->node;
+send_direct_commands(MmScheduler *scheduler, MmMachine *machine, json_t *commands) {
+  MmNode *node = scheduler->node;
   g_autoptr(json_t) body = json_pack(
       "{s:I, s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v, WIRE_SESSION,
       (json_int_t)MAX(machine->latest_message_id.incarnation, 1), WIRE_COMMANDS, commands);
@@ -119,17 +121,17 @@
   if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
     return;
   node->platform.request(node->platform.context, MM_TARGET_WORKER, machine->addr, "POST",
-                         WIRE_DIRECT_PATH, body, 2000, direct_command_answered, owner);
+                         WIRE_DIRECT_PATH, body, 2000, direct_command_answered, scheduler);
 }
 
 void
-mm_scheduler_send_stop(MmScheduler *owner, MmMachine *machine, const MmName *job, guint number,
+mm_scheduler_send_stop(MmScheduler *scheduler, MmMachine *machine, const MmName *job, guint number,
                        MmAttempt attempt, double grace_s) {
   MmCommand command = { MM_OP_STOP, *job, number, attempt, grace_s };
   json_t *commands = json_array();
 
   json_array_append_new(commands, mm_command_to_json(&command));
-  send_direct_commands(owner, machine, commands);
+  send_direct_commands(scheduler, machine, commands);
 }
 
 /* The newest term that a team's holder waits for, wherever it is. */
@@ -147,15 +149,15 @@
 }
 
 static gboolean
-is_unacknowledged(const MmScheduler *owner, const MmMachine *machine) {
+is_unacknowledged(const MmScheduler *scheduler, const MmMachine *machine) {
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, owner->led_shards);
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value))
     if (g_hash_table_contains(((MmLedShard *)value)->unacknowledged_machines, machine->id.s))
       return TRUE;
-  return mm_sharing_awaits_acknowledgement(owner->node->sharing, machine);
+  return mm_sharing_awaits_acknowledgement(scheduler->node->sharing, machine);
 }
 
 /* Of a machine that reports, the node that it reports to asks for all: one that will not report for
@@ -180,8 +182,8 @@
  * time, for a share of the processor: asking four hundred at once took all the time there was, and
  * claims ended over it. */
 void
-mm_scheduler_request_acknowledgements(MmScheduler *owner) {
-  MmNode *node = owner->node;
+mm_scheduler_request_acknowledgements(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
   gint64 silent_ms = (gint64)(node->settings->heartbeat_interval_s * 1500);
   MmTerm newest = newest_shard_term(node);
@@ -192,25 +194,25 @@
     return;
   for (guint i = 0; i < node->machine_table->sorted_machines->len && requests_left > 0; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
-    gboolean is_deaf;
+    gboolean ignores_responses;
 
     if (machine->lease_has_expired
         || mm_time_ms_since(now, machine->acknowledgement_requested_at) < ACK_REQUEST_INTERVAL_MS)
       continue;
-    is_deaf = mm_machine_health_ignores_responses(node->machine_table, machine);
-    if (!is_deaf && !acknowledgement_would_be_late(node, machine, newest)
+    ignores_responses = mm_machine_health_ignores_responses(node->machine_table, machine);
+    if (!ignores_responses && !acknowledgement_would_be_late(node, machine, newest)
         && (mm_time_ms_since(now, machine->last_heartbeat_at) < silent_ms
-            || !is_unacknowledged(owner, machine)))
+            || !is_unacknowledged(scheduler, machine)))
       continue;
     machine->acknowledgement_requested_at = now;
     requests_left--;
-    send_direct_commands(owner, machine, json_array());
+    send_direct_commands(scheduler, machine, json_array());
   }
 }
 
 void
-mm_scheduler_resend_stops(MmScheduler *owner) {
-  MmNode *node = owner->node;
+mm_scheduler_resend_stops(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
 
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
@@ -220,7 +222,7 @@
       const MmTask *task = &placed->job->tasks[placed->number];
       if ((placed->job->is_cancelled || task->is_stopping) && task->state != MM_TASK_SAVING
           && mm_time_ms_since(now, task->stop_sent_at) > STOP_RESEND_MS)
-        mm_scheduler_stop_task(owner, placed->job, placed->number);
+        mm_scheduler_stop_task(scheduler, placed->job, placed->number);
     }
   }
 }
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -9,7 +9,7 @@
 #include "dependencies/dependencies.h"
 
 /* Work within its team's guarantee should start within seconds. */
-#define GUARANTEED_START_S 1
+#define QUOTA_START_WITHIN_S 1
 /* From the end of a job's last task to the start of those of its dependents: reports, the final
  * record, the fetch of an image. */
 #define DEPENDENCY_STAGE_MS 3000
@@ -19,24 +19,25 @@
 #define NO_DUE_TIME_MS G_MAXINT64
 
 gboolean
-mm_scheduler_has_precedence(const MmScheduler *owner, const MmJob *job) {
+mm_scheduler_has_precedence(const MmScheduler *scheduler, const MmJob *job) {
   return job->is_starving || job->effective_priority >= MM_PRIORITY_URGENT
-         || mm_job_waiting_time_s(owner->node, job) > (job->is_within_quota
-                                                           ? GUARANTEED_START_S
-                                                           : owner->node->operators->wait_bound_s);
+         || mm_job_waiting_time_s(scheduler->node, job)
+                > (job->is_within_quota ? QUOTA_START_WITHIN_S
+                                        : scheduler->node->operators->wait_bound_s);
 }
 
 /* When the last task must have started for the aim, in seconds from the job's submission. */
 static double
-aim_start_s(const MmJob *job, const MmObjective *aim, double run_s) {
-  switch (aim->kind) {
+objective_start_s(const MmJob *job, const MmObjective *objective, double run_s) {
+  switch (objective->kind) {
   case MM_OBJECTIVE_WAIT:
   case MM_OBJECTIVE_QUOTA:
-    return aim->within_s;
+    return objective->within_s;
   case MM_OBJECTIVE_FINISHED:
-    return aim->within_s - run_s;
+    return objective->within_s - run_s;
   case MM_OBJECTIVE_DEADLINE:
-    return job->spec.deadline_s >= 0 ? job->spec.deadline_s * aim->deadline_factor - run_s : -1;
+    return job->spec.deadline_s >= 0 ? job->spec.deadline_s * objective->deadline_factor - run_s
+                                     : -1;
   default:
     return -1;
   }
@@ -45,9 +46,9 @@
 /* The user's guess of a run time, corrected by how far the class's guesses were off, or what was
  * seen of the job's own tasks. */
 static double
-estimate_run_s(const MmScheduler *owner, const MmJob *job) {
+estimate_run_s(const MmScheduler *scheduler, const MmJob *job) {
   const MmEstimateError *estimate_error
-      = g_hash_table_lookup(owner->estimate_errors, job->spec.job_class.s);
+      = g_hash_table_lookup(scheduler->estimate_errors, job->spec.job_class.s);
   double ratio = estimate_error != NULL && estimate_error->estimated_s > 0
                      ? estimate_error->actual_s / estimate_error->estimated_s
                      : 1;
@@ -60,8 +61,8 @@
 /* How many rounds the unassigned tasks need where the team's limit lets only so many run at once.
  */
 static double
-estimate_rounds(const MmScheduler *owner, const MmJob *job) {
-  const MmTeamSettings *team = mm_settings_team(owner->node->settings, &job->spec.team);
+estimate_rounds(const MmScheduler *scheduler, const MmJob *job) {
+  const MmTeamSettings *team = mm_settings_team(scheduler->node->settings, &job->spec.team);
   double n_parallel = job->spec.n_tasks;
 
   if (team != NULL && team->limit.cores > 0 && job->spec.task_resources.cores > 0)
@@ -74,31 +75,33 @@
 
 /* By when the job must be given machines for the first of its own aims that it can still meet. */
 static gint64
-own_due_ms(const MmScheduler *owner, const MmJob *job, double run_s) {
-  const MmSettings *settings = owner->node->settings;
-  gint64 now_ms = mm_node_wall_ms(owner->node);
+own_due_ms(const MmScheduler *scheduler, const MmJob *job, double run_s) {
+  const MmSettings *settings = scheduler->node->settings;
+  gint64 now_ms = mm_node_wall_ms(scheduler->node);
   gint64 due_ms = NO_DUE_TIME_MS;
-  gboolean has_own_aim = FALSE;
+  gboolean has_own_objective = FALSE;
 
   for (guint i = 0; i < settings->objectives->len; i++) {
-    const MmObjective *aim = &g_array_index(settings->objectives, MmObjective, i);
+    const MmObjective *objective = &g_array_index(settings->objectives, MmObjective, i);
     double start_s;
     gint64 counted_from_ms, start_ms;
-    if (aim->kind == MM_OBJECTIVE_QUOTA ? !job->is_within_quota
-                                        : !mm_name_equal(&aim->job_class, &job->spec.job_class))
+    if (objective->kind == MM_OBJECTIVE_QUOTA
+            ? !job->is_within_quota
+            : !mm_name_equal(&objective->job_class, &job->spec.job_class))
       continue;
-    start_s = aim_start_s(job, aim, run_s);
+    start_s = objective_start_s(job, objective, run_s);
     counted_from_ms
-        = aim->kind == MM_OBJECTIVE_DEADLINE ? job->submitted_at_ms : job->waiting_since_ms;
+        = objective->kind == MM_OBJECTIVE_DEADLINE ? job->submitted_at_ms : job->waiting_since_ms;
     start_ms = counted_from_ms + (gint64)(start_s * 1000);
-    has_own_aim = has_own_aim || (start_s >= 0 && aim->kind != MM_OBJECTIVE_QUOTA);
+    has_own_objective
+        = has_own_objective || (start_s >= 0 && objective->kind != MM_OBJECTIVE_QUOTA);
     if (start_s >= 0 && start_ms >= now_ms && start_ms < due_ms)
       due_ms = start_ms;
   }
   /* Without any aim of its own, its deadline or its age counts. */
-  if (!has_own_aim && job->spec.deadline_s >= 0)
+  if (!has_own_objective && job->spec.deadline_s >= 0)
     due_ms = job->submitted_at_ms + (gint64)(MAX(job->spec.deadline_s - run_s, 0) * 1000);
-  else if (!has_own_aim)
+  else if (!has_own_objective)
     due_ms = job->waiting_since_ms;
   return due_ms;
 }
@@ -114,8 +117,8 @@
 /* Takes over what the unfinished jobs that depend on this one ask for. Their own values may be as
  * old as the last round where they are not worked out before this one. */
 static void
-inherit_from_dependents(const MmScheduler *owner, MmJob *job, double run_s) {
-  const MmJobTable *job_table = owner->node->job_table;
+inherit_from_dependents(const MmScheduler *scheduler, MmJob *job, double run_s) {
+  const MmJobTable *job_table = scheduler->node->job_table;
   gint64 dependents_due_ms = NO_DUE_TIME_MS;
 
   job->inherited_priority = job->spec.priority;
@@ -130,15 +133,15 @@
   }
   if (dependents_due_ms != NO_DUE_TIME_MS)
     job->inherited_due_at_ms = MAX(dependents_due_ms - DEPENDENCY_STAGE_MS - (gint64)(run_s * 1000),
-                                   mm_node_wall_ms(owner->node));
+                                   mm_node_wall_ms(scheduler->node));
 }
 
 /* While there is time until the deadline that it has taken over, a job goes in the order of what is
  * due but stops no other team's or class's ordinary work: that cost the other work more than the
  * pipelines gained, which were done long before their deadlines. */
 static MmPriority
-effective_priority(const MmScheduler *owner, const MmJob *job) {
-  gint64 slack_ms = job->inherited_due_at_ms - mm_node_wall_ms(owner->node);
+effective_priority(const MmScheduler *scheduler, const MmJob *job) {
+  gint64 slack_ms = job->inherited_due_at_ms - mm_node_wall_ms(scheduler->node);
 
   if (job->inherited_due_at_ms == NO_DUE_TIME_MS || slack_ms <= INHERITED_DEADLINE_MARGIN_MS)
     return job->inherited_priority;
@@ -146,12 +149,12 @@
 }
 
 void
-mm_scheduler_update_urgency(MmScheduler *owner, MmJob *job) {
-  double run_s = estimate_run_s(owner, job) * estimate_rounds(owner, job);
+mm_scheduler_update_urgency(MmScheduler *scheduler, MmJob *job) {
+  double run_s = estimate_run_s(scheduler, job) * estimate_rounds(scheduler, job);
 
-  inherit_from_dependents(owner, job, run_s);
-  job->effective_priority = effective_priority(owner, job);
-  job->due_at_ms = MIN(own_due_ms(owner, job, run_s), job->inherited_due_at_ms);
+  inherit_from_dependents(scheduler, job, run_s);
+  job->effective_priority = effective_priority(scheduler, job);
+  job->due_at_ms = MIN(own_due_ms(scheduler, job, run_s), job->inherited_due_at_ms);
 }
 
 gint
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -6,7 +6,7 @@
 
 typedef struct {
   World *world;
-  MmScheduler *owner;
+  MmScheduler *scheduler;
   MmJob *job;
   MmMachine *machines[2];
 } Setting;
@@ -32,29 +32,29 @@
     g_assert_nonnull(known);
     if (mm_scheduler_shard_of_job(node->scheduler, known) == NULL)
       continue;
-    s.owner = node->scheduler;
+    s.scheduler = node->scheduler;
     s.job = known;
     s.machines[0] = mm_machine_table_find(node->machine_table, "m-000001");
     s.machines[1] = mm_machine_table_find(node->machine_table, "m-000002");
   }
-  g_assert_nonnull(s.owner);
+  g_assert_nonnull(s.scheduler);
   return s;
 }
 
 /* -1: refused. */
 static gint
-ask(Setting *s, guint machine, gint first, gint second, gboolean pull) {
-  MmStartRequest ask = { .machine = s->machines[machine],
-                         .heartbeat_id = s->machines[machine]->latest_message_id,
-                         .free_resources = { 16, 2, 64 },
-                         .is_pull = pull };
+request_start(Setting *s, guint machine, gint first, gint second, gboolean pull) {
+  MmStartRequest request = { .machine = s->machines[machine],
+                             .heartbeat_id = s->machines[machine]->latest_message_id,
+                             .free_resources = { 16, 2, 64 },
+                             .is_pull = pull };
   MmApproval approval;
 
   if (first >= 0)
-    ask.tasks[ask.n_tasks++] = (MmTaskRef){ s->job->spec.id, (guint)first };
+    request.tasks[request.n_tasks++] = (MmTaskRef){ s->job->spec.id, (guint)first };
   if (second >= 0)
-    ask.tasks[ask.n_tasks++] = (MmTaskRef){ s->job->spec.id, (guint)second };
-  return mm_scheduler_approve_start(s->owner, &ask, &approval) ? (gint)approval.number : -1;
+    request.tasks[request.n_tasks++] = (MmTaskRef){ s->job->spec.id, (guint)second };
+  return mm_scheduler_approve_start(s->scheduler, &request, &approval) ? (gint)approval.number : -1;
 }
 
 /* The answers of the paper's Table I. */
@@ -62,16 +62,20 @@
 test_table_one(void) {
   Setting s = set_up(5);
 
-  g_assert_cmpint(ask(&s, 0, 0, 1, FALSE), ==, 0); /* alpha: the first, the second is kept */
+  g_assert_cmpint(request_start(&s, 0, 0, 1, FALSE), ==,
+                  0); /* alpha: the first, the second is kept */
   g_assert_cmpuint(s.machines[0]->kept_list->len, ==, 1);
-  g_assert_cmpint(ask(&s, 0, -1, -1, FALSE), ==, 1); /* nothing sent: from the kept-list */
-  g_assert_cmpint(ask(&s, 0, 0, 2, FALSE), ==, 2);   /* gamma: the first is taken, the second not */
-  g_assert_cmpint(ask(&s, 0, 0, 1, FALSE), ==, -1);  /* chi: both are taken, nothing is kept */
-  g_assert_cmpint(ask(&s, 0, 3, 0, FALSE), ==, 3);   /* beta */
+  g_assert_cmpint(request_start(&s, 0, -1, -1, FALSE), ==,
+                  1); /* nothing sent: from the kept-list */
+  g_assert_cmpint(request_start(&s, 0, 0, 2, FALSE), ==,
+                  2); /* gamma: the first is taken, the second not */
+  g_assert_cmpint(request_start(&s, 0, 0, 1, FALSE), ==,
+                  -1); /* chi: both are taken, nothing is kept */
+  g_assert_cmpint(request_start(&s, 0, 3, 0, FALSE), ==, 3); /* beta */
   g_assert_cmpuint(s.machines[0]->kept_list->len, ==, 0);
-  g_assert_cmpint(ask(&s, 1, -1, -1, FALSE), ==, -1);
-  g_assert_cmpint(ask(&s, 1, -1, -1, TRUE), ==, 4); /* a pull gets what is left */
-  g_assert_cmpint(ask(&s, 1, -1, -1, TRUE), ==, -1);
+  g_assert_cmpint(request_start(&s, 1, -1, -1, FALSE), ==, -1);
+  g_assert_cmpint(request_start(&s, 1, -1, -1, TRUE), ==, 4); /* a pull gets what is left */
+  g_assert_cmpint(request_start(&s, 1, -1, -1, TRUE), ==, -1);
   world_free(s.world);
 }
 
@@ -80,9 +84,9 @@
 test_pull_takes_kept(void) {
   Setting s = set_up(2);
 
-  g_assert_cmpint(ask(&s, 0, 0, 1, FALSE), ==, 0);
-  g_assert_cmpint(ask(&s, 1, -1, -1, TRUE), ==, 1);
-  g_assert_cmpint(ask(&s, 0, -1, -1, FALSE), ==, -1);
+  g_assert_cmpint(request_start(&s, 0, 0, 1, FALSE), ==, 0);
+  g_assert_cmpint(request_start(&s, 1, -1, -1, TRUE), ==, 1);
+  g_assert_cmpint(request_start(&s, 0, -1, -1, FALSE), ==, -1);
   world_free(s.world);
 }
 
@@ -92,56 +96,56 @@
   Setting s = set_up(20);
 
   for (guint i = 0; i < 8; i++)
-    g_assert_cmpint(ask(&s, 0, -1, -1, TRUE), >=, 0);
-  g_assert_cmpint(ask(&s, 0, -1, -1, TRUE), ==, -1); /* the machine is full */
+    g_assert_cmpint(request_start(&s, 0, -1, -1, TRUE), >=, 0);
+  g_assert_cmpint(request_start(&s, 0, -1, -1, TRUE), ==, -1); /* the machine is full */
   for (guint i = 0; i < 4; i++)
-    g_assert_cmpint(ask(&s, 1, -1, -1, TRUE), >=, 0);
-  g_assert_cmpint(ask(&s, 1, -1, -1, TRUE), ==, -1); /* the team is at its limit */
+    g_assert_cmpint(request_start(&s, 1, -1, -1, TRUE), >=, 0);
+  g_assert_cmpint(request_start(&s, 1, -1, -1, TRUE), ==, -1); /* the team is at its limit */
   world_free(s.world);
 }
 
 /* A limit of accelerators, of which eight of thirteen are used and eight more are kept for a job
  * that starves: who needs accelerators waits, who needs none does not. */
 static void
-test_owes_what_is_limited(void) {
+test_reserved_quota_binds_limited_resources(void) {
   Setting s = set_up(2);
-  MmLedShard *held = mm_scheduler_shard_of_job(s.owner, s.job);
-  MmTeamSettings team = *held->team;
+  MmLedShard *shard = mm_scheduler_shard_of_job(s.scheduler, s.job);
+  MmTeamSettings team = *shard->team;
   MmJob starving
       = { .is_starving = TRUE, .spec = { .task_resources = { 43, 8, 310 }, .n_tasks = 1 } };
 
   team.limit = (MmResources){ 0, 13, 0 };
-  held->team = &team;
-  held->used = (MmResources){ 43, 8, 310 };
-  held->reserved_quota = starving.spec.task_resources;
-  held->quota_reserved_for = &starving;
-  g_assert_true(mm_scheduler_quota_allows(s.owner, held, s.job, 2));
+  shard->team = &team;
+  shard->used = (MmResources){ 43, 8, 310 };
+  shard->reserved_quota = starving.spec.task_resources;
+  shard->quota_reserved_for = &starving;
+  g_assert_true(mm_scheduler_quota_allows(s.scheduler, shard, s.job, 2));
   s.job->spec.task_resources.accelerators = 1;
-  g_assert_false(mm_scheduler_quota_allows(s.owner, held, s.job, 1));
-  g_assert_false(mm_scheduler_quota_allows(s.owner, held, &starving, 1));
-  held->quota_reserved_for = NULL;
-  g_assert_true(mm_scheduler_quota_allows(s.owner, held, s.job, 5));
-  g_assert_false(mm_scheduler_quota_allows(s.owner, held, s.job, 6));
-  held->team = mm_settings_team(s.owner->node->settings, &s.job->spec.team);
+  g_assert_false(mm_scheduler_quota_allows(s.scheduler, shard, s.job, 1));
+  g_assert_false(mm_scheduler_quota_allows(s.scheduler, shard, &starving, 1));
+  shard->quota_reserved_for = NULL;
+  g_assert_true(mm_scheduler_quota_allows(s.scheduler, shard, s.job, 5));
+  g_assert_false(mm_scheduler_quota_allows(s.scheduler, shard, s.job, 6));
+  shard->team = mm_settings_team(s.scheduler->node->settings, &s.job->spec.team);
   world_free(s.world);
 }
 
 /* An ask for an overtaken report must get nothing: its answer may never reach the worker. */
 static void
-test_old_ask(void) {
+test_stale_start_request(void) {
   Setting s = set_up(2);
   MmHeartbeatId now = s.machines[0]->latest_message_id;
 
   s.machines[0]->latest_message_id.sequence++;
   {
-    MmStartRequest old = { .machine = s.machines[0],
-                           .heartbeat_id = now,
-                           .free_resources = { 16, 2, 64 },
-                           .is_pull = TRUE };
+    MmStartRequest stale_request = { .machine = s.machines[0],
+                                     .heartbeat_id = now,
+                                     .free_resources = { 16, 2, 64 },
+                                     .is_pull = TRUE };
     MmApproval approval;
-    g_assert_false(mm_scheduler_approve_start(s.owner, &old, &approval));
+    g_assert_false(mm_scheduler_approve_start(s.scheduler, &stale_request, &approval));
   }
-  g_assert_cmpint(ask(&s, 0, -1, -1, TRUE), >=, 0);
+  g_assert_cmpint(request_start(&s, 0, -1, -1, TRUE), >=, 0);
   world_free(s.world);
 }
 
@@ -164,7 +168,7 @@
 
 static MmMachine *
 take(const Setting *s, MmHeartbeat report) {
-  MmNode *node = s->owner->node;
+  MmNode *node = s->scheduler->node;
   MmMachine *machine = mm_machine_table_record_heartbeat(node->machine_table, &report,
                                                          mm_node_now(node), MM_SERVING_NODE_SELF);
 
@@ -197,28 +201,28 @@
 static void
 test_waits_where_it_may_be(void) {
   Setting s = set_up(2);
-  MmLedShard *held = mm_scheduler_shard_of_job(s.owner, s.job);
+  MmLedShard *shard = mm_scheduler_shard_of_job(s.scheduler, s.job);
   MmMachine *spot = s.machines[0];
 
   s.job->submitted_after_acquire = FALSE;
-  g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
-  held->is_ready = FALSE;
-  held->unacknowledged_changed = TRUE;
-  g_hash_table_insert(held->unacknowledged_machines, g_strdup(spot->id.s), GSIZE_TO_POINTER(1));
+  g_assert_true(mm_scheduler_knows_all_starts(s.scheduler, s.job));
+  shard->is_ready = FALSE;
+  shard->unacknowledged_changed = TRUE;
+  g_hash_table_insert(shard->unacknowledged_machines, g_strdup(spot->id.s), GSIZE_TO_POINTER(1));
   spot->is_spot = TRUE;
   s.job->spec.allows_spot = TRUE;
-  g_assert_false(mm_scheduler_knows_all_starts(s.owner, s.job));
-  g_assert_false(mm_scheduler_job_is_schedulable(s.owner, s.job));
+  g_assert_false(mm_scheduler_knows_all_starts(s.scheduler, s.job));
+  g_assert_false(mm_scheduler_job_is_schedulable(s.scheduler, s.job));
   s.job->spec.allows_spot = FALSE;
-  g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
-  g_assert_true(mm_scheduler_job_is_schedulable(s.owner, s.job));
+  g_assert_true(mm_scheduler_knows_all_starts(s.scheduler, s.job));
+  g_assert_true(mm_scheduler_job_is_schedulable(s.scheduler, s.job));
   s.job->spec.allows_spot = TRUE;
   s.job->spec.zone = mm_name("elsewhere");
-  g_assert_true(mm_scheduler_knows_all_starts(s.owner, s.job));
+  g_assert_true(mm_scheduler_knows_all_starts(s.scheduler, s.job));
   /* One of which nothing is known may hold anything. */
-  g_hash_table_insert(held->unacknowledged_machines, g_strdup("m-999999"), GSIZE_TO_POINTER(1));
-  held->unacknowledged_changed = TRUE;
-  g_assert_false(mm_scheduler_knows_all_starts(s.owner, s.job));
+  g_hash_table_insert(shard->unacknowledged_machines, g_strdup("m-999999"), GSIZE_TO_POINTER(1));
+  shard->unacknowledged_changed = TRUE;
+  g_assert_false(mm_scheduler_knows_all_starts(s.scheduler, s.job));
   world_free(s.world);
 }
 
@@ -243,7 +247,7 @@
 
 static gboolean
 is_late(const Setting *s, MmHeartbeat report) {
-  gboolean late = mm_machine_table_is_stale_heartbeat(s->owner->node->machine_table, &report);
+  gboolean late = mm_machine_table_is_stale_heartbeat(s->scheduler->node->machine_table, &report);
 
   mm_heartbeat_clear(&report);
   return late;
@@ -272,7 +276,7 @@
   machine->latest_message_id.sequence = seq + 5;
   g_assert_false(is_late(&s, report_with(&s, 0, 1, seq + 2, 0)));
   /* Nothing brings back what has been proved gone. */
-  mm_machine_table_record_termination(s.owner->node->machine_table, machine->id.s);
+  mm_machine_table_record_termination(s.scheduler->node->machine_table, machine->id.s);
   g_assert_true(is_late(&s, report_with(&s, 0, 9, 1, 100)));
   g_assert_null(take(&s, report_with(&s, 0, 9, 1, 100)));
   world_free(s.world);
@@ -282,14 +286,14 @@
 static void
 test_unproved(void) {
   Setting s = set_up(2);
-  const MmMachineTable *machine_table = s.owner->node->machine_table;
+  const MmMachineTable *machine_table = s.scheduler->node->machine_table;
   MmHeartbeat report = report_with(&s, 0, 3, 70, 100);
 
-  s.owner->node->replica->term_at_start.v = 7; /* as if it had started among others */
+  s.scheduler->node->replica->term_at_start.v = 7; /* as if it had started among others */
   report.machine_id = mm_name("m-000999");
-  report.fencing_token.v = s.owner->node->replica->term_at_start.v - 1;
+  report.fencing_token.v = s.scheduler->node->replica->term_at_start.v - 1;
   g_assert_true(mm_machine_table_is_unverified(machine_table, &report));
-  report.fencing_token = s.owner->node->replica->term_at_start;
+  report.fencing_token = s.scheduler->node->replica->term_at_start;
   g_assert_false(mm_machine_table_is_unverified(machine_table, &report));
   /* One on the register may hold tasks: whatever it shows counts. */
   report.machine_id = s.machines[0]->id;
@@ -311,19 +315,19 @@
   job->is_within_quota = TRUE;
   from.team_index = 1;
   from.is_within_quota = FALSE;
-  s.owner->team_used[1] = (MmResources){ 6, 0, 0 };
-  g_assert_true(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
-  s.owner->team_used[1].cores = 5; /* would fall below its own guarantee */
-  g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
-  s.owner->team_used[1].cores = 6;
+  s.scheduler->team_used[1] = (MmResources){ 6, 0, 0 };
+  g_assert_true(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
+  s.scheduler->team_used[1].cores = 5; /* would fall below its own guarantee */
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
+  s.scheduler->team_used[1].cores = 6;
   from.is_within_quota = TRUE;
-  g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
   from.is_within_quota = FALSE;
   from.effective_priority = MM_PRIORITY_URGENT;
-  g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
   from.effective_priority = job->effective_priority;
   job->is_within_quota = FALSE;
-  g_assert_false(mm_scheduler_may_reclaim_quota(s.owner, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
   world_free(s.world);
 }
 
@@ -451,8 +455,8 @@
   g_test_add_func("/owner/table-one", test_table_one);
   g_test_add_func("/owner/pull-takes-kept", test_pull_takes_kept);
   g_test_add_func("/owner/limit", test_limit);
-  g_test_add_func("/owner/owes-what-is-limited", test_owes_what_is_limited);
-  g_test_add_func("/owner/old-ask", test_old_ask);
+  g_test_add_func("/owner/owes-what-is-limited", test_reserved_quota_binds_limited_resources);
+  g_test_add_func("/owner/old-ask", test_stale_start_request);
   g_test_add_func("/owner/newer-attempt-stands", test_newer_attempt_stands);
   g_test_add_func("/owner/late-copies", test_late_copies);
   g_test_add_func("/owner/waits-where-it-may-be", test_waits_where_it_may_be);
