--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -1,8 +1,8 @@
 #include "dependencies/dependencies.h"
 
 #include "base/wire.h"
-#include "scheduler/scheduler.h"
-#include "placement/placement.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/stop-commands.h"
 #include "kv/kv-client.h"
 
 /* Reads of final states at once, and the share of the state service's requests that they take. */
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -1,7 +1,8 @@
 #include "heartbeat/pending-response.h"
 
 #include "base/wire.h"
-#include "scheduler/scheduler.h"
+#include "placement/backlog.h"
+#include "scheduler/admission.h"
 #include "leases/node-lease.h"
 #include "peers/peer-links.h"
 #include "kv/replica.h"
--- a/src/heartbeat/pending-response.h
+++ b/src/heartbeat/pending-response.h
@@ -8,7 +8,7 @@
 
 #include "heartbeat/heartbeat-server.h"
 #include "machines/machine-table.h"
-#include "placement/placement.h"
+#include "placement/candidates.h"
 #include "sharing/sharing.h"
 
 /* A start that its owner has approved. */
--- a/src/jobs/job-api.c
+++ b/src/jobs/job-api.c
@@ -8,7 +8,7 @@
 #include "dependencies/dependencies.h"
 #include "jobs/job-table.h"
 #include "jobs/user-request.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/stop-commands.h"
 #include "leases/node-lease.h"
 #include "peers/peer-broadcast.h"
 #include "peers/peer-links.h"
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -2,9 +2,10 @@
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/stop-commands.h"
 #include "leases/shard-ownership.h"
-#include "placement/placement.h"
+#include "placement/accelerator-reserve.h"
 
 #define TERMINAL_STATES_KEPT 4096
 #define REMOVED_IDS_KEPT 8192
--- a/src/kv/replica.c
+++ b/src/kv/replica.c
@@ -5,7 +5,7 @@
 #include "machines/registry.h"
 #include "autoscaler/instance-types.h"
 #include "jobs/job-table.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/led-shards.h"
 #include "leases/node-lease.h"
 #include "sharing/sharing.h"
 #include "kv/kv-client.h"
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -6,7 +6,7 @@
 #include "base/wire.h"
 #include "machines/machine-health.h"
 #include "machines/registry.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/heartbeats.h"
 #include "peers/peer-links.h"
 #include "sharing/sharing.h"
 #include "kv/replica.h"
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -13,7 +13,7 @@
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
 #include "peers/peer-links.h"
-#include "placement/placement.h"
+#include "placement/backlog.h"
 #include "sharing/admin.h"
 #include "sharing/sharing.h"
 #include "kv/replica.h"
--- a/src/peers/peer-receiver.c
+++ b/src/peers/peer-receiver.c
@@ -5,8 +5,9 @@
 #include "jobs/job-api.h"
 #include "machines/machine-health.h"
 #include "peers/peer-broadcast.h"
-#include "placement/placement.h"
-#include "scheduler/scheduler.h"
+#include "placement/backlog.h"
+#include "scheduler/admission.h"
+#include "scheduler/stop-commands.h"
 #include "sharing/sharing.h"
 
 /* Sends a peer that has shown a sign of life all that it must know, before any pong of this node. A
--- /dev/null
+++ b/src/placement/candidates.c
@@ -0,0 +1,189 @@
+#include "placement/candidates.h"
+
+#include "placement/accelerator-reserve.h"
+#include "placement/backlog.h"
+#include "placement/modulo-priority.h"
+#include "scheduler/gang.h"
+#include "scheduler/urgency.h"
+
+/* Bounds the work for one machine: of longer backlogs the most urgent tasks are ranked. */
+#define RANKED_TASKS_MAX 512
+
+typedef struct {
+  gint64 priority; /* see mm_modulo_priority */
+  guint view;
+  MmTaskRef task;
+} RankedTask;
+
+gboolean
+mm_placement_allows(const MmJob *job, const MmMachine *machine) {
+  return mm_job_spec_allows_machine(&job->spec, &machine->type_name, &machine->zone,
+                                    machine->is_spot);
+}
+
+/* The highest priority first. */
+static gint
+compare_ranked_tasks(gconstpointer a, gconstpointer b) {
+  const RankedTask *x = a, *y = b;
+
+  return x->priority > y->priority ? -1 : x->priority < y->priority;
+}
+
+static gboolean
+was_requested(const GArray *requested, const MmName *job, guint number) {
+  for (guint i = 0; i < requested->len; i++) {
+    const MmTaskRef *task = &g_array_index(requested, MmTaskRef, i);
+    if (task->number == number && mm_name_equal(&task->job, job))
+      return TRUE;
+  }
+  return FALSE;
+}
+
+/* The job, if a task of it may be requested for the machine, or NULL. Gangs are in the backlog for
+ * the autoscaler; the leader of their shard chooses their places. */
+static const MmJob *
+fitting_job(MmPlacement *placement, const MmPendingTasks *pending, const MmMachine *machine,
+            MmResources free_resources) {
+  const MmJob *job = mm_job_table_find(placement->node->job_table, pending->job.s);
+
+  return job != NULL && !job->is_cancelled && !mm_job_is_gang(job) && pending->ranges->len > 0
+                 && mm_resources_fits(job->spec.task_resources, free_resources)
+                 && mm_placement_allows(job, machine)
+                 && mm_placement_check_reserve(placement, job, machine, free_resources)
+                        != MM_RESERVE_FORBIDDEN
+             ? job
+             : NULL;
+}
+
+/* The most urgent task that has precedence. */
+static gboolean
+choose_precedence(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
+                  const GArray *requested, guint exhausted_views, MmPlacementChoice *choice) {
+  const MmJob *best = NULL;
+
+  for (guint v = 0; v < placement->n_views; v++) {
+    for (guint i = 0; i < placement->views[v].pending->len && !(exhausted_views >> v & 1); i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
+      const MmJob *job = pending->has_precedence
+                             ? fitting_job(placement, pending, machine, free_resources)
+                             : NULL;
+      guint number;
+      if (job == NULL)
+        continue;
+      number = g_array_index(pending->ranges, guint, 0);
+      if (was_requested(requested, &pending->job, number)
+          || (best != NULL && mm_scheduler_compare_urgency(&job, &best) >= 0))
+        continue;
+      best = job;
+      choice->view = (gint)v;
+      choice->n_tasks = 1;
+      choice->tasks[0] = (MmTaskRef){ pending->job, number };
+    }
+  }
+  return best != NULL;
+}
+
+/* The ordinary case: tasks whose image the machine has cached, in the machine's own order. */
+static gboolean
+choose_cached(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
+              const GArray *requested, MmPlacementChoice *choice) {
+  g_autoptr(GArray) ranked = g_array_new(FALSE, FALSE, sizeof(RankedTask));
+  guint n_machines = placement->node->machine_table->sorted_machines->len,
+        n_controllers = placement->n_views, n_tasks = 0, task_offset = 0;
+  guint max_tasks = MIN((guint)placement->node->operators->candidates, MM_PLACEMENT_CANDIDATES_MAX);
+
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].pending->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
+      for (guint k = 0; k + 1 < pending->ranges->len; k += 2)
+        n_tasks += g_array_index(pending->ranges, guint, k + 1);
+    }
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].pending->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
+      const MmJob *job = fitting_job(placement, pending, machine, free_resources);
+      gboolean cached = job != NULL && mm_machine_has_cached_image(machine, &job->spec.image);
+      for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
+        guint first = g_array_index(pending->ranges, guint, k);
+        guint length = g_array_index(pending->ranges, guint, k + 1);
+        for (guint t = 0; t < length && cached && ranked->len < RANKED_TASKS_MAX; t++) {
+          RankedTask item
+              = { mm_modulo_priority(task_offset + t + 1, n_tasks, machine->sorted_index + 1,
+                                     n_machines, n_controllers),
+                  v,
+                  { pending->job, first + t } };
+          if (!was_requested(requested, &pending->job, first + t))
+            g_array_append_val(ranked, item);
+        }
+        task_offset += length;
+      }
+    }
+  if (ranked->len == 0)
+    return FALSE;
+  g_array_sort(ranked, compare_ranked_tasks);
+  choice->view = (gint)g_array_index(ranked, RankedTask, 0).view;
+  for (guint i = 0; i < ranked->len && choice->n_tasks < max_tasks; i++) {
+    const RankedTask *item = &g_array_index(ranked, RankedTask, i);
+    if ((gint)item->view == choice->view)
+      choice->tasks[choice->n_tasks++] = item->task;
+  }
+  return TRUE;
+}
+
+/* A pull: a node drawn in proportion to its pending tasks. */
+static gboolean
+choose_pull(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
+            guint exhausted_views, MmPlacementChoice *choice) {
+  g_autofree guint *weights = g_new0(guint, placement->n_views);
+  guint total = 0, drawn;
+
+  for (guint v = 0; v < placement->n_views; v++) {
+    gboolean has_fitting_job = FALSE;
+    for (guint i = 0;
+         i < placement->views[v].pending->len && !has_fitting_job && !(exhausted_views >> v & 1);
+         i++)
+      has_fitting_job = fitting_job(placement, g_ptr_array_index(placement->views[v].pending, i),
+                                    machine, free_resources)
+                        != NULL;
+    weights[v] = has_fitting_job ? MAX(placement->views[v].n_pending_tasks, 1) : 0;
+    total += weights[v];
+  }
+  if (total == 0)
+    return FALSE;
+  drawn = (guint)g_rand_int_range(placement->node->rand, 0, (gint32)MIN(total, G_MAXINT32));
+  choice->view = 0;
+  while (drawn >= weights[choice->view])
+    drawn -= weights[choice->view++];
+  choice->is_pull = TRUE;
+  return TRUE;
+}
+
+/* A place reserved for a gang is requested whatever else is pending: otherwise a machine with
+ * nothing else to request would never get the start that is reserved for it. */
+static gboolean
+choose_reserved(MmPlacement *placement, const MmMachine *machine, guint exhausted_views,
+                MmPlacementChoice *choice) {
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].reserved_machines->len && !(exhausted_views >> v & 1);
+         i++)
+      if (mm_name_equal(&g_array_index(placement->views[v].reserved_machines, MmName, i),
+                        &machine->id)) {
+        choice->view = (gint)v;
+        return TRUE;
+      }
+  return FALSE;
+}
+
+MmPlacementChoice
+mm_placement_choose(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
+                    const GArray *requested, guint exhausted_views) {
+  MmPlacementChoice choice = { .view = -1 };
+
+  if (placement->is_backlog_changed && placement->views[0].pending->len == 0)
+    mm_placement_refresh_own_backlog(placement);
+  if (!choose_reserved(placement, machine, exhausted_views, &choice)
+      && !choose_precedence(placement, machine, free_resources, requested, exhausted_views, &choice)
+      && !choose_cached(placement, machine, free_resources, requested, &choice))
+    choose_pull(placement, machine, free_resources, exhausted_views, &choice);
+  return choice;
+}
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -1,22 +1,32 @@
-/* Gangs of several tasks: the owner picks all places at once or none, then gives the starts out as
- * the machines report. A gang that is not complete in time is stopped and planned anew. */
-#include "scheduler/scheduler.h"
+#include "scheduler/gang.h"
 
-/* Several report periods: within them every machine asks for work. */
+#include "placement/candidates.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/preemption.h"
+#include "scheduler/quota.h"
+#include "scheduler/start-rules.h"
+#include "scheduler/stop-commands.h"
+#include "scheduler/task-state.h"
+#include "scheduler/urgency.h"
+
+/* In heartbeat intervals: within them every machine asks for work. */
 #define RESERVATION_PERIODS 3
 #define UNUSED_RESERVATION_PAUSE_MS 10000
+#define YIELD_TO_GANG_MAX_MS 240000
+#define YIELD_TO_GANG_JOBS_MAX 3
 
 typedef struct {
   MmMachine *machine;
   MmResources free_resources;
 } Place;
 
+/* Gives back the reserved places, and stops the members that run. */
 static void
 release_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++) {
     MmTask *task = &job->tasks[i];
     if (task->state == MM_TASK_PLACE_RESERVED) {
-      /* It did not ask in time, whatever the reason: not the same place again at once. */
+      /* The machine did not ask in time, whatever the reason: not the same place again at once. */
       task->machine->full_until
           = mm_time_add_ms(mm_node_now(scheduler->node), UNUSED_RESERVATION_PAUSE_MS);
       mm_scheduler_unplace_task(scheduler, job, i);
@@ -26,9 +36,9 @@
   }
 }
 
-/* Some members were seen to be done, the others were lost with their machines before they could say
- * so. A member can't run alone, so the whole gang is started again: results are kept, and a member
- * whose result is there ends as done at once. Its being done is not assumed. */
+/* Some members are known to be done, the others were lost with their machines before they could
+ * show it. A member can't run alone, so the whole gang is started again. Results are kept: a member
+ * whose result is there ends as done at once. */
 static void
 restart_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++)
@@ -36,6 +46,8 @@
       mm_scheduler_unplace_task(scheduler, job, i);
 }
 
+/* Machines, of one zone unless that is NULL, with resources for a task of the gang, as GArray of
+ * Place. */
 static GArray *
 free_places(MmScheduler *scheduler, const MmJob *job, const MmName *zone) {
   MmMachineTable *machine_table = scheduler->node->machine_table;
@@ -58,7 +70,7 @@
   return places;
 }
 
-/* Reserves places for the whole gang; FALSE, with nothing reserved, when they do not suffice. */
+/* Reserves places for the whole gang; FALSE, with nothing reserved, when there are too few. */
 static gboolean
 reserve_gang(MmScheduler *scheduler, MmLedShard *shard, MmJob *job, const MmName *zone) {
   g_autoptr(GArray) places = free_places(scheduler, job, zone);
@@ -68,7 +80,7 @@
   for (guint pass = 0; pass < 2; pass++) {
     for (guint i = 0; i < places->len; i++) {
       Place *place = &g_array_index(places, Place, i);
-      /* First where the image is, then anywhere. */
+      /* First pass: where the image is cached; second pass: anywhere. */
       if (pass == 0 && !mm_machine_has_cached_image(place->machine, &job->spec.image))
         continue;
       while (chosen->len < job->spec.n_tasks
@@ -103,8 +115,8 @@
       || !mm_scheduler_quota_allows(scheduler, shard, job, job->spec.n_tasks))
     return;
   if (!job->spec.requires_one_zone) {
-    /* Only where nothing else takes the places as they get free, one after another: machines with
-     * accelerators are lent no more while such a gang waits. */
+    /* Only where nothing else takes the places as they get free one by one: accelerated machines
+     * are not lent while such a gang waits. */
     if (!reserve_gang(scheduler, shard, job, NULL) && job->spec.task_resources.accelerators > 0)
       mm_scheduler_preempt_for_gang(scheduler, job, job->spec.n_tasks);
     return;
@@ -145,7 +157,8 @@
                                || (task->state == MM_TASK_PLACE_RESERVED
                                    && mm_time_ms_since(now, task->state_since) > reservation_ms);
     }
-    /* Some members are gone while others live, or a place did not ask in time: all or none. */
+    /* Some members are gone while others live, or a place was not asked for in time: all or none.
+     */
     if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
       release_gang(scheduler, job);
     else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
@@ -163,8 +176,8 @@
     MmTask *task = &placed->job->tasks[placed->number];
     MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, placed->job);
     MmResources need = placed->job->spec.task_resources;
-    /* Own requests have its room taken off already. Compared without it, no gang ever began that
-     * had a place on a machine which reports to its owner. */
+    /* A local request has the reserved resources already subtracted: without adding them, no gang
+     * would start on a machine whose heartbeats are answered by the leader of its shard. */
     MmResources free_resources = request->is_local ? mm_resources_add(request->free_resources, need)
                                                    : request->free_resources;
 
@@ -180,3 +193,37 @@
   }
   return FALSE;
 }
+
+/* A gang needs several places at once: while one */
+void
+mm_scheduler_choose_gang_to_yield_to(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
+  MmJobTable *job_table = node->job_table;
+  gint64 now_ms = mm_node_wall_ms(node);
+  gint64 wait_bound_ms = (gint64)(node->operators->wait_bound_s * 1000);
+  const MmJob *starving_gang = NULL, *waiting_gang = NULL;
+  guint n_waiting_jobs = 0;
+
+  for (guint v = 0; v < node->placement->n_views; v++) {
+    const GPtrArray *pending_list = node->placement->views[v].pending;
+    for (guint i = 0; i < pending_list->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(pending_list, i);
+      const MmJob *job = mm_job_table_find(job_table, pending->job.s);
+      const MmJob **best;
+      gint64 waited_ms;
+      if (job == NULL || job->is_cancelled || job->spec.task_resources.accelerators <= 0
+          || (job->tasks != NULL && job->n_pending == 0))
+        continue;
+      n_waiting_jobs++;
+      waited_ms = now_ms - job->waiting_since_ms;
+      if (!mm_job_is_gang(job) || waited_ms < wait_bound_ms || waited_ms > YIELD_TO_GANG_MAX_MS)
+        continue;
+      best = job->is_starving ? &starving_gang : &waiting_gang;
+      if (*best == NULL || mm_scheduler_compare_urgency(&job, best) < 0)
+        *best = job;
+    }
+  }
+  scheduler->yield_to_gang = starving_gang != NULL                      ? starving_gang
+                             : n_waiting_jobs <= YIELD_TO_GANG_JOBS_MAX ? waiting_gang
+                                                                        : NULL;
+}
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -1,12 +1,28 @@
-/* What machines' reports say of the tasks of the parts held here, and what follows for the
- * machines.
- */
-#include "scheduler/scheduler.h"
+#include "scheduler/heartbeats.h"
 
 #include "machines/machine-health.h"
 #include "peers/peer-broadcast.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/stop-commands.h"
+#include "scheduler/task-state.h"
+
+/* Weight of what is known of a job class when one more of its tasks has ended. */
+#define ESTIMATE_ERROR_DECAY 0.98
+/* Pause after a task's n-th error: doubled each time, and bounded. */
+#define TASK_ERRORS_MAX 10
+#define TASK_RETRY_MIN_MS 500
+#define TASK_RETRY_MAX_MS 30000
+/* Pause of a whole job after so many errors without a success between. */
+#define JOB_ERRORS_BEFORE_PAUSE 4
+#define JOB_PAUSE_MIN_MS 2000
+#define JOB_PAUSE_MAX_MS 60000
+#define JOB_PAUSE_DOUBLINGS_MAX 5
+#define MISSING_TASK_RETRY_MS 2000
+/* A stop is repeated with the response only when its direct command is that old. */
+#define STOP_REPEAT_MS 500
 
-/* Old days weigh less and less: guesses may be too high on one day and too low on the next. */
+/* Old errors weigh less and less: users' estimates may be too high on one day and too low on the
+ * next. */
 static void
 learn_estimate_error(MmScheduler *scheduler, const MmJob *job, double ran_s) {
   MmEstimateError *estimate_error
@@ -45,7 +61,7 @@
     job->unwritten_since = now;
 }
 
-/* What each cause of ending asks for. The task has left the machine in every case. */
+/* The task has left the machine; what follows depends on the cause. */
 static void
 task_ended(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
   MmTask *task = &job->tasks[number];
@@ -57,21 +73,21 @@
     task->n_errors = MIN(task->n_errors + 1, 10);
     task->last_failed_on = machine->id;
     task->retry_not_before = mm_time_add_ms(now, MIN(500 << task->n_errors, 30000));
-    /* A job that fails everywhere may not hog the fleet. */
+    /* A job that fails everywhere may not occupy all machines. */
     if (++job->n_consecutive_errors >= 4)
       job->paused_until
           = mm_time_add_ms(now, MIN(2000 << MIN(job->n_consecutive_errors - 4, 5), 60000));
     break;
   case MM_CAUSE_NO_RESOURCES:
-    /* Our idea of its room was wrong; the next report but one shows better. */
+    /* What this node takes as free was wrong; the next heartbeat but one shows better. */
     machine->full_until
         = mm_time_add_ms(now, (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000));
     break;
   case MM_CAUSE_NO_SUCH_TASK:
-    /* The user has not uploaded it yet, or never does. */
+    /* The user has not uploaded the task yet, or never does. */
     task->retry_not_before = mm_time_add_ms(now, 2000);
     break;
-  case MM_CAUSE_OTHER_ATTEMPT: /* the other attempt shows in the same report */
+  case MM_CAUSE_OTHER_ATTEMPT: /* the other attempt shows in the same heartbeat */
   case MM_CAUSE_GANG_INCOMPLETE:
   case MM_CAUSE_GANG_PEER_ENDED:
   case MM_CAUSE_STOPPED:
@@ -103,7 +119,7 @@
   if (is_same_attempt || !mm_task_is_live(task->state) || task->state == MM_TASK_PLACE_RESERVED
       || task->machine == machine) {
     if (task->state == MM_TASK_DONE)
-      return; /* to be stopped, see commands_for */
+      return; /* to be stopped, see queue_commands */
     if (is_same_attempt && task->state == MM_TASK_START_SENT)
       machine->consecutive_refused_starts = 0;
     mm_scheduler_place_task(scheduler, job, reported->number, machine,
@@ -111,7 +127,7 @@
     return;
   }
   /* A newer attempt is only ever approved when the older is gone for certain: of two that show, the
-   * older is what a late report brought back. */
+   * older comes from a late heartbeat. */
   if (reported->attempt.v > task->attempt.v) {
     mm_info("task %s/%u is on %s: what %s showed is over", job->spec.id.s, reported->number,
             machine->id.s, task->machine->id.s);
@@ -138,13 +154,14 @@
       apply_reported_task(scheduler, machine, job, reported);
     needs_review = needs_review || job->tasks[reported->number].machine != machine;
   }
-  /* A record may come after the report that shows its tasks, and a result may be taken only once
-   * another attempt has left its machine: the same report must then be looked at again. */
+  /* A job's record may arrive after the heartbeat that shows its tasks, and a result counts only
+   * once another attempt has left its machine: then the same heartbeat must be applied again. */
   machine->needs_task_review = needs_review;
 }
 
-/* Tasks placed on the machine that this report does not show have left it; a start is denied only
- * by a report that was sent after the one whose answer carried it. */
+/* Tasks placed on the machine that the heartbeat does not show have left it. Only a heartbeat that
+ * was sent after the one whose response carried a start shows that the start was not carried out.
+ */
 static void
 unplace_missing_tasks(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   for (guint i = machine->placed_tasks->len; i > 0; i--) {
@@ -171,7 +188,7 @@
   }
 }
 
-/* Stops and clears that follow from the report. */
+/* Queues the commands that follow from the heartbeat for the next response to the machine. */
 static void
 queue_commands(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
@@ -187,7 +204,7 @@
       continue;
     task = &job->tasks[reported->number];
     if (reported->state == MM_REPORTED_ENDED) {
-      /* The result is forgotten here only once the state service holds it. */
+      /* The machine may forget the result only once the key-value store has it. */
       if (reported->cause == MM_CAUSE_DONE && job->spec.kind != MM_JOB_KIND_SERVICE
           && !mm_completed_tasks_contains(&job->recorded_completed, reported->number)
           && !job->is_cancelled)
@@ -203,7 +220,8 @@
             && reported->state != MM_REPORTED_CHECKPOINTING)) {
       g_array_append_val(commands, command);
     } else if (machine->has_termination_notice && !task->is_stopping && task->machine == machine) {
-      /* The machine is about to be taken: save, or at least start again elsewhere sooner. */
+      /* The cloud is about to take the machine: save a checkpoint, or at least start sooner
+       * elsewhere. */
       task->is_stopping = TRUE;
       task->stop_sent_at = now;
       g_array_append_val(commands, command);
@@ -220,9 +238,9 @@
                                 commands);
 }
 
-/* Its report acknowledgements the part's term; or it shows a newer session than any that was on the
- * register when the part was taken: the old session's tasks are gone, and starts for the new one
- * need an entry that only who has seen the part's term can believe. */
+/* Whether the machine has acknowledged the shard's term, or shows a newer incarnation than the one
+ * registered at the acquisition: the tasks of the old incarnation are gone, and starts for the new
+ * one need a registry entry that only a node that has seen the shard's term can have read. */
 static gboolean
 has_acknowledged_term(const MmLedShard *shard, const MmMachine *machine) {
   gpointer registered_incarnation;
@@ -256,7 +274,6 @@
   queue_commands(scheduler, machine, heartbeat);
 }
 
-/* Lost or returned: nothing is on it any more and no start can reach it. */
 void
 mm_scheduler_machine_gone(MmScheduler *scheduler, MmMachine *machine) {
   GHashTableIter iter;
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -1,22 +1,32 @@
-/* Writing what is done, and jobs' ends, into their records. */
-#include "scheduler/scheduler.h"
+#include "scheduler/job-writer.h"
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 #include "kv/kv-client.h"
+#include "scheduler/led-shards.h"
 
-#define JOB_WRITE_INTERVAL_MS 1000
+/* How long completed tasks wait for more of the same job, and how long a job's writes are apart. */
 #define JOB_WRITE_DELAY_MS 300
+#define JOB_WRITE_INTERVAL_MS 1000
+#define TERMINAL_WRITE_INTERVAL_MS 100
+/* What a record takes beside its fields and the text of its completed tasks. */
+#define RECORD_MARGIN_BYTES 64
+/* The key-value store allows so many conditions for each operation. */
+#define CONDITIONS_PER_OPERATION 4
+/* Conditions and operations that one job may need. */
+#define OPERATIONS_PER_JOB 2
+#define CONDITIONS_PER_JOB 2
 
 typedef struct {
   MmName id;
-  char *completed_text;
-  json_t *terminal_record; /* the final record; NULL: it goes on */
+  char *completed_text;    /* as written; NULL with a terminal record */
+  json_t *terminal_record; /* NULL: the job goes on */
 } WrittenJob;
 
+/* A transaction under way. */
 typedef struct {
   MmScheduler *scheduler;
-  GArray *jobs; /* Written */
+  GArray *jobs; /* WrittenJob */
 } JobWrite;
 
 static void
@@ -67,7 +77,7 @@
   return job->spec.kind != MM_JOB_KIND_SERVICE && job->completed.n_completed == job->spec.n_tasks;
 }
 
-/* The longest done set's text that fits beside the rest of the record. */
+/* The longest text of completed tasks that fits beside the rest of the record. Free with g_free. */
 static char *
 completed_tasks_text(const MmScheduler *scheduler, const MmJob *job) {
   g_autoptr(json_t) bare_record
@@ -137,8 +147,8 @@
         || json_array_size(transaction.conditions) + 2 > max_guards
         || (scheduler->single_job_writes > 0 && transaction.n_operations > 0))
       break;
-    /* Dependents of a cancelled job show as cancelled without a record that says so: there may be
-     * thousands, and their records can wait. */
+    /* Dependents of a cancelled job show as cancelled without a terminal record: there may be
+     * thousands, and their records can wait for the write budget. */
     if (is_terminal && mm_job_has_cancelled_dependency(job)
         && !mm_kv_client_try_spend_writes(node->kv, 2))
       continue;
--- /dev/null
+++ b/src/scheduler/led-shards.c
@@ -0,0 +1,264 @@
+#include "scheduler/led-shards.h"
+
+#include "dependencies/dependencies.h"
+#include "kv/replica.h"
+#include "leases/shard-ownership.h"
+#include "placement/backlog.h"
+#include "scheduler/heartbeats.h"
+#include "scheduler/task-state.h"
+#include "scheduler/urgency.h"
+
+void
+mm_led_shard_free(MmLedShard *shard) {
+  g_hash_table_unref(shard->unacknowledged_machines);
+  g_array_unref(shard->unacknowledged_kinds);
+  g_free(shard->name);
+  g_free(shard);
+}
+
+MmLedShard *
+mm_scheduler_shard_of_job(const MmScheduler *scheduler, const MmJob *job) {
+  return job->led_shard != NULL ? job->led_shard
+                                : g_hash_table_lookup(scheduler->led_shards, job->shard);
+}
+
+/* ---- jobs ---- */
+
+/* Forgets where the job's tasks are: another node leads its shard now, or the job is over. */
+static void
+drop_job(MmScheduler *scheduler, MmJob *job) {
+  MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
+
+  if (shard != NULL && shard->quota_reserved_for == job)
+    shard->quota_reserved_for = NULL;
+  if (shard != NULL && job->n_maybe_on_machines > 0) {
+    shard->used.cores -= job->n_maybe_on_machines * job->spec.task_resources.cores;
+    shard->used.accelerators -= job->n_maybe_on_machines * job->spec.task_resources.accelerators;
+  }
+  for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++)
+    mm_scheduler_remove_from_machine(job->tasks[i].machine, job, i);
+  g_clear_pointer(&job->tasks, g_free);
+  mm_completed_tasks_clear(&job->completed);
+  job->n_pending = job->n_maybe_on_machines = 0;
+  job->is_being_written = FALSE;
+  job->led_shard = NULL;
+  scheduler->is_urgency_order_stale = TRUE;
+  mm_placement_backlog_changed(scheduler->node->placement);
+}
+
+/* Begins with all tasks pending but those whose results are recorded; heartbeats show the others.
+ */
+static void
+adopt_job(MmScheduler *scheduler, MmLedShard *shard, MmJob *job) {
+  MmTime now = mm_node_now(scheduler->node);
+
+  job->led_shard = shard;
+  scheduler->is_urgency_order_stale = TRUE;
+  job->tasks = g_new0(MmTask, job->spec.n_tasks);
+  mm_completed_tasks_init(&job->completed, job->spec.n_tasks);
+  job->first_pending = 0;
+  job->n_pending = job->n_maybe_on_machines = 0;
+  job->submitted_after_acquire = FALSE;
+  for (guint i = 0; i < job->spec.n_tasks; i++) {
+    job->tasks[i].state_since = now;
+    if (mm_completed_tasks_contains(&job->recorded_completed, i)) {
+      job->tasks[i].state = MM_TASK_DONE;
+      mm_completed_tasks_add(&job->completed, i);
+    } else {
+      job->n_pending++;
+    }
+  }
+  if (job->completed.n_completed == job->spec.n_tasks)
+    job->unwritten_since = now;
+  mm_placement_backlog_changed(scheduler->node->placement);
+}
+
+void
+mm_scheduler_job_changed(MmScheduler *scheduler, MmJob *job) {
+  MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
+
+  mm_scheduler_update_urgency(scheduler, job);
+
+  if (shard != NULL && job->tasks == NULL) {
+    adopt_job(scheduler, shard, job);
+    /* The watch shows changes in order: this job came after the shard was acquired, so no earlier
+     * leader can have started any of its tasks. */
+    job->submitted_after_acquire
+        = job->record_version.v > shard->version.v && scheduler->node->replica->is_loaded;
+  }
+  if (job->tasks != NULL && job->is_cancelled)
+    mm_placement_backlog_changed(scheduler->node->placement);
+}
+
+void
+mm_scheduler_job_ready(MmScheduler *scheduler, MmJob *job) {
+  MmTime now = mm_node_now(scheduler->node);
+
+  job->waiting_since_ms = MAX(job->submitted_at_ms, mm_vertex_dependencies_done_at_ms(job->vertex));
+  for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++)
+    if (job->tasks[i].state == MM_TASK_PENDING)
+      job->tasks[i].state_since = now;
+  mm_info("%s (%s) is ready: all that it depends on is done", job->spec.id.s,
+          job->spec.job_class.s);
+  scheduler->is_urgency_order_stale = TRUE;
+  mm_placement_backlog_changed(scheduler->node->placement);
+}
+
+void
+mm_scheduler_job_removed(MmScheduler *scheduler, MmJob *job) {
+  if (scheduler->yield_to_gang == job)
+    scheduler->yield_to_gang = NULL;
+  drop_job(scheduler, job);
+}
+
+/* ---- unacknowledged machines ---- */
+
+void
+mm_scheduler_check_shard_ready(MmScheduler *scheduler, MmLedShard *shard) {
+  if (shard->is_ready || g_hash_table_size(shard->unacknowledged_machines) > 0)
+    return;
+  shard->is_ready = TRUE;
+  mm_info("part %s is ready %" G_GINT64_FORMAT " ms after it was taken", shard->name,
+          mm_time_ms_since(mm_node_now(scheduler->node), shard->acquired_at));
+  mm_placement_backlog_changed(scheduler->node->placement);
+}
+
+static void
+add_unacknowledged_kind(MmLedShard *shard, const MmMachine *machine) {
+  /* Of an unknown machine everything may be true. */
+  MmMachineKind kind = machine != NULL
+                           ? (MmMachineKind){ machine->type_name, machine->zone, machine->is_spot }
+                           : (MmMachineKind){ 0 };
+
+  for (guint i = 0; i < shard->unacknowledged_kinds->len; i++) {
+    const MmMachineKind *known = &g_array_index(shard->unacknowledged_kinds, MmMachineKind, i);
+    if (mm_name_equal(&known->type, &kind.type) && mm_name_equal(&known->zone, &kind.zone)
+        && known->is_spot == kind.is_spot)
+      return;
+  }
+  g_array_append_val(shard->unacknowledged_kinds, kind);
+}
+
+void
+mm_scheduler_update_unacknowledged(MmScheduler *scheduler, MmLedShard *shard) {
+  GHashTableIter iter;
+  gpointer machine_id;
+  guint n_kinds_before = shard->unacknowledged_kinds->len;
+
+  if (!shard->unacknowledged_changed)
+    return;
+  shard->unacknowledged_changed = FALSE;
+  g_array_set_size(shard->unacknowledged_kinds, 0);
+  shard->has_unacknowledged_of_unknown_type = FALSE;
+  shard->unacknowledged_resources = (MmResources){ 0 };
+  g_hash_table_iter_init(&iter, shard->unacknowledged_machines);
+  while (g_hash_table_iter_next(&iter, &machine_id, NULL)) {
+    const MmMachine *machine = mm_machine_table_find(scheduler->node->machine_table, machine_id);
+    add_unacknowledged_kind(shard, machine);
+    if (machine == NULL || machine->type == NULL)
+      shard->has_unacknowledged_of_unknown_type = shard->unacknowledged_changed
+          = TRUE; /* its type may become known */
+    else
+      shard->unacknowledged_resources
+          = mm_resources_add(shard->unacknowledged_resources, machine->type->resources);
+  }
+  if (shard->unacknowledged_kinds->len < n_kinds_before)
+    mm_placement_backlog_changed(scheduler->node->placement);
+}
+
+/* Earlier leaders kept to the same constraints, and the kind of a machine never changes: a machine
+ * that the job may not use has none of its tasks, acknowledged or not. So a service need not wait
+ * for a spot machine that was taken back, nor a gang for a machine without accelerators. */
+static gboolean
+may_be_on_unacknowledged(const MmLedShard *shard, const MmJob *job) {
+  for (guint i = 0; i < shard->unacknowledged_kinds->len; i++) {
+    const MmMachineKind *kind = &g_array_index(shard->unacknowledged_kinds, MmMachineKind, i);
+    if (mm_name_is_empty(&kind->type)
+        || mm_job_spec_allows_machine(&job->spec, &kind->type, &kind->zone, kind->is_spot))
+      return TRUE;
+  }
+  return FALSE;
+}
+
+gboolean
+mm_scheduler_knows_all_starts(MmScheduler *scheduler, const MmJob *job) {
+  MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
+
+  if (shard->is_ready || job->submitted_after_acquire)
+    return TRUE;
+  mm_scheduler_update_unacknowledged(scheduler, shard);
+  return !may_be_on_unacknowledged(shard, job);
+}
+
+/* ---- acquired and released shards ---- */
+
+static void
+stop_leading_shard(MmScheduler *scheduler, const char *name) {
+  MmJobTable *job_table = scheduler->node->job_table;
+
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    if (strcmp(job->shard, name) == 0)
+      drop_job(scheduler, job);
+  }
+  mm_info("part %s is no longer held here", name);
+  g_hash_table_remove(scheduler->led_shards, name);
+}
+
+static void
+start_leading_shard(MmScheduler *scheduler, const char *name, const MmTeamSettings *team,
+                    const MmShard *shard_record) {
+  MmNode *node = scheduler->node;
+  MmLedShard *shard = g_new0(MmLedShard, 1);
+
+  shard->name = g_strdup(name);
+  shard->term = shard_record->term;
+  shard->version = shard_record->version;
+  shard->team = team;
+  shard->acquired_at = mm_node_now(node);
+  shard->unacknowledged_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  shard->unacknowledged_kinds = g_array_new(FALSE, TRUE, sizeof(MmMachineKind));
+  g_hash_table_insert(scheduler->led_shards, shard->name, shard);
+  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
+    if (strcmp(job->shard, name) == 0)
+      adopt_job(scheduler, shard, job);
+  }
+  /* Machines registered after this term only ever get starts of this term or a later one: a node
+   * that answers their heartbeats has seen their registration, and so the term, in its replica. */
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+    if (!machine->is_in_registry || machine->lease_has_expired)
+      continue;
+    if (machine->has_reported && machine->acknowledged_term.v >= shard->term.v)
+      mm_scheduler_apply_reported_tasks(scheduler, machine, name);
+    else
+      g_hash_table_insert(shard->unacknowledged_machines, g_strdup(machine->id.s),
+                          GSIZE_TO_POINTER(machine->registered_incarnation));
+    machine->acknowledgement_requested_at.us = 0;
+  }
+  shard->unacknowledged_changed = TRUE;
+  mm_info("part %s is held here with term %" G_GUINT64_FORMAT ", %u machines to hear", name,
+          shard->term.v, g_hash_table_size(shard->unacknowledged_machines));
+  mm_scheduler_check_shard_ready(scheduler, shard);
+}
+
+void
+mm_scheduler_replica_changed(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
+
+  for (guint i = 0; i < node->settings->teams->len; i++) {
+    const MmTeamSettings *team = &g_array_index(node->settings->teams, MmTeamSettings, i);
+    g_autofree char *name = mm_shard_ownership_shard_of_team(&team->name);
+    MmLedShard *shard = g_hash_table_lookup(scheduler->led_shards, name);
+    gboolean is_leader = mm_shard_ownership_leads(node->shard_ownership, name);
+    const MmShard *shard_record = mm_replica_shard(node->replica, name);
+
+    if (shard != NULL && (!is_leader || shard_record->term.v != shard->term.v)) {
+      stop_leading_shard(scheduler, name);
+      shard = NULL;
+    }
+    if (shard == NULL && is_leader)
+      start_leading_shard(scheduler, name, team, shard_record);
+  }
+}
--- /dev/null
+++ b/src/scheduler/pending-tasks.c
@@ -0,0 +1,93 @@
+#include "scheduler/pending-tasks.h"
+
+#include "dependencies/dependencies.h"
+#include "placement/placement.h"
+#include "scheduler/gang.h"
+#include "scheduler/quota.h"
+#include "scheduler/start-rules.h"
+#include "scheduler/urgency.h"
+
+#define BACKLOG_JOBS_MAX 64
+#define BACKLOG_TASKS_MAX 512
+#define BACKLOG_RANGES_MAX 16 /* of one job */
+
+/* Adds the ranges of pending tasks that need not wait for a retry, up to `tasks_left`. */
+static void
+add_pending_tasks(MmScheduler *scheduler, MmJob *job, GPtrArray *list, guint *tasks_left) {
+  MmTime now = mm_node_now(scheduler->node);
+  MmPendingTasks *pending = g_new0(MmPendingTasks, 1);
+
+  pending->job = job->spec.id;
+  pending->has_precedence = mm_scheduler_has_precedence(scheduler, job);
+  pending->is_starving = job->is_starving;
+  pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
+  while (job->first_pending < job->spec.n_tasks
+         && job->tasks[job->first_pending].state != MM_TASK_PENDING)
+    job->first_pending++;
+  for (guint i = job->first_pending; i<job->spec.n_tasks && * tasks_left> 0; i++) {
+    const MmTask *task = &job->tasks[i];
+    guint *last_range;
+    if (task->state != MM_TASK_PENDING || mm_time_before(now, task->retry_not_before))
+      continue;
+    (*tasks_left)--;
+    last_range = pending->ranges->len > 0
+                     ? &g_array_index(pending->ranges, guint, pending->ranges->len - 2)
+                     : NULL;
+    if (last_range != NULL && last_range[0] + last_range[1] == i) {
+      last_range[1]++;
+    } else {
+      guint range[2] = { i, 1 };
+      if (pending->ranges->len >= 2 * BACKLOG_RANGES_MAX)
+        break;
+      g_array_append_vals(pending->ranges, range, 2);
+    }
+  }
+  if (pending->ranges->len == 0) {
+    g_array_unref(pending->ranges);
+    g_free(pending);
+    return;
+  }
+  g_ptr_array_add(list, pending);
+}
+
+/* Only gangs have reserved places, and these are few, while machines with tasks are thousands. */
+static void
+add_reserved_machines(const MmJob *job, GArray *machines) {
+  for (guint i = 0; i < job->spec.n_tasks; i++)
+    if (job->tasks[i].state == MM_TASK_PLACE_RESERVED)
+      g_array_append_val(machines, job->tasks[i].machine->id);
+}
+
+void
+mm_scheduler_list_backlog(MmScheduler *scheduler, GPtrArray *pending, GArray *reserved_machines) {
+  MmJobTable *job_table = scheduler->node->job_table;
+  g_autoptr(GPtrArray) jobs = g_ptr_array_new();
+  guint tasks_left = BACKLOG_TASKS_MAX;
+
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    if (job->tasks != NULL && mm_job_is_gang(job))
+      add_reserved_machines(job, reserved_machines);
+    /* Tasks that the team's limit keeps from starting need no start requests and no machines. */
+    if (job->tasks != NULL && job->n_pending > 0 && mm_scheduler_job_is_schedulable(scheduler, job)
+        && mm_scheduler_quota_allows(scheduler, job->led_shard, job,
+                                     mm_job_is_gang(job) ? job->spec.n_tasks : 1))
+      g_ptr_array_add(jobs, job);
+  }
+  g_ptr_array_sort(jobs, mm_scheduler_compare_urgency);
+  for (guint i = 0; i < jobs->len && i < BACKLOG_JOBS_MAX && tasks_left > 0; i++)
+    add_pending_tasks(scheduler, g_ptr_array_index(jobs, i), pending, &tasks_left);
+}
+
+guint
+mm_scheduler_count_pending_tasks(const MmScheduler *scheduler) {
+  MmJobTable *job_table = scheduler->node->job_table;
+  guint n_pending_tasks = 0;
+
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    if (job->tasks != NULL && !job->is_cancelled && mm_job_dependencies_are_done(job))
+      n_pending_tasks += job->n_pending;
+  }
+  return n_pending_tasks;
+}
--- /dev/null
+++ b/src/scheduler/placement-estimate.c
@@ -0,0 +1,112 @@
+#include "scheduler/placement-estimate.h"
+
+#include "scheduler/preemption.h"
+
+#define ESTIMATE_FRESH_MS 400
+#define ESTIMATE_AGE_MAX_MS 2000
+/* A fetch this short is not worth waiting for another machine. */
+#define SHORT_FETCH_S 0.5
+/* In heartbeat intervals: how long a pending task waits for a machine that has its image, and a
+ * service's for a machine with fewer co-located tasks. */
+#define AVOID_FETCH_PERIODS 1.5
+#define SPREAD_SERVICE_PERIODS 0.7
+
+guint
+mm_scheduler_count_colocated_tasks(const MmScheduler *scheduler, const MmJob *job,
+                                   const MmMachine *machine) {
+  guint n_tasks = 0;
+
+  for (guint i = 0; i < machine->reported_tasks->len; i++) {
+    const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
+    const MmJob *other = mm_job_table_find(scheduler->node->job_table, reported->job.s);
+    n_tasks += reported->state != MM_REPORTED_ENDED && other != NULL
+               && other->effective_priority >= job->effective_priority;
+  }
+  for (guint i = 0; i < machine->placed_tasks->len; i++) {
+    const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
+    n_tasks += placed->job->tasks[placed->number].state == MM_TASK_START_SENT
+               && placed->job->effective_priority >= job->effective_priority;
+  }
+  return n_tasks;
+}
+
+const MmPlacementEstimate *
+mm_scheduler_estimate_placement(MmScheduler *scheduler, MmJob *job) {
+  MmNode *node = scheduler->node;
+  MmTime now = mm_node_now(node);
+  MmPlacementEstimate *estimate = &job->placement_estimate;
+
+  if (estimate->estimated_at.us != 0
+      && mm_time_ms_since(now, estimate->estimated_at) < ESTIMATE_FRESH_MS)
+    return estimate;
+  if (scheduler->machine_scans_left == 0)
+    return estimate->estimated_at.us != 0
+                   && mm_time_ms_since(now, estimate->estimated_at) < ESTIMATE_AGE_MAX_MS
+               ? estimate
+               : NULL;
+  scheduler->machine_scans_left--;
+  *estimate = (MmPlacementEstimate){ .estimated_at = now,
+                                     .soonest_delay_s = -1,
+                                     .next_soonest_delay_s = -1,
+                                     .fewest_colocated_tasks = G_MAXUINT };
+  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+    double delay_s = mm_scheduler_start_delay_s(scheduler, job, machine);
+
+    if (delay_s < 0)
+      continue;
+    if (estimate->soonest_delay_s < 0 || delay_s < estimate->soonest_delay_s) {
+      estimate->next_soonest_delay_s = estimate->soonest_delay_s;
+      estimate->soonest_delay_s = delay_s;
+      estimate->soonest_machine = machine->id;
+    } else if (estimate->next_soonest_delay_s < 0 || delay_s < estimate->next_soonest_delay_s) {
+      estimate->next_soonest_delay_s = delay_s;
+    }
+    if (job->spec.kind == MM_JOB_KIND_SERVICE
+        && delay_s <= job->spec.image_gb / machine->type->image_fetch_gb_per_s
+                          + node->settings->heartbeat_interval_s)
+      estimate->fewest_colocated_tasks
+          = MIN(estimate->fewest_colocated_tasks,
+                mm_scheduler_count_colocated_tasks(scheduler, job, machine));
+  }
+  return estimate;
+}
+
+/* Work in a hurry does not fetch its image where another machine could run it sooner, with
+ * preemption if need be; it waits for that no longer than the fetch itself would take. Where a
+ * service must fetch anyway it goes to the machine with the fewest co-located tasks: that spreads
+ * its image for the next ones, leaves beside it work that can be preempted for them, and bounds
+ * what the loss of a machine takes. */
+gboolean
+mm_scheduler_starts_sooner_elsewhere(MmScheduler *scheduler, MmJob *job, const MmTask *task,
+                                     const MmMachine *here) {
+  MmNode *node = scheduler->node;
+  double period_s = node->settings->heartbeat_interval_s;
+  double fetch_s = mm_scheduler_image_fetch_s(job, here);
+  double waited_s = (double)mm_time_ms_since(mm_node_now(node), task->state_since) / 1000.0;
+  gboolean spread_out
+      = job->spec.kind == MM_JOB_KIND_SERVICE && waited_s < period_s * SPREAD_SERVICE_PERIODS;
+  const MmPlacementEstimate *estimate;
+  double elsewhere_s;
+
+  if (fetch_s < 0.5 || waited_s > MIN(fetch_s, period_s * 1.5))
+    return FALSE;
+  /* What was preempted here was preempted for this task: choosing again would only lose time. */
+  if (mm_time_before(mm_node_now(node), task->preempting_until)
+      && mm_name_equal(&task->preempting_on, &here->id))
+    return FALSE;
+  estimate = mm_scheduler_estimate_placement(scheduler, job);
+  if (estimate == NULL)
+    return FALSE;
+  elsewhere_s = mm_name_equal(&estimate->soonest_machine, &here->id)
+                    ? estimate->next_soonest_delay_s
+                    : estimate->soonest_delay_s;
+  if ((elsewhere_s < 0 || elsewhere_s >= fetch_s)
+      && !(spread_out
+           && estimate->fewest_colocated_tasks
+                  < mm_scheduler_count_colocated_tasks(scheduler, job, here)))
+    return FALSE;
+  mm_debug("%s waits %.1f s: another would run it in %.1f s, %s in %.1f s", job->spec.id.s,
+           waited_s, elsewhere_s, here->id.s, fetch_s);
+  return TRUE;
+}
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -1,36 +1,34 @@
-/* Making room for urgent work where no fitting machine is free: work of lower priority is stopped.
- */
-#include "scheduler/scheduler.h"
+#include "scheduler/preemption.h"
 
 #include <stdlib.h>
 
+#include "placement/accelerator-reserve.h"
+#include "scheduler/placement-estimate.h"
+#include "scheduler/quota.h"
+#include "scheduler/replica-move.h"
+#include "scheduler/start-rules.h"
+#include "scheduler/stop-commands.h"
+#include "scheduler/urgency.h"
+
+/* Of one round: pending tasks tried, and how many of the tries scan machines. */
 #define TASKS_PER_ROUND 16
 #define PREEMPTIONS_PER_ROUND 6
-/* Of these, for work that is neither urgent nor within a guarantee. */
+/* Of these, for work that is neither urgent nor within a quota. */
 #define ORDINARY_PREEMPTIONS_PER_ROUND 2
-/* How long it takes until a stopped task's room can be given out, as seen: the command, the
- * worker's report half a second after its last at the earliest, the answer. */
-#define STOP_DELAY_S 0.5
+/* Added for each task that is stopped. */
 #define STOP_DELAY_PER_TASK_S 0.05
-/* What a service would wait longer to be less crowded, for each task beside it. */
+/* How much longer a service would wait for a machine with one co-located task less. */
 #define COLOCATED_TASK_PENALTY_S 0.25
-#define REPLICA_MOVE_AFTER_MS 1500
 #define QUOTA_RECLAIM_AFTER_MS 2800
-#define REPLICA_MOVE_INTERVAL_MS 1500
-/* Each is a look at all machines: without a bound, replicas that found no place took 200 ms of
- * processor time a try. */
-#define REPLICA_MOVE_SCANS_MAX 4
-#define REPLICA_MOVE_FETCH_S 5
+/* More tasks than these are not preempted on one machine for another task. */
+#define VICTIMS_MAX 32
+#define SPARED_TASKS_MAX 2
 
 typedef struct {
   const MmReportedTask *reported;
   const MmJob *job;
 } Victim;
 
-/* More tasks than these are not stopped on one machine for another. */
-#define VICTIMS_MAX 32
-#define SPARED_TASKS_MAX 2
-
 static int
 compare_victims(const void *a, const void *b) {
   const Victim *x = a, *y = b;
@@ -40,7 +38,7 @@
   return (int)y->reported->number - (int)x->reported->number;
 }
 
-/* A job that has hardly begun after a long wait keeps the little it has. */
+/* A job that has hardly begun after a long wait keeps the few tasks it has. */
 static gboolean
 is_spared(const MmScheduler *scheduler, const MmJob *job) {
   return mm_job_waiting_time_s(scheduler->node, job) > scheduler->node->operators->starve_s
@@ -48,8 +46,8 @@
                 <= SPARED_TASKS_MAX;
 }
 
-/* The tasks to stop on the machine so that the job's task fits: how many, or -1 when that is not to
- * be had. */
+/* Which tasks to preempt on the machine so that a task of the job fits: how many, 0 when it fits
+ * already, or NO_VICTIMS when preemption does not help. */
 static gint
 choose_victims(MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
                MmResources free_resources, Victim chosen[VICTIMS_MAX]) {
@@ -82,6 +80,8 @@
   return job->spec.image_gb / machine->type->image_fetch_gb_per_s;
 }
 
+/* The start delay on the machine, see mm_scheduler_start_delay_s, and the tasks to preempt for it.
+ */
 static double
 find_victims(MmScheduler *scheduler, const MmJob *job, MmMachine *machine,
              Victim victims[VICTIMS_MAX], gint *n_victims) {
@@ -106,9 +106,9 @@
   *n_victims = choose_victims(scheduler, job, machine, free_resources, victims);
   if (*n_victims < 0)
     return -1;
-  /* Room that is there is given at the next report; a stop makes the worker report at once. */
+  /* Free resources are used with the next heartbeat; a stop makes the machine send one at once. */
   return (*n_victims == 0 ? (double)MAX(period_ms - silent_ms, 0) / 1000.0
-                          : STOP_DELAY_S + STOP_DELAY_PER_TASK_S * *n_victims)
+                          : MM_PREEMPTION_DELAY_S + STOP_DELAY_PER_TASK_S * *n_victims)
          + mm_scheduler_image_fetch_s(job, machine);
 }
 
@@ -120,9 +120,9 @@
   return find_victims(scheduler, job, machine, victims, &n_victims);
 }
 
-/* Work of the lowest priority is not given time to save for work of the highest: it falls back to
- * its last checkpoint, which costs it less than the wait costs the other. A service that should
- * have been up within a second once waited three for a scan of idle time to save. */
+/* Work of the lowest priority gets no time to save a checkpoint for work of the highest: it falls
+ * back to its last checkpoint, which costs it less than the wait for the save would cost the other.
+ */
 static double
 victim_grace_s(const MmJob *job, const MmJob *victim) {
   if (job->effective_priority == MM_PRIORITY_CRITICAL
@@ -146,9 +146,9 @@
   }
 }
 
-/* Keeps the room on the machine for the task until its worker's next reports. */
-static void
-reserve_resources(MmScheduler *scheduler, const MmJob *job, MmTask *task, MmMachine *machine) {
+void
+mm_scheduler_reserve_resources(MmScheduler *scheduler, const MmJob *job, MmTask *task,
+                               MmMachine *machine) {
   MmTime now = mm_node_now(scheduler->node);
   gint64 period_ms = (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000);
 
@@ -181,8 +181,8 @@
   }
 }
 
-/* Finds the machine where the task would run soonest and clears the room there, if it must be
- * cleared; the room is spoken for until then. FALSE when there is no such machine. */
+/* Preempts on the machine where the task would start soonest, if that is needed, and reserves the
+ * resources there. FALSE when there is no such machine. */
 static gboolean
 preempt_for_task(MmScheduler *scheduler, const MmJob *job, MmTask *task) {
   MmNode *node = scheduler->node;
@@ -208,92 +208,13 @@
   if (best == NULL || find_victims(scheduler, job, best, victims, &n_victims) < 0)
     return FALSE;
   stop_victims(scheduler, job, best, victims, n_victims);
-  reserve_resources(scheduler, job, task, best);
+  mm_scheduler_reserve_resources(scheduler, job, task, best);
   return TRUE;
 }
 
-/* Where a replica that runs on `from` could run again shortly, or NULL. */
-static MmMachine *
-machine_for_replica(MmScheduler *scheduler, const MmJob *job, const MmMachine *current,
-                    double max_fetch_s) {
-  MmMachineTable *machine_table = scheduler->node->machine_table;
-
-  for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
-    MmMachine *machine = g_ptr_array_index(machine_table->sorted_machines, i);
-    double delay_s;
-    if (machine == current || mm_scheduler_image_fetch_s(job, machine) > max_fetch_s)
-      continue;
-    delay_s = mm_scheduler_start_delay_s(scheduler, job, machine);
-    if (delay_s >= 0
-        && delay_s <= scheduler->node->settings->heartbeat_interval_s + STOP_DELAY_S + max_fetch_s)
-      return machine;
-  }
-  return NULL;
-}
-
-/* The last resort for a service that no machine in its zones can take: a replica of another
- * service, one that could run elsewhere at once, gives its place up. Two zones full and the third
- * half empty once kept services of two tasks waiting for minutes. */
-static gboolean
-move_replica(MmScheduler *scheduler, const MmJob *job, MmTask *task) {
-  MmNode *node = scheduler->node;
-  guint scans_left = REPLICA_MOVE_SCANS_MAX, first_index;
-  MmTime now = mm_node_now(node);
-  /* A replica may fetch its image for it once the wait has outgrown that. */
-  double fetch_s = mm_time_ms_since(now, task->state_since) > REPLICA_MOVE_FETCH_S * 1000
-                       ? REPLICA_MOVE_FETCH_S
-                       : 0;
-
-  if (job->spec.kind != MM_JOB_KIND_SERVICE || mm_time_before(now, scheduler->next_replica_move_at)
-      || mm_time_ms_since(now, task->state_since) < REPLICA_MOVE_AFTER_MS)
-    return FALSE;
-  scheduler->next_replica_move_at = mm_time_add_ms(now, REPLICA_MOVE_INTERVAL_MS);
-  first_index = node->machine_table->sorted_machines->len > 0 ? (guint)g_rand_int_range(
-                    node->rand, 0, (gint32)node->machine_table->sorted_machines->len)
-                                                              : 0;
-  for (guint i = 0; i < node->machine_table->sorted_machines->len && scans_left > 0; i++) {
-    MmMachine *machine
-        = g_ptr_array_index(node->machine_table->sorted_machines,
-                            (first_index + i) % node->machine_table->sorted_machines->len);
-    MmResources free_resources = mm_machine_available_resources(node->machine_table, machine);
-
-    if (!mm_machine_is_usable(node->machine_table, machine)
-        || mm_time_before(now, machine->reserved_until)
-        || !mm_scheduler_constraints_will_allow(scheduler, job, machine)
-        || mm_placement_check_reserve(node->placement, job, machine, free_resources)
-               >= MM_RESERVE_WOULD_SHRINK)
-      continue;
-    for (guint k = 0; k < machine->placed_tasks->len; k++) {
-      const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, k);
-      MmJob *other = placed->job;
-      MmTask *moved_task = &other->tasks[placed->number];
-      MmMachine *target;
-
-      if (other == job || other->is_cancelled || other->spec.kind != MM_JOB_KIND_SERVICE
-          || other->effective_priority > job->effective_priority
-          || moved_task->state != MM_TASK_RUNNING || moved_task->is_stopping
-          || !mm_resources_fits(job->spec.task_resources,
-                                mm_resources_add(free_resources, other->spec.task_resources)))
-        continue;
-      if (scans_left-- == 0)
-        return FALSE;
-      target = machine_for_replica(scheduler, other, machine, fetch_s);
-      if (target == NULL)
-        continue;
-      mm_info("moving %s/%u from %s to %s to make room for %s", other->spec.id.s, placed->number,
-              machine->id.s, target->id.s, job->spec.id.s);
-      reserve_resources(scheduler, job, task, machine);
-      moved_task->last_failed_on = machine->id;
-      mm_scheduler_stop_task(scheduler, other, placed->number);
-      return TRUE;
-    }
-  }
-  return FALSE;
-}
-
-/* Clears room for the job's waiting tasks, each claimed once a report period. Claims count for the
- * job's zones: clearing for one task at a time instead made a wide service that had lost a zone
- * wait two seconds for each of its replicas. */
+/* Preempts for the job's pending tasks, for each once in a heartbeat interval. Reservations count
+ * for the job's zones: preempting for one task at a time would make a wide service that has lost a
+ * zone wait for each replica in turn. Returns how many tasks were tried. */
 static guint
 preempt_for_job(MmScheduler *scheduler, MmJob *job, guint max_tries) {
   MmNode *node = scheduler->node;
@@ -311,15 +232,15 @@
         || mm_time_ms_since(now, task->state_since) < bound_ms)
       continue;
     tries++;
-    if (!preempt_for_task(scheduler, job, task) && !move_replica(scheduler, job, task))
+    if (!preempt_for_task(scheduler, job, task) && !mm_scheduler_move_replica(scheduler, job, task))
       break;
   }
   return tries;
 }
 
-/* Whether any work of the lowest priority runs: without it nothing is to be had for work that is
- * only one step above, and looking at all machines for each such job would cost an owner all its
- * time. */
+/* Whether any work of the lowest priority runs. Without it nothing can be preempted for work that
+ * is only one priority higher, and scanning all machines for each such job would take all of the
+ * node's time. */
 static gboolean
 low_priority_work_runs(const MmScheduler *scheduler) {
   const MmJobTable *job_table = scheduler->node->job_table;
@@ -334,14 +255,14 @@
   return FALSE;
 }
 
-/* Neither urgent nor within a guarantee: it may only stop work of the lowest priority. */
+/* Neither urgent nor within a quota: it may preempt work of the lowest priority only. */
 static gboolean
 is_ordinary(const MmJob *job) {
   return job->effective_priority < MM_PRIORITY_URGENT && !job->is_within_quota;
 }
 
-/* A few jobs a round, most pressing first, each round going on where the last one stopped: each
- * costs a look at all machines. */
+/* Each try costs a scan of all machines, so a round tries few tasks, and the next round goes on
+ * where it stopped. */
 void
 mm_scheduler_preempt(MmScheduler *scheduler) {
   const GPtrArray *jobs = mm_scheduler_jobs_by_urgency(scheduler);
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,15 +1,20 @@
-/* Teams' guarantees: which jobs lie within them, and which teams run more than theirs, so that work
- * of these may be stopped for work of those. Every node works it out from what it knows; nothing
- * safety-critical hangs on it. */
-#include "scheduler/scheduler.h"
+#include "scheduler/quota.h"
 
 #include "dependencies/dependencies.h"
+#include "scheduler/gang.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/start-rules.h"
+#include "scheduler/urgency.h"
 
 #define QUOTA_UPDATE_INTERVAL_MS 1000
+/* Of the limit, resources for so many tasks are reserved for the most urgent job. */
+#define RESERVED_QUOTA_TASKS 4
 
+/* Whether a team whose older unfinished jobs and this one together need `team_sum` has all of it
+ * within its quota. */
 static gboolean
 fits_quota(const MmResources *quota, const MmResources *team_sum, const MmJobSpec *spec) {
-  /* An amount of 0 is no guarantee at all. */
+  /* A quota of 0 guarantees nothing. */
   if (spec->task_resources.accelerators > 0
       && team_sum->accelerators > quota->accelerators + MM_RESOURCES_SLACK)
     return FALSE;
@@ -78,3 +83,71 @@
   return team_use_after.cores >= team->quota.cores - MM_RESOURCES_SLACK
          && team_use_after.accelerators >= team->quota.accelerators - MM_RESOURCES_SLACK;
 }
+
+/* A job that needs nothing of a limited resource is not bound by it, however much of it is used or
+ * reserved. Otherwise accelerators reserved for a waiting gang would keep the team's arrays from
+ * machines that lie idle. */
+static gboolean
+within_quota(double limit, double used, double need) {
+  return limit <= 0 || need <= 0 || used + need <= limit + MM_RESOURCES_SLACK;
+}
+
+/* What the team uses or might use: all that may be on a machine, stops under way included, and on
+ * an unacknowledged machine whatever fits there. */
+gboolean
+mm_scheduler_quota_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
+                          guint tasks) {
+  MmResources limit = shard->team->limit;
+  MmResources used;
+
+  if (limit.cores <= 0 && limit.accelerators <= 0)
+    return TRUE;
+  mm_scheduler_update_unacknowledged(scheduler, shard);
+  if (shard->has_unacknowledged_of_unknown_type)
+    return FALSE;
+  used = mm_resources_add(shard->used, shard->unacknowledged_resources);
+  /* Otherwise small jobs take what is left of the limit one by one: a large one never begins, and
+   * work of higher priority waits for lower. */
+  if (shard->quota_reserved_for != NULL && shard->quota_reserved_for != job
+      && mm_scheduler_compare_urgency(&shard->quota_reserved_for, &job) < 0)
+    used = mm_resources_add(used, shard->reserved_quota);
+  return within_quota(limit.cores, used.cores, tasks * job->spec.task_resources.cores)
+         && within_quota(limit.accelerators, used.accelerators,
+                         tasks * job->spec.task_resources.accelerators);
+}
+
+/* The sums that task-state.c keeps drift, since amounts are fractions; they are taken anew here. */
+void
+mm_scheduler_recount_resources(MmScheduler *scheduler) {
+  MmJobTable *job_table = scheduler->node->job_table;
+  GHashTableIter iter;
+  gpointer value;
+
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
+  while (g_hash_table_iter_next(&iter, NULL, &value)) {
+    MmLedShard *shard = value;
+    shard->used = shard->reserved_quota = (MmResources){ 0 };
+    shard->quota_reserved_for = NULL;
+    mm_scheduler_update_unacknowledged(scheduler, shard);
+  }
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    MmLedShard *shard = job->tasks != NULL ? job->led_shard : NULL;
+    if (shard != NULL && job->n_pending > 0
+        && (job->is_starving || job->spec.priority >= MM_PRIORITY_URGENT)
+        && mm_scheduler_job_is_schedulable(scheduler, job)
+        && (shard->quota_reserved_for == NULL
+            || mm_scheduler_compare_urgency(&job, &shard->quota_reserved_for) < 0)) {
+      guint tasks
+          = mm_job_is_gang(job) ? job->spec.n_tasks : MIN(job->n_pending, RESERVED_QUOTA_TASKS);
+      shard->quota_reserved_for = job;
+      shard->reserved_quota = (MmResources){ tasks * job->spec.task_resources.cores,
+                                             tasks * job->spec.task_resources.accelerators, 0 };
+    }
+    if (shard == NULL || job->n_maybe_on_machines == 0)
+      continue;
+    shard->used.cores += job->n_maybe_on_machines * job->spec.task_resources.cores;
+    shard->used.accelerators += job->n_maybe_on_machines * job->spec.task_resources.accelerators;
+    shard->used.memory_gb += job->n_maybe_on_machines * job->spec.task_resources.memory_gb;
+  }
+}
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -1,26 +1,28 @@
-/* Direct commands: stops, cancellations, and empty ones that spread the term. */
-#include "scheduler/scheduler.h"
-
-#include "dependencies/dependencies.h"
+#include "scheduler/stop-commands.h"
 
 #include "base/wire.h"
+#include "dependencies/dependencies.h"
 #include "heartbeat/heartbeat-server.h"
-#include "machines/machine-health.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
+#include "machines/machine-health.h"
 #include "peers/peer-broadcast.h"
+#include "placement/backlog.h"
+#include "scheduler/task-state.h"
 #include "sharing/sharing.h"
-#include "kv/replica.h"
-#include "kv/kv-client.h"
 
+#define DIRECT_COMMAND_TIMEOUT_MS 2000
 #define ACK_REQUEST_INTERVAL_MS 3000
 /* In a slow tick: each takes about half a millisecond. */
 #define ACK_REQUESTS_PER_CORE 40
 #define ACK_REQUESTS_MIN 2
 #define ACK_REQUESTS_MAX 64
-/* A worker shows a higher term half a second after it was told, if it does so before its next
- * report. */
+/* A machine shows a higher term half a second after it got it, if it does so before its next
+ * regular heartbeat. */
 #define TERM_REPORTED_WITHIN_MS 1200
+/* In heartbeat intervals: a machine whose heartbeat is that recent sends the next one late. */
 #define RECENT_HEARTBEAT_PERIODS 0.6
 #define STOP_RESEND_MS 2000
 
@@ -42,8 +44,9 @@
                          mm_scheduler_stop_grace_s(job));
 }
 
-/* Those of its tasks that show on machines which this node answers, and that no part held here has
- * placed there: perhaps no part's holder can be reached, or none is left. */
+/* Stops those of the job's tasks that show on machines whose heartbeats this node answers and that
+ * are not placed there by this node: the shard's leader may be out of reach, or the shard may have
+ * none. */
 static void
 stop_reported_tasks(MmScheduler *scheduler, const MmJob *job) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
@@ -78,7 +81,7 @@
     else if (mm_task_is_live(job->tasks[i].state))
       mm_scheduler_stop_task(scheduler, job, i);
   }
-  /* What depends on a cancelled job has never been started. */
+  /* Dependents of a cancelled job have never been started. */
   if (!mm_job_has_cancelled_dependency(job))
     stop_reported_tasks(scheduler, job);
   mm_placement_backlog_changed(scheduler->node->placement);
@@ -86,6 +89,7 @@
   return TRUE;
 }
 
+/* The reply to a direct command is a heartbeat in form, and shows the machine's term. */
 static void
 direct_command_answered(gpointer data, int status, json_t *body) {
   MmScheduler *scheduler = data;
@@ -134,7 +138,7 @@
   send_direct_commands(scheduler, machine, commands);
 }
 
-/* The newest term that a team's holder waits for, wherever it is. */
+/* The newest term of any team's shard, whichever node leads it. */
 static MmTerm
 newest_shard_term(const MmNode *node) {
   MmTerm newest = { 0 };
@@ -160,8 +164,8 @@
   return mm_sharing_awaits_acknowledgement(scheduler->node->sharing, machine);
 }
 
-/* Of a machine that reports, the node that it reports to asks for all: one that will not report for
- * long yet, or that has been told of the term and may not show it before its next report is due. */
+/* The node that answers a machine's heartbeats asks it on behalf of all: when its next heartbeat is
+ * far off, or when it has got the term and may not show it before its next regular heartbeat. */
 static gboolean
 acknowledgement_would_be_late(const MmNode *node, const MmMachine *machine, MmTerm newest) {
   MmTime now = mm_node_now(node);
@@ -178,9 +182,9 @@
          < (gint64)(node->settings->heartbeat_interval_s * 1000 * RECENT_HEARTBEAT_PERIODS);
 }
 
-/* An empty command spreads the term, and its answer is an acknowledgement. A few are asked at a
- * time, for a share of the processor: asking four hundred at once took all the time there was, and
- * claims ended over it. */
+/* An empty command carries the term, and the reply to it is an acknowledgement. The number in a
+ * tick is bounded by the share of the processor: asking hundreds of machines at once would take so
+ * long that leases expire. */
 void
 mm_scheduler_request_acknowledgements(MmScheduler *scheduler) {
   MmNode *node = scheduler->node;
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -1,20 +1,16 @@
-/* Which job is the more urgent: by priority, and by when its next aim asks for its start. A job
- * that others depend on takes over the priority of these, and must be done in time for their
- * deadlines. All this decides on order and preemption only, never on a team's limit or guarantee.
- */
-#include "scheduler/scheduler.h"
+#include "scheduler/urgency.h"
 
 #include <math.h>
 
 #include "dependencies/dependencies.h"
+#include "scheduler/gang.h"
 
-/* Work within its team's guarantee should start within seconds. */
+/* Work within its team's quota should start within this. */
 #define QUOTA_START_WITHIN_S 1
-/* From the end of a job's last task to the start of those of its dependents: reports, the final
+/* From the end of a job's last task to the start of its dependents' tasks: heartbeats, the terminal
  * record, the fetch of an image. */
 #define DEPENDENCY_STAGE_MS 3000
-/* So long before a deadline that it has taken over a job has the whole priority of those that need
- * it. */
+/* For so long before an inherited deadline a job has the whole priority of its dependents. */
 #define INHERITED_DEADLINE_MARGIN_MS 15000
 #define NO_DUE_TIME_MS G_MAXINT64
 
@@ -26,7 +22,8 @@
                                         : scheduler->node->operators->wait_bound_s);
 }
 
-/* When the last task must have started for the aim, in seconds from the job's submission. */
+/* When the last task must have started to meet the objective, in seconds from the job's submission;
+ * below 0: the objective does not apply. */
 static double
 objective_start_s(const MmJob *job, const MmObjective *objective, double run_s) {
   switch (objective->kind) {
@@ -43,8 +40,8 @@
   }
 }
 
-/* The user's guess of a run time, corrected by how far the class's guesses were off, or what was
- * seen of the job's own tasks. */
+/* The run time observed of the job's own tasks, or else the user's estimate corrected by the error
+ * of the class's estimates. */
 static double
 estimate_run_s(const MmScheduler *scheduler, const MmJob *job) {
   const MmEstimateError *estimate_error
@@ -58,8 +55,7 @@
   return job->spec.run_estimate_s * CLAMP(ratio, 0.25, 4);
 }
 
-/* How many rounds the unassigned tasks need where the team's limit lets only so many run at once.
- */
+/* In how many rounds the pending tasks run where the team's limit lets only so many run at once. */
 static double
 estimate_rounds(const MmScheduler *scheduler, const MmJob *job) {
   const MmTeamSettings *team = mm_settings_team(scheduler->node->settings, &job->spec.team);
@@ -73,7 +69,8 @@
   return MAX(ceil((double)job->n_pending / MAX(n_parallel, 1)), 1);
 }
 
-/* By when the job must be given machines for the first of its own aims that it can still meet. */
+/* By when the job must be given machines for the first of its own objectives that it can still
+ * meet. */
 static gint64
 own_due_ms(const MmScheduler *scheduler, const MmJob *job, double run_s) {
   const MmSettings *settings = scheduler->node->settings;
@@ -98,7 +95,7 @@
     if (start_s >= 0 && start_ms >= now_ms && start_ms < due_ms)
       due_ms = start_ms;
   }
-  /* Without any aim of its own, its deadline or its age counts. */
+  /* Without any objective of its own, its deadline or its age counts. */
   if (!has_own_objective && job->spec.deadline_s >= 0)
     due_ms = job->submitted_at_ms + (gint64)(MAX(job->spec.deadline_s - run_s, 0) * 1000);
   else if (!has_own_objective)
@@ -106,16 +103,15 @@
   return due_ms;
 }
 
-/* By when the dependent must be given machines for a deadline, its own or one that it has taken
- * over. */
+/* By when the dependent must be given machines for a deadline, its own or an inherited one. */
 static gint64
 deadline_due_ms(const MmJob *job) {
   return job->spec.deadline_s >= 0 ? MIN(job->due_at_ms, job->inherited_due_at_ms)
                                    : job->inherited_due_at_ms;
 }
 
-/* Takes over what the unfinished jobs that depend on this one ask for. Their own values may be as
- * old as the last round where they are not worked out before this one. */
+/* Inherits priority and deadlines from the unfinished jobs that depend on this one. Values of
+ * dependents that are updated after this job are those of the last slow tick. */
 static void
 inherit_from_dependents(const MmScheduler *scheduler, MmJob *job, double run_s) {
   const MmJobTable *job_table = scheduler->node->job_table;
@@ -136,9 +132,9 @@
                                    mm_node_wall_ms(scheduler->node));
 }
 
-/* While there is time until the deadline that it has taken over, a job goes in the order of what is
- * due but stops no other team's or class's ordinary work: that cost the other work more than the
- * pipelines gained, which were done long before their deadlines. */
+/* Well before an inherited deadline, the job goes in the order of what is due but preempts no
+ * ordinary work of other teams or classes: that would cost the other work more than its dependents
+ * gain, which are done long before their deadlines. */
 static MmPriority
 effective_priority(const MmScheduler *scheduler, const MmJob *job) {
   gint64 slack_ms = job->inherited_due_at_ms - mm_node_wall_ms(scheduler->node);
@@ -175,3 +171,20 @@
     return x->submitted_at_ms < y->submitted_at_ms ? -1 : 1;
   return strcmp(x->spec.id.s, y->spec.id.s);
 }
+
+const GPtrArray *
+mm_scheduler_jobs_by_urgency(MmScheduler *scheduler) {
+  MmJobTable *job_table = scheduler->node->job_table;
+
+  if (!scheduler->is_urgency_order_stale)
+    return scheduler->jobs_by_urgency;
+  scheduler->is_urgency_order_stale = FALSE;
+  g_ptr_array_set_size(scheduler->jobs_by_urgency, 0);
+  for (guint i = 0; i < job_table->by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+    if (job->tasks != NULL && !mm_job_is_gang(job) && !job->is_cancelled)
+      g_ptr_array_add(scheduler->jobs_by_urgency, job);
+  }
+  g_ptr_array_sort(scheduler->jobs_by_urgency, mm_scheduler_compare_urgency);
+  return scheduler->jobs_by_urgency;
+}
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -1,6 +1,9 @@
 /* The owner's answers on the ordinary path, and its arithmetic of limits. */
 #include "base/wire.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/admission.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/quota.h"
+#include "scheduler/start-rules.h"
 #include "kv/replica.h"
 #include "world/world.h"
 
