--- a/src/placement/backlog.c
+++ b/src/placement/backlog.c
@@ -14,7 +14,7 @@
 
 void
 mm_placement_refresh_own_backlog(MmPlacement *placement) {
-  MmBacklogView *own_view = &placement->views[0];
+  MmBacklogView *own_view = &placement->views[MM_PLACEMENT_VIEW_OWN];
 
   g_ptr_array_set_size(own_view->pending, 0);
   g_array_set_size(own_view->reserved_machines, 0);
@@ -25,7 +25,7 @@
 
 void
 mm_placement_send_backlog(MmPlacement *placement, gint peer) {
-  const MmBacklogView *own_view = &placement->views[0];
+  const MmBacklogView *own_view = &placement->views[MM_PLACEMENT_VIEW_OWN];
   guint n_pending = own_view->pending->len;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Backlog backlog = MM__BACKLOG__INIT;
@@ -73,7 +73,7 @@
 
 void
 mm_placement_backlog_received(MmPlacement *placement, gint peer, const Mm__Backlog *backlog) {
-  MmBacklogView *view = &placement->views[peer + 1];
+  MmBacklogView *view = &placement->views[MM_PLACEMENT_VIEW_OF_PEER(peer)];
 
   g_ptr_array_set_size(view->pending, 0);
   g_array_set_size(view->reserved_machines, 0);
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -151,7 +151,7 @@
   if (total == 0)
     return FALSE;
   drawn = (guint)g_rand_int_range(placement->node->rand, 0, (gint32)MIN(total, G_MAXINT32));
-  choice->view = 0;
+  choice->view = MM_PLACEMENT_VIEW_OWN;
   while (drawn >= weights[choice->view])
     drawn -= weights[choice->view++];
   choice->is_pull = TRUE;
@@ -177,9 +177,9 @@
 MmPlacementChoice
 mm_placement_choose(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
                     const GArray *requested, guint exhausted_views) {
-  MmPlacementChoice choice = { .view = -1 };
+  MmPlacementChoice choice = { .view = MM_PLACEMENT_VIEW_NONE };
 
-  if (placement->is_backlog_changed && placement->views[0].pending->len == 0)
+  if (placement->is_backlog_changed && placement->views[MM_PLACEMENT_VIEW_OWN].pending->len == 0)
     mm_placement_refresh_own_backlog(placement);
   if (!choose_reserved(placement, machine, exhausted_views, &choice)
       && !choose_precedence(placement, machine, free_resources, requested, exhausted_views, &choice)
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -29,6 +29,7 @@
 
 /* The index of this node's own view; peer k has view k + 1. */
 #define MM_PLACEMENT_VIEW_OWN 0
+#define MM_PLACEMENT_VIEW_OF_PEER(peer) ((peer) + 1)
 
 struct MmPlacement {
   MmNode *node;
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -8,6 +8,7 @@
 #include "scheduler/led-shards.h"
 #include "scheduler/pending-tasks.h"
 #include "scheduler/placement-estimate.h"
+#include "scheduler/preemption.h"
 #include "scheduler/quota.h"
 #include "scheduler/start-rules.h"
 #include "scheduler/task-state.h"
@@ -27,7 +28,8 @@
   /* Terms never come twice, and the sequence starts anew with the process, which acquires a new
    * term before it approves anything: so no attempt is used twice, without a write for each start.
    */
-  return (MmAttempt){ shard->term.v << 24 | (++scheduler->attempt_sequence & 0xffffff) };
+  return (MmAttempt){ shard->term.v << ATTEMPT_SEQUENCE_BITS
+                      | (++scheduler->attempt_sequence & ATTEMPT_SEQUENCE_MASK) };
 }
 
 /* A machine with accelerators is released only to a task that has waited a little and that no other
@@ -47,7 +49,7 @@
       || !mm_placement_may_release_machine(node->placement, request->machine))
     return FALSE;
   estimate = mm_scheduler_estimate_placement(scheduler, job);
-  return estimate != NULL && estimate->soonest_delay_s < 0;
+  return estimate != NULL && !mm_scheduler_can_start(estimate->soonest_delay_s);
 }
 
 /* What holds for all tasks of the job alike. */
@@ -102,18 +104,18 @@
 static gboolean
 try_start_any_task(MmScheduler *scheduler, MmJob *job, const MmStartRequest *request,
                    MmApproval *approval) {
-  guint tries = 8;
+  guint tries_left = JOB_TASKS_TRIED_MAX;
 
   if (!job_may_start(scheduler, job, request))
     return FALSE;
-  for (guint i = job->first_pending; i < job->spec.n_tasks && tries > 0; i++) {
+  for (guint i = job->first_pending; i < job->spec.n_tasks && tries_left > 0; i++) {
     if (job->tasks[i].state != MM_TASK_PENDING)
       continue;
     if (task_may_start(scheduler, job, i, request)) {
       approve_task(scheduler, job->led_shard, job, i, request, approval);
       return TRUE;
     }
-    tries--;
+    tries_left--;
   }
   return FALSE;
 }
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -35,8 +35,9 @@
     g_hash_table_insert(scheduler->estimate_errors, g_strdup(job->spec.job_class.s),
                         estimate_error);
   }
-  estimate_error->actual_s = estimate_error->actual_s * 0.98 + ran_s;
-  estimate_error->estimated_s = estimate_error->estimated_s * 0.98 + job->spec.run_estimate_s;
+  estimate_error->actual_s = estimate_error->actual_s * ESTIMATE_ERROR_DECAY + ran_s;
+  estimate_error->estimated_s
+      = estimate_error->estimated_s * ESTIMATE_ERROR_DECAY + job->spec.run_estimate_s;
 }
 
 static void
@@ -70,13 +71,16 @@
   mm_scheduler_unplace_task(scheduler, job, number);
   switch (cause) {
   case MM_CAUSE_ERROR:
-    task->n_errors = MIN(task->n_errors + 1, 10);
+    task->n_errors = MIN(task->n_errors + 1, TASK_ERRORS_MAX);
     task->last_failed_on = machine->id;
-    task->retry_not_before = mm_time_add_ms(now, MIN(500 << task->n_errors, 30000));
+    task->retry_not_before
+        = mm_time_add_ms(now, MIN(TASK_RETRY_MIN_MS << task->n_errors, TASK_RETRY_MAX_MS));
     /* A job that fails everywhere may not occupy all machines. */
-    if (++job->n_consecutive_errors >= 4)
-      job->paused_until
-          = mm_time_add_ms(now, MIN(2000 << MIN(job->n_consecutive_errors - 4, 5), 60000));
+    if (++job->n_consecutive_errors >= JOB_ERRORS_BEFORE_PAUSE)
+      job->paused_until = mm_time_add_ms(
+          now, MIN(JOB_PAUSE_MIN_MS << MIN(job->n_consecutive_errors - JOB_ERRORS_BEFORE_PAUSE,
+                                           JOB_PAUSE_DOUBLINGS_MAX),
+                   JOB_PAUSE_MAX_MS));
     break;
   case MM_CAUSE_NO_RESOURCES:
     /* What this node takes as free was wrong; the next heartbeat but one shows better. */
@@ -85,7 +89,7 @@
     break;
   case MM_CAUSE_NO_SUCH_TASK:
     /* The user has not uploaded the task yet, or never does. */
-    task->retry_not_before = mm_time_add_ms(now, 2000);
+    task->retry_not_before = mm_time_add_ms(now, MISSING_TASK_RETRY_MS);
     break;
   case MM_CAUSE_OTHER_ATTEMPT: /* the other attempt shows in the same heartbeat */
   case MM_CAUSE_GANG_INCOMPLETE:
@@ -216,7 +220,7 @@
     command.grace_s = mm_scheduler_stop_grace_s(job);
     if (job->is_cancelled || task->state == MM_TASK_DONE
         || (task->is_stopping && task->machine == machine
-            && mm_time_ms_since(now, task->stop_sent_at) > 500
+            && mm_time_ms_since(now, task->stop_sent_at) > STOP_REPEAT_MS
             && reported->state != MM_REPORTED_CHECKPOINTING)) {
       g_array_append_val(commands, command);
     } else if (machine->has_termination_notice && !task->is_stopping && task->machine == machine) {
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -82,7 +82,7 @@
 completed_tasks_text(const MmScheduler *scheduler, const MmJob *job) {
   g_autoptr(json_t) bare_record
       = mm_job_record_to_json(&job->spec, job->submitted_at_ms, FALSE, NULL);
-  gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + 64;
+  gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + RECORD_MARGIN_BYTES;
   gsize max_bytes = mm_kv_client_max_value_bytes(scheduler->node->kv);
 
   return mm_completed_tasks_to_text(&job->completed,
@@ -125,7 +125,7 @@
   MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
   guint max_ops = mm_kv_client_max_operations(node->kv);
-  guint max_guards = 4 * max_ops;
+  guint max_guards = CONDITIONS_PER_OPERATION * max_ops;
   MmTransaction transaction;
   JobWrite *write;
 
@@ -143,16 +143,16 @@
     if (shard == NULL || job->is_being_written)
       continue;
     is_terminal = needs_terminal_record(scheduler, job);
-    if (transaction.n_operations + 2 > max_ops
-        || json_array_size(transaction.conditions) + 2 > max_guards
+    if (transaction.n_operations + OPERATIONS_PER_JOB > max_ops
+        || json_array_size(transaction.conditions) + CONDITIONS_PER_JOB > max_guards
         || (scheduler->single_job_writes > 0 && transaction.n_operations > 0))
       break;
     /* Dependents of a cancelled job show as cancelled without a terminal record: there may be
      * thousands, and their records can wait for the write budget. */
     if (is_terminal && mm_job_has_cancelled_dependency(job)
-        && !mm_kv_client_try_spend_writes(node->kv, 2))
+        && !mm_kv_client_try_spend_writes(node->kv, OPERATIONS_PER_JOB))
       continue;
-    if (is_terminal && mm_time_ms_since(now, job->last_write_at) > 100) {
+    if (is_terminal && mm_time_ms_since(now, job->last_write_at) > TERMINAL_WRITE_INTERVAL_MS) {
       add_to_write(scheduler, &transaction, write, shard, job, TRUE);
     } else if (!is_terminal && !job->is_cancelled && job->unwritten_since.us != 0
                && mm_time_ms_since(now, job->unwritten_since) >= JOB_WRITE_DELAY_MS
--- a/src/scheduler/placement-estimate.c
+++ b/src/scheduler/placement-estimate.c
@@ -2,6 +2,8 @@
 
 #include "scheduler/preemption.h"
 
+/* MmPlacementEstimate: no machine was looked at; larger than any number of tasks. */
+#define COLOCATED_TASKS_UNKNOWN G_MAXUINT
 #define ESTIMATE_FRESH_MS 400
 #define ESTIMATE_AGE_MAX_MS 2000
 /* A fetch this short is not worth waiting for another machine. */
@@ -46,20 +48,21 @@
                : NULL;
   scheduler->machine_scans_left--;
   *estimate = (MmPlacementEstimate){ .estimated_at = now,
-                                     .soonest_delay_s = -1,
-                                     .next_soonest_delay_s = -1,
-                                     .fewest_colocated_tasks = G_MAXUINT };
+                                     .soonest_delay_s = MM_START_IMPOSSIBLE,
+                                     .next_soonest_delay_s = MM_START_IMPOSSIBLE,
+                                     .fewest_colocated_tasks = COLOCATED_TASKS_UNKNOWN };
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     double delay_s = mm_scheduler_start_delay_s(scheduler, job, machine);
 
-    if (delay_s < 0)
+    if (!mm_scheduler_can_start(delay_s))
       continue;
-    if (estimate->soonest_delay_s < 0 || delay_s < estimate->soonest_delay_s) {
+    if (!mm_scheduler_can_start(estimate->soonest_delay_s) || delay_s < estimate->soonest_delay_s) {
       estimate->next_soonest_delay_s = estimate->soonest_delay_s;
       estimate->soonest_delay_s = delay_s;
       estimate->soonest_machine = machine->id;
-    } else if (estimate->next_soonest_delay_s < 0 || delay_s < estimate->next_soonest_delay_s) {
+    } else if (!mm_scheduler_can_start(estimate->next_soonest_delay_s)
+               || delay_s < estimate->next_soonest_delay_s) {
       estimate->next_soonest_delay_s = delay_s;
     }
     if (job->spec.kind == MM_JOB_KIND_SERVICE
@@ -89,7 +92,7 @@
   const MmPlacementEstimate *estimate;
   double elsewhere_s;
 
-  if (fetch_s < 0.5 || waited_s > MIN(fetch_s, period_s * 1.5))
+  if (fetch_s < SHORT_FETCH_S || waited_s > MIN(fetch_s, period_s * AVOID_FETCH_PERIODS))
     return FALSE;
   /* What was preempted here was preempted for this task: choosing again would only lose time. */
   if (mm_time_before(mm_node_now(node), task->preempting_until)
@@ -101,7 +104,7 @@
   elsewhere_s = mm_name_equal(&estimate->soonest_machine, &here->id)
                     ? estimate->next_soonest_delay_s
                     : estimate->soonest_delay_s;
-  if ((elsewhere_s < 0 || elsewhere_s >= fetch_s)
+  if ((!mm_scheduler_can_start(elsewhere_s) || elsewhere_s >= fetch_s)
       && !(spread_out
            && estimate->fewest_colocated_tasks
                   < mm_scheduler_count_colocated_tasks(scheduler, job, here)))
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -22,7 +22,10 @@
 #define QUOTA_RECLAIM_AFTER_MS 2800
 /* More tasks than these are not preempted on one machine for another task. */
 #define VICTIMS_MAX 32
+/* Of a job that has hardly begun. */
 #define SPARED_TASKS_MAX 2
+/* In place of a number of victims: no preemption makes the task fit. */
+#define NO_VICTIMS (-1)
 
 typedef struct {
   const MmReportedTask *reported;
@@ -70,7 +73,7 @@
   qsort(chosen, n_candidates, sizeof *chosen, compare_victims);
   while (n_chosen < n_candidates && !mm_resources_fits(job->spec.task_resources, free_resources))
     free_resources = mm_resources_add(free_resources, chosen[n_chosen++].job->spec.task_resources);
-  return mm_resources_fits(job->spec.task_resources, free_resources) ? (gint)n_chosen : -1;
+  return mm_resources_fits(job->spec.task_resources, free_resources) ? (gint)n_chosen : NO_VICTIMS;
 }
 
 double
@@ -96,16 +99,16 @@
       || !mm_machine_is_usable(node->machine_table, machine)
       || mm_time_before(now, machine->full_until)
       || !mm_scheduler_constraints_will_allow(scheduler, job, machine))
-    return -1;
+    return MM_START_IMPOSSIBLE;
   free_resources = mm_machine_available_resources(node->machine_table, machine);
   if (mm_placement_check_reserve(node->placement, job, machine, free_resources)
       >= MM_RESERVE_WOULD_SHRINK)
-    return -1;
+    return MM_START_IMPOSSIBLE;
   if (mm_time_before(now, machine->reserved_until))
     free_resources = mm_resources_sub(free_resources, machine->reserved_resources);
   *n_victims = choose_victims(scheduler, job, machine, free_resources, victims);
-  if (*n_victims < 0)
-    return -1;
+  if (*n_victims == NO_VICTIMS)
+    return MM_START_IMPOSSIBLE;
   /* Free resources are used with the next heartbeat; a stop makes the machine send one at once. */
   return (*n_victims == 0 ? (double)MAX(period_ms - silent_ms, 0) / 1000.0
                           : MM_PREEMPTION_DELAY_S + STOP_DELAY_PER_TASK_S * *n_victims)
@@ -174,7 +177,8 @@
       = mm_time_add_ms(now, (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000));
   for (guint i = 0; i < order->len && machines > 0; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
-    if (find_victims(scheduler, job, machine, victims, &n_victims) < 0 || n_victims == 0)
+    if (!mm_scheduler_can_start(find_victims(scheduler, job, machine, victims, &n_victims))
+        || n_victims == 0)
       continue;
     stop_victims(scheduler, job, machine, victims, n_victims);
     machines--;
@@ -195,7 +199,7 @@
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     double delay_s = find_victims(scheduler, job, machine, victims, &n_victims);
 
-    if (delay_s < 0)
+    if (!mm_scheduler_can_start(delay_s))
       continue;
     if (job->spec.kind == MM_JOB_KIND_SERVICE)
       delay_s
@@ -205,7 +209,8 @@
     best = machine;
     best_s = delay_s;
   }
-  if (best == NULL || find_victims(scheduler, job, best, victims, &n_victims) < 0)
+  if (best == NULL
+      || !mm_scheduler_can_start(find_victims(scheduler, job, best, victims, &n_victims)))
     return FALSE;
   stop_victims(scheduler, job, best, victims, n_victims);
   mm_scheduler_reserve_resources(scheduler, job, task, best);
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -19,6 +19,10 @@
  * its image and the preemption that it needs; MM_START_IMPOSSIBLE when it can't. Counts as a scan
  * of one machine. */
 double mm_scheduler_start_delay_s(MmScheduler *scheduler, const MmJob *job, MmMachine *machine);
+static inline gboolean
+mm_scheduler_can_start(double delay_s) {
+  return delay_s >= 0;
+}
 /* Seconds for the job's image to reach the machine; 0 when the machine has it or its type is not
  * known. */
 double mm_scheduler_image_fetch_s(const MmJob *job, const MmMachine *machine);
--- a/src/scheduler/replica-move.c
+++ b/src/scheduler/replica-move.c
@@ -24,7 +24,7 @@
     if (machine == current || mm_scheduler_image_fetch_s(job, machine) > max_fetch_s)
       continue;
     delay_s = mm_scheduler_start_delay_s(scheduler, job, machine);
-    if (delay_s >= 0
+    if (mm_scheduler_can_start(delay_s)
         && delay_s <= scheduler->node->settings->heartbeat_interval_s + MM_PREEMPTION_DELAY_S
                           + max_fetch_s)
       return machine;
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -125,7 +125,8 @@
   if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
     return;
   node->platform.request(node->platform.context, MM_TARGET_WORKER, machine->addr, "POST",
-                         WIRE_DIRECT_PATH, body, 2000, direct_command_answered, scheduler);
+                         WIRE_DIRECT_PATH, body, DIRECT_COMMAND_TIMEOUT_MS, direct_command_answered,
+                         scheduler);
 }
 
 void
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -12,6 +12,8 @@
 #define DEPENDENCY_STAGE_MS 3000
 /* For so long before an inherited deadline a job has the whole priority of its dependents. */
 #define INHERITED_DEADLINE_MARGIN_MS 15000
+/* In place of the time by which an objective needs the start. */
+#define DOES_NOT_APPLY_S (-1.0)
 #define NO_DUE_TIME_MS G_MAXINT64
 
 gboolean
@@ -34,9 +36,9 @@
     return objective->within_s - run_s;
   case MM_OBJECTIVE_DEADLINE:
     return job->spec.deadline_s >= 0 ? job->spec.deadline_s * objective->deadline_factor - run_s
-                                     : -1;
+                                     : DOES_NOT_APPLY_S;
   default:
-    return -1;
+    return DOES_NOT_APPLY_S;
   }
 }
 
