--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -83,9 +83,9 @@
   job->tasks[number].start_heartbeat_id = request->heartbeat_id;
   *approval
       = (MmApproval){ job->spec.id, number, attempt, mm_name(shard->name), shard->term, FALSE };
-  mm_debug("%s/%u may start on %s (%s%s) after %.1f s", job->spec.id.s, number,
-           request->machine->id.s, request->machine->type_name.s,
-           mm_machine_has_cached_image(request->machine, &job->spec.image) ? ", cached" : "",
+  mm_debug("task %s/%u start approved machine=%s type=%s cached=%d waited_s=%.1f", job->spec.id.s,
+           number, request->machine->id.s, request->machine->type_name.s,
+           mm_machine_has_cached_image(request->machine, &job->spec.image),
            mm_job_waiting_time_s(scheduler->node, job));
 }
 
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -133,14 +133,14 @@
   /* A newer attempt is only ever approved when the older is gone for certain: of two that show, the
    * older comes from a late heartbeat. */
   if (reported->attempt.v > task->attempt.v) {
-    mm_info("task %s/%u is on %s: what %s showed is over", job->spec.id.s, reported->number,
-            machine->id.s, task->machine->id.s);
+    mm_info("task %s/%u reported with newer attempt machine=%s replaced=%s", job->spec.id.s,
+            reported->number, machine->id.s, task->machine->id.s);
     mm_scheduler_place_task(scheduler, job, reported->number, machine,
                             state_of_reported(reported->state), reported->attempt);
     return;
   }
-  mm_info("task %s/%u shows on %s while it is placed on %s", job->spec.id.s, reported->number,
-          machine->id.s, task->machine->id.s);
+  mm_info("task %s/%u reported with older attempt machine=%s placed=%s", job->spec.id.s,
+          reported->number, machine->id.s, task->machine->id.s);
 }
 
 void
@@ -184,7 +184,8 @@
                 && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
       if (!is_start_refused)
         continue;
-      mm_debug("start of %s/%u on %s was not carried out", job->spec.id.s, number, machine->id.s);
+      mm_debug("task %s/%u start not carried out machine=%s", job->spec.id.s, number,
+               machine->id.s);
       if (heartbeat->heartbeat_id.incarnation == task->start_heartbeat_id.incarnation)
         mm_machine_health_record_refused_start(scheduler->node->machine_table, machine);
     }
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -97,7 +97,8 @@
   mm_transaction_require_version(transaction, MM_KEY_JOB, job->spec.id.s, job->record_version);
   mm_transaction_require_version(transaction, MM_KEY_SHARD, shard->name, shard->version);
   if (is_terminal) {
-    mm_info("%s (%s, %u tasks, guess %.0f s) is %s after %.1f s, due %.0f s, runs seen %.0f s",
+    mm_info("job %s ended class=%s tasks=%u run_estimate_s=%.0f state=%s after_s=%.1f "
+            "deadline_s=%.0f observed_run_s=%.0f",
             job->spec.id.s, job->spec.job_class.s, job->spec.n_tasks, job->spec.run_estimate_s,
             job->is_cancelled ? WIRE_CANCELLED : WIRE_DONE,
             mm_job_waiting_time_s(scheduler->node, job), job->spec.deadline_s,
--- a/src/scheduler/led-shards.c
+++ b/src/scheduler/led-shards.c
@@ -98,8 +98,7 @@
   for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++)
     if (job->tasks[i].state == MM_TASK_PENDING)
       job->tasks[i].state_since = now;
-  mm_info("%s (%s) is ready: all that it depends on is done", job->spec.id.s,
-          job->spec.job_class.s);
+  mm_info("job %s dependencies done class=%s", job->spec.id.s, job->spec.job_class.s);
   scheduler->is_urgency_order_stale = TRUE;
   mm_placement_backlog_changed(scheduler->node->placement);
 }
@@ -118,7 +117,7 @@
   if (shard->is_ready || g_hash_table_size(shard->unacknowledged_machines) > 0)
     return;
   shard->is_ready = TRUE;
-  mm_info("part %s is ready %" G_GINT64_FORMAT " ms after it was taken", shard->name,
+  mm_info("shard %s ready after_ms=%" G_GINT64_FORMAT, shard->name,
           mm_time_ms_since(mm_node_now(scheduler->node), shard->acquired_at));
   mm_placement_backlog_changed(scheduler->node->placement);
 }
@@ -201,7 +200,7 @@
     if (strcmp(job->shard, name) == 0)
       drop_job(scheduler, job);
   }
-  mm_info("part %s is no longer held here", name);
+  mm_info("shard %s no longer led", name);
   g_hash_table_remove(scheduler->led_shards, name);
 }
 
@@ -238,8 +237,8 @@
     machine->acknowledgement_requested_at.us = 0;
   }
   shard->unacknowledged_changed = TRUE;
-  mm_info("part %s is held here with term %" G_GUINT64_FORMAT ", %u machines to hear", name,
-          shard->term.v, g_hash_table_size(shard->unacknowledged_machines));
+  mm_info("shard %s led term=%" G_GUINT64_FORMAT " unacknowledged_machines=%u", name, shard->term.v,
+          g_hash_table_size(shard->unacknowledged_machines));
   mm_scheduler_check_shard_ready(scheduler, shard);
 }
 
--- a/src/scheduler/placement-estimate.c
+++ b/src/scheduler/placement-estimate.c
@@ -109,7 +109,8 @@
            && estimate->fewest_colocated_tasks
                   < mm_scheduler_count_colocated_tasks(scheduler, job, here)))
     return FALSE;
-  mm_debug("%s waits %.1f s: another would run it in %.1f s, %s in %.1f s", job->spec.id.s,
-           waited_s, elsewhere_s, here->id.s, fetch_s);
+  mm_debug(
+      "job %s waits for another machine waited_s=%.1f elsewhere_s=%.1f machine=%s fetch_s=%.1f",
+      job->spec.id.s, waited_s, elsewhere_s, here->id.s, fetch_s);
   return TRUE;
 }
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -139,8 +139,8 @@
              gint n_victims) {
   for (gint i = 0; i < n_victims; i++) {
     const Victim *victim = &victims[i];
-    mm_info("stopping %s/%u on %s for %s", victim->job->spec.id.s, victim->reported->number,
-            machine->id.s, job->spec.id.s);
+    mm_info("task %s/%u preempted machine=%s for_job=%s", victim->job->spec.id.s,
+            victim->reported->number, machine->id.s, job->spec.id.s);
     if (victim->job->team_index >= 0)
       scheduler->team_used[victim->job->team_index] = mm_resources_sub(
           scheduler->team_used[victim->job->team_index], victim->job->spec.task_resources);
--- a/src/scheduler/replica-move.c
+++ b/src/scheduler/replica-move.c
@@ -78,7 +78,7 @@
       target = machine_for_replica(scheduler, other, machine, fetch_s);
       if (target == NULL)
         continue;
-      mm_info("moving %s/%u from %s to %s to make room for %s", other->spec.id.s, placed->number,
+      mm_info("replica %s/%u moved from=%s to=%s for_job=%s", other->spec.id.s, placed->number,
               machine->id.s, target->id.s, job->spec.id.s);
       mm_scheduler_reserve_resources(scheduler, job, task, machine);
       moved_task->last_failed_on = machine->id;
