--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -15,6 +15,17 @@
   MmTaskRef task;
 } RankedTask;
 
+/* The ranking of the announced tasks for one machine, under construction. */
+typedef struct {
+  const GArray *requested; /* MmTaskRef that are left out */
+  guint n_tasks;           /* of all backlogs */
+  guint n_tasks_before;    /* of these, those already counted */
+  guint machine_index;
+  guint n_machines;
+  guint n_controllers;
+  GArray *tasks; /* RankedTask; lent */
+} Ranking;
+
 gboolean
 mm_placement_allows(const MmJob *job, const MmMachine *machine) {
   return mm_job_spec_allows_machine(&job->spec, &machine->type_name, &machine->zone,
@@ -83,14 +94,9 @@
   return best != NULL;
 }
 
-/* The ordinary case: tasks whose image the machine has cached, in the machine's own order. */
-static gboolean
-choose_cached(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
-              const GArray *requested, MmPlacementChoice *choice) {
-  g_autoptr(GArray) ranked = g_array_new(FALSE, FALSE, sizeof(RankedTask));
-  guint n_machines = placement->node->machine_table->sorted_machines->len,
-        n_controllers = placement->n_views, n_tasks = 0, task_offset = 0;
-  guint max_tasks = MIN((guint)placement->node->operators->candidates, MM_PLACEMENT_CANDIDATES_MAX);
+static guint
+count_announced_tasks(const MmPlacement *placement) {
+  guint n_tasks = 0;
 
   for (guint v = 0; v < placement->n_views; v++)
     for (guint i = 0; i < placement->views[v].pending->len; i++) {
@@ -98,35 +104,66 @@
       for (guint k = 0; k + 1 < pending->ranges->len; k += 2)
         n_tasks += g_array_index(pending->ranges, guint, k + 1);
     }
+  return n_tasks;
+}
+
+/* Ranks the job's pending tasks that were not requested yet, if the machine may run them and has
+ * their image; counts them all. */
+static void
+rank_pending_tasks(Ranking *ranking, guint view, const MmPendingTasks *pending,
+                   gboolean is_cached) {
+  for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
+    guint first = g_array_index(pending->ranges, guint, k);
+    guint length = g_array_index(pending->ranges, guint, k + 1);
+    for (guint t = 0; t < length && is_cached && ranking->tasks->len < RANKED_TASKS_MAX; t++) {
+      RankedTask item = { mm_modulo_priority(ranking->n_tasks_before + t + 1, ranking->n_tasks,
+                                             ranking->machine_index + 1, ranking->n_machines,
+                                             ranking->n_controllers),
+                          view,
+                          { pending->job, first + t } };
+      if (!was_requested(ranking->requested, &pending->job, first + t))
+        g_array_append_val(ranking->tasks, item);
+    }
+    ranking->n_tasks_before += length;
+  }
+}
+
+/* The best task and the next ones of the same view, as many as may be requested at once. */
+static void
+take_candidates(const GArray *ranked, guint max_tasks, MmPlacementChoice *choice) {
+  choice->view = (gint)g_array_index(ranked, RankedTask, 0).view;
+  for (guint i = 0; i < ranked->len && choice->n_tasks < max_tasks; i++) {
+    const RankedTask *item = &g_array_index(ranked, RankedTask, i);
+    if ((gint)item->view == choice->view)
+      choice->tasks[choice->n_tasks++] = item->task;
+  }
+}
+
+/* The ordinary case: tasks whose image the machine has cached, in the machine's own order. */
+static gboolean
+choose_cached(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
+              const GArray *requested, MmPlacementChoice *choice) {
+  const MmNode *node = placement->node;
+  g_autoptr(GArray) ranked = g_array_new(FALSE, FALSE, sizeof(RankedTask));
+  Ranking ranking = { .requested = requested,
+                      .n_tasks = count_announced_tasks(placement),
+                      .machine_index = machine->sorted_index,
+                      .n_machines = node->machine_table->sorted_machines->len,
+                      .n_controllers = placement->n_views,
+                      .tasks = ranked };
+
   for (guint v = 0; v < placement->n_views; v++)
     for (guint i = 0; i < placement->views[v].pending->len; i++) {
       const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
       const MmJob *job = fitting_job(placement, pending, machine, free_resources);
-      gboolean cached = job != NULL && mm_machine_has_cached_image(machine, &job->spec.image);
-      for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
-        guint first = g_array_index(pending->ranges, guint, k);
-        guint length = g_array_index(pending->ranges, guint, k + 1);
-        for (guint t = 0; t < length && cached && ranked->len < RANKED_TASKS_MAX; t++) {
-          RankedTask item
-              = { mm_modulo_priority(task_offset + t + 1, n_tasks, machine->sorted_index + 1,
-                                     n_machines, n_controllers),
-                  v,
-                  { pending->job, first + t } };
-          if (!was_requested(requested, &pending->job, first + t))
-            g_array_append_val(ranked, item);
-        }
-        task_offset += length;
-      }
+      gboolean is_cached = job != NULL && mm_machine_has_cached_image(machine, &job->spec.image);
+      rank_pending_tasks(&ranking, v, pending, is_cached);
     }
   if (ranked->len == 0)
     return FALSE;
   g_array_sort(ranked, compare_ranked_tasks);
-  choice->view = (gint)g_array_index(ranked, RankedTask, 0).view;
-  for (guint i = 0; i < ranked->len && choice->n_tasks < max_tasks; i++) {
-    const RankedTask *item = &g_array_index(ranked, RankedTask, i);
-    if ((gint)item->view == choice->view)
-      choice->tasks[choice->n_tasks++] = item->task;
-  }
+  take_candidates(ranked, MIN((guint)node->operators->candidates, MM_PLACEMENT_CANDIDATES_MAX),
+                  choice);
   return TRUE;
 }
 
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -179,24 +179,25 @@
   return FALSE;
 }
 
-gboolean
-mm_scheduler_approve_start(MmScheduler *scheduler, MmStartRequest *request, MmApproval *approval) {
-  MmJobTable *job_table = scheduler->node->job_table;
-  g_autoptr(GPtrArray) jobs = NULL;
-  const GPtrArray *by_urgency;
+/* Whether the request may be granted at all: this node's lease is valid, and the machine is usable,
+ * has sent no newer message, and has not refused a start for lack of resources just now. */
+static gboolean
+is_admissible(const MmScheduler *scheduler, const MmStartRequest *request) {
+  const MmNode *node = scheduler->node;
+  const MmMachine *machine = request->machine;
+
+  return mm_node_lease_is_valid(node->node_lease)
+         && mm_machine_is_usable(node->machine_table, machine)
+         && !mm_heartbeat_id_is_newer(machine->latest_message_id, request->heartbeat_id)
+         && !mm_time_before(mm_node_now(node), machine->full_until);
+}
+
+/* The jobs of which a task fits into the free resources and the team's limit, most urgent first. */
+static GPtrArray *
+list_fitting_jobs(MmScheduler *scheduler, const MmStartRequest *request) {
+  const GPtrArray *by_urgency = mm_scheduler_jobs_by_urgency(scheduler);
+  GPtrArray *jobs = g_ptr_array_sized_new(by_urgency->len);
 
-  if (!mm_node_lease_is_valid(scheduler->node->node_lease)
-      || !mm_machine_is_usable(scheduler->node->machine_table, request->machine)
-      || mm_heartbeat_id_is_newer(request->machine->latest_message_id, request->heartbeat_id)
-      || mm_time_before(mm_node_now(scheduler->node), request->machine->full_until))
-    return FALSE;
-  if (mm_scheduler_approve_reserved_start(scheduler, request, approval))
-    return TRUE;
-  request->free_resources = mm_resources_least(
-      request->free_resources,
-      mm_machine_available_resources(scheduler->node->machine_table, request->machine));
-  by_urgency = mm_scheduler_jobs_by_urgency(scheduler);
-  jobs = g_ptr_array_sized_new(by_urgency->len);
   for (guint i = 0; i < by_urgency->len; i++) {
     MmJob *job = g_ptr_array_index(by_urgency, i);
     if (job->n_pending > 0 && mm_resources_fits(job->spec.task_resources, request->free_resources)
@@ -204,25 +205,57 @@
         && mm_scheduler_quota_allows(scheduler, job->led_shard, job, 1))
       g_ptr_array_add(jobs, job);
   }
+  return jobs;
+}
+
+/* Keeps the candidates from `first` on that are still pending for the machine's next requests. */
+static void
+keep_candidates(const MmScheduler *scheduler, const MmStartRequest *request, guint first) {
+  for (guint i = first; i < request->n_tasks; i++) {
+    const MmTaskRef *candidate = &request->tasks[i];
+    const MmJob *job = mm_job_table_find(scheduler->node->job_table, candidate->job.s);
+    if (job != NULL && job->tasks != NULL && candidate->number < job->spec.n_tasks
+        && job->tasks[candidate->number].state == MM_TASK_PENDING)
+      add_to_kept_list(request->machine, candidate);
+  }
+}
+
+/* The first of the candidates that may start; the others are kept. */
+static gboolean
+try_candidates(MmScheduler *scheduler, const MmStartRequest *request, MmApproval *approval) {
+  for (guint i = 0; i < request->n_tasks; i++) {
+    const MmTaskRef *candidate = &request->tasks[i];
+    MmJob *job = mm_job_table_find(scheduler->node->job_table, candidate->job.s);
+    if (!try_start_task(scheduler, job, candidate->number, request, approval))
+      continue;
+    keep_candidates(scheduler, request, i + 1);
+    return TRUE;
+  }
+  return FALSE;
+}
+
+gboolean
+mm_scheduler_approve_start(MmScheduler *scheduler, MmStartRequest *request, MmApproval *approval) {
+  MmMachine *machine = request->machine;
+  g_autoptr(GPtrArray) jobs = NULL;
+
+  if (!is_admissible(scheduler, request))
+    return FALSE;
+  if (mm_scheduler_approve_reserved_start(scheduler, request, approval))
+    return TRUE;
+  request->free_resources
+      = mm_resources_least(request->free_resources,
+                           mm_machine_available_resources(scheduler->node->machine_table, machine));
+  jobs = list_fitting_jobs(scheduler, request);
   if (jobs->len == 0)
     return FALSE;
   if (try_precedence_jobs(scheduler, request, jobs, approval))
     return TRUE;
-  while (request->machine->kept_list->len > 0)
-    if (try_kept_task(scheduler, request, request->machine, 0, approval))
+  while (machine->kept_list->len > 0)
+    if (try_kept_task(scheduler, request, machine, 0, approval))
       return TRUE;
-  for (guint i = 0; i < request->n_tasks; i++) {
-    if (!try_start_task(scheduler, mm_job_table_find(job_table, request->tasks[i].job.s),
-                        request->tasks[i].number, request, approval))
-      continue;
-    for (guint k = i + 1; k < request->n_tasks; k++) {
-      const MmJob *job = mm_job_table_find(job_table, request->tasks[k].job.s);
-      if (job != NULL && job->tasks != NULL && request->tasks[k].number < job->spec.n_tasks
-          && job->tasks[request->tasks[k].number].state == MM_TASK_PENDING)
-        add_to_kept_list(request->machine, &request->tasks[k]);
-    }
+  if (try_candidates(scheduler, request, approval))
     return TRUE;
-  }
   return request->is_pull && try_pull(scheduler, request, jobs, approval);
 }
 
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -70,6 +70,36 @@
   return places;
 }
 
+/* Whether one more task may go to the zone beside the chosen machines. */
+static gboolean
+zone_allows_task(const MmJob *job, const GPtrArray *chosen, const MmName *zone) {
+  guint n_in_zone = 0;
+
+  if (!job->spec.spreads_over_zones)
+    return TRUE;
+  for (guint i = 0; i < chosen->len; i++) {
+    const MmMachine *machine = g_ptr_array_index(chosen, i);
+    n_in_zone += mm_name_equal(&machine->zone, zone);
+  }
+  return n_in_zone < mm_job_spec_max_tasks_per_zone(&job->spec);
+}
+
+/* Adds to `chosen` the machine of each task, until all tasks have one or the places are used up. */
+static void
+choose_places(const MmJob *job, GArray *places, gboolean needs_cached_image, GPtrArray *chosen) {
+  for (guint i = 0; i < places->len; i++) {
+    Place *place = &g_array_index(places, Place, i);
+    if (needs_cached_image && !mm_machine_has_cached_image(place->machine, &job->spec.image))
+      continue;
+    while (chosen->len < job->spec.n_tasks
+           && mm_resources_fits(job->spec.task_resources, place->free_resources)
+           && zone_allows_task(job, chosen, &place->machine->zone)) {
+      place->free_resources = mm_resources_sub(place->free_resources, job->spec.task_resources);
+      g_ptr_array_add(chosen, place->machine);
+    }
+  }
+}
+
 /* Reserves places for the whole gang; FALSE, with nothing reserved, when there are too few. */
 static gboolean
 reserve_gang(MmScheduler *scheduler, MmLedShard *shard, MmJob *job, const MmName *zone) {
@@ -77,27 +107,8 @@
   g_autoptr(GPtrArray) chosen = g_ptr_array_new();
   MmAttempt attempt;
 
-  for (guint pass = 0; pass < 2; pass++) {
-    for (guint i = 0; i < places->len; i++) {
-      Place *place = &g_array_index(places, Place, i);
-      /* First pass: where the image is cached; second pass: anywhere. */
-      if (pass == 0 && !mm_machine_has_cached_image(place->machine, &job->spec.image))
-        continue;
-      while (chosen->len < job->spec.n_tasks
-             && mm_resources_fits(job->spec.task_resources, place->free_resources)) {
-        if (job->spec.spreads_over_zones) {
-          guint n_in_zone = 0;
-          for (guint k = 0; k < chosen->len; k++)
-            n_in_zone += mm_name_equal(&((MmMachine *)g_ptr_array_index(chosen, k))->zone,
-                                       &place->machine->zone);
-          if (n_in_zone >= mm_job_spec_max_tasks_per_zone(&job->spec))
-            break;
-        }
-        place->free_resources = mm_resources_sub(place->free_resources, job->spec.task_resources);
-        g_ptr_array_add(chosen, place->machine);
-      }
-    }
-  }
+  choose_places(job, places, TRUE, chosen);
+  choose_places(job, places, FALSE, chosen);
   if (chosen->len < job->spec.n_tasks)
     return FALSE;
   attempt = mm_scheduler_next_attempt(scheduler, shard);
@@ -128,44 +139,54 @@
   }
 }
 
-void
-mm_scheduler_plan_gangs(MmScheduler *scheduler) {
-  MmNode *node = scheduler->node;
-  MmTime now = mm_node_now(node);
-  g_autoptr(GPtrArray) jobs = g_ptr_array_new();
-  gint64 reservation_ms
-      = (gint64)(node->settings->heartbeat_interval_s * 1000 * RESERVATION_PERIODS);
+static GPtrArray *
+list_schedulable_gangs(MmScheduler *scheduler) {
+  const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
+  GPtrArray *jobs = g_ptr_array_new();
 
-  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
+  for (guint i = 0; i < by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(by_submission, i);
     if (job->tasks != NULL && mm_job_is_gang(job)
         && mm_scheduler_job_is_schedulable(scheduler, job))
       g_ptr_array_add(jobs, job);
   }
   g_ptr_array_sort(jobs, mm_scheduler_compare_urgency);
-  for (guint i = 0; i < jobs->len; i++) {
-    MmJob *job = g_ptr_array_index(jobs, i);
-    MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
-    guint n_started = 0;
-    gboolean is_reservation_expired = FALSE, is_paused = FALSE;
-
-    for (guint k = 0; k < job->spec.n_tasks; k++) {
-      const MmTask *task = &job->tasks[k];
-      is_paused = is_paused || mm_time_before(now, task->retry_not_before);
-      n_started += task->machine != NULL && task->state != MM_TASK_PLACE_RESERVED;
-      is_reservation_expired = is_reservation_expired
-                               || (task->state == MM_TASK_PLACE_RESERVED
-                                   && mm_time_ms_since(now, task->state_since) > reservation_ms);
-    }
-    /* Some members are gone while others live, or a place was not asked for in time: all or none.
-     */
-    if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
-      release_gang(scheduler, job);
-    else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
-      restart_gang(scheduler, job);
-    else if (!is_paused && job->n_pending == job->spec.n_tasks)
-      plan_gang(scheduler, shard, job);
+  return jobs;
+}
+
+/* Reserves places for a gang that has none, and stops one of which some members are missing. */
+static void
+advance_gang(MmScheduler *scheduler, MmJob *job) {
+  MmTime now = mm_node_now(scheduler->node);
+  gint64 reservation_ms
+      = (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000 * RESERVATION_PERIODS);
+  MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
+  guint n_started = 0;
+  gboolean is_reservation_expired = FALSE, is_paused = FALSE;
+
+  for (guint i = 0; i < job->spec.n_tasks; i++) {
+    const MmTask *task = &job->tasks[i];
+    is_paused = is_paused || mm_time_before(now, task->retry_not_before);
+    n_started += task->machine != NULL && task->state != MM_TASK_PLACE_RESERVED;
+    is_reservation_expired = is_reservation_expired
+                             || (task->state == MM_TASK_PLACE_RESERVED
+                                 && mm_time_ms_since(now, task->state_since) > reservation_ms);
   }
+  /* Some members are gone while others live, or a place was not asked for in time: all or none. */
+  if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
+    release_gang(scheduler, job);
+  else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
+    restart_gang(scheduler, job);
+  else if (!is_paused && job->n_pending == job->spec.n_tasks)
+    plan_gang(scheduler, shard, job);
+}
+
+void
+mm_scheduler_plan_gangs(MmScheduler *scheduler) {
+  g_autoptr(GPtrArray) jobs = list_schedulable_gangs(scheduler);
+
+  for (guint i = 0; i < jobs->len; i++)
+    advance_gang(scheduler, g_ptr_array_index(jobs, i));
 }
 
 gboolean
@@ -194,36 +215,50 @@
   return FALSE;
 }
 
-/* A gang needs several places at once: while one */
+/* The accelerated job with these pending tasks, or NULL when it is none or no longer waits. */
+static const MmJob *
+find_waiting_accelerated_job(const MmScheduler *scheduler, const MmPendingTasks *pending) {
+  const MmJob *job = mm_job_table_find(scheduler->node->job_table, pending->job.s);
+
+  return job != NULL && !job->is_cancelled && job->spec.task_resources.accelerators > 0
+                 && (job->tasks == NULL || job->n_pending > 0)
+             ? job
+             : NULL;
+}
+
+/* Whether other work may have to leave its places to the job at all. */
+static gboolean
+may_be_yielded_to(const MmScheduler *scheduler, const MmJob *job) {
+  gint64 waited_ms = mm_node_wall_ms(scheduler->node) - job->waiting_since_ms;
+  gint64 wait_bound_ms = (gint64)(scheduler->node->operators->wait_bound_s * 1000);
+
+  return mm_job_is_gang(job) && waited_ms >= wait_bound_ms && waited_ms <= YIELD_TO_GANG_MAX_MS;
+}
+
+/* A gang needs several places at once: while one waits, less urgent work does not take them one by
+ * one. Places kept for a gang lie idle until it has all of them, so where much work waits only a
+ * starving gang is given this; and none for ever, since it may find no place for another reason. */
 void
 mm_scheduler_choose_gang_to_yield_to(MmScheduler *scheduler) {
-  MmNode *node = scheduler->node;
-  MmJobTable *job_table = node->job_table;
-  gint64 now_ms = mm_node_wall_ms(node);
-  gint64 wait_bound_ms = (gint64)(node->operators->wait_bound_s * 1000);
+  const MmPlacement *placement = scheduler->node->placement;
   const MmJob *starving_gang = NULL, *waiting_gang = NULL;
   guint n_waiting_jobs = 0;
 
-  for (guint v = 0; v < node->placement->n_views; v++) {
-    const GPtrArray *pending_list = node->placement->views[v].pending;
-    for (guint i = 0; i < pending_list->len; i++) {
-      const MmPendingTasks *pending = g_ptr_array_index(pending_list, i);
-      const MmJob *job = mm_job_table_find(job_table, pending->job.s);
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].pending->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
+      const MmJob *job = find_waiting_accelerated_job(scheduler, pending);
       const MmJob **best;
-      gint64 waited_ms;
-      if (job == NULL || job->is_cancelled || job->spec.task_resources.accelerators <= 0
-          || (job->tasks != NULL && job->n_pending == 0))
+      if (job == NULL)
         continue;
       n_waiting_jobs++;
-      waited_ms = now_ms - job->waiting_since_ms;
-      if (!mm_job_is_gang(job) || waited_ms < wait_bound_ms || waited_ms > YIELD_TO_GANG_MAX_MS)
+      if (!may_be_yielded_to(scheduler, job))
         continue;
       best = job->is_starving ? &starving_gang : &waiting_gang;
       if (*best == NULL || mm_scheduler_compare_urgency(&job, best) < 0)
         *best = job;
     }
-  }
-  scheduler->yield_to_gang = starving_gang != NULL                      ? starving_gang
-                             : n_waiting_jobs <= YIELD_TO_GANG_JOBS_MAX ? waiting_gang
-                                                                        : NULL;
+  scheduler->yield_to_gang = starving_gang;
+  if (starving_gang == NULL && n_waiting_jobs <= YIELD_TO_GANG_JOBS_MAX)
+    scheduler->yield_to_gang = waiting_gang;
 }
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -193,44 +193,64 @@
   }
 }
 
-/* Queues the commands that follow from the heartbeat for the next response to the machine. */
+/* The machine may forget the result only once the key-value store has it. */
+static gboolean
+may_forget_ended_task(const MmJob *job, const MmReportedTask *reported) {
+  return reported->cause != MM_CAUSE_DONE || job->spec.kind == MM_JOB_KIND_SERVICE
+         || mm_completed_tasks_contains(&job->recorded_completed, reported->number)
+         || job->is_cancelled;
+}
+
+/* Whether a task that the heartbeat shows as live must be stopped with the response. */
+static gboolean
+must_stop_task(const MmScheduler *scheduler, const MmMachine *machine, const MmJob *job,
+               const MmReportedTask *reported) {
+  const MmTask *task = &job->tasks[reported->number];
+  MmTime now = mm_node_now(scheduler->node);
+
+  return job->is_cancelled || task->state == MM_TASK_DONE
+         || (task->is_stopping && task->machine == machine
+             && mm_time_ms_since(now, task->stop_sent_at) > STOP_REPEAT_MS
+             && reported->state != MM_REPORTED_CHECKPOINTING);
+}
+
+/* The command that follows from the reported task; FALSE: none. */
+static gboolean
+command_for_reported_task(MmScheduler *scheduler, const MmMachine *machine,
+                          const MmReportedTask *reported, MmCommand *command) {
+  MmJob *job = mm_job_table_find(scheduler->node->job_table, reported->job.s);
+  MmTask *task;
+
+  if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
+    return FALSE;
+  *command = (MmCommand){ MM_OP_FORGET, reported->job, reported->number, reported->attempt, 0 };
+  if (reported->state == MM_REPORTED_ENDED)
+    return may_forget_ended_task(job, reported);
+  command->op = MM_OP_STOP;
+  command->grace_s = mm_scheduler_stop_grace_s(job);
+  if (must_stop_task(scheduler, machine, job, reported))
+    return TRUE;
+  task = &job->tasks[reported->number];
+  if (!machine->has_termination_notice || task->is_stopping || task->machine != machine)
+    return FALSE;
+  /* The cloud is about to take the machine: save a checkpoint, or at least start sooner elsewhere.
+   */
+  task->is_stopping = TRUE;
+  task->stop_sent_at = mm_node_now(scheduler->node);
+  return TRUE;
+}
+
+/* Queues the commands that follow from the newest heartbeat for the next response to the machine,
+ * here or at the node that answers its heartbeats. */
 static void
-queue_commands(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
+queue_commands(MmScheduler *scheduler, MmMachine *machine) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
-  MmTime now = mm_node_now(scheduler->node);
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    MmJob *job = mm_job_table_find(scheduler->node->job_table, reported->job.s);
-    MmCommand command = { MM_OP_FORGET, reported->job, reported->number, reported->attempt, 0 };
-    MmTask *task;
-
-    if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
-      continue;
-    task = &job->tasks[reported->number];
-    if (reported->state == MM_REPORTED_ENDED) {
-      /* The machine may forget the result only once the key-value store has it. */
-      if (reported->cause == MM_CAUSE_DONE && job->spec.kind != MM_JOB_KIND_SERVICE
-          && !mm_completed_tasks_contains(&job->recorded_completed, reported->number)
-          && !job->is_cancelled)
-        continue;
+    MmCommand command;
+    if (command_for_reported_task(scheduler, machine, reported, &command))
       g_array_append_val(commands, command);
-      continue;
-    }
-    command.op = MM_OP_STOP;
-    command.grace_s = mm_scheduler_stop_grace_s(job);
-    if (job->is_cancelled || task->state == MM_TASK_DONE
-        || (task->is_stopping && task->machine == machine
-            && mm_time_ms_since(now, task->stop_sent_at) > STOP_REPEAT_MS
-            && reported->state != MM_REPORTED_CHECKPOINTING)) {
-      g_array_append_val(commands, command);
-    } else if (machine->has_termination_notice && !task->is_stopping && task->machine == machine) {
-      /* The cloud is about to take the machine: save a checkpoint, or at least start sooner
-       * elsewhere. */
-      task->is_stopping = TRUE;
-      task->stop_sent_at = now;
-      g_array_append_val(commands, command);
-    }
   }
   if (commands->len == 0)
     return;
@@ -276,7 +296,7 @@
       mm_scheduler_check_shard_ready(scheduler, shard);
     }
   }
-  queue_commands(scheduler, machine, heartbeat);
+  queue_commands(scheduler, machine);
 }
 
 void
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -13,6 +13,8 @@
 #define RECORD_MARGIN_BYTES 64
 /* The key-value store allows so many conditions for each operation. */
 #define CONDITIONS_PER_OPERATION 4
+#define HTTP_OK 200
+#define HTTP_CONFLICT 409
 /* Conditions and operations that one job may need. */
 #define OPERATIONS_PER_JOB 2
 #define CONDITIONS_PER_JOB 2
@@ -35,37 +37,56 @@
   json_decref(((WrittenJob *)data)->terminal_record);
 }
 
+static JobWrite *
+job_write_new(MmScheduler *scheduler) {
+  JobWrite *write = g_new(JobWrite, 1);
+
+  *write = (JobWrite){ scheduler, g_array_new(FALSE, TRUE, sizeof(WrittenJob)) };
+  g_array_set_clear_func(write->jobs, written_job_clear);
+  return write;
+}
+
+static void
+job_write_free(JobWrite *write) {
+  g_array_unref(write->jobs);
+  g_free(write);
+}
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(JobWrite, job_write_free)
+
+/* The transaction has been answered for this job. What was not written is due again at once. */
+static void
+job_written(const MmNode *node, const WrittenJob *written_job, int status, guint64 revision) {
+  MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
+
+  if (status == HTTP_OK && written_job->terminal_record != NULL)
+    mm_job_table_add_terminal_record(node->job_table, written_job->id.s,
+                                     written_job->terminal_record);
+  if (job == NULL)
+    return;
+  job->is_being_written = FALSE;
+  if (status != HTTP_OK) {
+    job->unwritten_since = mm_node_now(node);
+    return;
+  }
+  if (written_job->terminal_record == NULL) {
+    mm_completed_tasks_add_text(&job->recorded_completed, written_job->completed_text);
+    job->record_version.v = MAX(job->record_version.v, revision);
+  }
+}
+
+/* After a conflict, the jobs are written one by one, so that one that was changed elsewhere does
+ * not hold up the others. */
 static void
 jobs_written(gpointer data, int status, json_t *body) {
-  JobWrite *write = data;
+  g_autoptr(JobWrite) write = data;
   MmScheduler *scheduler = write->scheduler;
-  MmNode *node = scheduler->node;
   guint64 revision = mm_json_count(body, WIRE_REVISION, 0);
 
   scheduler->is_writing = FALSE;
-  if (status == 409)
+  if (status == HTTP_CONFLICT)
     scheduler->single_job_writes = write->jobs->len;
-  for (guint i = 0; i < write->jobs->len; i++) {
-    const WrittenJob *written_job = &g_array_index(write->jobs, WrittenJob, i);
-    MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
-
-    if (status == 200 && written_job->terminal_record != NULL)
-      mm_job_table_add_terminal_record(node->job_table, written_job->id.s,
-                                       written_job->terminal_record);
-    if (job == NULL)
-      continue;
-    job->is_being_written = FALSE;
-    if (status != 200) {
-      job->unwritten_since = mm_node_now(node);
-      continue;
-    }
-    if (written_job->terminal_record == NULL) {
-      mm_completed_tasks_add_text(&job->recorded_completed, written_job->completed_text);
-      job->record_version.v = MAX(job->record_version.v, revision);
-    }
-  }
-  g_array_unref(write->jobs);
-  g_free(write);
+  for (guint i = 0; i < write->jobs->len; i++)
+    job_written(scheduler->node, &g_array_index(write->jobs, WrittenJob, i), status, revision);
 }
 
 static gboolean
@@ -121,55 +142,73 @@
   g_array_append_val(write->jobs, written_job);
 }
 
-void
-mm_scheduler_write_jobs(MmScheduler *scheduler) {
-  MmNode *node = scheduler->node;
-  MmTime now = mm_node_now(node);
-  guint max_ops = mm_kv_client_max_operations(node->kv);
-  guint max_guards = CONDITIONS_PER_OPERATION * max_ops;
-  MmTransaction transaction;
-  JobWrite *write;
+/* Whether the job's record must be written now. A write that can wait is taken from the budget. */
+static gboolean
+is_write_due(const MmScheduler *scheduler, const MmJob *job, gboolean is_terminal) {
+  MmKvClient *kv = scheduler->node->kv;
+  MmTime now = mm_node_now(scheduler->node);
 
-  if (scheduler->is_writing || mm_kv_client_is_refused(node->kv))
-    return;
-  transaction = mm_transaction_begin();
-  write = g_new(JobWrite, 1);
-  *write = (JobWrite){ scheduler, g_array_new(FALSE, TRUE, sizeof(WrittenJob)) };
-  g_array_set_clear_func(write->jobs, written_job_clear);
-  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
+  if (is_terminal) {
+    /* Dependents of a cancelled job show as cancelled without a terminal record: there may be
+     * thousands, and their records can wait for the write budget. */
+    if (mm_job_has_cancelled_dependency(job)
+        && !mm_kv_client_try_spend_writes(kv, OPERATIONS_PER_JOB))
+      return FALSE;
+    return mm_time_ms_since(now, job->last_write_at) > TERMINAL_WRITE_INTERVAL_MS;
+  }
+  return !job->is_cancelled && job->unwritten_since.us != 0
+         && mm_time_ms_since(now, job->unwritten_since) >= JOB_WRITE_DELAY_MS
+         && mm_time_ms_since(now, job->last_write_at) >= JOB_WRITE_INTERVAL_MS
+         && mm_kv_client_try_spend_writes(kv, 1);
+}
+
+/* Whether the transaction takes no further job. */
+static gboolean
+is_full(const MmScheduler *scheduler, const MmTransaction *transaction) {
+  guint max_operations = mm_kv_client_max_operations(scheduler->node->kv);
+  guint max_conditions = CONDITIONS_PER_OPERATION * max_operations;
+
+  return transaction->n_operations + OPERATIONS_PER_JOB > max_operations
+         || json_array_size(transaction->conditions) + CONDITIONS_PER_JOB > max_conditions
+         || (scheduler->single_job_writes > 0 && transaction->n_operations > 0);
+}
+
+static void
+add_due_writes(MmScheduler *scheduler, MmTransaction *transaction, JobWrite *write) {
+  const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
+
+  for (guint i = 0; i < by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(by_submission, i);
     MmLedShard *shard = job->tasks != NULL ? mm_scheduler_shard_of_job(scheduler, job) : NULL;
     gboolean is_terminal;
 
     if (shard == NULL || job->is_being_written)
       continue;
     is_terminal = needs_terminal_record(scheduler, job);
-    if (transaction.n_operations + OPERATIONS_PER_JOB > max_ops
-        || json_array_size(transaction.conditions) + CONDITIONS_PER_JOB > max_guards
-        || (scheduler->single_job_writes > 0 && transaction.n_operations > 0))
+    if (is_full(scheduler, transaction))
       break;
-    /* Dependents of a cancelled job show as cancelled without a terminal record: there may be
-     * thousands, and their records can wait for the write budget. */
-    if (is_terminal && mm_job_has_cancelled_dependency(job)
-        && !mm_kv_client_try_spend_writes(node->kv, OPERATIONS_PER_JOB))
-      continue;
-    if (is_terminal && mm_time_ms_since(now, job->last_write_at) > TERMINAL_WRITE_INTERVAL_MS) {
-      add_to_write(scheduler, &transaction, write, shard, job, TRUE);
-    } else if (!is_terminal && !job->is_cancelled && job->unwritten_since.us != 0
-               && mm_time_ms_since(now, job->unwritten_since) >= JOB_WRITE_DELAY_MS
-               && mm_time_ms_since(now, job->last_write_at) >= JOB_WRITE_INTERVAL_MS
-               && mm_kv_client_try_spend_writes(node->kv, 1)) {
-      add_to_write(scheduler, &transaction, write, shard, job, FALSE);
-    }
+    if (is_write_due(scheduler, job, is_terminal))
+      add_to_write(scheduler, transaction, write, shard, job, is_terminal);
   }
+}
+
+void
+mm_scheduler_write_jobs(MmScheduler *scheduler) {
+  MmKvClient *kv = scheduler->node->kv;
+  MmTransaction transaction;
+  g_autoptr(JobWrite) write = NULL;
+
+  if (scheduler->is_writing || mm_kv_client_is_refused(kv))
+    return;
+  transaction = mm_transaction_begin();
+  write = job_write_new(scheduler);
+  add_due_writes(scheduler, &transaction, write);
   if (transaction.n_operations > 0) {
     scheduler->is_writing = TRUE;
     scheduler->single_job_writes -= scheduler->single_job_writes > 0;
-    mm_kv_client_commit(node->kv, &transaction, jobs_written, write);
+    mm_kv_client_commit(kv, &transaction, jobs_written, g_steal_pointer(&write));
     return;
   }
   json_decref(transaction.conditions);
   json_decref(transaction.operations);
-  g_array_unref(write->jobs);
-  g_free(write);
 }
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -23,23 +23,24 @@
   return team_sum->cores <= quota->cores + MM_RESOURCES_SLACK;
 }
 
-void
-mm_scheduler_update_quotas(MmScheduler *scheduler) {
-  MmNode *node = scheduler->node;
+static gboolean
+has_quota_objective(const MmSettings *settings) {
+  for (guint i = 0; i < settings->objectives->len; i++)
+    if (g_array_index(settings->objectives, MmObjective, i).kind == MM_OBJECTIVE_QUOTA)
+      return TRUE;
+  return FALSE;
+}
+
+/* The oldest unfinished jobs of a team lie within its quota, as far as it reaches. Where the
+ * settings have an objective for such work, that gives it its urgency; otherwise it has precedence.
+ */
+static void
+update_jobs_within_quota(const MmScheduler *scheduler) {
+  const MmNode *node = scheduler->node;
   const GArray *teams = node->settings->teams;
-  MmTime now = mm_node_now(node);
-  g_autofree MmResources *team_sums = NULL;
-  gboolean has_quota_objective = FALSE;
+  g_autofree MmResources *team_sums = g_new0(MmResources, teams->len);
+  gboolean quota_gives_precedence = !has_quota_objective(node->settings);
 
-  if (mm_time_before(now, scheduler->next_quota_update_at))
-    return;
-  scheduler->next_quota_update_at = mm_time_add_ms(now, QUOTA_UPDATE_INTERVAL_MS);
-  for (guint i = 0; i < node->settings->objectives->len; i++)
-    has_quota_objective
-        = has_quota_objective
-          || g_array_index(node->settings->objectives, MmObjective, i).kind == MM_OBJECTIVE_QUOTA;
-  team_sums = g_new0(MmResources, teams->len);
-  memset(scheduler->team_used, 0, teams->len * sizeof *scheduler->team_used);
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     const MmTeamSettings *team;
@@ -51,10 +52,19 @@
     team_sums[job->team_index].accelerators
         += job->spec.n_tasks * job->spec.task_resources.accelerators;
     job->is_within_quota = fits_quota(&team->quota, &team_sums[job->team_index], &job->spec);
-    job->has_quota_precedence = job->is_within_quota && !has_quota_objective;
+    job->has_quota_precedence = job->is_within_quota && quota_gives_precedence;
   }
-  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
-    const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+}
+
+/* Sums up what the teams use by the tasks that the machines' newest heartbeats show. */
+static void
+update_team_used(MmScheduler *scheduler) {
+  const MmNode *node = scheduler->node;
+  const GPtrArray *machines = node->machine_table->sorted_machines;
+
+  memset(scheduler->team_used, 0, node->settings->teams->len * sizeof *scheduler->team_used);
+  for (guint i = 0; i < machines->len; i++) {
+    const MmMachine *machine = g_ptr_array_index(machines, i);
     for (guint k = 0; k < machine->reported_tasks->len; k++) {
       const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, k);
       const MmJob *job = reported->state != MM_REPORTED_ENDED
@@ -67,6 +77,17 @@
   }
 }
 
+void
+mm_scheduler_update_quotas(MmScheduler *scheduler) {
+  MmTime now = mm_node_now(scheduler->node);
+
+  if (mm_time_before(now, scheduler->next_quota_update_at))
+    return;
+  scheduler->next_quota_update_at = mm_time_add_ms(now, QUOTA_UPDATE_INTERVAL_MS);
+  update_jobs_within_quota(scheduler);
+  update_team_used(scheduler);
+}
+
 gboolean
 mm_scheduler_may_reclaim_quota(const MmScheduler *scheduler, const MmJob *job,
                                const MmJob *victim) {
@@ -116,10 +137,27 @@
                          tasks * job->spec.task_resources.accelerators);
 }
 
+/* Reserves a part of its team's limit for the job if it is in a hurry and more urgent than the job
+ * that has it now. */
+static void
+reserve_quota(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job) {
+  gboolean is_in_hurry = job->is_starving || job->spec.priority >= MM_PRIORITY_URGENT;
+  guint n_tasks
+      = mm_job_is_gang(job) ? job->spec.n_tasks : MIN(job->n_pending, RESERVED_QUOTA_TASKS);
+
+  if (job->n_pending == 0 || !is_in_hurry || !mm_scheduler_job_is_schedulable(scheduler, job)
+      || (shard->quota_reserved_for != NULL
+          && mm_scheduler_compare_urgency(&job, &shard->quota_reserved_for) >= 0))
+    return;
+  shard->quota_reserved_for = job;
+  shard->reserved_quota = (MmResources){ n_tasks * job->spec.task_resources.cores,
+                                         n_tasks * job->spec.task_resources.accelerators, 0 };
+}
+
 /* The sums that task-state.c keeps drift, since amounts are fractions; they are taken anew here. */
 void
 mm_scheduler_recount_resources(MmScheduler *scheduler) {
-  MmJobTable *job_table = scheduler->node->job_table;
+  const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
   GHashTableIter iter;
   gpointer value;
 
@@ -130,21 +168,13 @@
     shard->quota_reserved_for = NULL;
     mm_scheduler_update_unacknowledged(scheduler, shard);
   }
-  for (guint i = 0; i < job_table->by_submission->len; i++) {
-    const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
+  for (guint i = 0; i < by_submission->len; i++) {
+    const MmJob *job = g_ptr_array_index(by_submission, i);
     MmLedShard *shard = job->tasks != NULL ? job->led_shard : NULL;
-    if (shard != NULL && job->n_pending > 0
-        && (job->is_starving || job->spec.priority >= MM_PRIORITY_URGENT)
-        && mm_scheduler_job_is_schedulable(scheduler, job)
-        && (shard->quota_reserved_for == NULL
-            || mm_scheduler_compare_urgency(&job, &shard->quota_reserved_for) < 0)) {
-      guint tasks
-          = mm_job_is_gang(job) ? job->spec.n_tasks : MIN(job->n_pending, RESERVED_QUOTA_TASKS);
-      shard->quota_reserved_for = job;
-      shard->reserved_quota = (MmResources){ tasks * job->spec.task_resources.cores,
-                                             tasks * job->spec.task_resources.accelerators, 0 };
-    }
-    if (shard == NULL || job->n_maybe_on_machines == 0)
+    if (shard == NULL)
+      continue;
+    reserve_quota(scheduler, shard, job);
+    if (job->n_maybe_on_machines == 0)
       continue;
     shard->used.cores += job->n_maybe_on_machines * job->spec.task_resources.cores;
     shard->used.accelerators += job->n_maybe_on_machines * job->spec.task_resources.accelerators;
--- a/src/scheduler/replica-move.c
+++ b/src/scheduler/replica-move.c
@@ -32,59 +32,84 @@
   return NULL;
 }
 
+/* Whether the machine could run a task of the job once a replica has left it. */
+static gboolean
+may_be_vacated(MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
+               MmResources free_resources) {
+  MmNode *node = scheduler->node;
+
+  return mm_machine_is_usable(node->machine_table, machine)
+         && !mm_time_before(mm_node_now(node), machine->reserved_until)
+         && mm_scheduler_constraints_will_allow(scheduler, job, machine)
+         && mm_placement_check_reserve(node->placement, job, machine, free_resources)
+                < MM_RESERVE_WOULD_SHRINK;
+}
+
+/* Whether the placed task is a running replica of another service, of no higher priority, whose
+ * resources suffice for a task of the job. */
+static gboolean
+may_give_way(const MmJob *job, const MmPlacedTask *placed, MmResources free_resources) {
+  const MmJob *other = placed->job;
+  const MmTask *replica = &other->tasks[placed->number];
+
+  return other != job && !other->is_cancelled && other->spec.kind == MM_JOB_KIND_SERVICE
+         && other->effective_priority <= job->effective_priority
+         && replica->state == MM_TASK_RUNNING && !replica->is_stopping
+         && mm_resources_fits(job->spec.task_resources,
+                              mm_resources_add(free_resources, other->spec.task_resources));
+}
+
+/* Moves a replica away from the machine if one could run elsewhere, and reserves its place for the
+ * task. Each replica tried takes one of `scans_left`. */
+static gboolean
+vacate_machine(MmScheduler *scheduler, const MmJob *job, MmTask *task, MmMachine *machine,
+               MmResources free_resources, double max_fetch_s, guint *scans_left) {
+  for (guint i = 0; i < machine->placed_tasks->len; i++) {
+    const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
+    MmJob *other = placed->job;
+    const MmMachine *target;
+
+    if (!may_give_way(job, placed, free_resources))
+      continue;
+    if (*scans_left == 0)
+      return FALSE;
+    --*scans_left;
+    target = machine_for_replica(scheduler, other, machine, max_fetch_s);
+    if (target == NULL)
+      continue;
+    mm_info("replica %s/%u moved from=%s to=%s for_job=%s", other->spec.id.s, placed->number,
+            machine->id.s, target->id.s, job->spec.id.s);
+    mm_scheduler_reserve_resources(scheduler, job, task, machine);
+    other->tasks[placed->number].last_failed_on = machine->id;
+    mm_scheduler_stop_task(scheduler, other, placed->number);
+    return TRUE;
+  }
+  return FALSE;
+}
+
 gboolean
 mm_scheduler_move_replica(MmScheduler *scheduler, const MmJob *job, MmTask *task) {
   MmNode *node = scheduler->node;
-  guint scans_left = REPLICA_MOVE_SCANS_MAX, first_index;
+  const GPtrArray *machines = node->machine_table->sorted_machines;
   MmTime now = mm_node_now(node);
+  gint64 waited_ms = mm_time_ms_since(now, task->state_since);
   /* A moved replica may fetch its image once the wait is longer than the fetch. */
-  double fetch_s = mm_time_ms_since(now, task->state_since) > REPLICA_MOVE_FETCH_S * 1000
-                       ? REPLICA_MOVE_FETCH_S
-                       : 0;
+  double max_fetch_s = waited_ms > REPLICA_MOVE_FETCH_S * 1000 ? REPLICA_MOVE_FETCH_S : 0;
+  guint scans_left = REPLICA_MOVE_SCANS_MAX, first_index;
 
   if (job->spec.kind != MM_JOB_KIND_SERVICE || mm_time_before(now, scheduler->next_replica_move_at)
-      || mm_time_ms_since(now, task->state_since) < REPLICA_MOVE_AFTER_MS)
+      || waited_ms < REPLICA_MOVE_AFTER_MS)
     return FALSE;
   scheduler->next_replica_move_at = mm_time_add_ms(now, REPLICA_MOVE_INTERVAL_MS);
-  first_index = node->machine_table->sorted_machines->len > 0 ? (guint)g_rand_int_range(
-                    node->rand, 0, (gint32)node->machine_table->sorted_machines->len)
-                                                              : 0;
-  for (guint i = 0; i < node->machine_table->sorted_machines->len && scans_left > 0; i++) {
-    MmMachine *machine
-        = g_ptr_array_index(node->machine_table->sorted_machines,
-                            (first_index + i) % node->machine_table->sorted_machines->len);
+  first_index
+      = machines->len > 0 ? (guint)g_rand_int_range(node->rand, 0, (gint32)machines->len) : 0;
+  for (guint i = 0; i < machines->len && scans_left > 0; i++) {
+    MmMachine *machine = g_ptr_array_index(machines, (first_index + i) % machines->len);
     MmResources free_resources = mm_machine_available_resources(node->machine_table, machine);
 
-    if (!mm_machine_is_usable(node->machine_table, machine)
-        || mm_time_before(now, machine->reserved_until)
-        || !mm_scheduler_constraints_will_allow(scheduler, job, machine)
-        || mm_placement_check_reserve(node->placement, job, machine, free_resources)
-               >= MM_RESERVE_WOULD_SHRINK)
-      continue;
-    for (guint k = 0; k < machine->placed_tasks->len; k++) {
-      const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, k);
-      MmJob *other = placed->job;
-      MmTask *moved_task = &other->tasks[placed->number];
-      MmMachine *target;
-
-      if (other == job || other->is_cancelled || other->spec.kind != MM_JOB_KIND_SERVICE
-          || other->effective_priority > job->effective_priority
-          || moved_task->state != MM_TASK_RUNNING || moved_task->is_stopping
-          || !mm_resources_fits(job->spec.task_resources,
-                                mm_resources_add(free_resources, other->spec.task_resources)))
-        continue;
-      if (scans_left-- == 0)
-        return FALSE;
-      target = machine_for_replica(scheduler, other, machine, fetch_s);
-      if (target == NULL)
-        continue;
-      mm_info("replica %s/%u moved from=%s to=%s for_job=%s", other->spec.id.s, placed->number,
-              machine->id.s, target->id.s, job->spec.id.s);
-      mm_scheduler_reserve_resources(scheduler, job, task, machine);
-      moved_task->last_failed_on = machine->id;
-      mm_scheduler_stop_task(scheduler, other, placed->number);
+    if (may_be_vacated(scheduler, job, machine, free_resources)
+        && vacate_machine(scheduler, job, task, machine, free_resources, max_fetch_s, &scans_left))
       return TRUE;
-    }
   }
   return FALSE;
 }
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -36,6 +36,27 @@
   g_free(scheduler);
 }
 
+/* Whether the job has waited for longer than the bound with no task started or done. */
+static gboolean
+is_starving(const MmScheduler *scheduler, const MmJob *job) {
+  return job->n_maybe_on_machines == 0 && job->completed.n_completed == 0 && !job->is_cancelled
+         && mm_job_dependencies_are_done(job)
+         && mm_job_waiting_time_s(scheduler->node, job) > scheduler->node->operators->starve_s;
+}
+
+static void
+update_urgency_of_jobs(MmScheduler *scheduler) {
+  const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
+
+  /* The newest first: a job's dependents are submitted after it. */
+  for (guint i = by_submission->len; i > 0; i--) {
+    MmJob *job = g_ptr_array_index(by_submission, i - 1);
+    mm_scheduler_update_urgency(scheduler, job);
+    if (job->tasks != NULL)
+      job->is_starving = is_starving(scheduler, job);
+  }
+}
+
 void
 mm_scheduler_tick(MmScheduler *scheduler) {
   MmTime now = mm_node_now(scheduler->node);
@@ -46,16 +67,7 @@
   if (mm_time_before(now, scheduler->next_slow_tick_at))
     return;
   scheduler->next_slow_tick_at = mm_time_add_ms(now, SLOW_TICK_MS);
-  /* The newest first: a job's dependents are submitted after it. */
-  for (guint i = scheduler->node->job_table->by_submission->len; i > 0; i--) {
-    MmJob *job = g_ptr_array_index(scheduler->node->job_table->by_submission, i - 1);
-    mm_scheduler_update_urgency(scheduler, job);
-    if (job->tasks != NULL)
-      job->is_starving
-          = job->n_maybe_on_machines == 0 && job->completed.n_completed == 0 && !job->is_cancelled
-            && mm_job_dependencies_are_done(job)
-            && mm_job_waiting_time_s(scheduler->node, job) > scheduler->node->operators->starve_s;
-  }
+  update_urgency_of_jobs(scheduler);
   mm_scheduler_choose_gang_to_yield_to(scheduler);
   mm_scheduler_update_quotas(scheduler);
   mm_scheduler_recount_resources(scheduler);
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -13,6 +13,10 @@
 #include "scheduler/task-state.h"
 #include "sharing/sharing.h"
 
+/* Of a direct command: carried out; or not, for a higher term or another incarnation. Both show a
+ * heartbeat. */
+#define HTTP_OK 200
+#define HTTP_CONFLICT 409
 #define DIRECT_COMMAND_TIMEOUT_MS 2000
 #define ACK_REQUEST_INTERVAL_MS 3000
 /* In a slow tick: each takes about half a millisecond. */
@@ -96,7 +100,7 @@
   MmHeartbeat heartbeat;
   const char *reason = NULL;
 
-  if (status != 200 && status != 409)
+  if (status != HTTP_OK && status != HTTP_CONFLICT)
     return;
   if (mm_heartbeat_parse(&heartbeat, body, &reason)) {
     MmMachine *machine
