--- a/src/placement/backlog.c
+++ b/src/placement/backlog.c
@@ -84,14 +84,10 @@
   }
   for (size_t i = 0; i < backlog->n_pending; i++) {
     const Mm__PendingTasks *item = backlog->pending[i];
-    MmPendingTasks *pending = g_new0(MmPendingTasks, 1);
+    MmPendingTasks *pending = mm_pending_tasks_new(item->job, item->is_first, item->is_aged);
     MmJob *job = mm_job_table_find(placement->node->job_table, item->job);
-    pending->job = mm_name(item->job);
-    pending->has_precedence = item->is_first;
-    pending->is_starving = item->is_aged;
     if (job != NULL && job->tasks == NULL)
       job->is_starving = item->is_aged;
-    pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
     g_array_append_vals(pending->ranges, item->ranges, (guint)(item->n_ranges & ~(size_t)1));
     g_ptr_array_add(view->pending, pending);
   }
--- a/src/placement/placement.c
+++ b/src/placement/placement.c
@@ -1,5 +1,16 @@
 #include "placement/placement.h"
 
+MmPendingTasks *
+mm_pending_tasks_new(const char *job, gboolean has_precedence, gboolean is_starving) {
+  MmPendingTasks *pending = g_new0(MmPendingTasks, 1);
+
+  pending->job = mm_name(job);
+  pending->has_precedence = has_precedence;
+  pending->is_starving = is_starving;
+  pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
+  return pending;
+}
+
 void
 mm_pending_tasks_free(MmPendingTasks *pending) {
   g_array_unref(pending->ranges);
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -17,6 +17,9 @@
   gboolean is_starving;
 } MmPendingTasks;
 
+/* Without any task yet. Free with mm_pending_tasks_free. */
+MmPendingTasks *mm_pending_tasks_new(const char *job, gboolean has_precedence,
+                                     gboolean is_starving);
 void mm_pending_tasks_free(MmPendingTasks *pending);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmPendingTasks, mm_pending_tasks_free)
 
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -81,8 +81,12 @@
 
   mm_scheduler_place_task(scheduler, job, number, request->machine, MM_TASK_START_SENT, attempt);
   job->tasks[number].start_heartbeat_id = request->heartbeat_id;
-  *approval
-      = (MmApproval){ job->spec.id, number, attempt, mm_name(shard->name), shard->term, FALSE };
+  *approval = (MmApproval){ .job = job->spec.id,
+                            .number = number,
+                            .attempt = attempt,
+                            .shard = mm_name(shard->name),
+                            .term = shard->term,
+                            .was_reserved = FALSE };
   mm_debug("task %s/%u start approved machine=%s type=%s cached=%d waited_s=%.1f", job->spec.id.s,
            number, request->machine->id.s, request->machine->type_name.s,
            mm_machine_has_cached_image(request->machine, &job->spec.image),
@@ -259,14 +263,8 @@
   return request->is_pull && try_pull(scheduler, request, jobs, approval);
 }
 
-void
-mm_scheduler_peer_start_request(MmScheduler *scheduler, guint peer,
-                                const Mm__StartRequest *message) {
-  MmMachine *machine = mm_machine_table_find(scheduler->node->machine_table, message->machine);
-  Mm__Frame frame = MM__FRAME__INIT;
-  Mm__StartResponse answer = MM__START_RESPONSE__INIT;
-  Mm__Approval approval_message = MM__APPROVAL__INIT;
-  MmApproval approval;
+static MmStartRequest
+start_request_from_message(MmMachine *machine, const Mm__StartRequest *message) {
   MmStartRequest request
       = { .machine = machine,
           .heartbeat_id = { message->incarnation, message->sequence },
@@ -277,17 +275,36 @@
        i++)
     request.tasks[request.n_tasks++]
         = (MmTaskRef){ mm_name(message->candidates[i]->job), message->candidates[i]->number };
-  answer.id = message->id;
+  return request;
+}
+
+/* The message lends the approval's strings. */
+static void
+approval_to_message(MmApproval *approval, Mm__Approval *message) {
+  message->job = approval->job.s;
+  message->number = approval->number;
+  message->attempt = approval->attempt.v;
+  message->team = approval->shard.s;
+  message->term = approval->term.v;
+}
+
+void
+mm_scheduler_peer_start_request(MmScheduler *scheduler, guint peer,
+                                const Mm__StartRequest *message) {
+  MmMachine *machine = mm_machine_table_find(scheduler->node->machine_table, message->machine);
+  MmStartRequest request = start_request_from_message(machine, message);
+  Mm__Frame frame = MM__FRAME__INIT;
+  Mm__StartResponse response = MM__START_RESPONSE__INIT;
+  Mm__Approval approval_message = MM__APPROVAL__INIT;
+  MmApproval approval;
+
+  response.id = message->id;
   if (machine != NULL && mm_scheduler_approve_start(scheduler, &request, &approval)) {
-    approval_message.job = approval.job.s;
-    approval_message.number = approval.number;
-    approval_message.attempt = approval.attempt.v;
-    approval_message.team = approval.shard.s;
-    approval_message.term = approval.term.v;
-    answer.approval = &approval_message;
+    approval_to_message(&approval, &approval_message);
+    response.approval = &approval_message;
   }
-  answer.unfinished = mm_scheduler_count_pending_tasks(scheduler);
+  response.unfinished = mm_scheduler_count_pending_tasks(scheduler);
   frame.body_case = MM__FRAME__BODY_START_RESPONSE;
-  frame.start_response = &answer;
+  frame.start_response = &response;
   mm_peer_links_send(scheduler->node->peer_links, peer, &frame);
 }
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -208,8 +208,12 @@
     mm_scheduler_place_task(scheduler, placed->job, placed->number, request->machine,
                             MM_TASK_START_SENT, task->attempt);
     task->start_heartbeat_id = request->heartbeat_id;
-    *approval = (MmApproval){ placed->job->spec.id, placed->number, task->attempt,
-                              mm_name(shard->name), shard->term,    TRUE };
+    *approval = (MmApproval){ .job = placed->job->spec.id,
+                              .number = placed->number,
+                              .attempt = task->attempt,
+                              .shard = mm_name(shard->name),
+                              .term = shard->term,
+                              .was_reserved = TRUE };
     return TRUE;
   }
   return FALSE;
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -223,7 +223,10 @@
 
   if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
     return FALSE;
-  *command = (MmCommand){ MM_OP_FORGET, reported->job, reported->number, reported->attempt, 0 };
+  *command = (MmCommand){ .op = MM_OP_FORGET,
+                          .job = reported->job,
+                          .number = reported->number,
+                          .attempt = reported->attempt };
   if (reported->state == MM_REPORTED_ENDED)
     return may_forget_ended_task(job, reported);
   command->op = MM_OP_STOP;
--- a/src/scheduler/pending-tasks.c
+++ b/src/scheduler/pending-tasks.c
@@ -11,43 +11,47 @@
 #define BACKLOG_TASKS_MAX 512
 #define BACKLOG_RANGES_MAX 16 /* of one job */
 
+/* Adds the task's number, which is above all in the ranges. FALSE when that would be a range too
+ * many. */
+static gboolean
+append_to_ranges(GArray *ranges, guint number) {
+  guint new_range[2] = { number, 1 };
+
+  if (ranges->len > 0) {
+    guint *last_range = &g_array_index(ranges, guint, ranges->len - 2);
+    if (last_range[0] + last_range[1] == number) {
+      last_range[1]++;
+      return TRUE;
+    }
+  }
+  if (ranges->len >= 2 * BACKLOG_RANGES_MAX)
+    return FALSE;
+  g_array_append_vals(ranges, new_range, 2);
+  return TRUE;
+}
+
 /* Adds the ranges of pending tasks that need not wait for a retry, up to `tasks_left`. */
 static void
 add_pending_tasks(MmScheduler *scheduler, MmJob *job, GPtrArray *list, guint *tasks_left) {
   MmTime now = mm_node_now(scheduler->node);
-  MmPendingTasks *pending = g_new0(MmPendingTasks, 1);
+  g_autoptr(MmPendingTasks) pending = mm_pending_tasks_new(
+      job->spec.id.s, mm_scheduler_has_precedence(scheduler, job), job->is_starving);
 
-  pending->job = job->spec.id;
-  pending->has_precedence = mm_scheduler_has_precedence(scheduler, job);
-  pending->is_starving = job->is_starving;
-  pending->ranges = g_array_new(FALSE, FALSE, sizeof(guint));
   while (job->first_pending < job->spec.n_tasks
          && job->tasks[job->first_pending].state != MM_TASK_PENDING)
     job->first_pending++;
-  for (guint i = job->first_pending; i<job->spec.n_tasks && * tasks_left> 0; i++) {
+  for (guint i = job->first_pending; i < job->spec.n_tasks; i++) {
     const MmTask *task = &job->tasks[i];
-    guint *last_range;
+    if (*tasks_left == 0)
+      break;
     if (task->state != MM_TASK_PENDING || mm_time_before(now, task->retry_not_before))
       continue;
-    (*tasks_left)--;
-    last_range = pending->ranges->len > 0
-                     ? &g_array_index(pending->ranges, guint, pending->ranges->len - 2)
-                     : NULL;
-    if (last_range != NULL && last_range[0] + last_range[1] == i) {
-      last_range[1]++;
-    } else {
-      guint range[2] = { i, 1 };
-      if (pending->ranges->len >= 2 * BACKLOG_RANGES_MAX)
-        break;
-      g_array_append_vals(pending->ranges, range, 2);
-    }
-  }
-  if (pending->ranges->len == 0) {
-    g_array_unref(pending->ranges);
-    g_free(pending);
-    return;
+    --*tasks_left;
+    if (!append_to_ranges(pending->ranges, i))
+      break;
   }
-  g_ptr_array_add(list, pending);
+  if (pending->ranges->len > 0)
+    g_ptr_array_add(list, g_steal_pointer(&pending));
 }
 
 /* Only gangs have reserved places, and these are few, while machines with tasks are thousands. */
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -136,7 +136,8 @@
 void
 mm_scheduler_send_stop(MmScheduler *scheduler, MmMachine *machine, const MmName *job, guint number,
                        MmAttempt attempt, double grace_s) {
-  MmCommand command = { MM_OP_STOP, *job, number, attempt, grace_s };
+  MmCommand command
+      = { .op = MM_OP_STOP, .job = *job, .number = number, .attempt = attempt, .grace_s = grace_s };
   json_t *commands = json_array();
 
   json_array_append_new(commands, mm_command_to_json(&command));
