--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -1,4 +1,5 @@
-/* The owner's answers on the ordinary path, and its arithmetic of limits. */
+/* Admission of start requests, the arithmetic of quotas, heartbeats of uncertain age, and
+ * preemption. */
 #include "base/wire.h"
 #include "scheduler/admission.h"
 #include "scheduler/led-shards.h"
@@ -14,7 +15,8 @@
   MmMachine *machines[2];
 } Setting;
 
-/* Two machines that hang as soon as they are known, so that only the test asks for them. */
+/* Two machines that hang as soon as they are known, so that only the test requests starts for them.
+ */
 static Setting
 set_up(guint tasks) {
   Setting s = { world_new(5) };
@@ -44,7 +46,7 @@
   return s;
 }
 
-/* -1: refused. */
+/* Candidates below 0 are left out. The number of the started task; -1: none. */
 static gint
 request_start(Setting *s, guint machine, gint first, gint second, gboolean pull) {
   MmStartRequest request = { .machine = s->machines[machine],
@@ -69,7 +71,7 @@
                   0); /* alpha: the first, the second is kept */
   g_assert_cmpuint(s.machines[0]->kept_list->len, ==, 1);
   g_assert_cmpint(request_start(&s, 0, -1, -1, FALSE), ==,
-                  1); /* nothing sent: from the kept-list */
+                  1); /* no candidate: from the kept list */
   g_assert_cmpint(request_start(&s, 0, 0, 2, FALSE), ==,
                   2); /* gamma: the first is taken, the second not */
   g_assert_cmpint(request_start(&s, 0, 0, 1, FALSE), ==,
@@ -82,7 +84,7 @@
   world_free(s.world);
 }
 
-/* What another machine keeps may be pulled; the kept-list's own machine then misses it. */
+/* What another machine keeps may be pulled; its own kept list then lacks it. */
 static void
 test_pull_takes_kept(void) {
   Setting s = set_up(2);
@@ -93,7 +95,7 @@
   world_free(s.world);
 }
 
-/* 24 cores at most and 2 a task: starts that were never confirmed count as well. */
+/* 24 cores at most and 2 a task: starts that no heartbeat has shown count as well. */
 static void
 test_limit(void) {
   Setting s = set_up(20);
@@ -107,8 +109,8 @@
   world_free(s.world);
 }
 
-/* A limit of accelerators, of which eight of thirteen are used and eight more are kept for a job
- * that starves: who needs accelerators waits, who needs none does not. */
+/* A limit of thirteen accelerators, of which eight are used and eight more are reserved for a job
+ * that starves: jobs that need accelerators wait, others do not. */
 static void
 test_reserved_quota_binds_limited_resources(void) {
   Setting s = set_up(2);
@@ -133,7 +135,8 @@
   world_free(s.world);
 }
 
-/* An ask for an overtaken report must get nothing: its answer may never reach the worker. */
+/* A request for a heartbeat that is not the newest gets no start: the response may never reach the
+ * machine. */
 static void
 test_stale_start_request(void) {
   Setting s = set_up(2);
@@ -152,47 +155,48 @@
   world_free(s.world);
 }
 
-/* A report of a machine with one task of the setting's job on it. */
+/* A heartbeat of a machine with one task of the setting's job on it. */
 static MmHeartbeat
-report_with(const Setting *s, guint machine, guint64 session, guint64 seq, guint64 attempt) {
-  MmHeartbeat report = { .machine_id = s->machines[machine]->id,
-                         .type = s->machines[machine]->type_name,
-                         .zone = s->machines[machine]->zone,
-                         .heartbeat_id = { session, seq },
-                         .fencing_token = s->machines[machine]->acknowledged_term,
-                         .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
-  MmReportedTask seen
+heartbeat_with(const Setting *s, guint machine, guint64 incarnation, guint64 sequence,
+               guint64 attempt) {
+  MmHeartbeat heartbeat = { .machine_id = s->machines[machine]->id,
+                            .type = s->machines[machine]->type_name,
+                            .zone = s->machines[machine]->zone,
+                            .heartbeat_id = { incarnation, sequence },
+                            .fencing_token = s->machines[machine]->acknowledged_term,
+                            .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
+  MmReportedTask reported
       = { .job = s->job->spec.id, .attempt = { attempt }, .state = MM_REPORTED_RUNNING };
 
   if (attempt != 0)
-    g_array_append_val(report.tasks, seen);
-  return report;
+    g_array_append_val(heartbeat.tasks, reported);
+  return heartbeat;
 }
 
 static MmMachine *
-take(const Setting *s, MmHeartbeat report) {
+record(const Setting *s, MmHeartbeat heartbeat) {
   MmNode *node = s->scheduler->node;
-  MmMachine *machine = mm_machine_table_record_heartbeat(node->machine_table, &report,
+  MmMachine *machine = mm_machine_table_record_heartbeat(node->machine_table, &heartbeat,
                                                          mm_node_now(node), MM_SERVING_NODE_SELF);
 
-  mm_heartbeat_clear(&report);
+  mm_heartbeat_clear(&heartbeat);
   return machine;
 }
 
-/* Of two attempts at a task that show, the newer was approved when the older was gone: whichever
- * report comes first, it stands. A late report once kept a task where it no longer was, and when
- * that machine was lost the task was given out a third time. */
+/* Of two attempts at a task that show, the newer was approved when the older was gone: it stands,
+ * whichever heartbeat comes first. Otherwise a late heartbeat would keep the task where it no
+ * longer is, and the loss of that machine would start it a third time. */
 static void
 test_newer_attempt_stands(void) {
   for (guint newer_first = 0; newer_first < 2; newer_first++) {
     Setting s = set_up(2);
-    guint64 seq
+    guint64 sequence
         = MAX(s.machines[0]->latest_message_id.sequence, s.machines[1]->latest_message_id.sequence)
           + 1;
     guint first = newer_first ? 1 : 0;
 
-    take(&s, report_with(&s, first, 1, seq, first == 1 ? 200 : 100));
-    take(&s, report_with(&s, 1 - first, 1, seq, first == 1 ? 100 : 200));
+    record(&s, heartbeat_with(&s, first, 1, sequence, first == 1 ? 200 : 100));
+    record(&s, heartbeat_with(&s, 1 - first, 1, sequence, first == 1 ? 100 : 200));
     g_assert_true(s.job->tasks[0].machine == s.machines[1]);
     g_assert_cmpuint(s.job->tasks[0].attempt.v, ==, 200);
     g_assert_cmpuint(s.job->n_maybe_on_machines, ==, 1);
@@ -222,17 +226,17 @@
   s.job->spec.allows_spot = TRUE;
   s.job->spec.zone = mm_name("elsewhere");
   g_assert_true(mm_scheduler_knows_all_starts(s.scheduler, s.job));
-  /* One of which nothing is known may hold anything. */
+  /* A machine of which nothing is known may have any task. */
   g_hash_table_insert(shard->unacknowledged_machines, g_strdup("m-999999"), GSIZE_TO_POINTER(1));
   shard->unacknowledged_changed = TRUE;
   g_assert_false(mm_scheduler_knows_all_starts(s.scheduler, s.job));
   world_free(s.world);
 }
 
-/* A silent machine is returned though nothing shows on it, since it may have been started on: until
- * it is proved gone, parts that are taken anew wait for it. */
+/* A silent machine is terminated though no task shows on it, since a start may have reached it:
+ * shards that are acquired wait for it until it is proved gone. */
 static void
-test_returns_silent_idle(void) {
+test_terminates_silent_idle(void) {
   World *world = world_new(6);
   WorldMachine *silent;
 
@@ -249,93 +253,94 @@
 }
 
 static gboolean
-is_late(const Setting *s, MmHeartbeat report) {
-  gboolean late = mm_machine_table_is_stale_heartbeat(s->scheduler->node->machine_table, &report);
+is_late(const Setting *s, MmHeartbeat heartbeat) {
+  gboolean late
+      = mm_machine_table_is_stale_heartbeat(s->scheduler->node->machine_table, &heartbeat);
 
-  mm_heartbeat_clear(&report);
+  mm_heartbeat_clear(&heartbeat);
   return late;
 }
 
-/* What a copy is, and that it lengthens no belief in a lease. */
+/* Which heartbeats are late copies, and that these renew no lease. */
 static void
 test_late_copies(void) {
   Setting s = set_up(2);
   MmMachine *machine = s.machines[0];
-  guint64 seq = machine->latest_message_id.sequence + 10;
+  guint64 sequence = machine->latest_message_id.sequence + 10;
   MmTime answered;
 
-  take(&s, report_with(&s, 0, 1, seq, 100));
+  record(&s, heartbeat_with(&s, 0, 1, sequence, 100));
   answered = machine->last_possible_response_at;
   world_run(s.world, 1);
-  g_assert_true(is_late(&s, report_with(&s, 0, 1, seq, 100)));
-  g_assert_true(is_late(&s, report_with(&s, 0, 1, seq - 1, 0)));
-  g_assert_false(is_late(&s, report_with(&s, 0, 1, seq + 1, 0)));
-  g_assert_false(is_late(&s, report_with(&s, 0, 2, 1, 0)));
-  /* Should one come by a peer all the same, it denies nothing and proves no life. */
-  g_assert_null(take(&s, report_with(&s, 0, 1, seq - 1, 0)));
+  g_assert_true(is_late(&s, heartbeat_with(&s, 0, 1, sequence, 100)));
+  g_assert_true(is_late(&s, heartbeat_with(&s, 0, 1, sequence - 1, 0)));
+  g_assert_false(is_late(&s, heartbeat_with(&s, 0, 1, sequence + 1, 0)));
+  g_assert_false(is_late(&s, heartbeat_with(&s, 0, 2, 1, 0)));
+  /* Should one come from a peer all the same, it shows no task as missing and renews nothing. */
+  g_assert_null(record(&s, heartbeat_with(&s, 0, 1, sequence - 1, 0)));
   g_assert_cmpint(machine->last_possible_response_at.us, ==, answered.us);
   g_assert_true(s.job->tasks[0].machine == machine);
-  /* A report that a direct answer has overtaken is none. */
-  machine->latest_message_id.sequence = seq + 5;
-  g_assert_false(is_late(&s, report_with(&s, 0, 1, seq + 2, 0)));
-  /* Nothing brings back what has been proved gone. */
+  /* A heartbeat that a direct reply has overtaken is no copy. */
+  machine->latest_message_id.sequence = sequence + 5;
+  g_assert_false(is_late(&s, heartbeat_with(&s, 0, 1, sequence + 2, 0)));
+  /* Nothing brings back a machine that has been proved gone. */
   mm_machine_table_record_termination(s.scheduler->node->machine_table, machine->id.s);
-  g_assert_true(is_late(&s, report_with(&s, 0, 9, 1, 100)));
-  g_assert_null(take(&s, report_with(&s, 0, 9, 1, 100)));
+  g_assert_true(is_late(&s, heartbeat_with(&s, 0, 9, 1, 100)));
+  g_assert_null(record(&s, heartbeat_with(&s, 0, 9, 1, 100)));
   world_free(s.world);
 }
 
-/* A machine of which nothing is known proves itself by a term of this life of the node. */
+/* An unknown machine is verified by a term that is newer than the start of the node. */
 static void
-test_unproved(void) {
+test_unverified(void) {
   Setting s = set_up(2);
   const MmMachineTable *machine_table = s.scheduler->node->machine_table;
-  MmHeartbeat report = report_with(&s, 0, 3, 70, 100);
+  MmHeartbeat heartbeat = heartbeat_with(&s, 0, 3, 70, 100);
 
   s.scheduler->node->replica->term_at_start.v = 7; /* as if it had started among others */
-  report.machine_id = mm_name("m-000999");
-  report.fencing_token.v = s.scheduler->node->replica->term_at_start.v - 1;
-  g_assert_true(mm_machine_table_is_unverified(machine_table, &report));
-  report.fencing_token = s.scheduler->node->replica->term_at_start;
-  g_assert_false(mm_machine_table_is_unverified(machine_table, &report));
-  /* One on the register may hold tasks: whatever it shows counts. */
-  report.machine_id = s.machines[0]->id;
-  report.heartbeat_id.incarnation = s.machines[0]->registered_incarnation;
-  report.fencing_token.v = 0;
+  heartbeat.machine_id = mm_name("m-000999");
+  heartbeat.fencing_token.v = s.scheduler->node->replica->term_at_start.v - 1;
+  g_assert_true(mm_machine_table_is_unverified(machine_table, &heartbeat));
+  heartbeat.fencing_token = s.scheduler->node->replica->term_at_start;
+  g_assert_false(mm_machine_table_is_unverified(machine_table, &heartbeat));
+  /* A registered machine may have tasks: whatever it shows counts. */
+  heartbeat.machine_id = s.machines[0]->id;
+  heartbeat.heartbeat_id.incarnation = s.machines[0]->registered_incarnation;
+  heartbeat.fencing_token.v = 0;
   s.machines[0]->has_reported = FALSE;
-  g_assert_false(mm_machine_table_is_unverified(machine_table, &report));
-  mm_heartbeat_clear(&report);
+  g_assert_false(mm_machine_table_is_unverified(machine_table, &heartbeat));
+  mm_heartbeat_clear(&heartbeat);
   world_free(s.world);
 }
 
-/* Who may stop whose tasks for a guarantee of four cores. */
+/* Which jobs may preempt tasks of which others for a quota of four cores. */
 static void
 test_reclaim(void) {
   Setting s = set_up(2);
   MmJob *job = s.job;
-  MmJob from = *job;
+  MmJob victim = *job;
 
   job->is_within_quota = TRUE;
-  from.team_index = 1;
-  from.is_within_quota = FALSE;
+  victim.team_index = 1;
+  victim.is_within_quota = FALSE;
   s.scheduler->team_used[1] = (MmResources){ 6, 0, 0 };
-  g_assert_true(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
-  s.scheduler->team_used[1].cores = 5; /* would fall below its own guarantee */
-  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
+  g_assert_true(mm_scheduler_may_reclaim_quota(s.scheduler, job, &victim));
+  s.scheduler->team_used[1].cores = 5; /* would fall below its own quota */
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &victim));
   s.scheduler->team_used[1].cores = 6;
-  from.is_within_quota = TRUE;
-  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
-  from.is_within_quota = FALSE;
-  from.effective_priority = MM_PRIORITY_URGENT;
-  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
-  from.effective_priority = job->effective_priority;
+  victim.is_within_quota = TRUE;
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &victim));
+  victim.is_within_quota = FALSE;
+  victim.effective_priority = MM_PRIORITY_URGENT;
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &victim));
+  victim.effective_priority = job->effective_priority;
   job->is_within_quota = FALSE;
-  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(s.scheduler, job, &victim));
   world_free(s.world);
 }
 
-/* A machine full of work of the lowest priority that saves for three seconds; a job comes for which
- * it must be stopped. The time to save that it was given. */
+/* A machine full of work of the lowest priority that saves a checkpoint for three seconds; a job is
+ * submitted for which it must be preempted. Returns the grace that it gets, in seconds. */
 static double
 grace_for(const char *priority, guint tasks, double wait_s) {
   World *world = world_new(12);
@@ -362,25 +367,25 @@
   return grace_s;
 }
 
-/* Services that should have been up within a second waited three for scans of idle time to save. */
+/* Work of the highest priority does not wait until work of the lowest has saved a checkpoint. */
 static void
 test_grace(void) {
   g_assert_cmpfloat(grace_for("critical", 1, 5), ==, 0);
   g_assert_cmpfloat(grace_for("urgent", 1, 8), ==, 4);
 }
 
-/* Work above the lowest priority is not kept waiting by that, also when it is neither urgent nor
- * within its team's guarantee: arrays once waited for minutes while scans of idle time ran. */
+/* Work of the lowest priority is preempted also for work that is neither urgent nor within its
+ * team's quota. */
 static void
 test_plain_work_stops_low_work(void) {
   g_assert_cmpfloat(grace_for("normal", 60, 12), ==, 4);
 }
 
 /* Gangs whose tasks take most of a machine each, one of each team after another, so that some of
- * their places are on machines that report to the gang's owner itself. It compared what a task
- * takes with the room left beside the place it had kept for it: such gangs never began. */
+ * their places are on machines whose heartbeats the leader of the gang's shard answers itself. It
+ * must not subtract the reserved resources twice: then such gangs would never start. */
 static void
-test_gang_beside_its_owner(void) {
+test_gang_beside_its_shard_leader(void) {
   World *world = world_new(11);
   guint own = 0;
 
@@ -418,8 +423,9 @@
   return n;
 }
 
-/* Machines with accelerators that nothing accelerated waits for are lent to other work, all but
- * four; a gang that needs more than those has what it was lent to stopped, and begins at once. */
+/* While no accelerated work is pending, machines with accelerators are lent to other work, all but
+ * four; for a gang that needs more than those the other work is preempted, and it starts at once.
+ */
 static void
 test_lends_idle_machines(void) {
   World *world = world_new(13);
@@ -455,20 +461,21 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/owner/table-one", test_table_one);
-  g_test_add_func("/owner/pull-takes-kept", test_pull_takes_kept);
-  g_test_add_func("/owner/limit", test_limit);
-  g_test_add_func("/owner/owes-what-is-limited", test_reserved_quota_binds_limited_resources);
-  g_test_add_func("/owner/old-ask", test_stale_start_request);
-  g_test_add_func("/owner/newer-attempt-stands", test_newer_attempt_stands);
-  g_test_add_func("/owner/late-copies", test_late_copies);
-  g_test_add_func("/owner/waits-where-it-may-be", test_waits_where_it_may_be);
-  g_test_add_func("/owner/returns-silent-idle", test_returns_silent_idle);
-  g_test_add_func("/owner/unproved", test_unproved);
-  g_test_add_func("/owner/reclaim", test_reclaim);
-  g_test_add_func("/owner/grace", test_grace);
-  g_test_add_func("/owner/plain-work-stops-low-work", test_plain_work_stops_low_work);
-  g_test_add_func("/owner/lends-idle-machines", test_lends_idle_machines);
-  g_test_add_func("/owner/gang-beside-its-owner", test_gang_beside_its_owner);
+  g_test_add_func("/scheduler/table-one", test_table_one);
+  g_test_add_func("/scheduler/pull-takes-kept", test_pull_takes_kept);
+  g_test_add_func("/scheduler/limit", test_limit);
+  g_test_add_func("/scheduler/reserved-quota-binds-limited-resources",
+                  test_reserved_quota_binds_limited_resources);
+  g_test_add_func("/scheduler/stale-start-request", test_stale_start_request);
+  g_test_add_func("/scheduler/newer-attempt-stands", test_newer_attempt_stands);
+  g_test_add_func("/scheduler/late-copies", test_late_copies);
+  g_test_add_func("/scheduler/waits-where-it-may-be", test_waits_where_it_may_be);
+  g_test_add_func("/scheduler/terminates-silent-idle", test_terminates_silent_idle);
+  g_test_add_func("/scheduler/unverified", test_unverified);
+  g_test_add_func("/scheduler/reclaim", test_reclaim);
+  g_test_add_func("/scheduler/grace", test_grace);
+  g_test_add_func("/scheduler/plain-work-stops-low-work", test_plain_work_stops_low_work);
+  g_test_add_func("/scheduler/lends-idle-machines", test_lends_idle_machines);
+  g_test_add_func("/scheduler/gang-beside-its-shard-leader", test_gang_beside_its_shard_leader);
   return g_test_run();
 }
