--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -84,8 +84,7 @@
     break;
   case MM_CAUSE_NO_RESOURCES:
     /* What this node takes as free was wrong; the next heartbeat but one shows better. */
-    machine->full_until
-        = mm_time_add_ms(now, (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000));
+    machine->full_until = mm_time_add_ms(now, mm_scheduler_heartbeat_interval_ms(scheduler));
     break;
   case MM_CAUSE_NO_SUCH_TASK:
     /* The user has not uploaded the task yet, or never does. */
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -24,14 +24,19 @@
 #define VICTIMS_MAX 32
 /* Of a job that has hardly begun. */
 #define SPARED_TASKS_MAX 2
-/* In place of a number of victims: no preemption makes the task fit. */
-#define NO_VICTIMS (-1)
 
 typedef struct {
   const MmReportedTask *reported;
   const MmJob *job;
 } Victim;
 
+/* What it takes for a task to start on a machine. */
+typedef struct {
+  double delay_s; /* until the start, see mm_scheduler_start_delay_s */
+  guint n_victims;
+  Victim victims[VICTIMS_MAX]; /* tasks to stop */
+} StartPlan;
+
 static int
 compare_victims(const void *a, const void *b) {
   const Victim *x = a, *y = b;
@@ -49,31 +54,39 @@
                 <= SPARED_TASKS_MAX;
 }
 
-/* Which tasks to preempt on the machine so that a task of the job fits: how many, 0 when it fits
- * already, or NO_VICTIMS when preemption does not help. */
-static gint
-choose_victims(MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
-               MmResources free_resources, Victim chosen[VICTIMS_MAX]) {
-  guint n_candidates = 0, n_chosen = 0;
+/* Whether the task may be preempted for the job. */
+static gboolean
+is_preemptible(const MmScheduler *scheduler, const MmJob *job, const MmReportedTask *reported,
+               const MmJob *victim) {
+  return reported->state != MM_REPORTED_ENDED && reported->state != MM_REPORTED_CHECKPOINTING
+         && victim != NULL
+         && (victim->effective_priority < job->effective_priority
+             || mm_scheduler_may_reclaim_quota(scheduler, job, victim))
+         && !is_spared(scheduler, victim);
+}
+
+/* Chooses the tasks to preempt on the machine so that a task of the job fits, none if it fits
+ * already. FALSE when preemption does not help. */
+static gboolean
+choose_victims(const MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
+               MmResources free_resources, StartPlan *plan) {
+  MmResources need = job->spec.task_resources;
+  guint n_candidates = 0;
 
-  if (mm_resources_fits(job->spec.task_resources, free_resources))
-    return 0;
+  plan->n_victims = 0;
+  if (mm_resources_fits(need, free_resources))
+    return TRUE;
   for (guint i = 0; i < machine->reported_tasks->len && n_candidates < VICTIMS_MAX; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *other;
-    if (reported->state == MM_REPORTED_ENDED || reported->state == MM_REPORTED_CHECKPOINTING)
-      continue;
-    other = mm_job_table_find(scheduler->node->job_table, reported->job.s);
-    if (other != NULL
-        && (other->effective_priority < job->effective_priority
-            || mm_scheduler_may_reclaim_quota(scheduler, job, other))
-        && !is_spared(scheduler, other))
-      chosen[n_candidates++] = (Victim){ reported, other };
+    const MmJob *victim = mm_job_table_find(scheduler->node->job_table, reported->job.s);
+    if (is_preemptible(scheduler, job, reported, victim))
+      plan->victims[n_candidates++] = (Victim){ reported, victim };
   }
-  qsort(chosen, n_candidates, sizeof *chosen, compare_victims);
-  while (n_chosen < n_candidates && !mm_resources_fits(job->spec.task_resources, free_resources))
-    free_resources = mm_resources_add(free_resources, chosen[n_chosen++].job->spec.task_resources);
-  return mm_resources_fits(job->spec.task_resources, free_resources) ? (gint)n_chosen : NO_VICTIMS;
+  qsort(plan->victims, n_candidates, sizeof *plan->victims, compare_victims);
+  while (plan->n_victims < n_candidates && !mm_resources_fits(need, free_resources))
+    free_resources = mm_resources_add(free_resources,
+                                      plan->victims[plan->n_victims++].job->spec.task_resources);
+  return mm_resources_fits(need, free_resources);
 }
 
 double
@@ -83,14 +96,13 @@
   return job->spec.image_gb / machine->type->image_fetch_gb_per_s;
 }
 
-/* The start delay on the machine, see mm_scheduler_start_delay_s, and the tasks to preempt for it.
- */
-static double
-find_victims(MmScheduler *scheduler, const MmJob *job, MmMachine *machine,
-             Victim victims[VICTIMS_MAX], gint *n_victims) {
+/* Plans the start of a task of the job on the machine, with preemption if need be. FALSE when it
+ * cannot start there. */
+static gboolean
+plan_start(MmScheduler *scheduler, const MmJob *job, MmMachine *machine, StartPlan *plan) {
   MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
-  gint64 period_ms = (gint64)(node->settings->heartbeat_interval_s * 1000);
+  gint64 period_ms = mm_scheduler_heartbeat_interval_ms(scheduler);
   gint64 silent_ms = mm_time_ms_since(now, machine->last_heartbeat_at);
   MmResources free_resources;
 
@@ -99,28 +111,28 @@
       || !mm_machine_is_usable(node->machine_table, machine)
       || mm_time_before(now, machine->full_until)
       || !mm_scheduler_constraints_will_allow(scheduler, job, machine))
-    return MM_START_IMPOSSIBLE;
+    return FALSE;
   free_resources = mm_machine_available_resources(node->machine_table, machine);
   if (mm_placement_check_reserve(node->placement, job, machine, free_resources)
       >= MM_RESERVE_WOULD_SHRINK)
-    return MM_START_IMPOSSIBLE;
+    return FALSE;
   if (mm_time_before(now, machine->reserved_until))
     free_resources = mm_resources_sub(free_resources, machine->reserved_resources);
-  *n_victims = choose_victims(scheduler, job, machine, free_resources, victims);
-  if (*n_victims == NO_VICTIMS)
-    return MM_START_IMPOSSIBLE;
+  if (!choose_victims(scheduler, job, machine, free_resources, plan))
+    return FALSE;
   /* Free resources are used with the next heartbeat; a stop makes the machine send one at once. */
-  return (*n_victims == 0 ? (double)MAX(period_ms - silent_ms, 0) / 1000.0
-                          : MM_PREEMPTION_DELAY_S + STOP_DELAY_PER_TASK_S * *n_victims)
-         + mm_scheduler_image_fetch_s(job, machine);
+  plan->delay_s = plan->n_victims == 0
+                      ? (double)MAX(period_ms - silent_ms, 0) / 1000.0
+                      : MM_PREEMPTION_DELAY_S + STOP_DELAY_PER_TASK_S * plan->n_victims;
+  plan->delay_s += mm_scheduler_image_fetch_s(job, machine);
+  return TRUE;
 }
 
 double
 mm_scheduler_start_delay_s(MmScheduler *scheduler, const MmJob *job, MmMachine *machine) {
-  Victim victims[VICTIMS_MAX];
-  gint n_victims;
+  StartPlan plan;
 
-  return find_victims(scheduler, job, machine, victims, &n_victims);
+  return plan_start(scheduler, job, machine, &plan) ? plan.delay_s : MM_START_IMPOSSIBLE;
 }
 
 /* Work of the lowest priority gets no time to save a checkpoint for work of the highest: it falls
@@ -135,17 +147,19 @@
 }
 
 static void
-stop_victims(MmScheduler *scheduler, const MmJob *job, MmMachine *machine, const Victim *victims,
-             gint n_victims) {
-  for (gint i = 0; i < n_victims; i++) {
-    const Victim *victim = &victims[i];
-    mm_info("task %s/%u preempted machine=%s for_job=%s", victim->job->spec.id.s,
-            victim->reported->number, machine->id.s, job->spec.id.s);
-    if (victim->job->team_index >= 0)
-      scheduler->team_used[victim->job->team_index] = mm_resources_sub(
-          scheduler->team_used[victim->job->team_index], victim->job->spec.task_resources);
-    mm_scheduler_send_stop(scheduler, machine, &victim->job->spec.id, victim->reported->number,
-                           victim->reported->attempt, victim_grace_s(job, victim->job));
+stop_victims(MmScheduler *scheduler, const MmJob *job, MmMachine *machine, const StartPlan *plan) {
+  for (guint i = 0; i < plan->n_victims; i++) {
+    const MmReportedTask *reported = plan->victims[i].reported;
+    const MmJob *victim = plan->victims[i].job;
+
+    mm_info("task %s/%u preempted machine=%s for_job=%s", victim->spec.id.s, reported->number,
+            machine->id.s, job->spec.id.s);
+    if (victim->team_index >= 0) {
+      MmResources *team_used = &scheduler->team_used[victim->team_index];
+      *team_used = mm_resources_sub(*team_used, victim->spec.task_resources);
+    }
+    mm_scheduler_send_stop(scheduler, machine, &victim->spec.id, reported->number,
+                           reported->attempt, victim_grace_s(job, victim));
   }
 }
 
@@ -153,7 +167,7 @@
 mm_scheduler_reserve_resources(MmScheduler *scheduler, const MmJob *job, MmTask *task,
                                MmMachine *machine) {
   MmTime now = mm_node_now(scheduler->node);
-  gint64 period_ms = (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000);
+  gint64 period_ms = mm_scheduler_heartbeat_interval_ms(scheduler);
 
   if (!mm_time_before(now, machine->reserved_until))
     machine->reserved_resources = (MmResources){ 0 };
@@ -168,36 +182,31 @@
 mm_scheduler_preempt_for_gang(MmScheduler *scheduler, MmJob *job, guint machines) {
   const GPtrArray *order = scheduler->node->machine_table->sorted_machines;
   MmTime now = mm_node_now(scheduler->node);
-  Victim victims[VICTIMS_MAX];
-  gint n_victims = 0;
+  MmTask *first_task = &job->tasks[0];
+  StartPlan plan;
 
-  if (mm_time_before(now, job->tasks[0].preempting_until))
+  if (mm_time_before(now, first_task->preempting_until))
     return;
-  job->tasks[0].preempting_until
-      = mm_time_add_ms(now, (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000));
+  first_task->preempting_until = mm_time_add_ms(now, mm_scheduler_heartbeat_interval_ms(scheduler));
   for (guint i = 0; i < order->len && machines > 0; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
-    if (!mm_scheduler_can_start(find_victims(scheduler, job, machine, victims, &n_victims))
-        || n_victims == 0)
+    if (!plan_start(scheduler, job, machine, &plan) || plan.n_victims == 0)
       continue;
-    stop_victims(scheduler, job, machine, victims, n_victims);
+    stop_victims(scheduler, job, machine, &plan);
     machines--;
   }
 }
 
-/* Preempts on the machine where the task would start soonest, if that is needed, and reserves the
- * resources there. FALSE when there is no such machine. */
-static gboolean
-preempt_for_task(MmScheduler *scheduler, const MmJob *job, MmTask *task) {
-  MmNode *node = scheduler->node;
+/* The machine where a task of the job would start soonest, or NULL. */
+static MmMachine *
+find_soonest_machine(MmScheduler *scheduler, const MmJob *job) {
+  const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
   MmMachine *best = NULL;
-  Victim victims[VICTIMS_MAX];
   double best_s = 0;
-  gint n_victims = 0;
 
-  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
-    double delay_s = find_victims(scheduler, job, machine, victims, &n_victims);
+  for (guint i = 0; i < machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(machines, i);
+    double delay_s = mm_scheduler_start_delay_s(scheduler, job, machine);
 
     if (!mm_scheduler_can_start(delay_s))
       continue;
@@ -209,11 +218,20 @@
     best = machine;
     best_s = delay_s;
   }
-  if (best == NULL
-      || !mm_scheduler_can_start(find_victims(scheduler, job, best, victims, &n_victims)))
+  return best;
+}
+
+/* Preempts on the machine where the task would start soonest, if that is needed, and reserves the
+ * resources there. FALSE when there is no such machine. */
+static gboolean
+preempt_for_task(MmScheduler *scheduler, const MmJob *job, MmTask *task) {
+  MmMachine *machine = find_soonest_machine(scheduler, job);
+  StartPlan plan;
+
+  if (machine == NULL || !plan_start(scheduler, job, machine, &plan))
     return FALSE;
-  stop_victims(scheduler, job, best, victims, n_victims);
-  mm_scheduler_reserve_resources(scheduler, job, task, best);
+  stop_victims(scheduler, job, machine, &plan);
+  mm_scheduler_reserve_resources(scheduler, job, task, machine);
   return TRUE;
 }
 
@@ -224,17 +242,16 @@
 preempt_for_job(MmScheduler *scheduler, MmJob *job, guint max_tries) {
   MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
-  gint64 bound_ms = job->effective_priority >= MM_PRIORITY_URGENT
-                        ? (gint64)(node->operators->preempt_after_s * 1000)
-                        : QUOTA_RECLAIM_AFTER_MS;
+  gint64 min_wait_ms = job->effective_priority >= MM_PRIORITY_URGENT
+                           ? (gint64)(node->operators->preempt_after_s * 1000)
+                           : QUOTA_RECLAIM_AFTER_MS;
   guint tries = 0;
 
   for (guint i = job->first_pending; i < job->spec.n_tasks && tries < max_tries; i++) {
     MmTask *task = &job->tasks[i];
-    if (task->state != MM_TASK_PENDING)
-      continue;
-    if (mm_time_before(now, task->preempting_until) || mm_time_before(now, task->retry_not_before)
-        || mm_time_ms_since(now, task->state_since) < bound_ms)
+    if (task->state != MM_TASK_PENDING || mm_time_before(now, task->preempting_until)
+        || mm_time_before(now, task->retry_not_before)
+        || mm_time_ms_since(now, task->state_since) < min_wait_ms)
       continue;
     tries++;
     if (!preempt_for_task(scheduler, job, task) && !mm_scheduler_move_replica(scheduler, job, task))
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -73,6 +73,11 @@
   MmTime next_replica_move_at;
 };
 
+static inline gint64
+mm_scheduler_heartbeat_interval_ms(const MmScheduler *scheduler) {
+  return (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000);
+}
+
 /* The node must outlive the scheduler. */
 MmScheduler *mm_scheduler_new(MmNode *node);
 /* Only when no request of it can be answered any more. */
