--- /dev/null
+++ b/src/scheduler/acknowledgements.c
@@ -0,0 +1,97 @@
+#include "scheduler/acknowledgements.h"
+
+#include "heartbeat/heartbeat-server.h"
+#include "kv/replica.h"
+#include "leases/shard-ownership.h"
+#include "machines/machine-health.h"
+#include "scheduler/direct-commands.h"
+#include "sharing/sharing.h"
+
+#define ACK_REQUEST_INTERVAL_MS 3000
+/* In a slow tick: each takes about half a millisecond. */
+#define ACK_REQUESTS_PER_CORE 40
+#define ACK_REQUESTS_MIN 2
+#define ACK_REQUESTS_MAX 64
+/* A machine shows a higher term half a second after it got it, if it does so before its next
+ * regular heartbeat. */
+#define TERM_REPORTED_WITHIN_MS 1200
+/* In heartbeat intervals: the next heartbeat is far off after one that is that recent. */
+#define RECENT_HEARTBEAT_PERIODS 0.6
+/* For each second of the heartbeat interval: silence for longer is more than a late heartbeat. */
+#define SILENT_MS_PER_INTERVAL_S 1500
+
+/* The newest term of any team's shard, whichever node leads it. */
+static MmTerm
+newest_shard_term(const MmNode *node) {
+  MmTerm newest = { 0 };
+
+  for (guint i = 0; i < node->shard_ownership->shard_names->len; i++) {
+    const char *name = g_ptr_array_index(node->shard_ownership->shard_names, i);
+    const MmShard *shard = mm_replica_shard(node->replica, name);
+    if (shard != NULL && !mm_shard_ownership_is_duty(name))
+      newest.v = MAX(newest.v, shard->term.v);
+  }
+  return newest;
+}
+
+static gboolean
+is_unacknowledged(const MmScheduler *scheduler, const MmMachine *machine) {
+  GHashTableIter iter;
+  gpointer value;
+
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
+  while (g_hash_table_iter_next(&iter, NULL, &value))
+    if (g_hash_table_contains(((MmLedShard *)value)->unacknowledged_machines, machine->id.s))
+      return TRUE;
+  return mm_sharing_awaits_acknowledgement(scheduler->node->sharing, machine);
+}
+
+/* The node that answers a machine's heartbeats asks it on behalf of all: when its next heartbeat is
+ * far off, or when it has got the term and may not show it before its next regular heartbeat. */
+static gboolean
+acknowledgement_would_be_late(const MmNode *node, const MmMachine *machine, MmTerm newest) {
+  MmTime now = mm_node_now(node);
+  gint64 reported_ms = mm_time_ms_since(now, machine->last_heartbeat_at);
+
+  if (machine->serving_node != MM_SERVING_NODE_SELF || !machine->has_reported
+      || !machine->is_in_registry
+      || machine->acknowledged_term.v
+             >= MAX(newest.v, mm_sharing_group_term(node->sharing, machine).v))
+    return FALSE;
+  if (machine->unacknowledged_since.us != 0)
+    return mm_time_ms_since(now, machine->unacknowledged_since) > TERM_REPORTED_WITHIN_MS;
+  return reported_ms
+         < (gint64)(node->settings->heartbeat_interval_s * 1000 * RECENT_HEARTBEAT_PERIODS);
+}
+
+/* An empty command carries the term, and the reply to it is an acknowledgement. The number in a
+ * tick is bounded by the share of the processor: asking hundreds of machines at once would take so
+ * long that leases expire. */
+void
+mm_scheduler_request_acknowledgements(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
+  MmTime now = mm_node_now(node);
+  gint64 silent_ms = (gint64)(node->settings->heartbeat_interval_s * SILENT_MS_PER_INTERVAL_S);
+  MmTerm newest = newest_shard_term(node);
+  guint requests_left = (guint)CLAMP(node->settings->cpu_share * ACK_REQUESTS_PER_CORE,
+                                     ACK_REQUESTS_MIN, ACK_REQUESTS_MAX);
+
+  if (mm_heartbeat_server_is_settling(node->heartbeat_server))
+    return;
+  for (guint i = 0; i < node->machine_table->sorted_machines->len && requests_left > 0; i++) {
+    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+    gboolean ignores_responses;
+
+    if (machine->lease_has_expired
+        || mm_time_ms_since(now, machine->acknowledgement_requested_at) < ACK_REQUEST_INTERVAL_MS)
+      continue;
+    ignores_responses = mm_machine_health_ignores_responses(node->machine_table, machine);
+    if (!ignores_responses && !acknowledgement_would_be_late(node, machine, newest)
+        && (mm_time_ms_since(now, machine->last_heartbeat_at) < silent_ms
+            || !is_unacknowledged(scheduler, machine)))
+      continue;
+    machine->acknowledgement_requested_at = now;
+    requests_left--;
+    mm_scheduler_send_commands(scheduler, machine, json_array());
+  }
+}
--- /dev/null
+++ b/src/scheduler/direct-commands.c
@@ -0,0 +1,52 @@
+#include "scheduler/direct-commands.h"
+
+#include "base/wire.h"
+#include "heartbeat/heartbeat.h"
+#include "kv/replica.h"
+#include "leases/node-lease.h"
+#include "peers/peer-broadcast.h"
+
+#define DIRECT_COMMAND_TIMEOUT_MS 2000
+/* Carried out; or not, for a higher term or another incarnation. Both replies show a heartbeat. */
+#define HTTP_OK 200
+#define HTTP_CONFLICT 409
+
+/* The reply to a direct command is a heartbeat in form, and shows the machine's term. */
+static void
+direct_command_answered(gpointer data, int status, json_t *body) {
+  MmScheduler *scheduler = data;
+  MmHeartbeat heartbeat;
+  const char *reason = NULL;
+
+  if (status != HTTP_OK && status != HTTP_CONFLICT)
+    return;
+  if (mm_heartbeat_parse(&heartbeat, body, &reason)) {
+    MmMachine *machine
+        = mm_machine_table_find(scheduler->node->machine_table, heartbeat.machine_id.s);
+    gboolean is_acknowledgement
+        = machine != NULL && heartbeat.fencing_token.v > machine->acknowledged_term.v;
+    heartbeat.is_direct_reply = TRUE;
+    if (machine != NULL)
+      machine
+          = mm_machine_table_record_heartbeat(scheduler->node->machine_table, &heartbeat,
+                                              mm_node_now(scheduler->node), MM_SERVING_NODE_NONE);
+    /* Other nodes may wait for the same acknowledgement. */
+    if (is_acknowledgement && machine != NULL)
+      mm_peer_broadcast_direct_reply(scheduler->node->peer_links, machine);
+  }
+  mm_heartbeat_clear(&heartbeat);
+}
+
+void
+mm_scheduler_send_commands(MmScheduler *scheduler, MmMachine *machine, json_t *commands) {
+  MmNode *node = scheduler->node;
+  g_autoptr(json_t) body = json_pack(
+      "{s:I, s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v, WIRE_SESSION,
+      (json_int_t)MAX(machine->latest_message_id.incarnation, 1), WIRE_COMMANDS, commands);
+
+  if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
+    return;
+  node->platform.request(node->platform.context, MM_TARGET_WORKER, machine->addr, "POST",
+                         WIRE_DIRECT_PATH, body, DIRECT_COMMAND_TIMEOUT_MS, direct_command_answered,
+                         scheduler);
+}
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -12,6 +12,11 @@
 /* In heartbeat intervals: within them every machine asks for work. */
 #define RESERVATION_PERIODS 3
 #define UNUSED_RESERVATION_PAUSE_MS 10000
+/* For each second of the heartbeat interval: a machine that has been silent for longer gets no
+ * place. */
+#define RECENT_MS_PER_INTERVAL_S 2500
+/* Other work yields to a gang for no longer than this, and to one that does not starve only while
+ * so few accelerated jobs wait. */
 #define YIELD_TO_GANG_MAX_MS 240000
 #define YIELD_TO_GANG_JOBS_MAX 3
 
@@ -53,7 +58,8 @@
   MmMachineTable *machine_table = scheduler->node->machine_table;
   GArray *places = g_array_new(FALSE, FALSE, sizeof(Place));
   MmTime now = mm_node_now(scheduler->node);
-  gint64 recent_ms = (gint64)(scheduler->node->settings->heartbeat_interval_s * 2500);
+  gint64 recent_ms
+      = (gint64)(scheduler->node->settings->heartbeat_interval_s * RECENT_MS_PER_INTERVAL_S);
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     Place place = { g_ptr_array_index(machine_table->sorted_machines, i), { 0 } };
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -2,6 +2,7 @@
 
 #include "dependencies/dependencies.h"
 #include "leases/node-lease.h"
+#include "scheduler/acknowledgements.h"
 #include "scheduler/gang.h"
 #include "scheduler/job-writer.h"
 #include "scheduler/led-shards.h"
--- a/src/scheduler/stop-commands.h
+++ b/src/scheduler/stop-commands.h
@@ -1,6 +1,5 @@
-/* Commands sent to machines directly rather than with the response to a heartbeat: stops, and empty
- * commands that ask a machine to acknowledge the newest term. A direct command may get lost; what
- * it asks for is repeated until a heartbeat shows it. */
+/* Stops: of single tasks, and of all tasks of a cancelled job. A stop is sent as a direct command,
+ * and again until a heartbeat shows that the task is gone. */
 #pragma once
 
 #include "scheduler/scheduler.h"
@@ -19,7 +18,3 @@
  * this node stops its tasks wherever it can from now on, and lets none start. FALSE when nothing is
  * known of the job here yet. */
 gboolean mm_scheduler_job_cancelled(MmScheduler *scheduler, const char *job_id);
-
-/* Asks a bounded number of machines to acknowledge the newest term, where their heartbeats alone
- * would be late. */
-void mm_scheduler_request_acknowledgements(MmScheduler *scheduler);
