--- a/src/scheduler/acknowledgements.c
+++ b/src/scheduler/acknowledgements.c
@@ -92,6 +92,6 @@
       continue;
     machine->acknowledgement_requested_at = now;
     requests_left--;
-    mm_scheduler_send_commands(scheduler, machine, json_array());
+    mm_scheduler_send_commands(scheduler, machine, NULL, 0);
   }
 }
--- a/src/scheduler/direct-commands.h
+++ b/src/scheduler/direct-commands.h
@@ -4,9 +4,10 @@
  * until a heartbeat shows it. */
 #pragma once
 
-#include "base/json.h"
+#include "heartbeat/heartbeat.h"
 #include "scheduler/scheduler.h"
 
-/* Sends the machine an array of commands, which may be empty, and takes the array. Does nothing
+/* Sends the machine the commands, or an empty list of them where `n_commands` is 0. Does nothing
  * while this node may not answer machines, or knows no address of this one. */
-void mm_scheduler_send_commands(MmScheduler *scheduler, MmMachine *machine, json_t *commands);
+void mm_scheduler_send_commands(MmScheduler *scheduler, MmMachine *machine,
+                                const MmCommand *commands, guint n_commands);
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -62,6 +62,21 @@
     job->unwritten_since = now;
 }
 
+static void
+pause_after_error(MmJob *job, MmTask *task, const MmMachine *machine, MmTime now) {
+  guint n_doublings;
+
+  task->n_errors = MIN(task->n_errors + 1, TASK_ERRORS_MAX);
+  task->last_failed_on = machine->id;
+  task->retry_not_before
+      = mm_time_add_ms(now, MIN(TASK_RETRY_MIN_MS << task->n_errors, TASK_RETRY_MAX_MS));
+  if (++job->n_consecutive_errors < JOB_ERRORS_BEFORE_PAUSE)
+    return;
+  /* A job that fails everywhere may not occupy all machines. */
+  n_doublings = MIN(job->n_consecutive_errors - JOB_ERRORS_BEFORE_PAUSE, JOB_PAUSE_DOUBLINGS_MAX);
+  job->paused_until = mm_time_add_ms(now, MIN(JOB_PAUSE_MIN_MS << n_doublings, JOB_PAUSE_MAX_MS));
+}
+
 /* The task has left the machine; what follows depends on the cause. */
 static void
 task_ended(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
@@ -71,16 +86,7 @@
   mm_scheduler_unplace_task(scheduler, job, number);
   switch (cause) {
   case MM_CAUSE_ERROR:
-    task->n_errors = MIN(task->n_errors + 1, TASK_ERRORS_MAX);
-    task->last_failed_on = machine->id;
-    task->retry_not_before
-        = mm_time_add_ms(now, MIN(TASK_RETRY_MIN_MS << task->n_errors, TASK_RETRY_MAX_MS));
-    /* A job that fails everywhere may not occupy all machines. */
-    if (++job->n_consecutive_errors >= JOB_ERRORS_BEFORE_PAUSE)
-      job->paused_until = mm_time_add_ms(
-          now, MIN(JOB_PAUSE_MIN_MS << MIN(job->n_consecutive_errors - JOB_ERRORS_BEFORE_PAUSE,
-                                           JOB_PAUSE_DOUBLINGS_MAX),
-                   JOB_PAUSE_MAX_MS));
+    pause_after_error(job, task, machine, now);
     break;
   case MM_CAUSE_NO_RESOURCES:
     /* What this node takes as free was wrong; the next heartbeat but one shows better. */
@@ -162,26 +168,30 @@
   machine->needs_task_review = needs_review;
 }
 
-/* Tasks placed on the machine that the heartbeat does not show have left it. Only a heartbeat that
- * was sent after the one whose response carried a start shows that the start was not carried out.
- */
+/* Whether the heartbeat, which does not show the task, proves that its start was not carried out:
+ * it is of a newer incarnation, or was sent after the one whose response carried the start. A
+ * direct reply proves nothing, since the start may still be under way. */
+static gboolean
+is_start_refused(const MmTask *task, const MmHeartbeat *heartbeat) {
+  return heartbeat->heartbeat_id.incarnation > task->start_heartbeat_id.incarnation
+         || (!heartbeat->is_direct_reply
+             && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
+}
+
+/* Tasks placed on the machine that the heartbeat does not show have left it. */
 static void
 unplace_missing_tasks(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   for (guint i = machine->placed_tasks->len; i > 0; i--) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i - 1);
     MmJob *job = placed->job;
     guint number = placed->number;
-    MmTask *task = &job->tasks[number];
+    const MmTask *task = &job->tasks[number];
 
     if (task->state == MM_TASK_PLACE_RESERVED
         || mm_machine_find_reported_task(machine, &job->spec.id, number, task->attempt) != NULL)
       continue;
     if (task->state == MM_TASK_START_SENT) {
-      gboolean is_start_refused
-          = heartbeat->heartbeat_id.incarnation > task->start_heartbeat_id.incarnation
-            || (!heartbeat->is_direct_reply
-                && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
-      if (!is_start_refused)
+      if (!is_start_refused(task, heartbeat))
         continue;
       mm_debug("task %s/%u start not carried out machine=%s", job->spec.id.s, number,
                machine->id.s);
--- a/src/scheduler/placement-estimate.c
+++ b/src/scheduler/placement-estimate.c
@@ -32,39 +32,36 @@
   return n_tasks;
 }
 
-const MmPlacementEstimate *
-mm_scheduler_estimate_placement(MmScheduler *scheduler, MmJob *job) {
-  MmNode *node = scheduler->node;
-  MmTime now = mm_node_now(node);
-  MmPlacementEstimate *estimate = &job->placement_estimate;
+static gboolean
+is_younger(const MmPlacementEstimate *estimate, MmTime now, gint64 max_age_ms) {
+  return estimate->estimated_at.us != 0
+         && mm_time_ms_since(now, estimate->estimated_at) < max_age_ms;
+}
+
+/* Takes a machine that could run a task of the job after this delay into the estimate. */
+static void
+add_machine(MmPlacementEstimate *estimate, const MmMachine *machine, double delay_s) {
+  if (!mm_scheduler_can_start(estimate->soonest_delay_s) || delay_s < estimate->soonest_delay_s) {
+    estimate->next_soonest_delay_s = estimate->soonest_delay_s;
+    estimate->soonest_delay_s = delay_s;
+    estimate->soonest_machine = machine->id;
+  } else if (!mm_scheduler_can_start(estimate->next_soonest_delay_s)
+             || delay_s < estimate->next_soonest_delay_s) {
+    estimate->next_soonest_delay_s = delay_s;
+  }
+}
+
+static void
+scan_machines(MmScheduler *scheduler, const MmJob *job, MmPlacementEstimate *estimate) {
+  const MmNode *node = scheduler->node;
 
-  if (estimate->estimated_at.us != 0
-      && mm_time_ms_since(now, estimate->estimated_at) < ESTIMATE_FRESH_MS)
-    return estimate;
-  if (scheduler->machine_scans_left == 0)
-    return estimate->estimated_at.us != 0
-                   && mm_time_ms_since(now, estimate->estimated_at) < ESTIMATE_AGE_MAX_MS
-               ? estimate
-               : NULL;
-  scheduler->machine_scans_left--;
-  *estimate = (MmPlacementEstimate){ .estimated_at = now,
-                                     .soonest_delay_s = MM_START_IMPOSSIBLE,
-                                     .next_soonest_delay_s = MM_START_IMPOSSIBLE,
-                                     .fewest_colocated_tasks = COLOCATED_TASKS_UNKNOWN };
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
     double delay_s = mm_scheduler_start_delay_s(scheduler, job, machine);
 
     if (!mm_scheduler_can_start(delay_s))
       continue;
-    if (!mm_scheduler_can_start(estimate->soonest_delay_s) || delay_s < estimate->soonest_delay_s) {
-      estimate->next_soonest_delay_s = estimate->soonest_delay_s;
-      estimate->soonest_delay_s = delay_s;
-      estimate->soonest_machine = machine->id;
-    } else if (!mm_scheduler_can_start(estimate->next_soonest_delay_s)
-               || delay_s < estimate->next_soonest_delay_s) {
-      estimate->next_soonest_delay_s = delay_s;
-    }
+    add_machine(estimate, machine, delay_s);
     if (job->spec.kind == MM_JOB_KIND_SERVICE
         && delay_s <= job->spec.image_gb / machine->type->image_fetch_gb_per_s
                           + node->settings->heartbeat_interval_s)
@@ -72,6 +69,23 @@
           = MIN(estimate->fewest_colocated_tasks,
                 mm_scheduler_count_colocated_tasks(scheduler, job, machine));
   }
+}
+
+const MmPlacementEstimate *
+mm_scheduler_estimate_placement(MmScheduler *scheduler, MmJob *job) {
+  MmTime now = mm_node_now(scheduler->node);
+  MmPlacementEstimate *estimate = &job->placement_estimate;
+
+  if (is_younger(estimate, now, ESTIMATE_FRESH_MS))
+    return estimate;
+  if (scheduler->machine_scans_left == 0)
+    return is_younger(estimate, now, ESTIMATE_AGE_MAX_MS) ? estimate : NULL;
+  scheduler->machine_scans_left--;
+  *estimate = (MmPlacementEstimate){ .estimated_at = now,
+                                     .soonest_delay_s = MM_START_IMPOSSIBLE,
+                                     .next_soonest_delay_s = MM_START_IMPOSSIBLE,
+                                     .fewest_colocated_tasks = COLOCATED_TASKS_UNKNOWN };
+  scan_machines(scheduler, job, estimate);
   return estimate;
 }
 
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -76,10 +76,8 @@
                        MmAttempt attempt, double grace_s) {
   MmCommand command
       = { .op = MM_OP_STOP, .job = *job, .number = number, .attempt = attempt, .grace_s = grace_s };
-  json_t *commands = json_array();
 
-  json_array_append_new(commands, mm_command_to_json(&command));
-  mm_scheduler_send_commands(scheduler, machine, commands);
+  mm_scheduler_send_commands(scheduler, machine, &command, 1);
 }
 
 void
