--- a/src/placement/accelerator-reserve.c
+++ b/src/placement/accelerator-reserve.c
@@ -9,6 +9,9 @@
 /* Of all accelerated machines a sixth, and four at least, stay free while others are lent. */
 #define IDLE_RESERVE_DIVISOR 6
 #define IDLE_RESERVE_MIN 4
+/* Of so many machines and more, a third may be released, and one at least. */
+#define RELEASE_MACHINES_MIN 2
+#define RELEASED_SHARE_DIVISOR 3
 
 void
 mm_placement_note_accelerated_job(MmPlacement *placement, const MmJobSpec *spec) {
@@ -23,6 +26,22 @@
       = MAX(placement->largest_accelerated_need.memory_gb, spec->task_resources.memory_gb);
 }
 
+/* The job of a reported task that has not ended, or NULL when there is none or it is not known. */
+static const MmJob *
+job_of_live_task(const MmPlacement *placement, const MmReportedTask *reported) {
+  return reported->state != MM_REPORTED_ENDED
+             ? mm_job_table_find(placement->node->job_table, reported->job.s)
+             : NULL;
+}
+
+/* Whether accelerated work may use the machine. */
+static gboolean
+is_for_accelerated_work(const MmPlacement *placement, const MmMachine *machine) {
+  return mm_machine_is_usable(placement->node->machine_table, machine)
+         && machine->type->resources.accelerators > 0
+         && (!machine->is_spot || placement->accelerated_may_use_spot);
+}
+
 /* What work without accelerators takes of the machine: all that is taken, less the accelerated
  * tasks. Counting reported tasks alone would let one response fill such a machine with services for
  * good. */
@@ -33,10 +52,9 @@
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *task_job = mm_job_table_find(placement->node->job_table, reported->job.s);
-    if (reported->state != MM_REPORTED_ENDED && task_job != NULL
-        && task_job->spec.task_resources.accelerators > 0)
-      taken = mm_resources_sub(taken, task_job->spec.task_resources);
+    const MmJob *job = job_of_live_task(placement, reported);
+    if (job != NULL && job->spec.task_resources.accelerators > 0)
+      taken = mm_resources_sub(taken, job->spec.task_resources);
   }
   return taken;
 }
@@ -58,10 +76,9 @@
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *task_job = mm_job_table_find(placement->node->job_table, reported->job.s);
-    if (reported->state != MM_REPORTED_ENDED && task_job != NULL
-        && is_unpreemptible(placement, task_job))
-      taken = mm_resources_add(taken, task_job->spec.task_resources);
+    const MmJob *job = job_of_live_task(placement, reported);
+    if (job != NULL && is_unpreemptible(placement, job))
+      taken = mm_resources_add(taken, job->spec.task_resources);
   }
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
@@ -112,9 +129,8 @@
 runs_accelerated_work(const MmPlacement *placement, const MmMachine *machine) {
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *job = mm_job_table_find(placement->node->job_table, reported->job.s);
-    if (reported->state != MM_REPORTED_ENDED && job != NULL
-        && job->spec.task_resources.accelerators > 0)
+    const MmJob *job = job_of_live_task(placement, reported);
+    if (job != NULL && job->spec.task_resources.accelerators > 0)
       return TRUE;
   }
   return FALSE;
@@ -124,15 +140,13 @@
  * lent to. Free with g_ptr_array_unref; `n_all` counts all that accelerated work may use. */
 static GPtrArray *
 list_idle_accelerated(const MmPlacement *placement, guint *n_all) {
-  const GPtrArray *order = placement->node->machine_table->sorted_machines;
+  const GPtrArray *machines = placement->node->machine_table->sorted_machines;
   GPtrArray *idle = g_ptr_array_new();
 
   *n_all = 0;
-  for (guint i = 0; i < order->len; i++) {
-    MmMachine *machine = g_ptr_array_index(order, i);
-    if (!mm_machine_is_usable(placement->node->machine_table, machine)
-        || machine->type->resources.accelerators <= 0
-        || (machine->is_spot && !placement->accelerated_may_use_spot))
+  for (guint i = 0; i < machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(machines, i);
+    if (!is_for_accelerated_work(placement, machine))
       continue;
     ++*n_all;
     if (!runs_accelerated_work(placement, machine) && !mm_placement_is_reserved(placement, machine)
@@ -207,8 +221,7 @@
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     const MmMachine *other = g_ptr_array_index(machine_table->sorted_machines, i);
-    if (!mm_machine_is_usable(machine_table, other) || other->type->resources.accelerators <= 0
-        || (other->is_spot && !placement->accelerated_may_use_spot))
+    if (!is_for_accelerated_work(placement, other))
       continue;
     n_accelerated++;
     if (!fits_largest_task(placement, other, taken_by_unpreemptible_work(placement, other)))
@@ -217,9 +230,10 @@
       next = other;
   }
   placement->release_checked_at = now;
-  placement->next_released_machine = !is_demand_unknown(placement) && n_accelerated >= 2
-                                             && n_released < MAX(n_accelerated / 3, 1)
-                                         ? next
-                                         : NULL;
+  placement->next_released_machine
+      = !is_demand_unknown(placement) && n_accelerated >= RELEASE_MACHINES_MIN
+                && n_released < MAX(n_accelerated / RELEASED_SHARE_DIVISOR, 1)
+            ? next
+            : NULL;
   return next != NULL && machine == placement->next_released_machine;
 }
--- a/src/scheduler/led-shards.c
+++ b/src/scheduler/led-shards.c
@@ -204,39 +204,56 @@
   g_hash_table_remove(scheduler->led_shards, name);
 }
 
-static void
-start_leading_shard(MmScheduler *scheduler, const char *name, const MmTeamSettings *team,
-                    const MmShard *shard_record) {
-  MmNode *node = scheduler->node;
+static MmLedShard *
+led_shard_new(const char *name, const MmTeamSettings *team, const MmShard *shard_record,
+              MmTime now) {
   MmLedShard *shard = g_new0(MmLedShard, 1);
 
   shard->name = g_strdup(name);
   shard->term = shard_record->term;
   shard->version = shard_record->version;
   shard->team = team;
-  shard->acquired_at = mm_node_now(node);
+  shard->acquired_at = now;
   shard->unacknowledged_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   shard->unacknowledged_kinds = g_array_new(FALSE, TRUE, sizeof(MmMachineKind));
-  g_hash_table_insert(scheduler->led_shards, shard->name, shard);
-  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
-    if (strcmp(job->shard, name) == 0)
-      adopt_job(scheduler, shard, job);
-  }
-  /* Machines registered after this term only ever get starts of this term or a later one: a node
-   * that answers their heartbeats has seen their registration, and so the term, in its replica. */
-  for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
+  return shard;
+}
+
+/* Applies the heartbeats of the registered machines that have acknowledged the shard's term, and
+ * notes the others. Machines registered after this term only ever get starts of this term or a
+ * later one: a node that answers their heartbeats has seen their registration, and so the term, in
+ * its replica. */
+static void
+note_registered_machines(MmScheduler *scheduler, MmLedShard *shard) {
+  const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
+
+  for (guint i = 0; i < machines->len; i++) {
+    MmMachine *machine = g_ptr_array_index(machines, i);
     if (!machine->is_in_registry || machine->lease_has_expired)
       continue;
     if (machine->has_reported && machine->acknowledged_term.v >= shard->term.v)
-      mm_scheduler_apply_reported_tasks(scheduler, machine, name);
+      mm_scheduler_apply_reported_tasks(scheduler, machine, shard->name);
     else
       g_hash_table_insert(shard->unacknowledged_machines, g_strdup(machine->id.s),
                           GSIZE_TO_POINTER(machine->registered_incarnation));
     machine->acknowledgement_requested_at.us = 0;
   }
   shard->unacknowledged_changed = TRUE;
+}
+
+static void
+start_leading_shard(MmScheduler *scheduler, const char *name, const MmTeamSettings *team,
+                    const MmShard *shard_record) {
+  const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
+  MmLedShard *shard = led_shard_new(name, team, shard_record, mm_node_now(scheduler->node));
+
+  g_hash_table_insert(scheduler->led_shards, shard->name, shard);
+  for (guint i = 0; i < by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(by_submission, i);
+    if (strcmp(job->shard, name) == 0)
+      adopt_job(scheduler, shard, job);
+  }
+  note_registered_machines(scheduler, shard);
   mm_info("shard %s led term=%" G_GUINT64_FORMAT " unacknowledged_machines=%u", name, shard->term.v,
           g_hash_table_size(shard->unacknowledged_machines));
   mm_scheduler_check_shard_ready(scheduler, shard);
