--- a/src/peers/peer-receiver.c
+++ b/src/peers/peer-receiver.c
@@ -8,6 +8,7 @@
 #include "placement/backlog.h"
 #include "scheduler/admission.h"
 #include "scheduler/stop-commands.h"
+#include "sharing/moves.h"
 #include "sharing/sharing.h"
 
 /* Sends a peer that has shown a sign of life all that it must know, before any pong of this node. A
@@ -163,7 +164,7 @@
     mm_scheduler_peer_start_request(node->scheduler, peer, frame->start_request);
     return TRUE;
   case MM__FRAME__BODY_START_RESPONSE:
-    mm_pending_response_start_answered(node->heartbeat_server, peer, frame->start_response);
+    mm_pending_response_handle_start_response(node->heartbeat_server, peer, frame->start_response);
     return TRUE;
   case MM__FRAME__BODY_BACKLOG:
     mm_placement_backlog_received(node->placement, (gint)peer, frame->backlog);
@@ -190,7 +191,8 @@
     mm_sharing_grant_requested(sharing, peer, frame->grant_request);
     return TRUE;
   case MM__FRAME__BODY_GRANT_RESPONSE:
-    mm_pending_response_grants_answered(links->node->heartbeat_server, peer, frame->grant_response);
+    mm_pending_response_handle_grant_response(links->node->heartbeat_server, peer,
+                                              frame->grant_response);
     return TRUE;
   case MM__FRAME__BODY_MOVE_ORDER:
     mm_sharing_move_ordered(sharing, peer, frame->move_order);
--- a/src/placement/backlog.c
+++ b/src/placement/backlog.c
@@ -93,33 +93,6 @@
   }
 }
 
-void
-mm_placement_remove_candidate(MmPlacement *placement, guint view, const char *job, guint number) {
-  GPtrArray *pending_list = placement->views[view].pending;
-
-  for (guint i = 0; i < pending_list->len; i++) {
-    MmPendingTasks *pending = g_ptr_array_index(pending_list, i);
-    if (strcmp(pending->job.s, job) != 0)
-      continue;
-    for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
-      guint first = g_array_index(pending->ranges, guint, k);
-      guint length = g_array_index(pending->ranges, guint, k + 1);
-      guint rest[2] = { number + 1, first + length - number - 1 };
-      if (number < first || number >= first + length)
-        continue;
-      g_array_index(pending->ranges, guint, k + 1) = number - first;
-      if (rest[1] > 0)
-        g_array_insert_vals(pending->ranges, k + 2, rest, 2);
-      if (number == first)
-        g_array_remove_range(pending->ranges, k, 2);
-      break;
-    }
-    if (pending->ranges->len == 0)
-      g_ptr_array_remove_index(pending_list, i);
-    return;
-  }
-}
-
 gboolean
 mm_placement_is_reserved(const MmPlacement *placement, const MmMachine *machine) {
   for (guint v = 0; v < placement->n_views; v++)
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -3,7 +3,6 @@
 #include "placement/accelerator-reserve.h"
 #include "placement/backlog.h"
 #include "placement/modulo-priority.h"
-#include "scheduler/gang.h"
 #include "scheduler/urgency.h"
 
 /* Bounds the work for one machine: of longer backlogs the most urgent tasks are ranked. */
@@ -162,7 +161,8 @@
   if (ranked->len == 0)
     return FALSE;
   g_array_sort(ranked, compare_ranked_tasks);
-  take_candidates(ranked, MIN((guint)node->operators->candidates, MM_PLACEMENT_CANDIDATES_MAX),
+  take_candidates(ranked,
+                  MIN((guint)node->operators->candidates_per_request, MM_PLACEMENT_CANDIDATES_MAX),
                   choice);
   return TRUE;
 }
@@ -224,3 +224,30 @@
     choose_pull(placement, machine, free_resources, exhausted_views, &choice);
   return choice;
 }
+
+void
+mm_placement_remove_candidate(MmPlacement *placement, guint view, const char *job, guint number) {
+  GPtrArray *pending_list = placement->views[view].pending;
+
+  for (guint i = 0; i < pending_list->len; i++) {
+    MmPendingTasks *pending = g_ptr_array_index(pending_list, i);
+    if (strcmp(pending->job.s, job) != 0)
+      continue;
+    for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
+      guint first = g_array_index(pending->ranges, guint, k);
+      guint length = g_array_index(pending->ranges, guint, k + 1);
+      guint rest[2] = { number + 1, first + length - number - 1 };
+      if (number < first || number >= first + length)
+        continue;
+      g_array_index(pending->ranges, guint, k + 1) = number - first;
+      if (rest[1] > 0)
+        g_array_insert_vals(pending->ranges, k + 2, rest, 2);
+      if (number == first)
+        g_array_remove_range(pending->ranges, k, 2);
+      break;
+    }
+    if (pending->ranges->len == 0)
+      g_ptr_array_remove_index(pending_list, i);
+    return;
+  }
+}
--- a/src/placement/candidates.h
+++ b/src/placement/candidates.h
@@ -23,3 +23,6 @@
                                       guint exhausted_views);
 /* Whether the job's own constraints allow the machine. */
 gboolean mm_placement_allows(const MmJob *job, const MmMachine *machine);
+/* Removes a task from a view: it has been started or refused. */
+void mm_placement_remove_candidate(MmPlacement *placement, guint view, const char *job,
+                                   guint number);
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -3,10 +3,12 @@
  * this one. */
 #pragma once
 
-#include "peers.pb-c.h"
 #include "placement/candidates.h"
 #include "scheduler/scheduler.h"
 
+/* A message between nodes, see peers.proto. */
+typedef struct Mm__StartRequest Mm__StartRequest;
+
 typedef struct {
   MmMachine *machine;
   MmHeartbeatId heartbeat_id; /* of the heartbeat whose response would carry the start */
--- a/src/scheduler/gang.h
+++ b/src/scheduler/gang.h
@@ -6,11 +6,6 @@
 #include "scheduler/admission.h"
 #include "scheduler/scheduler.h"
 
-static inline gboolean
-mm_job_is_gang(const MmJob *job) {
-  return job->spec.kind == MM_JOB_KIND_GANG && job->spec.n_tasks > 1;
-}
-
 /* Reserves places for gangs, most urgent first, and stops those that are incomplete. */
 void mm_scheduler_plan_gangs(MmScheduler *scheduler);
 /* Sends the start of a place that is reserved on the request's machine. FALSE: there is none. */
--- a/src/scheduler/pending-tasks.c
+++ b/src/scheduler/pending-tasks.c
@@ -2,7 +2,6 @@
 
 #include "dependencies/dependencies.h"
 #include "placement/placement.h"
-#include "scheduler/gang.h"
 #include "scheduler/quota.h"
 #include "scheduler/start-rules.h"
 #include "scheduler/urgency.h"
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,7 +1,6 @@
 #include "scheduler/quota.h"
 
 #include "dependencies/dependencies.h"
-#include "scheduler/gang.h"
 #include "scheduler/led-shards.h"
 #include "scheduler/start-rules.h"
 #include "scheduler/urgency.h"
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -3,7 +3,6 @@
 #include <math.h>
 
 #include "dependencies/dependencies.h"
-#include "scheduler/gang.h"
 
 /* Work within its team's quota should start within this. */
 #define QUOTA_START_WITHIN_S 1
--- a/src/upgrade/format.c
+++ b/src/upgrade/format.c
@@ -1,15 +1,12 @@
 #include "upgrade/format.h"
 
-#include "base/json.h"
-
-/* The name in the key's value. */
-#define FIELD_FORMAT "f"
+#include "base/log.h"
+#include "kv/records.h"
 
 MmFormat *
-mm_format_new(MmNode *node) {
+mm_format_new(void) {
   MmFormat *format = g_new0(MmFormat, 1);
 
-  format->node = node;
   format->lowest_supported = MM_FORMAT_LOWEST;
   format->highest_supported = MM_FORMAT_HIGHEST;
   format->active = MM_FORMAT_LOWEST;
@@ -26,30 +23,23 @@
   return format->active >= format->lowest_supported && format->active <= format->highest_supported;
 }
 
-/* Each change in one line. */
 static void
 log_active_format(const MmFormat *format) {
   if (supports_active(format))
-    mm_info("the active format is %" G_GUINT64_FORMAT, format->active);
+    mm_info("format changed active=%" G_GUINT64_FORMAT, format->active);
   else if (format->active == MM_FORMAT_UNREADABLE)
-    mm_error("the key of the active format is not readable: this node does nothing");
+    mm_error("format key unreadable, node fenced");
   else
-    mm_error("the active format is %" G_GUINT64_FORMAT ", this program knows %" G_GUINT64_FORMAT
-             " to %" G_GUINT64_FORMAT ": this node does nothing",
+    mm_error("format not supported, node fenced active=%" G_GUINT64_FORMAT
+             " lowest=%" G_GUINT64_FORMAT " highest=%" G_GUINT64_FORMAT,
              format->active, format->lowest_supported, format->highest_supported);
 }
 
 void
 mm_format_key_changed(MmFormat *format, const json_t *value) {
-  const json_t *number = mm_json_get(value, FIELD_FORMAT);
   guint64 previous = format->active;
 
-  if (value == NULL)
-    format->active = MM_FORMAT_LOWEST;
-  else if (json_is_integer(number) && json_integer_value(number) > 0)
-    format->active = (guint64)json_integer_value(number);
-  else
-    format->active = MM_FORMAT_UNREADABLE;
+  format->active = value != NULL ? mm_record_decode_format(value) : MM_FORMAT_LOWEST;
   if (format->active != previous)
     log_active_format(format);
 }
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -300,15 +300,15 @@
   s.scheduler->node->replica->term_at_start.v = 7; /* as if it had started among others */
   heartbeat.machine_id = mm_name("m-000999");
   heartbeat.fencing_token.v = s.scheduler->node->replica->term_at_start.v - 1;
-  g_assert_true(mm_machine_table_is_unverified(machine_table, &heartbeat));
+  g_assert_true(mm_machine_table_is_unverified_heartbeat(machine_table, &heartbeat));
   heartbeat.fencing_token = s.scheduler->node->replica->term_at_start;
-  g_assert_false(mm_machine_table_is_unverified(machine_table, &heartbeat));
+  g_assert_false(mm_machine_table_is_unverified_heartbeat(machine_table, &heartbeat));
   /* A registered machine may have tasks: whatever it shows counts. */
   heartbeat.machine_id = s.machines[0]->id;
   heartbeat.heartbeat_id.incarnation = s.machines[0]->registered_incarnation;
   heartbeat.fencing_token.v = 0;
   s.machines[0]->has_reported = FALSE;
-  g_assert_false(mm_machine_table_is_unverified(machine_table, &heartbeat));
+  g_assert_false(mm_machine_table_is_unverified_heartbeat(machine_table, &heartbeat));
   mm_heartbeat_clear(&heartbeat);
   world_free(s.world);
 }
