--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -5,7 +5,7 @@
 #include "kv/replica.h"
 #include "leases/node-lease.h"
 #include "peers/peer-links.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/admission.h"
 
 #define FAILED_REQUESTS_MAX 4
 /* The placement view of this node; below it: no choice; above it: VIEW_OF_FIRST_PEER + peer. */
--- a/src/jobs/job-cancellation.c
+++ b/src/jobs/job-cancellation.c
@@ -8,7 +8,7 @@
 #include "leases/node-lease.h"
 #include "peers/peer-broadcast.h"
 #include "peers/peer-links.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/stop-commands.h"
 
 #define CANCEL_MAX_TRIES 6
 /* How long a user's request waits until the other nodes have acknowledged a cancellation. */
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -125,6 +125,13 @@
   MmPlacementEstimate placement_estimate;
 } MmJob;
 
+/* Whether its tasks run all at the same time or not at all. A gang of one task is an ordinary job.
+ */
+static inline gboolean
+mm_job_is_gang(const MmJob *job) {
+  return job->spec.kind == MM_JOB_KIND_GANG && job->spec.n_tasks > 1;
+}
+
 void mm_job_free(MmJob *job);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmJob, mm_job_free)
 
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -3,7 +3,7 @@
 
 #include "kv/replica.h"
 #include "machines/machine-health.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/heartbeats.h"
 #include "sharing/sharing.h"
 
 static gboolean
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -1,47 +1,65 @@
-/* Gangs of several tasks: the owner picks all places at once or none, then gives the starts out as
- * the machines report. A gang that is not complete in time is stopped and planned anew. */
-#include "scheduler/scheduler.h"
+#include "scheduler/gang.h"
 
-/* Several report periods: within them every machine asks for work. */
+#include "placement/candidates.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/preemption.h"
+#include "scheduler/quota.h"
+#include "scheduler/start-rules.h"
+#include "scheduler/stop-commands.h"
+#include "scheduler/task-state.h"
+#include "scheduler/urgency.h"
+
+/* In heartbeat intervals: within them every machine asks for work. */
 #define RESERVATION_PERIODS 3
 #define UNUSED_RESERVATION_PAUSE_MS 10000
+/* For each second of the heartbeat interval: a machine that has been silent for longer gets no
+ * place. */
+#define RECENT_MS_PER_INTERVAL_S 2500
+/* Other work yields to a gang for no longer than this, and to one that does not starve only while
+ * so few accelerated jobs wait. */
+#define YIELD_TO_GANG_MAX_MS 240000
+#define YIELD_TO_GANG_JOBS_MAX 3
 
 typedef struct {
   MmMachine *machine;
   MmResources free_resources;
 } Place;
 
+/* Gives back the reserved places, and stops the members that run. */
 static void
-release_gang(MmScheduler *owner, MmJob *job) {
+release_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++) {
     MmTask *task = &job->tasks[i];
     if (task->state == MM_TASK_PLACE_RESERVED) {
-      /* It did not ask in time, whatever the reason: not the same place again at once. */
+      /* The machine did not ask in time, whatever the reason: not the same place again at once. */
       task->machine->full_until
-          = mm_time_add_ms(mm_node_now(owner->node), UNUSED_RESERVATION_PAUSE_MS);
-      mm_scheduler_unplace_task(owner, job, i);
+          = mm_time_add_ms(mm_node_now(scheduler->node), UNUSED_RESERVATION_PAUSE_MS);
+      mm_scheduler_unplace_task(scheduler, job, i);
     } else if (task->machine != NULL && !task->is_stopping) {
-      mm_scheduler_stop_task(owner, job, i);
+      mm_scheduler_stop_task(scheduler, job, i);
     }
   }
 }
 
-/* Some members were seen to be done, the others were lost with their machines before they could say
- * so. A member can't run alone, so the whole gang is started again: results are kept, and a member
- * whose result is there ends as done at once. Its being done is not assumed. */
+/* Some members are known to be done, the others were lost with their machines before they could
+ * show it. A member can't run alone, so the whole gang is started again. Results are kept: a member
+ * whose result is there ends as done at once. */
 static void
-restart_gang(MmScheduler *owner, MmJob *job) {
+restart_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++)
     if (job->tasks[i].state == MM_TASK_DONE)
-      mm_scheduler_unplace_task(owner, job, i);
+      mm_scheduler_unplace_task(scheduler, job, i);
 }
 
+/* Machines, of one zone unless that is NULL, with resources for a task of the gang, as GArray of
+ * Place. */
 static GArray *
-free_places(MmScheduler *owner, const MmJob *job, const MmName *zone) {
-  MmMachineTable *machine_table = owner->node->machine_table;
+free_places(MmScheduler *scheduler, const MmJob *job, const MmName *zone) {
+  MmMachineTable *machine_table = scheduler->node->machine_table;
   GArray *places = g_array_new(FALSE, FALSE, sizeof(Place));
-  MmTime now = mm_node_now(owner->node);
-  gint64 recent_ms = (gint64)(owner->node->settings->heartbeat_interval_s * 2500);
+  MmTime now = mm_node_now(scheduler->node);
+  gint64 recent_ms
+      = (gint64)(scheduler->node->settings->heartbeat_interval_s * RECENT_MS_PER_INTERVAL_S);
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     Place place = { g_ptr_array_index(machine_table->sorted_machines, i), { 0 } };
@@ -58,124 +76,199 @@
   return places;
 }
 
-/* Reserves places for the whole gang; FALSE, with nothing reserved, when they do not suffice. */
+/* Whether one more task may go to the zone beside the chosen machines. */
 static gboolean
-reserve_gang(MmScheduler *owner, MmLedShard *held, MmJob *job, const MmName *zone) {
-  g_autoptr(GArray) places = free_places(owner, job, zone);
-  g_autoptr(GPtrArray) chosen = g_ptr_array_new();
-  MmAttempt attempt;
+zone_allows_task(const MmJob *job, const GPtrArray *chosen, const MmName *zone) {
+  guint n_in_zone = 0;
 
-  for (guint pass = 0; pass < 2; pass++) {
-    for (guint i = 0; i < places->len; i++) {
-      Place *place = &g_array_index(places, Place, i);
-      /* First where the image is, then anywhere. */
-      if (pass == 0 && !mm_machine_has_cached_image(place->machine, &job->spec.image))
-        continue;
-      while (chosen->len < job->spec.n_tasks
-             && mm_resources_fits(job->spec.task_resources, place->free_resources)) {
-        if (job->spec.spreads_over_zones) {
-          guint n_in_zone = 0;
-          for (guint k = 0; k < chosen->len; k++)
-            n_in_zone += mm_name_equal(&((MmMachine *)g_ptr_array_index(chosen, k))->zone,
-                                       &place->machine->zone);
-          if (n_in_zone >= mm_job_spec_max_tasks_per_zone(&job->spec))
-            break;
-        }
-        place->free_resources = mm_resources_sub(place->free_resources, job->spec.task_resources);
-        g_ptr_array_add(chosen, place->machine);
-      }
+  if (!job->spec.spreads_over_zones)
+    return TRUE;
+  for (guint i = 0; i < chosen->len; i++) {
+    const MmMachine *machine = g_ptr_array_index(chosen, i);
+    n_in_zone += mm_name_equal(&machine->zone, zone);
+  }
+  return n_in_zone < mm_job_spec_max_tasks_per_zone(&job->spec);
+}
+
+/* Adds to `chosen` the machine of each task, until all tasks have one or the places are used up. */
+static void
+choose_places(const MmJob *job, GArray *places, gboolean needs_cached_image, GPtrArray *chosen) {
+  for (guint i = 0; i < places->len; i++) {
+    Place *place = &g_array_index(places, Place, i);
+    if (needs_cached_image && !mm_machine_has_cached_image(place->machine, &job->spec.image))
+      continue;
+    while (chosen->len < job->spec.n_tasks
+           && mm_resources_fits(job->spec.task_resources, place->free_resources)
+           && zone_allows_task(job, chosen, &place->machine->zone)) {
+      place->free_resources = mm_resources_sub(place->free_resources, job->spec.task_resources);
+      g_ptr_array_add(chosen, place->machine);
     }
   }
+}
+
+/* Reserves places for the whole gang; FALSE, with nothing reserved, when there are too few. */
+static gboolean
+reserve_gang(MmScheduler *scheduler, MmLedShard *shard, MmJob *job, const MmName *zone) {
+  g_autoptr(GArray) places = free_places(scheduler, job, zone);
+  g_autoptr(GPtrArray) chosen = g_ptr_array_new();
+  MmAttempt attempt;
+
+  choose_places(job, places, TRUE, chosen);
+  choose_places(job, places, FALSE, chosen);
   if (chosen->len < job->spec.n_tasks)
     return FALSE;
-  attempt = mm_scheduler_next_attempt(owner, held);
+  attempt = mm_scheduler_next_attempt(scheduler, shard);
   for (guint i = 0; i < job->spec.n_tasks; i++)
-    mm_scheduler_place_task(owner, job, i, g_ptr_array_index(chosen, i), MM_TASK_PLACE_RESERVED,
+    mm_scheduler_place_task(scheduler, job, i, g_ptr_array_index(chosen, i), MM_TASK_PLACE_RESERVED,
                             attempt);
   return TRUE;
 }
 
 static void
-plan_gang(MmScheduler *owner, MmLedShard *held, MmJob *job) {
-  MmNode *node = owner->node;
+plan_gang(MmScheduler *scheduler, MmLedShard *shard, MmJob *job) {
+  MmNode *node = scheduler->node;
 
-  if (mm_scheduler_must_yield_to_gang(owner, job)
-      || !mm_scheduler_quota_allows(owner, held, job, job->spec.n_tasks))
+  if (mm_scheduler_must_yield_to_gang(scheduler, job)
+      || !mm_scheduler_quota_allows(scheduler, shard, job, job->spec.n_tasks))
     return;
   if (!job->spec.requires_one_zone) {
-    /* Only where nothing else takes the places as they get free, one after another: machines with
-     * accelerators are lent no more while such a gang waits. */
-    if (!reserve_gang(owner, held, job, NULL) && job->spec.task_resources.accelerators > 0)
-      mm_scheduler_preempt_for_gang(owner, job, job->spec.n_tasks);
+    /* Only where nothing else takes the places as they get free one by one: accelerated machines
+     * are not lent while such a gang waits. */
+    if (!reserve_gang(scheduler, shard, job, NULL) && job->spec.task_resources.accelerators > 0)
+      mm_scheduler_preempt_for_gang(scheduler, job, job->spec.n_tasks);
     return;
   }
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
     const MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
-    if (machine->type != NULL && reserve_gang(owner, held, job, &machine->zone))
+    if (machine->type != NULL && reserve_gang(scheduler, shard, job, &machine->zone))
       return;
   }
 }
 
-void
-mm_scheduler_plan_gangs(MmScheduler *owner) {
-  MmNode *node = owner->node;
-  MmTime now = mm_node_now(node);
-  g_autoptr(GPtrArray) jobs = g_ptr_array_new();
-  gint64 reservation_ms
-      = (gint64)(node->settings->heartbeat_interval_s * 1000 * RESERVATION_PERIODS);
+static GPtrArray *
+list_schedulable_gangs(MmScheduler *scheduler) {
+  const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
+  GPtrArray *jobs = g_ptr_array_new();
 
-  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
-    if (job->tasks != NULL && mm_job_is_gang(job) && mm_scheduler_job_is_schedulable(owner, job))
+  for (guint i = 0; i < by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(by_submission, i);
+    if (job->tasks != NULL && mm_job_is_gang(job)
+        && mm_scheduler_job_is_schedulable(scheduler, job))
       g_ptr_array_add(jobs, job);
   }
   g_ptr_array_sort(jobs, mm_scheduler_compare_urgency);
-  for (guint i = 0; i < jobs->len; i++) {
-    MmJob *job = g_ptr_array_index(jobs, i);
-    MmLedShard *held = mm_scheduler_shard_of_job(owner, job);
-    guint n_started = 0;
-    gboolean is_reservation_expired = FALSE, is_paused = FALSE;
-
-    for (guint k = 0; k < job->spec.n_tasks; k++) {
-      const MmTask *task = &job->tasks[k];
-      is_paused = is_paused || mm_time_before(now, task->retry_not_before);
-      n_started += task->machine != NULL && task->state != MM_TASK_PLACE_RESERVED;
-      is_reservation_expired = is_reservation_expired
-                               || (task->state == MM_TASK_PLACE_RESERVED
-                                   && mm_time_ms_since(now, task->state_since) > reservation_ms);
-    }
-    /* Some members are gone while others live, or a place did not ask in time: all or none. */
-    if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
-      release_gang(owner, job);
-    else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
-      restart_gang(owner, job);
-    else if (!is_paused && job->n_pending == job->spec.n_tasks)
-      plan_gang(owner, held, job);
+  return jobs;
+}
+
+/* Reserves places for a gang that has none, and stops one of which some members are missing. */
+static void
+advance_gang(MmScheduler *scheduler, MmJob *job) {
+  MmTime now = mm_node_now(scheduler->node);
+  gint64 reservation_ms
+      = (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000 * RESERVATION_PERIODS);
+  MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
+  guint n_started = 0;
+  gboolean is_reservation_expired = FALSE, is_paused = FALSE;
+
+  for (guint i = 0; i < job->spec.n_tasks; i++) {
+    const MmTask *task = &job->tasks[i];
+    is_paused = is_paused || mm_time_before(now, task->retry_not_before);
+    n_started += task->machine != NULL && task->state != MM_TASK_PLACE_RESERVED;
+    is_reservation_expired = is_reservation_expired
+                             || (task->state == MM_TASK_PLACE_RESERVED
+                                 && mm_time_ms_since(now, task->state_since) > reservation_ms);
   }
+  /* Some members are gone while others live, or a place was not asked for in time: all or none. */
+  if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
+    release_gang(scheduler, job);
+  else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
+    restart_gang(scheduler, job);
+  else if (!is_paused && job->n_pending == job->spec.n_tasks)
+    plan_gang(scheduler, shard, job);
+}
+
+void
+mm_scheduler_plan_gangs(MmScheduler *scheduler) {
+  g_autoptr(GPtrArray) jobs = list_schedulable_gangs(scheduler);
+
+  for (guint i = 0; i < jobs->len; i++)
+    advance_gang(scheduler, g_ptr_array_index(jobs, i));
 }
 
 gboolean
-mm_scheduler_approve_reserved_start(MmScheduler *owner, const MmStartRequest *request,
+mm_scheduler_approve_reserved_start(MmScheduler *scheduler, const MmStartRequest *request,
                                     MmApproval *approval) {
   for (guint i = 0; i < request->machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(request->machine->placed_tasks, i);
     MmTask *task = &placed->job->tasks[placed->number];
-    MmLedShard *held = mm_scheduler_shard_of_job(owner, placed->job);
+    MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, placed->job);
     MmResources need = placed->job->spec.task_resources;
-    /* Own requests have its room taken off already. Compared without it, no gang ever began that
-     * had a place on a machine which reports to its owner. */
+    /* A local request has the reserved resources already subtracted: without adding them, no gang
+     * would start on a machine whose heartbeats are answered by the leader of its shard. */
     MmResources free_resources = request->is_local ? mm_resources_add(request->free_resources, need)
                                                    : request->free_resources;
 
-    if (task->state != MM_TASK_PLACE_RESERVED || held == NULL || placed->job->is_cancelled
+    if (task->state != MM_TASK_PLACE_RESERVED || shard == NULL || placed->job->is_cancelled
         || !mm_resources_fits(need, free_resources))
       continue;
-    mm_scheduler_place_task(owner, placed->job, placed->number, request->machine,
+    mm_scheduler_place_task(scheduler, placed->job, placed->number, request->machine,
                             MM_TASK_START_SENT, task->attempt);
     task->start_heartbeat_id = request->heartbeat_id;
-    *approval = (MmApproval){ placed->job->spec.id, placed->number, task->attempt,
-                              mm_name(held->name),  held->term,     TRUE };
+    *approval = (MmApproval){ .job = placed->job->spec.id,
+                              .number = placed->number,
+                              .attempt = task->attempt,
+                              .shard = mm_name(shard->name),
+                              .term = shard->term,
+                              .was_reserved = TRUE };
     return TRUE;
   }
   return FALSE;
 }
+
+/* The accelerated job with these pending tasks, or NULL when it is none or no longer waits. */
+static const MmJob *
+find_waiting_accelerated_job(const MmScheduler *scheduler, const MmPendingTasks *pending) {
+  const MmJob *job = mm_job_table_find(scheduler->node->job_table, pending->job.s);
+
+  return job != NULL && !job->is_cancelled && job->spec.task_resources.accelerators > 0
+                 && (job->tasks == NULL || job->n_pending > 0)
+             ? job
+             : NULL;
+}
+
+/* Whether other work may have to leave its places to the job at all. */
+static gboolean
+may_be_yielded_to(const MmScheduler *scheduler, const MmJob *job) {
+  gint64 waited_ms = mm_node_wall_ms(scheduler->node) - job->waiting_since_ms;
+  gint64 wait_bound_ms = (gint64)(scheduler->node->operators->wait_bound_s * 1000);
+
+  return mm_job_is_gang(job) && waited_ms >= wait_bound_ms && waited_ms <= YIELD_TO_GANG_MAX_MS;
+}
+
+/* A gang needs several places at once: while one waits, less urgent work does not take them one by
+ * one. Places kept for a gang lie idle until it has all of them, so where much work waits only a
+ * starving gang is given this; and none for ever, since it may find no place for another reason. */
+void
+mm_scheduler_choose_gang_to_yield_to(MmScheduler *scheduler) {
+  const MmPlacement *placement = scheduler->node->placement;
+  const MmJob *starving_gang = NULL, *waiting_gang = NULL;
+  guint n_waiting_jobs = 0;
+
+  for (guint v = 0; v < placement->n_views; v++)
+    for (guint i = 0; i < placement->views[v].pending->len; i++) {
+      const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
+      const MmJob *job = find_waiting_accelerated_job(scheduler, pending);
+      const MmJob **best;
+      if (job == NULL)
+        continue;
+      n_waiting_jobs++;
+      if (!may_be_yielded_to(scheduler, job))
+        continue;
+      best = job->is_starving ? &starving_gang : &waiting_gang;
+      if (*best == NULL || mm_scheduler_compare_urgency(&job, best) < 0)
+        *best = job;
+    }
+  scheduler->yield_to_gang = starving_gang;
+  if (starving_gang == NULL && n_waiting_jobs <= YIELD_TO_GANG_JOBS_MAX)
+    scheduler->yield_to_gang = waiting_gang;
+}
