--- a/tests/test-machine-health.c
+++ b/tests/test-machine-health.c
@@ -1,4 +1,4 @@
-/* Which machines are set aside: those at fault, and no others. */
+/* Which machines are quarantined: those at fault, and no others. */
 #include "base/wire.h"
 #include "machines/machine-health.h"
 #include "jobs/job-table.h"
@@ -14,8 +14,8 @@
   MmName jobs[JOBS];
 } Setting;
 
-/* Machines that hang as soon as they are known, so that only the test's own reports come, and jobs
- * that wait. */
+/* Machines that hang as soon as they are known, so that only the test's own heartbeats arrive, and
+ * jobs that wait. */
 static Setting
 set_up(void) {
   Setting s = { world_new(9) };
@@ -38,32 +38,32 @@
 }
 
 static void
-take_report(Setting *s, guint machine, guint64 session, MmReportedTask *task) {
-  MmMachine *m = s->machines[machine];
-  MmHeartbeat report = { .machine_id = m->id,
-                         .type = m->type_name,
-                         .zone = m->zone,
-                         .heartbeat_id = { session, m->latest_message_id.sequence + 1 },
-                         .fencing_token = m->acknowledged_term,
-                         .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
+record_heartbeat(Setting *s, guint machine, guint64 incarnation, MmReportedTask *task) {
+  MmMachine *known = s->machines[machine];
+  MmHeartbeat heartbeat = { .machine_id = known->id,
+                            .type = known->type_name,
+                            .zone = known->zone,
+                            .heartbeat_id = { incarnation, known->latest_message_id.sequence + 1 },
+                            .fencing_token = known->acknowledged_term,
+                            .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
 
   if (task != NULL)
-    g_array_append_val(report.tasks, *task);
-  mm_machine_table_record_heartbeat(s->node->machine_table, &report, mm_node_now(s->node),
+    g_array_append_val(heartbeat.tasks, *task);
+  mm_machine_table_record_heartbeat(s->node->machine_table, &heartbeat, mm_node_now(s->node),
                                     MM_SERVING_NODE_SELF);
-  mm_heartbeat_clear(&report);
+  mm_heartbeat_clear(&heartbeat);
 }
 
-/* A task of the job, its number that of the machine, has ended there. */
+/* The machine reports that a task of the job, its number that of the machine, has ended. */
 static void
-ends(Setting *s, guint machine, guint job, MmEndCause cause) {
+report_ended_task(Setting *s, guint machine, guint job, MmEndCause cause) {
   MmReportedTask task = { .job = s->jobs[job],
                           .number = machine,
                           .attempt = { 100 + job },
                           .state = MM_REPORTED_ENDED,
                           .cause = (guint8)cause };
 
-  take_report(s, machine, s->machines[machine]->latest_message_id.incarnation, &task);
+  record_heartbeat(s, machine, s->machines[machine]->latest_message_id.incarnation, &task);
 }
 
 static gboolean
@@ -71,14 +71,14 @@
   return mm_time_before(mm_node_now(s->node), s->machines[machine]->quarantined_until);
 }
 
-/* Jobs with a mistake fail on each machine; that once set all of those aside. */
+/* Faulty jobs fail on every machine, which must not quarantine it. */
 static void
 test_faulty_jobs(void) {
   Setting s = set_up();
 
   for (guint job = 0; job < JOBS; job++)
     for (guint k = 0; k < MACHINES; k++)
-      ends(&s, (job + k) % MACHINES, job, MM_CAUSE_ERROR);
+      report_ended_task(&s, (job + k) % MACHINES, job, MM_CAUSE_ERROR);
   for (guint machine = 0; machine < MACHINES; machine++)
     g_assert_false(is_quarantined(&s, machine));
   world_free(s.world);
@@ -89,45 +89,45 @@
 test_faulty_machine(void) {
   Setting s = set_up();
 
-  ends(&s, 1, 0, MM_CAUSE_DONE);
-  ends(&s, 2, 0, MM_CAUSE_ERROR);
-  ends(&s, 0, 0, MM_CAUSE_ERROR);
+  report_ended_task(&s, 1, 0, MM_CAUSE_DONE);
+  report_ended_task(&s, 2, 0, MM_CAUSE_ERROR);
+  report_ended_task(&s, 0, 0, MM_CAUSE_ERROR);
   g_assert_false(is_quarantined(&s, 0));
-  ends(&s, 0, 1, MM_CAUSE_ERROR);
+  report_ended_task(&s, 0, 1, MM_CAUSE_ERROR);
   g_assert_true(is_quarantined(&s, 0));
   g_assert_false(is_quarantined(&s, 2));
   world_free(s.world);
 }
 
-/* The nodes that a machine reports to end, and its lease runs out just as it finds another: that is
- * not its fault, however often it happens. One that is answered all the time and still loses its
- * leases is set aside. */
+/* The node that serves a machine ends, and its lease expires just as it finds another: that is not
+ * the machine's fault, however often it happens. A machine that is answered steadily and still
+ * loses its leases is quarantined. */
 static void
 test_lost_leases(void) {
   Setting s = set_up();
   gint64 second = G_USEC_PER_SEC;
-  guint64 session = s.machines[0]->latest_message_id.incarnation;
+  guint64 incarnation = s.machines[0]->latest_message_id.incarnation;
 
   for (guint lease = 0; lease < 3; lease++) {
     for (guint i = 0; i < 15; i++) {
-      take_report(&s, 0, session, NULL);
+      record_heartbeat(&s, 0, incarnation, NULL);
       mm_machine_health_count_own_response(s.node->machine_table, s.machines[0]);
       s.world->now_us += second;
     }
     s.world->now_us += (gint64)(s.world->lease_s * G_USEC_PER_SEC) - second / 10;
-    take_report(&s, 0, session, NULL);
+    record_heartbeat(&s, 0, incarnation, NULL);
     mm_machine_health_count_own_response(s.node->machine_table, s.machines[0]);
     s.world->now_us += second / 2;
-    take_report(&s, 0, ++session, NULL);
+    record_heartbeat(&s, 0, ++incarnation, NULL);
     g_assert_false(is_quarantined(&s, 0));
   }
   for (guint lease = 0; lease < 2; lease++) {
     for (guint i = 0; i < 15; i++) {
-      take_report(&s, 0, session, NULL);
+      record_heartbeat(&s, 0, incarnation, NULL);
       mm_machine_health_count_own_response(s.node->machine_table, s.machines[0]);
       s.world->now_us += second;
     }
-    take_report(&s, 0, ++session, NULL);
+    record_heartbeat(&s, 0, ++incarnation, NULL);
   }
   g_assert_true(is_quarantined(&s, 0));
   world_free(s.world);
