--- a/src/machines/registry-entering.c
+++ b/src/machines/registry-entering.c
@@ -33,14 +33,11 @@
   return unregistered;
 }
 
-/* The pack's entries without those that a newer incarnation has replaced elsewhere, and as many of
- * `unregistered` as fit, which are removed from its end. */
-static GArray *
-fill_pack(const MmRegistry *registry, const MmRegistryPack *pack, GPtrArray *unregistered) {
-  GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
-  gsize limit = mm_registry_pack_limit_bytes(registry->node->kv), bytes = 0;
-
-  for (guint i = 0; pack != NULL && i < pack->entries->len; i++) {
+/* Appends the pack's entries without those that a newer incarnation replaces, here or elsewhere. */
+static void
+append_current_entries(const MmRegistry *registry, const MmRegistryPack *pack,
+                       GPtrArray *unregistered, GArray *entries) {
+  for (guint i = 0; i < pack->entries->len; i++) {
     const MmRegistryEntry *entry = &g_array_index(pack->entries, MmRegistryEntry, i);
     const MmMachine *machine
         = mm_machine_table_find(registry->node->machine_table, entry->machine_id.s);
@@ -49,16 +46,34 @@
             || g_ptr_array_find(unregistered, machine, NULL)))
       continue;
     g_array_append_val(entries, *entry);
-    bytes += mm_registry_entry_bytes(entry);
   }
+}
+
+static MmRegistryEntry
+entry_of_machine(const MmMachine *machine) {
+  MmRegistryEntry entry = { .machine_id = machine->id,
+                            .type = machine->type_name,
+                            .zone = machine->zone,
+                            .is_spot = machine->is_spot,
+                            .incarnation = machine->latest_message_id.incarnation };
+
+  memcpy(entry.addr, machine->addr, sizeof entry.addr);
+  return entry;
+}
+
+/* What to write as the pack (NULL: a new one): its current entries and as many of `unregistered` as
+ * fit, which are removed from its end. */
+static GArray *
+fill_pack(const MmRegistry *registry, const MmRegistryPack *pack, GPtrArray *unregistered) {
+  GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
+  gsize limit = mm_registry_pack_limit_bytes(registry->node->kv), bytes;
+
+  if (pack != NULL)
+    append_current_entries(registry, pack, unregistered, entries);
+  bytes = mm_registry_entries_bytes(entries);
   while (unregistered->len > 0) {
-    const MmMachine *machine = g_ptr_array_index(unregistered, unregistered->len - 1);
-    MmRegistryEntry entry = { .machine_id = machine->id,
-                              .type = machine->type_name,
-                              .zone = machine->zone,
-                              .is_spot = machine->is_spot,
-                              .incarnation = machine->latest_message_id.incarnation };
-    memcpy(entry.addr, machine->addr, sizeof entry.addr);
+    MmRegistryEntry entry
+        = entry_of_machine(g_ptr_array_index(unregistered, unregistered->len - 1));
     if (bytes + mm_registry_entry_bytes(&entry) > limit)
       break;
     bytes += mm_registry_entry_bytes(&entry);
@@ -86,7 +101,7 @@
   for (guint pack_number = 0;
        unregistered->len > 0 && transaction.n_operations < mm_kv_client_max_operations(node->kv);
        pack_number++) {
-    g_autofree char *pack_name = g_strdup_printf("%s/%u", node->settings->label.s, pack_number);
+    g_autofree char *pack_name = mm_registry_own_pack_name(registry, pack_number);
     const MmRegistryPack *pack = g_hash_table_lookup(registry->packs, pack_name);
     guint n_before = unregistered->len;
     g_autoptr(GArray) entries = fill_pack(registry, pack, unregistered);
--- a/src/machines/registry-removal.c
+++ b/src/machines/registry-removal.c
@@ -4,6 +4,9 @@
 #include "base/wire.h"
 #include "kv/kv-client.h"
 
+/* Bound on the conditions of a transaction, in multiples of the bound on its operations. */
+#define GUARDS_PER_OPERATION 4
+
 static void
 removals_written(gpointer data, int status, json_t *body) {
   ((MmRegistry *)data)->is_removing = FALSE;
@@ -47,8 +50,10 @@
   size_t i;
   json_t *guard;
 
-  json_array_foreach(transaction->conditions, i,
-                     guard) if (g_strcmp0(mm_json_string(guard, WIRE_KEY), key) == 0) return TRUE;
+  json_array_foreach(transaction->conditions, i, guard) {
+    if (g_strcmp0(mm_json_string(guard, WIRE_KEY), key) == 0)
+      return TRUE;
+  }
   return FALSE;
 }
 
@@ -83,10 +88,9 @@
 static char *
 unused_pack_name(const MmRegistry *registry) {
   for (guint pack_number = 0;; pack_number++) {
-    char *pack_name = g_strdup_printf("%s/%u", registry->node->settings->label.s, pack_number);
+    g_autofree char *pack_name = mm_registry_own_pack_name(registry, pack_number);
     if (!g_hash_table_contains(registry->packs, pack_name))
-      return pack_name;
-    g_free(pack_name);
+      return g_steal_pointer(&pack_name);
   }
 }
 
@@ -133,7 +137,7 @@
                      MmTransaction *transaction) {
   MmTransaction guards = mm_transaction_begin();
   g_autoptr(GArray) remaining = entries_to_keep(registry, pack, &guards);
-  guint guards_limit = 4 * mm_kv_client_max_operations(registry->node->kv);
+  guint guards_limit = GUARDS_PER_OPERATION * mm_kv_client_max_operations(registry->node->kv);
   gboolean too_large
       = mm_registry_entries_bytes(remaining) > mm_registry_pack_limit_bytes(registry->node->kv);
   gboolean needs_own_transaction = too_large || json_array_size(guards.conditions) > 0;
--- a/src/machines/registry.c
+++ b/src/machines/registry.c
@@ -88,6 +88,11 @@
   process_removed_entries(registry, previous_entries, NULL);
 }
 
+char *
+mm_registry_own_pack_name(const MmRegistry *registry, guint pack_number) {
+  return g_strdup_printf("%s/%u", registry->node->settings->label.s, pack_number);
+}
+
 void
 mm_registry_list_keys(const MmRegistry *registry, const char *prefix, GPtrArray *keys) {
   GHashTableIter iter;
--- a/src/machines/registry.h
+++ b/src/machines/registry.h
@@ -28,8 +28,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmRegistry, mm_registry_free)
 
 /* The replica shows this pack. An older version than the known one changes nothing. `value` is
- * lent.
- */
+ * lent. */
 void mm_registry_apply_pack(MmRegistry *registry, const char *pack_name, const json_t *value,
                             MmKeyVersion version);
 /* The replica shows that the pack is deleted. */
@@ -37,6 +36,8 @@
 /* Appends the keys of all packs, each newly allocated, `prefix` before the name. */
 void mm_registry_list_keys(const MmRegistry *registry, const char *prefix, GPtrArray *keys);
 
+/* The name of a pack that this node writes, newly allocated. */
+char *mm_registry_own_pack_name(const MmRegistry *registry, guint pack_number);
 /* Enters the incarnations that this node may register and that are not in the registry yet. */
 void mm_registry_tick(MmRegistry *registry);
 /* Removes the incarnations that are over: the next leader of a shard need not wait for them. A
