--- a/src/heartbeat/heartbeat-response.c
+++ b/src/heartbeat/heartbeat-response.c
@@ -4,7 +4,6 @@
 #include "heartbeat/heartbeat.h"
 #include "jobs/job-table.h"
 #include "kv/kv-client.h"
-#include "kv/replica.h"
 
 #define CONFIRMATIONS_MAX 16
 
@@ -61,8 +60,6 @@
 }
 
 void
-mm_heartbeat_response_send_commands(const MmNode *node, MmHttpExchange *exchange,
-                                    const GArray *commands) {
-  mm_http_exchange_respond(exchange, 200,
-                           mm_heartbeat_response_to_json(node->replica->term, commands), 0);
+mm_heartbeat_response_send(MmHttpExchange *exchange, MmTerm term, const GArray *commands) {
+  mm_http_exchange_respond(exchange, 200, mm_heartbeat_response_to_json(term, commands), 0);
 }
--- a/src/heartbeat/heartbeat-response.h
+++ b/src/heartbeat/heartbeat-response.h
@@ -7,6 +7,5 @@
  * their shards. `tasks`: MmReportedTask. */
 void mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
                                                 GArray *commands);
-/* Answers 200 with the replica's term as fencing token. `commands`: MmCommand. */
-void mm_heartbeat_response_send_commands(const MmNode *node, MmHttpExchange *exchange,
-                                         const GArray *commands);
+/* Answers 200 with the term as fencing token. `commands`: MmCommand. */
+void mm_heartbeat_response_send(MmHttpExchange *exchange, MmTerm term, const GArray *commands);
--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -157,7 +157,7 @@
   mm_peer_broadcast_unverified(node->peer_links, &machine->id);
   commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   mm_heartbeat_response_add_cleanup_commands(server, heartbeat->tasks, commands);
-  mm_heartbeat_response_send_commands(node, exchange, commands);
+  mm_heartbeat_response_send(exchange, node->replica->term, commands);
 }
 
 /* Handles heartbeats that this node may not answer, or not yet. TRUE when the exchange is answered
--- a/src/heartbeat/heartbeat-server.h
+++ b/src/heartbeat/heartbeat-server.h
@@ -8,7 +8,6 @@
 #pragma once
 
 #include "node/node.h"
-#include "peers.pb-c.h"
 
 struct MmHeartbeatServer {
   MmNode *node;
@@ -35,9 +34,6 @@
                                  MmHttpExchange *exchange);
 /* The replica shows a newer state: deferred heartbeats are tried again. */
 void mm_heartbeat_server_replica_changed(MmHeartbeatServer *server);
-/* A peer's response to a start request. */
-void mm_pending_response_handle_start_response(MmHeartbeatServer *server, guint peer,
-                                               const Mm__StartResponse *reply);
 /* Whether shards are changing leaders: a term sent to workers now would soon be outdated. */
 gboolean mm_heartbeat_server_is_settling(const MmHeartbeatServer *server);
 /* How many machines send their heartbeats to this node. */
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -56,7 +56,7 @@
     if (start_is_still_valid(response, start))
       g_array_append_val(commands, start->command);
   }
-  mm_heartbeat_response_send_commands(node, response->exchange, commands);
+  mm_heartbeat_response_send(response->exchange, node->replica->term, commands);
   pending_response_free(response);
 }
 
--- a/src/heartbeat/pending-response.h
+++ b/src/heartbeat/pending-response.h
@@ -12,6 +12,7 @@
 
 #include "heartbeat/heartbeat-server.h"
 #include "machines/machine-table.h"
+#include "peers.pb-c.h"
 #include "placement/placement.h"
 #include "sharing/sharing.h"
 
@@ -44,6 +45,9 @@
 /* Begins the response to a recorded heartbeat; the exchange is answered once, now or later. */
 void mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                                MmMachine *machine, MmHttpExchange *exchange);
+/* A peer's response to a start request. */
+void mm_pending_response_handle_start_response(MmHeartbeatServer *server, guint peer,
+                                               const Mm__StartResponse *reply);
 /* The group's owner has answered which of the approved starts may have their resources. */
 void mm_pending_response_handle_grant_response(MmHeartbeatServer *server, guint peer,
                                                const Mm__GrantResponse *reply);
