--- a/src/heartbeat/heartbeat.c
+++ b/src/heartbeat/heartbeat.c
@@ -13,12 +13,30 @@
 static const char *const wire_causes[]
     = { "", "done", "halted", "peers", "alone", "error", "no_room", "busy", "no_such" };
 
+static gboolean
+parse_state(MmReportedTask *task, const char *word) {
+  for (guint i = 0; i < G_N_ELEMENTS(wire_states); i++) {
+    if (g_strcmp0(word, wire_states[i]) == 0) {
+      task->state = (guint8)i;
+      return TRUE;
+    }
+  }
+  return FALSE;
+}
+
+/* An unknown cause of ending counts as a stop: the task has left the machine. */
+static void
+parse_cause(MmReportedTask *task, const char *word) {
+  task->cause = task->state == MM_REPORTED_ENDED ? MM_CAUSE_STOPPED : MM_CAUSE_NONE;
+  for (guint i = MM_CAUSE_NONE + 1; i < G_N_ELEMENTS(wire_causes); i++)
+    if (g_strcmp0(word, wire_causes[i]) == 0)
+      task->cause = (guint8)i;
+}
+
 static gboolean
 parse_task(MmReportedTask *task, const json_t *json) {
   const char *task_path = mm_json_string(json, WIRE_TASK);
   const char *slash = task_path != NULL ? strrchr(task_path, '/') : NULL;
-  const char *state = mm_json_string(json, WIRE_STATE);
-  const char *cause = mm_json_string(json, WIRE_CAUSE);
   char *number_end;
 
   memset(task, 0, sizeof *task);
@@ -28,16 +46,10 @@
   task->number = (guint)g_ascii_strtoull(slash + 1, &number_end, 10);
   task->attempt.v = mm_json_count(json, WIRE_ATTEMPT, 0);
   task->is_checkpointed = mm_json_flag(json, WIRE_SAVED);
-  task->state = G_MAXUINT8;
-  for (guint i = 0; i < G_N_ELEMENTS(wire_states); i++)
-    if (g_strcmp0(state, wire_states[i]) == 0)
-      task->state = (guint8)i;
-  /* An unknown cause of ending counts as a stop: the task has left the machine. */
-  task->cause = task->state == MM_REPORTED_ENDED ? MM_CAUSE_STOPPED : MM_CAUSE_NONE;
-  for (guint i = 1; i < G_N_ELEMENTS(wire_causes); i++)
-    if (g_strcmp0(cause, wire_causes[i]) == 0)
-      task->cause = (guint8)i;
-  return *number_end == '\0' && task->state != G_MAXUINT8;
+  if (*number_end != '\0' || !parse_state(task, mm_json_string(json, WIRE_STATE)))
+    return FALSE;
+  parse_cause(task, mm_json_string(json, WIRE_CAUSE));
+  return TRUE;
 }
 
 gboolean
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -33,20 +33,21 @@
 mm_machine_table_is_stale_heartbeat(const MmMachineTable *machine_table,
                                     const MmHeartbeat *heartbeat) {
   const MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine_id.s);
+  guint64 incarnation = heartbeat->heartbeat_id.incarnation;
 
-  if (mm_machine_table_incarnation_has_ended(machine_table, heartbeat->machine_id.s,
-                                             heartbeat->heartbeat_id.incarnation))
+  if (mm_machine_table_incarnation_has_ended(machine_table, heartbeat->machine_id.s, incarnation))
     return TRUE;
   if (machine == NULL)
     return FALSE;
-  return machine->is_terminated
-         || !mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, machine->latest_heartbeat_id)
-         || (machine->is_in_registry
-             && heartbeat->heartbeat_id.incarnation < machine->registered_incarnation)
-         || (machine->has_reported
-             && heartbeat->heartbeat_id.incarnation < machine->latest_message_id.incarnation)
-         || (machine->has_reported && machine->lease_has_expired
-             && heartbeat->heartbeat_id.incarnation == machine->latest_message_id.incarnation);
+  if (machine->is_terminated
+      || !mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, machine->latest_heartbeat_id))
+    return TRUE;
+  if (machine->is_in_registry && incarnation < machine->registered_incarnation)
+    return TRUE;
+  if (!machine->has_reported)
+    return FALSE;
+  return incarnation < machine->latest_message_id.incarnation
+         || (machine->lease_has_expired && incarnation == machine->latest_message_id.incarnation);
 }
 
 gboolean
@@ -54,10 +55,12 @@
                                          const MmHeartbeat *heartbeat) {
   const MmMachine *machine = mm_machine_table_find(machine_table, heartbeat->machine_id.s);
 
-  return !heartbeat->is_direct_reply && (machine == NULL || !machine->has_reported)
-         && !(machine != NULL && machine->is_in_registry
-              && machine->registered_incarnation >= heartbeat->heartbeat_id.incarnation)
-         && heartbeat->fencing_token.v < machine_table->node->replica->term_at_start.v;
+  if (heartbeat->is_direct_reply || (machine != NULL && machine->has_reported))
+    return FALSE;
+  if (machine != NULL && machine->is_in_registry
+      && machine->registered_incarnation >= heartbeat->heartbeat_id.incarnation)
+    return FALSE;
+  return heartbeat->fencing_token.v < machine_table->node->replica->term_at_start.v;
 }
 
 MmMachine *
