--- a/src/heartbeat/pending-response.h
+++ b/src/heartbeat/pending-response.h
@@ -12,10 +12,13 @@
 
 #include "heartbeat/heartbeat-server.h"
 #include "machines/machine-table.h"
-#include "peers.pb-c.h"
 #include "placement/placement.h"
 #include "sharing/sharing.h"
 
+/* Messages of peers.proto. */
+typedef struct Mm__StartResponse Mm__StartResponse;
+typedef struct Mm__GrantResponse Mm__GrantResponse;
+
 /* A start that the shard's leader has approved. */
 typedef struct {
   MmCommand command;
