--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat/pending-response.c
@@ -205,7 +205,8 @@
       || chosen_peer(response) != peer)
     return;
   g_hash_table_remove(server->pending_responses, &request_id);
-  server->node->placement->views[VIEW_OF_FIRST_PEER + peer].n_pending_tasks = reply->unfinished;
+  server->node->placement->views[VIEW_OF_FIRST_PEER + peer].n_pending_tasks
+      = reply->n_pending_tasks;
   if (reply->approval != NULL) {
     MmApproval approval
         = { mm_name(reply->approval->job),  reply->approval->number,   { reply->approval->attempt },
--- a/src/placement/backlog.c
+++ b/src/placement/backlog.c
@@ -39,8 +39,8 @@
     items[i].job = pending->job.s;
     items[i].ranges = (guint32 *)pending->ranges->data;
     items[i].n_ranges = pending->ranges->len;
-    items[i].is_first = pending->has_precedence;
-    items[i].is_aged = pending->is_starving;
+    items[i].has_precedence = pending->has_precedence;
+    items[i].is_starving = pending->is_starving;
     list[i] = &items[i];
   }
   for (guint i = 0; i < own_view->reserved_machines->len; i++)
@@ -49,7 +49,7 @@
   backlog.n_reserved = own_view->reserved_machines->len;
   backlog.pending = list;
   backlog.n_pending = n_pending;
-  backlog.unfinished = own_view->n_pending_tasks;
+  backlog.n_pending_tasks = own_view->n_pending_tasks;
   frame.body_case = MM__FRAME__BODY_BACKLOG;
   frame.backlog = &backlog;
   mm_peer_links_send(placement->node->peer_links, (guint)peer, &frame);
@@ -77,17 +77,18 @@
 
   g_ptr_array_set_size(view->pending, 0);
   g_array_set_size(view->reserved_machines, 0);
-  view->n_pending_tasks = backlog->unfinished;
+  view->n_pending_tasks = backlog->n_pending_tasks;
   for (size_t i = 0; i < backlog->n_reserved; i++) {
     MmName machine = mm_name(backlog->reserved[i]);
     g_array_append_val(view->reserved_machines, machine);
   }
   for (size_t i = 0; i < backlog->n_pending; i++) {
     const Mm__PendingTasks *item = backlog->pending[i];
-    MmPendingTasks *pending = mm_pending_tasks_new(item->job, item->is_first, item->is_aged);
+    MmPendingTasks *pending
+        = mm_pending_tasks_new(item->job, item->has_precedence, item->is_starving);
     MmJob *job = mm_job_table_find(placement->node->job_table, item->job);
     if (job != NULL && job->tasks == NULL)
-      job->is_starving = item->is_aged;
+      job->is_starving = item->is_starving;
     g_array_append_vals(pending->ranges, item->ranges, (guint)(item->n_ranges & ~(size_t)1));
     g_ptr_array_add(view->pending, pending);
   }
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -58,7 +58,7 @@
   return mm_resources_fits(job->spec.task_resources, request->free_resources)
          && !mm_scheduler_must_yield_to_gang(scheduler, job)
          && mm_scheduler_constraints_allow(job, request->machine)
-         && mm_scheduler_quota_allows(scheduler, job->led_shard, job, 1);
+         && mm_scheduler_limit_allows(scheduler, job->led_shard, job, 1);
 }
 
 static gboolean
@@ -206,7 +206,7 @@
     MmJob *job = g_ptr_array_index(by_urgency, i);
     if (job->n_pending > 0 && mm_resources_fits(job->spec.task_resources, request->free_resources)
         && mm_scheduler_job_is_schedulable(scheduler, job)
-        && mm_scheduler_quota_allows(scheduler, job->led_shard, job, 1))
+        && mm_scheduler_limit_allows(scheduler, job->led_shard, job, 1))
       g_ptr_array_add(jobs, job);
   }
   return jobs;
@@ -303,7 +303,7 @@
     approval_to_message(&approval, &approval_message);
     response.approval = &approval_message;
   }
-  response.unfinished = mm_scheduler_count_pending_tasks(scheduler);
+  response.n_pending_tasks = mm_scheduler_count_pending_tasks(scheduler);
   frame.body_case = MM__FRAME__BODY_START_RESPONSE;
   frame.start_response = &response;
   mm_peer_links_send(scheduler->node->peer_links, peer, &frame);
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -129,7 +129,7 @@
   MmNode *node = scheduler->node;
 
   if (mm_scheduler_must_yield_to_gang(scheduler, job)
-      || !mm_scheduler_quota_allows(scheduler, shard, job, job->spec.n_tasks))
+      || !mm_scheduler_limit_allows(scheduler, shard, job, job->spec.n_tasks))
     return;
   if (!job->spec.requires_one_zone) {
     /* Only where nothing else takes the places as they get free one by one: accelerated machines
--- a/src/scheduler/led-shards.c
+++ b/src/scheduler/led-shards.c
@@ -29,8 +29,8 @@
 drop_job(MmScheduler *scheduler, MmJob *job) {
   MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
 
-  if (shard != NULL && shard->quota_reserved_for == job)
-    shard->quota_reserved_for = NULL;
+  if (shard != NULL && shard->limit_reserved_for == job)
+    shard->limit_reserved_for = NULL;
   if (shard != NULL && job->n_maybe_on_machines > 0) {
     shard->used.cores -= job->n_maybe_on_machines * job->spec.task_resources.cores;
     shard->used.accelerators -= job->n_maybe_on_machines * job->spec.task_resources.accelerators;
--- a/src/scheduler/pending-tasks.c
+++ b/src/scheduler/pending-tasks.c
@@ -73,7 +73,7 @@
       add_reserved_machines(job, reserved_machines);
     /* Tasks that the team's limit keeps from starting need no start requests and no machines. */
     if (job->tasks != NULL && job->n_pending > 0 && mm_scheduler_job_is_schedulable(scheduler, job)
-        && mm_scheduler_quota_allows(scheduler, job->led_shard, job,
+        && mm_scheduler_limit_allows(scheduler, job->led_shard, job,
                                      mm_job_is_gang(job) ? job->spec.n_tasks : 1))
       g_ptr_array_add(jobs, job);
   }
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -303,7 +303,7 @@
     if (job->n_pending == 0 || max_tries == 0
         || (ordinary && job->effective_priority <= MM_PRIORITY_LOW)
         || !mm_scheduler_job_is_schedulable(scheduler, job)
-        || !mm_scheduler_quota_allows(scheduler, job->led_shard, job, 1))
+        || !mm_scheduler_limit_allows(scheduler, job->led_shard, job, 1))
       continue;
     tries = preempt_for_job(scheduler, job, max_tries);
     tasks_left -= tries;
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -108,14 +108,14 @@
  * reserved. Otherwise accelerators reserved for a waiting gang would keep the team's arrays from
  * machines that lie idle. */
 static gboolean
-within_quota(double limit, double used, double need) {
+is_within_limit(double limit, double used, double need) {
   return limit <= 0 || need <= 0 || used + need <= limit + MM_RESOURCES_SLACK;
 }
 
 /* What the team uses or might use: all that may be on a machine, stops under way included, and on
  * an unacknowledged machine whatever fits there. */
 gboolean
-mm_scheduler_quota_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
+mm_scheduler_limit_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
                           guint tasks) {
   MmResources limit = shard->team->limit;
   MmResources used;
@@ -128,12 +128,12 @@
   used = mm_resources_add(shard->used, shard->unacknowledged_resources);
   /* Otherwise small jobs take what is left of the limit one by one: a large one never begins, and
    * work of higher priority waits for lower. */
-  if (shard->quota_reserved_for != NULL && shard->quota_reserved_for != job
-      && mm_scheduler_compare_urgency(&shard->quota_reserved_for, &job) < 0)
-    used = mm_resources_add(used, shard->reserved_quota);
-  return within_quota(limit.cores, used.cores, tasks * job->spec.task_resources.cores)
-         && within_quota(limit.accelerators, used.accelerators,
-                         tasks * job->spec.task_resources.accelerators);
+  if (shard->limit_reserved_for != NULL && shard->limit_reserved_for != job
+      && mm_scheduler_compare_urgency(&shard->limit_reserved_for, &job) < 0)
+    used = mm_resources_add(used, shard->reserved_of_limit);
+  return is_within_limit(limit.cores, used.cores, tasks * job->spec.task_resources.cores)
+         && is_within_limit(limit.accelerators, used.accelerators,
+                            tasks * job->spec.task_resources.accelerators);
 }
 
 /* Reserves a part of its team's limit for the job if it is in a hurry and more urgent than the job
@@ -145,12 +145,12 @@
       = mm_job_is_gang(job) ? job->spec.n_tasks : MIN(job->n_pending, RESERVED_QUOTA_TASKS);
 
   if (job->n_pending == 0 || !is_in_hurry || !mm_scheduler_job_is_schedulable(scheduler, job)
-      || (shard->quota_reserved_for != NULL
-          && mm_scheduler_compare_urgency(&job, &shard->quota_reserved_for) >= 0))
+      || (shard->limit_reserved_for != NULL
+          && mm_scheduler_compare_urgency(&job, &shard->limit_reserved_for) >= 0))
     return;
-  shard->quota_reserved_for = job;
-  shard->reserved_quota = (MmResources){ n_tasks * job->spec.task_resources.cores,
-                                         n_tasks * job->spec.task_resources.accelerators, 0 };
+  shard->limit_reserved_for = job;
+  shard->reserved_of_limit = (MmResources){ n_tasks * job->spec.task_resources.cores,
+                                            n_tasks * job->spec.task_resources.accelerators, 0 };
 }
 
 /* The sums that task-state.c keeps drift, since amounts are fractions; they are taken anew here. */
@@ -163,8 +163,8 @@
   g_hash_table_iter_init(&iter, scheduler->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     MmLedShard *shard = value;
-    shard->used = shard->reserved_quota = (MmResources){ 0 };
-    shard->quota_reserved_for = NULL;
+    shard->used = shard->reserved_of_limit = (MmResources){ 0 };
+    shard->limit_reserved_for = NULL;
     mm_scheduler_update_unacknowledged(scheduler, shard);
   }
   for (guint i = 0; i < by_submission->len; i++) {
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -13,7 +13,7 @@
  * urgent job. */
 void mm_scheduler_recount_resources(MmScheduler *scheduler);
 /* Whether so many more tasks of the job stay within the limit of the team, whose shard it is. */
-gboolean mm_scheduler_quota_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
+gboolean mm_scheduler_limit_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
                                    guint tasks);
 /* Whether a task of the victim, a job of another team, may be preempted so that the job gets what
  * its team's quota guarantees. */
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -35,8 +35,8 @@
   MmTime acquired_at;
   const MmTeamSettings *team;
   MmResources used;                /* by tasks that are or may be on machines */
-  const MmJob *quota_reserved_for; /* the most urgent job in a hurry that has pending tasks, */
-  MmResources reserved_quota;      /* and how much of the team's limit is kept for it */
+  const MmJob *limit_reserved_for; /* the most urgent job in a hurry that has pending tasks, */
+  MmResources reserved_of_limit;   /* and how much of the team's limit is kept for it */
   /* Derived from `unacknowledged_machines` by mm_scheduler_update_unacknowledged: */
   MmResources unacknowledged_resources;        /* all resources of these machines */
   gboolean has_unacknowledged_of_unknown_type; /* so their resources have no known bound */
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -122,15 +122,15 @@
   team.limit = (MmResources){ 0, 13, 0 };
   shard->team = &team;
   shard->used = (MmResources){ 43, 8, 310 };
-  shard->reserved_quota = starving.spec.task_resources;
-  shard->quota_reserved_for = &starving;
-  g_assert_true(mm_scheduler_quota_allows(s.scheduler, shard, s.job, 2));
+  shard->reserved_of_limit = starving.spec.task_resources;
+  shard->limit_reserved_for = &starving;
+  g_assert_true(mm_scheduler_limit_allows(s.scheduler, shard, s.job, 2));
   s.job->spec.task_resources.accelerators = 1;
-  g_assert_false(mm_scheduler_quota_allows(s.scheduler, shard, s.job, 1));
-  g_assert_false(mm_scheduler_quota_allows(s.scheduler, shard, &starving, 1));
-  shard->quota_reserved_for = NULL;
-  g_assert_true(mm_scheduler_quota_allows(s.scheduler, shard, s.job, 5));
-  g_assert_false(mm_scheduler_quota_allows(s.scheduler, shard, s.job, 6));
+  g_assert_false(mm_scheduler_limit_allows(s.scheduler, shard, s.job, 1));
+  g_assert_false(mm_scheduler_limit_allows(s.scheduler, shard, &starving, 1));
+  shard->limit_reserved_for = NULL;
+  g_assert_true(mm_scheduler_limit_allows(s.scheduler, shard, s.job, 5));
+  g_assert_false(mm_scheduler_limit_allows(s.scheduler, shard, s.job, 6));
   shard->team = mm_settings_team(s.scheduler->node->settings, &s.job->spec.team);
   world_free(s.world);
 }
