--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -106,7 +106,7 @@
 
   if (!goes_on(run))
     return G_SOURCE_REMOVE;
-  world_submit(world, world_random_job(world), world_uniform(world, 0.5, 4));
+  world_submit(world, world_random_job_body(world), world_uniform(world, 0.5, 4));
   if (world_uniform(world, 0, 1) < CANCELLED_SHARE)
     world_cancel(world_any_job(world));
   return G_SOURCE_CONTINUE;
@@ -309,7 +309,7 @@
               .loop = g_main_loop_new(NULL, FALSE) };
   int status;
 
-  run.world->groups = GROUPS;
+  run.world->group_count = GROUPS;
   run.world->team_cores = 60;
   run.world->observe_task = note_task;
   run.world->observer_data = &run;
@@ -321,7 +321,7 @@
   g_main_loop_run(run.loop);
   status = report(&run);
   write_record(&run);
-  run.world->is_closing = TRUE;
+  run.world->is_shutting_down = TRUE;
   processes_stop(run.processes);
   stand_ins_stop(run.stand_ins);
   world_free(run.world);
--- a/tests/loopback/stand-ins.c
+++ b/tests/loopback/stand-ins.c
@@ -224,5 +224,5 @@
 void
 stand_ins_add_machine(const StandIns *stand_ins, WorldMachine *machine) {
   /* One server stands for all workers: the path says which. */
-  g_snprintf(machine->addr, sizeof machine->addr, "%s/%s", stand_ins->address, machine->id);
+  g_snprintf(machine->address, sizeof machine->address, "%s/%s", stand_ins->address, machine->id);
 }
--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -47,7 +47,7 @@
   world->skips_checks = TRUE;
   world->capacity = 0;
   world->team_cores = 2000;
-  world->groups = shared ? GROUPS : 0;
+  world->group_count = shared ? GROUPS : 0;
   world->group_hold_s = 1;
   if (size > 100) {
     world->heartbeat_interval_s = 5;
--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -246,7 +246,7 @@
   world_cancel(job_at(world, 1));
   world_run(world, world->lease_s + 14);
   for (guint i = 0; i < world->machines->len; i++)
-    heard += machine_at(world, i)->n_direct_while_mute;
+    heard += machine_at(world, i)->n_direct_while_outbound_lost;
   return heard;
 }
 
@@ -260,7 +260,7 @@
   world_run(world, 4);
   for (guint i = 0; i < world->machines->len; i++) {
     machine_at(world, i)->duplicate_at_us = world->now_us + 9 * SECOND + (gint64)i * SECOND / 3;
-    machine_at(world, i)->duplicate_to = (old + 1 + i % 2) % WORLD_NODES;
+    machine_at(world, i)->duplicate_node = (old + 1 + i % 2) % WORLD_NODES;
   }
   world_run(world, 1.5);
   world_kill_node(world, old, 20);
@@ -313,7 +313,7 @@
     cancelled += job_at(world, i)->user_view == USER_SEES_CANCELLED;
   }
   g_test_message("%u called off after all, %u were done", cancelled, done);
-  return MIN(world->n_odd_correct, cancelled + done);
+  return MIN(world->n_odd_requests_correct, cancelled + done);
 }
 
 /* The state service refuses the leader alone, the others confirm cancellations, and then it is out
@@ -431,7 +431,7 @@
   }
   world_run(world, 30);
   for (guint i = 0; i < world->jobs->len; i++)
-    waiting += job_at(world, i)->first_start_us == 0;
+    waiting += job_at(world, i)->first_start_at_us == 0;
   world_kill_node(world, world_node_leading_most_shards(world), 0.5);
   world_run(world, 60);
   world->slow_links_s = 0;
@@ -475,7 +475,7 @@
   }
   after = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 2), 3);
   world_run(world, 25);
-  g_assert_cmpint(after->first_start_us, >, 0);
+  g_assert_cmpint(after->first_start_at_us, >, 0);
   return newest_term(world) >= before + 10;
 }
 
@@ -629,7 +629,7 @@
 /* What is left gets done once the troubles are over, and users are served. */
 static void
 settle(World *world) {
-  world->faults_ended_us = world->now_us + 30 * SECOND;
+  world->faults_ended_at_us = world->now_us + 30 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++)
     if (job_at(world, i)->spec.kind == MM_JOB_KIND_SERVICE
         && !job_at(world, i)->is_cancel_requested)
@@ -673,7 +673,7 @@
   for (guint32 seed = 1; seed <= 4 && !broken; seed++) {
     World *world = meeting_world(seed);
     world->only_leader_knows_cancelled = judge_alone;
-    world->view_never_stale = never_stale;
+    world->replica_never_stale = never_stale;
     play(world);
     for (guint i = 0; i < world->violations->len; i++)
       broken = broken || g_str_has_prefix(g_ptr_array_index(world->violations, i), "ran_cancelled");
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -34,7 +34,7 @@
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    n += machine->is_up && !machine->is_gone;
+    n += machine->is_up && !machine->is_terminated;
   }
   return n;
 }
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -24,7 +24,7 @@
 static void
 run_under_load(World *world, guint seconds) {
   for (guint i = 0; i < seconds; i++) {
-    world_submit(world, world_random_job(world), world_uniform(world, 1, 6));
+    world_submit(world, world_random_job_body(world), world_uniform(world, 1, 6));
     world_run(world, 1);
     world_assert_invariants(world);
   }
@@ -107,7 +107,7 @@
   world_run(world, 3);
   for (guint second = 0; second < 90; second++) {
     if (second % 3 == 0)
-      world_submit(world, world_random_job(world), world_uniform(world, 1, 12));
+      world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
     if (second > 5 && world_uniform(world, 0, 1) < 0.1)
       world_inject_random_fault(world);
     if (second % 17 == 9)
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -114,7 +114,7 @@
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    n += machine->is_up && !machine->is_gone && strcmp(machine->zone, zone) == 0;
+    n += machine->is_up && !machine->is_terminated && strcmp(machine->zone, zone) == 0;
   }
   return n;
 }
@@ -212,7 +212,7 @@
   for (guint i = 0; i < 5; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
     world_kill_machine(world, machine);
-    machine->is_gone = TRUE;
+    machine->is_terminated = TRUE;
   }
   world_run(world, 10);
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -311,9 +311,10 @@
   }
   for (guint i = 0; i < 6; i++) {
     g_test_message("job %u of 6 began after %.0f s", i,
-                   (double)(big[i]->first_start_us - big[i]->submitted_us) / G_USEC_PER_SEC);
-    g_assert_cmpint(big[i]->first_start_us, !=, 0);
-    g_assert_cmpint(big[i]->first_start_us - big[i]->submitted_us, <, 240 * (gint64)G_USEC_PER_SEC);
+                   (double)(big[i]->first_start_at_us - big[i]->submitted_at_us) / G_USEC_PER_SEC);
+    g_assert_cmpint(big[i]->first_start_at_us, !=, 0);
+    g_assert_cmpint(big[i]->first_start_at_us - big[i]->submitted_at_us, <,
+                    240 * (gint64)G_USEC_PER_SEC);
   }
   world_free(world);
 }
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -78,8 +78,8 @@
   run_until_accepted(world, arms[1]);
   end = world_submit_dependent(world, of_team(3, 2), 2, arms, 2);
   run_until_told(world, end, USER_SEES_DONE, 60);
-  g_assert_cmpint(arms[0]->first_start_us, <, arms[0]->ready_us + 5 * SECOND);
-  g_assert_cmpint(end->first_start_us, <, end->ready_us + 5 * SECOND);
+  g_assert_cmpint(arms[0]->first_start_at_us, <, arms[0]->ready_at_us + 5 * SECOND);
+  g_assert_cmpint(end->first_start_at_us, <, end->ready_at_us + 5 * SECOND);
   finish_world(world);
 }
 
@@ -400,9 +400,9 @@
     run_until_accepted(world, gang);
     end = next_job(world, 2, 2, 2, gang);
     run_until_accepted(world, end);
-    for (guint i = 0; i < 200 && gang->first_start_us == 0; i++)
+    for (guint i = 0; i < 200 && gang->first_start_at_us == 0; i++)
       world_run(world, 0.2);
-    g_assert_cmpint(gang->first_start_us, !=, 0);
+    g_assert_cmpint(gang->first_start_at_us, !=, 0);
     for (guint i = 0; i < world->machines->len; i++) {
       WorldMachine *machine = g_ptr_array_index(world->machines, i);
       if (machine->tasks->len > 0
@@ -472,7 +472,7 @@
 
   world->duplicate_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
   play_day(world, TRUE, 100, FALSE);
-  world->faults_ended_us = world->now_us + 45 * SECOND;
+  world->faults_ended_at_us = world->now_us + 45 * SECOND;
   world_run(world, 260);
   world_assert_invariants(world);
   for (guint i = 0; i < world->jobs->len; i++) {
@@ -481,7 +481,7 @@
   }
   g_test_message("%u jobs, %u with dependencies", world->jobs->len, dependents);
   g_assert_cmpuint(dependents, >, 20);
-  world_assert_all_jobs_over(world);
+  world_assert_all_jobs_finished(world);
   world_free(world);
 }
 
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -237,7 +237,7 @@
   g_assert_cmpuint(silent->tasks->len, ==, 0);
   silent->cut_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 7.5);
-  g_assert_true(silent->is_gone);
+  g_assert_true(silent->is_terminated);
   world_free(world);
 }
 
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -18,7 +18,7 @@
 sharing_world(guint32 seed) {
   World *world = world_new(seed);
 
-  world->groups = GROUPS;
+  world->group_count = GROUPS;
   world->group_hold_s = 2;
   world_add_nine_machines(world);
   return world;
@@ -56,7 +56,7 @@
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
     if (second % 3 == 0)
-      world_submit(world, world_random_job(world), world_uniform(world, 1, 12));
+      world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
     if (second % 13 == 7)
       world_cancel(world_any_job(world));
     if (second > 10 && world_uniform(world, 0, 1) < 0.15)
@@ -207,7 +207,7 @@
 report_comes_again(Move *move) {
   move->machine->duplicate_at_us
       = move->world->now_us + (gint64)(1.5 * move->world->lease_s * (double)SECOND);
-  move->machine->duplicate_to = move->source;
+  move->machine->duplicate_node = move->source;
 }
 
 /* The owner of most teams' shards ends, and its groups and shards change hands at once. */
@@ -274,7 +274,7 @@
 /* Afterwards all nodes agree on an owner for each group, and it grants. */
 static void
 assert_groups_are_owned(const World *world) {
-  for (guint group = 0; group < world->groups; group++) {
+  for (guint group = 0; group < world->group_count; group++) {
     guint owner = world_group_owner(world, 0, group);
     g_assert_cmpuint(owner, <, WORLD_NODES);
     g_assert_true(mm_sharing_owns(world->nodes[owner].node->sharing, group));
@@ -423,7 +423,7 @@
 
 static void
 move_all_groups(World *world, guint round) {
-  for (guint group = 0; group < world->groups; group++)
+  for (guint group = 0; group < world->group_count; group++)
     world_move_group(world, round % WORLD_NODES, group, (round + group) % WORLD_NODES);
 }
 
@@ -501,8 +501,8 @@
 copy_reports(World *world, gint64 later_us) {
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    machine->duplicate_at_us = machine->next_heartbeat_us + later_us;
-    machine->duplicate_to = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
+    machine->duplicate_at_us = machine->next_heartbeat_at_us + later_us;
+    machine->duplicate_node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
   }
 }
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -210,11 +210,11 @@
     world_run(world, 1);
     world_assert_invariants(world);
   }
-  world->faults_ended_us = world->now_us + 45 * SECOND;
+  world->faults_ended_at_us = world->now_us + 45 * SECOND;
   world_run(world, 240);
   world_assert_invariants(world);
   g_test_message("%u requests over the rate", world->n_rate_limited);
-  world_assert_all_jobs_over(world);
+  world_assert_all_jobs_finished(world);
   world_free(world);
 }
 
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -109,9 +109,9 @@
 machine_is_to_be_taken(Victims *v) {
   WorldMachine *machine = v->machine;
 
-  if (!machine->spot || machine->notice_us != 0)
+  if (!machine->is_spot || machine->notice_at_us != 0)
     return;
-  machine->notice_us = v->world->now_us;
+  machine->notice_at_us = v->world->now_us;
   machine->reclaimed_at_us = v->world->now_us + 5 * SECOND;
   machine->has_changed = TRUE;
 }
@@ -227,7 +227,7 @@
   world_run(world, 3);
   for (guint second = 0; second < 150; second++) {
     if (second % 4 == 0)
-      world_submit(world, world_random_job(world), world_uniform(world, 1, 12));
+      world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
     if (second % 13 == 7)
       world_cancel(g_ptr_array_index(
           world->jobs, (guint)g_rand_int_range(world->rand, 0, (gint32)world->jobs->len)));
@@ -240,7 +240,7 @@
   started_half = world->n_starts;
   world->late_write_rate = 0;
   /* Troubles over: what is left gets done. */
-  world->faults_ended_us = world->now_us + 45 * (gint64)G_USEC_PER_SEC;
+  world->faults_ended_at_us = world->now_us + 45 * (gint64)G_USEC_PER_SEC;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
     if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->is_cancel_requested)
@@ -251,7 +251,7 @@
   g_assert_cmpuint(started_half, >, 20);
   g_test_message("%u jobs, %u starts, %" G_GUINT64_FORMAT " writes", world->jobs->len,
                  world->n_starts, world->n_writes);
-  world_assert_all_jobs_over(world);
+  world_assert_all_jobs_finished(world);
   world_free(world);
 }
 
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -131,7 +131,7 @@
   World *world = world_new(seed);
 
   if (seed % 2 == 0) {
-    world->groups = GROUPS;
+    world->group_count = GROUPS;
     world->group_hold_s = 2;
   }
   world->duplicate_rate = 0.02;
@@ -150,12 +150,12 @@
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
     if (second % 3 == 0)
-      world_submit(world, world_random_job(world), world_uniform(world, 1, 12));
+      world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
     if (second % 13 == 7)
       world_cancel(world_any_job(world));
     if (second > 10 && world_uniform(world, 0, 1) < 0.15)
       world_inject_random_fault(world);
-    if (world->groups > 0)
+    if (world->group_count > 0)
       world_random_move(world);
     world_run(world, 1);
   }
--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -16,13 +16,13 @@
 
   machine->world = world;
   g_snprintf(machine->id, sizeof machine->id, "m-%06u", ++world->next_machine);
-  g_snprintf(machine->addr, sizeof machine->addr, "10.1.%u.%u:9000", world->next_machine / 200,
-             world->next_machine % 200 + 1);
+  g_snprintf(machine->address, sizeof machine->address, "10.1.%u.%u:9000",
+             world->next_machine / 200, world->next_machine % 200 + 1);
   g_strlcpy(machine->type, type, sizeof machine->type);
   g_strlcpy(machine->zone, zone, sizeof machine->zone);
-  machine->spot = spot;
+  machine->is_spot = spot;
   machine->tasks = g_ptr_array_new();
-  machine->launched_us = world->now_us;
+  machine->launched_at_us = world->now_us;
   machine->failure_rate = world_uniform(world, 0, 1) < 0.05 ? 0.6 : 0.005;
   machine->boots_at_us = world->now_us + (gint64)(boot_s * G_USEC_PER_SEC);
   g_ptr_array_add(world->machines, machine);
@@ -36,7 +36,7 @@
 on_restart_due(gpointer data) {
   WorldMachine *machine = data;
 
-  if (!machine->has_failed && !machine->is_gone && !machine->is_up)
+  if (!machine->has_failed && !machine->is_terminated && !machine->is_up)
     world_machine_boot(machine);
 }
 
@@ -92,8 +92,8 @@
       boot_s = machine_types[i].boot_s;
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    n_existing += !machine->is_gone && strcmp(machine->type, type) == 0
-                  && strcmp(machine->zone, zone) == 0 && machine->spot == spot;
+    n_existing += !machine->is_terminated && strcmp(machine->type, type) == 0
+                  && strcmp(machine->zone, zone) == 0 && machine->is_spot == spot;
   }
   if (n_existing >= world->capacity) {
     *response = mm_json_error("no capacity");
@@ -120,7 +120,7 @@
       WorldMachine *machine = g_ptr_array_index(world->machines, k);
       if (strcmp(machine->id, json_string_value(name)) == 0) {
         world_kill_machine(world, machine);
-        machine->is_gone = TRUE;
+        machine->is_terminated = TRUE;
       }
     }
   }
@@ -134,18 +134,18 @@
 
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    double age_s = (double)(world->now_us - machine->launched_us) / G_USEC_PER_SEC;
+    double age_s = (double)(world->now_us - machine->launched_at_us) / G_USEC_PER_SEC;
     /* The list lags. */
-    if (machine->is_gone || age_s < 2)
+    if (machine->is_terminated || age_s < 2)
       continue;
-    json_array_append_new(list,
-                          json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", WIRE_JOB_ID, machine->id,
-                                    WIRE_ADDR, machine->addr, WIRE_TYPE, machine->type, WIRE_ZONE,
-                                    machine->zone, WIRE_SPOT, machine->spot, WIRE_STATE,
-                                    machine->has_failed ? WIRE_FAILED
-                                    : machine->is_up    ? WIRE_RUNNING
-                                                        : WIRE_BOOTING,
-                                    WIRE_AGE, age_s));
+    json_array_append_new(list, json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", WIRE_JOB_ID,
+                                          machine->id, WIRE_ADDR, machine->address, WIRE_TYPE,
+                                          machine->type, WIRE_ZONE, machine->zone, WIRE_SPOT,
+                                          machine->is_spot, WIRE_STATE,
+                                          machine->has_failed ? WIRE_FAILED
+                                          : machine->is_up    ? WIRE_RUNNING
+                                                              : WIRE_BOOTING,
+                                          WIRE_AGE, age_s));
   }
   return json_pack("{s:o, s:b}", WIRE_MACHINES, list, WIRE_MORE, FALSE);
 }
--- a/tests/world/fault-injection.c
+++ b/tests/world/fault-injection.c
@@ -106,7 +106,7 @@
 
   if (status == expected->status
       && (expected->state == NULL || g_strcmp0(state, expected->state) == 0))
-    expected->world->n_odd_correct++;
+    expected->world->n_odd_requests_correct++;
   else if (status != 0 && status != 503)
     world_report_violation(expected->world, "odd: %s gets %d %s", expected->description, status,
                            state);
@@ -186,10 +186,10 @@
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = g_ptr_array_index(world->machines, i);
     MmName type = mm_name(machine->type);
-    if (machine->is_up && !machine->is_gone && machine->notice_us == 0
+    if (machine->is_up && !machine->is_terminated && machine->notice_at_us == 0
         && world->now_us >= MAX(machine->hung_until_us, machine->cut_until_us)
         && world->now_us >= MAX(machine->inbound_lost_until_us, machine->outbound_lost_until_us)
-        && mm_job_spec_allows_type(spec, &type) && (!machine->spot || spec->allows_spot)
+        && mm_job_spec_allows_type(spec, &type) && (!machine->is_spot || spec->allows_spot)
         && (mm_name_is_empty(&spec->zone) || strcmp(spec->zone.s, machine->zone) == 0)
         && mm_resources_fits(spec->task_resources, free_resources(machine)))
       return TRUE;
@@ -236,17 +236,17 @@
 
 void
 world_check_waiting(World *world) {
-  if (world->faults_ended_us == 0 || world->now_us < world->faults_ended_us
-      || world->now_us - world->waiting_checked_us < G_USEC_PER_SEC)
+  if (world->faults_ended_at_us == 0 || world->now_us < world->faults_ended_at_us
+      || world->now_us - world->waiting_checked_at_us < G_USEC_PER_SEC)
     return;
-  world->waiting_checked_us = world->now_us;
+  world->waiting_checked_at_us = world->now_us;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
     if (!is_waiting_needlessly(world, job))
       job->waiting_since_us = 0;
     else if (job->waiting_since_us == 0)
       job->waiting_since_us = world->now_us;
-    else if (world->now_us - MAX(job->waiting_since_us, job->last_start_us) > WAIT_MAX_US)
+    else if (world->now_us - MAX(job->waiting_since_us, job->last_start_at_us) > WAIT_MAX_US)
       world_report_violation(world, "waits: %s has waited 90 s beside a machine that fits it",
                              job->id);
   }
@@ -264,7 +264,7 @@
              const WorldJob *job) {
   if (job != NULL) {
     served_count->n_jobs++;
-    served_count->n_served += job->first_start_us != 0;
+    served_count->n_served += job->first_start_at_us != 0;
   } else if (served_count->n_served * 2 < served_count->n_jobs) {
     world_report_violation(world, "served: %u of %u jobs of %s", served_count->n_served,
                            served_count->n_jobs, description);
@@ -284,17 +284,17 @@
   }
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (world_job_may_be_cancelled(job) || !job->was_accepted || job->ready_us == 0)
+    if (world_job_may_be_cancelled(job) || !job->was_accepted || job->ready_at_us == 0)
       continue;
     count_served(world, &teams[job->spec.team.s[5] - '0'], NULL, job);
     count_served(world, &of_kind[job->spec.kind], NULL, job);
     if (job->spec.n_tasks < most_tasks)
       continue;
     count_served(world, &largest, NULL, job);
-    if (job->first_start_us - job->ready_us > LARGEST_JOB_WAIT_MAX_US)
+    if (job->first_start_at_us - job->ready_at_us > LARGEST_JOB_WAIT_MAX_US)
       world_report_violation(world,
                              "served: %s, one of the largest, began after %" G_GINT64_FORMAT " s",
-                             job->id, (job->first_start_us - job->ready_us) / G_USEC_PER_SEC);
+                             job->id, (job->first_start_at_us - job->ready_at_us) / G_USEC_PER_SEC);
   }
   for (guint i = 0; i < 4; i++)
     count_served(world, &teams[i], "a team", NULL);
@@ -317,7 +317,7 @@
 world_finish_day(World *world) {
   world->late_write_rate = 0;
   world->delays_acquisitions = FALSE;
-  world->faults_ended_us = world->now_us + 45 * SECOND;
+  world->faults_ended_at_us = world->now_us + 45 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
     if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->is_cancel_requested)
@@ -325,6 +325,6 @@
   }
   world_run(world, 200);
   world_assert_invariants(world);
-  world_assert_all_jobs_over(world);
+  world_assert_all_jobs_finished(world);
   world_free(world);
 }
--- a/tests/world/faulty-nodes.c
+++ b/tests/world/faulty-nodes.c
@@ -115,7 +115,7 @@
     ignore_unacknowledging(node);
   if (world->lease_never_expires && node->node_lease->lease_id != 0)
     extend_lease_forever(node, now);
-  if (world->view_never_stale)
+  if (world->replica_never_stale)
     forget_staleness(node, now);
   if (world->ignore_dependencies)
     forget_dependencies(node);
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -22,7 +22,7 @@
   world->format = value == NULL
                       ? MM_FORMAT_LOWEST
                       : (json_is_integer(number) ? (guint64)json_integer_value(number) : 0);
-  world->format_set_us = world->now_us;
+  world->format_set_at_us = world->now_us;
   json_decref(value);
 }
 
@@ -34,7 +34,7 @@
 
   /* A node that is kept from reading can't know; what it writes meanwhile the guards decide on. */
   if ((world->format >= MM_FORMAT_LOWEST && world->format <= highest)
-      || world->now_us < world->format_set_us + SEEN_US || world->format_set_us == 0
+      || world->now_us < world->format_set_at_us + SEEN_US || world->format_set_at_us == 0
       || world->now_us < world_node->watches_lost_until_us + SEEN_US
       || world->now_us < world_node->cut_until_us + SEEN_US
       || world->now_us < world_node->kv_refuses_until_us + SEEN_US
--- a/tests/world/invariants.c
+++ b/tests/world/invariants.c
@@ -12,8 +12,8 @@
   MmName type = mm_name(machine->type);
   guint n_in_zone = 1;
 
-  if (task->job->first_start_us == 0)
-    task->job->first_start_us = world->now_us;
+  if (task->job->first_start_at_us == 0)
+    task->job->first_start_at_us = world->now_us;
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *other = g_ptr_array_index(world->machines, i);
     for (guint k = 0; k < other->tasks->len; k++) {
@@ -38,7 +38,7 @@
   if (spec->spreads_over_zones && n_in_zone > mm_job_spec_max_tasks_per_zone(spec))
     world_report_violation(world, "wrong_place: %u tasks of %s in zone %s", n_in_zone,
                            task->job->id, machine->zone);
-  if (!mm_job_spec_allows_type(spec, &type) || (machine->spot && !spec->allows_spot)
+  if (!mm_job_spec_allows_type(spec, &type) || (machine->is_spot && !spec->allows_spot)
       || (spec->zone.s[0] != '\0' && strcmp(spec->zone.s, machine->zone) != 0))
     world_report_violation(world, "wrong_place: %s/%u on %s", task->job->id, task->number,
                            machine->id);
@@ -57,18 +57,18 @@
         continue;
       cores[job->spec.team.s[5] - '0'] += job->spec.task_resources.cores;
       if (job->user_view == USER_SEES_CANCELLED
-          && (double)(world->now_us - job->cancel_seen_us) > world->cancel_s * G_USEC_PER_SEC)
+          && (double)(world->now_us - job->cancelled_at_us) > world->cancel_s * G_USEC_PER_SEC)
         world_report_violation(world, "ran_cancelled: %s/%u on %s", job->id, task->number,
                                machine->id);
     }
   }
   world_check_sharing(world);
-  world_note_ready_jobs(world);
+  world_record_ready_jobs(world);
   world_check_waiting(world);
   /* Troubles over, each job that was accepted has some question answered within 75 s. */
-  for (guint i = 0; i < world->jobs->len && world->faults_ended_us != 0; i++) {
+  for (guint i = 0; i < world->jobs->len && world->faults_ended_at_us != 0; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
-    gint64 since = MAX(job->last_answer_us, world->faults_ended_us);
+    gint64 since = MAX(job->last_answer_at_us, world->faults_ended_at_us);
     if (job->was_accepted && job->user_view != USER_SEES_CANCELLED
         && world->now_us - since > 75 * (gint64)G_USEC_PER_SEC)
       world_report_violation(world, "forgotten: no question about %s is answered", job->id);
@@ -86,7 +86,7 @@
 }
 
 void
-world_assert_all_jobs_over(const World *world) {
+world_assert_all_jobs_finished(const World *world) {
   guint n_over = 0;
 
   for (guint i = 0; i < world->jobs->len; i++) {
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -199,7 +199,7 @@
   if (world->now_us >= world->outage_until_us) {
     g_hash_table_iter_init(&iter, world->leases);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-      if (world->now_us >= ((WorldLease *)value)->expires_us)
+      if (world->now_us >= ((WorldLease *)value)->expires_at_us)
         g_array_append_val(ended, ((WorldLease *)value)->id);
     for (guint i = 0; i < ended->len; i++)
       end_lease(world, g_array_index(ended, guint64, i));
@@ -217,12 +217,11 @@
   /* Every lease has its full time again. */
   g_hash_table_iter_init(&iter, world->leases);
   while (g_hash_table_iter_next(&iter, NULL, &value))
-    ((WorldLease *)value)->expires_us = world->now_us + ((WorldLease *)value)->ttl_us;
+    ((WorldLease *)value)->expires_at_us = world->now_us + ((WorldLease *)value)->ttl_us;
 }
 
 void
 world_kv_outage(World *world, double seconds) {
-  world->outage_from_us = world->now_us;
   world->outage_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
   world_schedule(world, world->outage_until_us, on_outage_over, world);
 }
@@ -368,7 +367,7 @@
     WorldLease *lease = g_new(WorldLease, 1);
     *lease
         = (WorldLease){ ++world->next_lease, (gint64)mm_json_count(body, WIRE_TTL, 0) * 1000, 0 };
-    lease->expires_us = world->now_us + lease->ttl_us;
+    lease->expires_at_us = world->now_us + lease->ttl_us;
     g_hash_table_insert(world->leases, &lease->id, lease);
     *response = json_pack("{s:I}", WIRE_LEASE, (json_int_t)lease->id);
     return 200;
@@ -378,7 +377,7 @@
     WorldLease *lease = g_hash_table_lookup(world->leases, &id);
     if (lease == NULL)
       return 404;
-    lease->expires_us = world->now_us + lease->ttl_us;
+    lease->expires_at_us = world->now_us + lease->ttl_us;
     *response = json_object();
     return 200;
   }
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -64,17 +64,17 @@
   for (guint i = 1; i < all->len; i++) {
     const WorldJob *ancestor = g_ptr_array_index(all, i);
     if (ancestor->user_view == USER_SEES_CANCELLED
-        && (first_us == 0 || ancestor->cancel_seen_us < first_us))
-      first_us = ancestor->cancel_seen_us;
+        && (first_us == 0 || ancestor->cancelled_at_us < first_us))
+      first_us = ancestor->cancelled_at_us;
   }
-  return first_us != 0 ? MAX(first_us, job->submitted_us) : 0;
+  return first_us != 0 ? MAX(first_us, job->submitted_at_us) : 0;
 }
 
 void
-world_note_ready_jobs(World *world) {
+world_record_ready_jobs(World *world) {
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
-    if (job->ready_us == 0 && world_job_is_ready(job))
-      job->ready_us = job->dependencies->len == 0 ? job->submitted_us : world->now_us;
+    if (job->ready_at_us == 0 && world_job_is_ready(job))
+      job->ready_at_us = job->dependencies->len == 0 ? job->submitted_at_us : world->now_us;
   }
 }
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -140,7 +140,7 @@
       return FALSE;
     }
     world->n_delayed_commands += request->was_delayed;
-    machine->n_direct_while_mute += world->now_us < machine->outbound_lost_until_us;
+    machine->n_direct_while_outbound_lost += world->now_us < machine->outbound_lost_until_us;
     if (strcmp(request->path, WIRE_STATUS_PATH) == 0) {
       request->status = 200;
       request->response_body = world_machine_heartbeat(machine);
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -169,7 +169,7 @@
     inbound_request_duplicate(world, to, request, world->now_us + world_duplicate_delay(world));
   }
   if (sender != NULL && sender->duplicate_at_us != 0) {
-    inbound_request_duplicate(world, sender->duplicate_to, request, sender->duplicate_at_us);
+    inbound_request_duplicate(world, sender->duplicate_node, request, sender->duplicate_at_us);
     sender->duplicate_at_us = 0;
   }
   inbound_request_release(request);
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -14,7 +14,7 @@
 /* The map as the state service has it. Free with mm_group_map_free. */
 static MmGroupMap *
 stored_group_map(const World *world) {
-  MmGroupMap *map = mm_group_map_new(world->groups);
+  MmGroupMap *map = mm_group_map_new(world->group_count);
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     g_autofree char *label = g_strdup_printf("n-%u", i);
@@ -89,17 +89,17 @@
   }
   if (world->unowned_since_us == 0)
     world->unowned_since_us = world->now_us;
-  if (world->faults_ended_us == 0 || world->now_us < world->faults_ended_us)
+  if (world->faults_ended_at_us == 0 || world->now_us < world->faults_ended_at_us)
     return;
-  since = world->now_us - MAX(world->unowned_since_us, world->faults_ended_us);
-  world->worst_unowned_us = MAX(world->worst_unowned_us, since);
+  since = world->now_us - MAX(world->unowned_since_us, world->faults_ended_at_us);
+  world->longest_unowned_us = MAX(world->longest_unowned_us, since);
   if (since > UNOWNED_MAX_US)
     world_report_violation(world, "a group has had no owner for %.1f s", (double)since / SECOND);
 }
 
 void
 world_check_sharing(World *world) {
-  if (world->groups == 0)
+  if (world->group_count == 0)
     return;
   for (guint i = 0; i < world->machines->len; i++)
     check_one_granter(world, g_ptr_array_index(world->machines, i));
@@ -149,7 +149,8 @@
   char *key;
   double *granted;
 
-  if (world->groups == 0 || controller == NULL || !controller->sharing->is_active || cores == 0)
+  if (world->group_count == 0 || controller == NULL || !controller->sharing->is_active
+      || cores == 0)
     return;
   key = g_strdup_printf(
       "%s/%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT, mm_json_string(heartbeat, WIRE_MACHINE),
@@ -187,7 +188,7 @@
 void
 world_random_move(World *world) {
   world_move_group(world, (guint)g_rand_int_range(world->rand, 0, WORLD_NODES),
-                   (guint)g_rand_int_range(world->rand, 0, (gint32)world->groups),
+                   (guint)g_rand_int_range(world->rand, 0, (gint32)world->group_count),
                    (guint)g_rand_int_range(world->rand, 0, WORLD_NODES));
 }
 
@@ -202,5 +203,5 @@
 
 guint
 world_group_of_machine(const World *world, const WorldMachine *machine) {
-  return mm_group_of_machine(machine->id, world->groups);
+  return mm_group_of_machine(machine->id, world->group_count);
 }
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -37,7 +37,7 @@
 
   world_kill_node(world, index, down_s);
   world_node->is_old_version = FALSE;
-  world_node->operators.groups = world->groups;
+  world_node->operators.groups = world->group_count;
   /* Its last life may still read the old ones. */
   g_ptr_array_add(world->retired_settings, world_node->settings);
   world_node->settings = world_node_settings(world, index);
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -65,7 +65,7 @@
   World *world = job->world;
   const char *state = mm_json_string(body, WIRE_STATE);
 
-  job->last_answer_us = world->now_us;
+  job->last_answer_at_us = world->now_us;
   if (g_strcmp0(state, WIRE_DONE) == 0) {
     if (job->n_done < job->spec.n_tasks)
       world_report_violation(world, "not_done: %s is called done with %u of %u tasks", job->id,
@@ -77,7 +77,7 @@
     if (!world_job_may_be_cancelled(job) || job->user_view == USER_SEES_DONE)
       world_report_violation(world, "went_back: %s is called cancelled", job->id);
     if (job->user_view != USER_SEES_CANCELLED)
-      job->cancel_seen_us = world->now_us;
+      job->cancelled_at_us = world->now_us;
     job->user_view = USER_SEES_CANCELLED;
   } else {
     if (question->user_view == USER_SEES_DONE || question->user_view == USER_SEES_CANCELLED)
@@ -109,7 +109,7 @@
 submit_job(gpointer data) {
   WorldJob *job = data;
 
-  if (job->world->is_closing)
+  if (job->world->is_shutting_down)
     return;
   world_send_request(job->world, pick_node(job->world), NULL, "POST", WIRE_JOBS_PATH,
                      json_deep_copy(job->body), 5 * (gint64)G_USEC_PER_SEC, on_submit_response,
@@ -154,7 +154,7 @@
   WorldJob *job = data;
   g_autofree char *path = g_strdup_printf(WIRE_JOBS_PATH "/%s", job->id);
 
-  if (!job->world->is_closing)
+  if (!job->world->is_shutting_down)
     world_send_request(job->world, pick_node(job->world), NULL, "GET", path, NULL,
                        2 * (gint64)G_USEC_PER_SEC, on_poll_response, user_question_new(job));
 }
@@ -175,7 +175,7 @@
   WorldJob *job = data;
   g_autofree char *path = g_strdup_printf(WIRE_JOBS_PATH "/%s/" WIRE_CANCEL_WORD, job->id);
 
-  if (job->world->is_closing)
+  if (job->world->is_shutting_down)
     return;
   if (!job->was_accepted) {
     world_schedule(job->world, job->world->now_us + G_USEC_PER_SEC, cancel_job, job);
@@ -204,7 +204,7 @@
 
   job->world = world;
   job->run_s = run_s;
-  job->submitted_us = world->now_us;
+  job->submitted_at_us = world->now_us;
   g_snprintf(job->id, sizeof job->id, "run-%06u", (++world->next_job * 7919) % 1000000);
   job->body = json_pack(
       "{s:s, s:s, s:s, s:s, s:s, s:i, s:f, s:f, s:f, s:s, s:f, s:b, s:b, s:b, s:f, s:f, s:f}",
@@ -225,7 +225,7 @@
 }
 
 json_t *
-world_random_job(World *world) {
+world_random_job_body(World *world) {
   static const char *const kinds[]
       = { WIRE_KIND_ARRAY, WIRE_KIND_ARRAY, WIRE_KIND_SERVICE, WIRE_KIND_GANG };
   static const char *const priorities[] = { "low", "normal", "urgent", "critical" };
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -7,8 +7,9 @@
 
 #define TIMEOUT_US (4 * (gint64)G_USEC_PER_SEC)
 
-static const char *const states[] = { "fetching", "gathering", "running", "flushing", "ended" };
-static const char *const causes[]
+static const char *const reported_state_words[]
+    = { "fetching", "gathering", "running", "flushing", "ended" };
+static const char *const cause_words[]
     = { "", "done", "halted", "peers", "alone", "error", "no_room", "busy", "no_such" };
 
 static void worker_tick(gpointer data);
@@ -17,7 +18,7 @@
 world_find_machine_by_address(World *world, const char *addr) {
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    if (machine->is_up && strcmp(machine->addr, addr) == 0)
+    if (machine->is_up && strcmp(machine->address, addr) == 0)
       return machine;
   }
   return NULL;
@@ -28,12 +29,12 @@
   WorldMachine *machine = data;
   World *world = machine->world;
 
-  if (machine->is_gone || machine->has_failed)
+  if (machine->is_terminated || machine->has_failed)
     return;
   machine->is_up = TRUE;
   machine->incarnation++;
-  machine->lease_renewed_us = world->now_us;
-  machine->node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
+  machine->lease_renewed_at_us = world->now_us;
+  machine->serving_node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
   worker_tick(machine);
 }
 
@@ -47,18 +48,19 @@
   for (guint i = 0; i < machine->tasks->len; i++) {
     const WorldTask *task = g_ptr_array_index(machine->tasks, i);
     g_autofree char *name = g_strdup_printf("%s/%u", task->job->id, task->number);
-    json_t *item = json_pack("{s:s, s:I, s:s}", WIRE_TASK, name, WIRE_ATTEMPT,
-                             (json_int_t)task->attempt, WIRE_STATE, states[task->state]);
+    json_t *item
+        = json_pack("{s:s, s:I, s:s}", WIRE_TASK, name, WIRE_ATTEMPT, (json_int_t)task->attempt,
+                    WIRE_STATE, reported_state_words[task->state]);
     if (task->state == MM_REPORTED_ENDED)
-      json_object_set_new(item, WIRE_CAUSE, json_string(causes[task->cause]));
+      json_object_set_new(item, WIRE_CAUSE, json_string(cause_words[task->cause]));
     json_array_append_new(tasks, item);
   }
   heartbeat = json_pack("{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:o}", WIRE_MACHINE, machine->id,
-                        WIRE_ADDR, machine->addr, WIRE_TYPE, machine->type, WIRE_ZONE,
-                        machine->zone, WIRE_SPOT, machine->spot, WIRE_SESSION,
+                        WIRE_ADDR, machine->address, WIRE_TYPE, machine->type, WIRE_ZONE,
+                        machine->zone, WIRE_SPOT, machine->is_spot, WIRE_SESSION,
                         (json_int_t)machine->incarnation, WIRE_SEQ, (json_int_t)machine->sequence,
                         WIRE_TOKEN, (json_int_t)machine->fencing_token, "kits", tasks);
-  if (machine->notice_us != 0)
+  if (machine->notice_at_us != 0)
     json_object_set_new(
         heartbeat, WIRE_NOTICE,
         json_real((double)(machine->reclaimed_at_us - world->now_us) / G_USEC_PER_SEC));
@@ -89,7 +91,8 @@
   gboolean was_running = task->state == MM_REPORTED_RUNNING;
   gboolean was_on = world_task_is_on_machine(task);
 
-  mm_debug("world: %s/%u ends on %s: %s", task->job->id, task->number, machine->id, causes[cause]);
+  mm_debug("world: %s/%u ends on %s: %s", task->job->id, task->number, machine->id,
+           cause_words[cause]);
   task->state = MM_REPORTED_ENDED;
   task->cause = cause;
   machine->has_changed = TRUE;
@@ -153,11 +156,11 @@
     return;
   /* Workers drop answers after 4 s: none that was under way then comes so late. */
   if (job->user_view == USER_SEES_CANCELLED
-      && world->now_us - job->cancel_seen_us > TIMEOUT_US + 100000)
+      && world->now_us - job->cancelled_at_us > TIMEOUT_US + 100000)
     world_report_violation(world, "ran_cancelled: %s/%u is started after it was called off",
                            job->id, number);
   job->n_starts++;
-  job->last_start_us = world->now_us;
+  job->last_start_at_us = world->now_us;
   task = g_new0(WorldTask, 1);
   task->job = job;
   task->number = number;
@@ -176,7 +179,7 @@
           || memory < job->spec.task_resources.memory_gb - 1e-9))
     task->cause = MM_CAUSE_NO_RESOURCES;
   world->n_no_resources += task->cause == MM_CAUSE_NO_RESOURCES;
-  if (task->cause == MM_CAUSE_NO_RESOURCES && world->groups > 0)
+  if (task->cause == MM_CAUSE_NO_RESOURCES && world->group_count > 0)
     world_report_violation(world, "granted twice: %s has no resources for %s/%u", machine->id,
                            job->id, number);
   g_ptr_array_add(machine->tasks, task);
@@ -187,7 +190,8 @@
     return;
   }
   task->state = MM_REPORTED_FETCHING;
-  task->next_change_us = world->now_us + (gint64)(world_uniform(world, 0.05, 1.5) * G_USEC_PER_SEC);
+  task->next_change_at_us
+      = world->now_us + (gint64)(world_uniform(world, 0.05, 1.5) * G_USEC_PER_SEC);
 }
 
 static void
@@ -265,15 +269,15 @@
       if (machine->incarnation == request->incarnation && fencing_token != 0
           && fencing_token >= machine->fencing_token) {
         machine->fencing_token = fencing_token;
-        machine->lease_renewed_us = request->sent_us;
+        machine->lease_renewed_at_us = request->sent_us;
         execute_commands(machine, json_object_get(body, WIRE_COMMANDS));
       }
     } else if (status == 421 && redirect_label != NULL) {
-      machine->node = (guint)atoi(redirect_label + 2);
-      machine->next_heartbeat_us = world->now_us + 100000;
+      machine->serving_node = (guint)atoi(redirect_label + 2);
+      machine->next_heartbeat_at_us = world->now_us + 100000;
     } else {
-      machine->node = (machine->node + 1) % WORLD_NODES;
-      machine->next_heartbeat_us = world->now_us + G_USEC_PER_SEC;
+      machine->serving_node = (machine->serving_node + 1) % WORLD_NODES;
+      machine->next_heartbeat_at_us = world->now_us + G_USEC_PER_SEC;
     }
   }
   g_free(request);
@@ -294,14 +298,14 @@
   world->n_heartbeats++;
   machine->is_heartbeat_in_flight = TRUE;
   machine->has_changed = FALSE;
-  machine->last_heartbeat_us = world->now_us;
-  machine->next_heartbeat_us
+  machine->last_heartbeat_at_us = world->now_us;
+  machine->next_heartbeat_at_us
       = world->now_us
         + (gint64)(world->heartbeat_interval_s * world_uniform(world, 0.75, 1.25) * G_USEC_PER_SEC);
   if (world->now_us < machine->outbound_lost_until_us)
     world_schedule(world, world->now_us + 500000, on_connect_failure, request);
   else
-    world_send_request(world, machine->node, machine, "POST", WIRE_REPORT_PATH,
+    world_send_request(world, machine->serving_node, machine, "POST", WIRE_REPORT_PATH,
                        world_machine_heartbeat(machine), TIMEOUT_US, on_heartbeat_response,
                        request);
 }
@@ -328,7 +332,7 @@
 advance_task(WorldMachine *machine, WorldTask *task) {
   World *world = machine->world;
 
-  if (world->now_us < task->next_change_us || task->state == MM_REPORTED_ENDED)
+  if (world->now_us < task->next_change_at_us || task->state == MM_REPORTED_ENDED)
     return;
   if (task->state == MM_REPORTED_FETCHING && task->job->is_task_done[task->number]) {
     world->n_starts++;
@@ -348,13 +352,13 @@
     if (task->job->spec.kind == MM_JOB_KIND_GANG && task->job->spec.n_tasks > 1) {
       task->state = MM_REPORTED_WAITING_FOR_GANG;
       task->remaining_s = 20;
-      task->next_change_us = world->now_us;
+      task->next_change_at_us = world->now_us;
       return;
     }
     task->state = MM_REPORTED_RUNNING;
     task->remaining_s
         = task->job->run_s * world_uniform(world, 0.8, 1.2) + task->number * task->job->stagger_s;
-    task->next_change_us = world->now_us + (gint64)(task->remaining_s * G_USEC_PER_SEC);
+    task->next_change_at_us = world->now_us + (gint64)(task->remaining_s * G_USEC_PER_SEC);
     return;
   }
   if (task->state == MM_REPORTED_WAITING_FOR_GANG) {
@@ -362,7 +366,7 @@
     if (is_gang_complete(world, task)) {
       machine->has_changed = TRUE;
       task->state = MM_REPORTED_RUNNING;
-      task->next_change_us = world->now_us + (gint64)(task->job->run_s * G_USEC_PER_SEC);
+      task->next_change_at_us = world->now_us + (gint64)(task->job->run_s * G_USEC_PER_SEC);
     } else if (task->remaining_s < 0) {
       end_task(machine, task, MM_CAUSE_GANG_INCOMPLETE);
     }
@@ -384,16 +388,16 @@
   if (!machine->is_up)
     return;
   world_schedule(world, world->now_us + 50000, worker_tick, machine);
-  if (machine->notice_us != 0 && world->now_us >= machine->reclaimed_at_us) {
+  if (machine->notice_at_us != 0 && world->now_us >= machine->reclaimed_at_us) {
     world_kill_machine(world, machine);
-    machine->is_gone = TRUE;
+    machine->is_terminated = TRUE;
     return;
   }
-  if ((double)(world->now_us - machine->lease_renewed_us) > world->lease_s * G_USEC_PER_SEC) {
+  if ((double)(world->now_us - machine->lease_renewed_at_us) > world->lease_s * G_USEC_PER_SEC) {
     mm_debug("world: the lease of %s has run out", machine->id);
     world_machine_clear_tasks(machine);
     machine->incarnation++;
-    machine->lease_renewed_us = world->now_us;
+    machine->lease_renewed_at_us = world->now_us;
     machine->has_changed = TRUE;
   }
   /* The lease ends also while the machine hangs: it may resume within its lease only. */
@@ -403,7 +407,7 @@
     advance_task(machine, g_ptr_array_index(machine->tasks, i));
   if (machine->is_heartbeat_in_flight)
     return;
-  if (world->now_us >= machine->next_heartbeat_us
-      || (machine->has_changed && world->now_us - machine->last_heartbeat_us >= 500000))
+  if (world->now_us >= machine->next_heartbeat_at_us
+      || (machine->has_changed && world->now_us - machine->last_heartbeat_at_us >= 500000))
     send_heartbeat(machine);
 }
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -160,7 +160,7 @@
   guint to = node_index(world_node->index, peer);
   LinkMessage *message;
 
-  if (world_node->node == NULL || world->nodes[to].node == NULL || world_node->half_open[to]
+  if (world_node->node == NULL || world->nodes[to].node == NULL || world_node->is_link_half_open[to]
       || world->now_us < world_node->cut_until_us || world->now_us < world->nodes[to].cut_until_us
       || world->now_us < world->links_refused_until_us)
     return;
@@ -240,7 +240,7 @@
   if (world_defer_while_frozen(from, message->from_generation, on_link_up, message))
     return;
   if (from->node != NULL && to->node != NULL && from->generation == message->from_generation
-      && to->generation == message->to_generation && !from->half_open[message->to]
+      && to->generation == message->to_generation && !from->is_link_half_open[message->to]
       && message->world->now_us >= from->cut_until_us && message->world->now_us >= to->cut_until_us
       && message->world->now_us >= message->world->links_refused_until_us)
     mm_peer_links_connected(from->node->peer_links, peer_index(message->from, message->to));
@@ -265,7 +265,7 @@
   guint to = node_index(world_node->index, peer);
 
   world_node->world->n_reconnects++;
-  world_node->half_open[to] = FALSE;
+  world_node->is_link_half_open[to] = FALSE;
   mm_peer_links_disconnected(world_node->node->peer_links, peer);
   link_nodes(world_node->world, world_node->index, to);
 }
@@ -292,7 +292,7 @@
           platform_send, platform_reconnect, platform_call_after };
   NodeTimer *tick_timer;
 
-  if (world->is_closing)
+  if (world->is_shutting_down)
     return;
   tick_timer = g_new(NodeTimer, 1);
   world_node->clock_rate = world_uniform(world, 1.0, 1.0005);
@@ -324,7 +324,7 @@
       continue;
     mm_peer_links_disconnected(world->nodes[i].node->peer_links, peer_index(i, index));
     mm_peer_links_disconnected(world_node->node->peer_links, peer_index(index, i));
-    world->nodes[i].half_open[index] = world_node->half_open[i] = FALSE;
+    world->nodes[i].is_link_half_open[index] = world_node->is_link_half_open[i] = FALSE;
   }
   world_schedule(world, world_node->cut_until_us + 1000, on_cut_over, world_node);
 }
@@ -345,7 +345,7 @@
     return;
   world->links_refused_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
   for (guint i = 0; i < WORLD_NODES; i++) {
-    memset(world->nodes[i].half_open, 0, sizeof world->nodes[i].half_open);
+    memset(world->nodes[i].is_link_half_open, 0, sizeof world->nodes[i].is_link_half_open);
     for (guint k = 0; k < WORLD_NODES - 1 && world->nodes[i].node != NULL; k++)
       mm_peer_links_disconnected(world->nodes[i].node->peer_links, k);
   }
@@ -391,14 +391,14 @@
   world_node->node = NULL;
   world_node->generation++;
   world_node->frozen_until_us = 0;
-  memset(world_node->half_open, 0, sizeof world_node->half_open);
+  memset(world_node->is_link_half_open, 0, sizeof world_node->is_link_half_open);
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (i == index || world->nodes[i].node == NULL)
       continue;
     /* One that is being opened is tried again until it stands. */
     if (world->ends_leave_half_open
         && world->nodes[i].node->peer_links->peers[peer_index(i, index)].is_connected)
-      world->nodes[i].half_open[index] = TRUE;
+      world->nodes[i].is_link_half_open[index] = TRUE;
     else
       mm_peer_links_disconnected(world->nodes[i].node->peer_links, peer_index(i, index));
   }
@@ -499,7 +499,7 @@
     world_node->index = i;
     world_node->settings = world_node_settings(world, i);
     world_node->operators = mm_operators_defaults();
-    world_node->operators.groups = world_node->is_old_version ? 0 : world->groups;
+    world_node->operators.groups = world_node->is_old_version ? 0 : world->group_count;
     world_node->operators.group_hold_s = world->group_hold_s;
     world_schedule(world, world->now_us + (gint64)i * 30000, boot_node, world_node);
   }
@@ -515,7 +515,7 @@
 world_free(World *world) {
   gint64 until;
 
-  world->is_closing = TRUE;
+  world->is_shutting_down = TRUE;
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (world->nodes[i].node != NULL)
       g_ptr_array_add(world->ended_nodes, world->nodes[i].node);
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -1,6 +1,13 @@
-/* A simulated world: state service, cloud, workers, users and the network between them and the
- * nodes under test, on one queue of events. Everything is drawn from one seed. After every event
- * that changes what runs, the rules are checked. */
+/* A simulated world: the key-value store, the cloud, workers, users and the network between them
+ * and the nodes under test, on one queue of events.
+ *
+ * All draws come from one seed, so a world with the same seed and the same calls runs the same way.
+ * After each event that changes what runs, the invariants are checked; a broken one is kept as text
+ * in `violations` and fails the test at its end.
+ *
+ * Units: `_us` is simulated time in microseconds, `_at_us`, `_since_us` and `_until_us` are
+ * instants of it, `_s` is seconds. 0 means "none" or "not yet" for an instant, unless said
+ * otherwise. */
 #pragma once
 
 #include "machines/machine-table.h"
@@ -10,28 +17,33 @@
 
 typedef struct World World;
 
+/* One controller node, up or down. The struct outlives the processes that run as this node. */
 typedef struct {
   World *world;
-  guint index;
+  guint index; /* in World.nodes */
   MmSettings *settings;
   MmOperators operators;
-  MmNode *node; /* NULL while it is down */
-  guint generation;
-  gint64 down_until_us;
-  gint64 kv_refuses_until_us;   /* the state service refuses this node alone */
-  gint64 workers_cut_until_us;  /* it reaches no worker, and none reaches it */
-  gint64 watches_lost_until_us; /* its watches get no answer, its other requests do */
-  gint64 cut_until_us; /* neither the state service, the cloud nor the other nodes are reached */
-  gboolean
-      cut_delays_messages; /* what is sent meanwhile is held and delivered late, else it is lost */
-  gint64 frozen_until_us;  /* it stands still, while its clocks run on and its sockets fill */
-  gboolean half_open[WORLD_NODES]; /* its link to that node leads nowhere and looks open */
-  double clock_rate;
-  guint64 highest_format;  /* that it knows; 0: as the program does */
-  gboolean is_old_version; /* it speaks and stores as the version before dependencies and smaller
+  MmNode *node;      /* NULL while it is down */
+  guint generation;  /* of the process: rises when it ends */
+  double clock_rate; /* its steady clock advances this many times as fast as simulated time */
+
+  /* what it understands */
+  guint64 highest_format;  /* the highest format that it supports; 0: the program's own */
+  gboolean is_old_version; /* it speaks and stores as the release before dependencies and announced
                               limits did */
+
+  /* injected faults */
+  gint64 kv_refuses_until_us;   /* the key-value store answers 503 to this node only */
+  gint64 workers_cut_until_us;  /* neither it nor any worker reaches the other */
+  gint64 watches_lost_until_us; /* its watches get no answer, its other requests do */
+  gint64 cut_until_us; /* it reaches neither the key-value store, the cloud nor the other nodes */
+  gboolean cut_delays_messages; /* its requests to the key-value store arrive after the cut, else
+                                   they are lost */
+  gint64 frozen_until_us;       /* the process is suspended; its clocks run on, its sockets fill */
+  gboolean is_link_half_open[WORLD_NODES]; /* frames to that node are lost, the link looks open */
 } WorldNode;
 
+/* The latest state of a job that its user was answered. */
 typedef enum {
   USER_SEES_NOTHING,
   USER_SEES_ACCEPTED,
@@ -40,363 +52,437 @@
 } WorldUserView;
 
 typedef struct WorldJob WorldJob;
+/* A job of a user: the request, what the user was answered, and what truly happened. */
 struct WorldJob {
   World *world;
   char id[32];
-  json_t *body;
+  json_t *body; /* of the submission */
   MmJobSpec spec;
-  GPtrArray *dependencies; /* WorldJob: the jobs that it depends on */
-  gint64 ready_us;         /* when the last of them was done; 0: not yet */
+  GPtrArray *dependencies; /* WorldJob, not owned */
+  double run_s;            /* of each task, give or take a fifth */
+  double stagger_s;        /* each next task runs so much longer */
+
+  /* what its user knows */
   WorldUserView user_view;
   gboolean was_accepted;
-  gint64 cancel_seen_us; /* when it was told cancelled */
   gboolean is_cancel_requested;
-  gboolean *is_task_done; /* by task, in truth */
+  gint64 submitted_at_us;
+  gint64 cancelled_at_us;   /* when the cancellation was confirmed */
+  gint64 last_answer_at_us; /* when a request about it was last answered */
+
+  /* what happened */
+  gboolean *is_task_done; /* by task number */
   guint n_done;
-  double run_s;
-  double stagger_s;     /* so much longer runs each next task */
-  guint n_starts;       /* of its tasks, ever */
-  gint64 last_start_us; /* when one of them was last given to a machine */
-  gint64
-      waiting_since_us;  /* since when it waits though it need not, see the rules; 0: it does not */
-  gint64 last_answer_us; /* when a question about it was last answered */
-  gint64 submitted_us;
-  gint64 first_start_us; /* when its first task was on a machine */
+  guint n_starts;           /* starts that reached a machine, of all its tasks */
+  gint64 ready_at_us;       /* when the last of its dependencies was done */
+  gint64 first_start_at_us; /* when its first task was on a machine */
+  gint64 last_start_at_us;  /* when a start of it last reached a machine */
+  gint64 waiting_since_us;  /* since when it waits needlessly, see world_check_waiting() */
 };
 
+/* An attempt of a task on a machine. */
 typedef struct {
   WorldJob *job;
-  guint number;
+  guint number; /* of the task in its job */
   guint64 attempt;
   guint8 state; /* MmReportedState */
-  guint8 cause;
-  gint64 next_change_us; /* when the next change of state is due */
+  guint8 cause; /* MmCause of its end */
+  gint64 next_change_at_us;
   double remaining_s;
-  guint64 generation; /* tells an event for this task from one for an earlier one */
 } WorldTask;
 
+/* A machine and the worker on it. */
 typedef struct {
   World *world;
   char id[32];
-  char addr[64];
+  char address[64];
   char type[16];
   char zone[16];
-  gboolean spot;
-  gboolean is_up; /* the machine runs */
-  gboolean is_gone;
+  gboolean is_spot;
+  gint64 launched_at_us;
+  gint64 boots_at_us;
+  gboolean is_up; /* the worker runs */
   gboolean has_failed;
-  gint64 hung_until_us;
-  gint64 cut_until_us;           /* its network is interrupted; what is sent is held */
-  gint64 inbound_lost_until_us;  /* its reports arrive, but no answer or command reaches it */
-  gint64 outbound_lost_until_us; /* it reaches no node, but direct commands reach it */
-  guint n_direct_while_mute;     /* direct commands that reached it then */
-  gint64 duplicate_at_us;        /* of its next report a copy comes then; 0: of none */
-  guint duplicate_to;            /* and to this node */
+  gboolean is_terminated; /* returned or reclaimed: the cloud lists it no more */
+  GPtrArray *tasks;       /* WorldTask */
+  double failure_rate;    /* share of tasks that fail on it */
+  gint64 notice_at_us;    /* of its termination notice */
+  gint64 reclaimed_at_us; /* when the notice is over */
+
+  /* heartbeats */
   guint64 incarnation, sequence, fencing_token;
-  gint64 lease_renewed_us;
-  guint node; /* the node it reports to */
+  gint64 lease_renewed_at_us;
+  guint serving_node; /* index of the node to which it sends heartbeats */
   gboolean is_heartbeat_in_flight;
-  guint64 heartbeat_number;
-  gint64 next_heartbeat_us;
-  gint64 last_heartbeat_us;
-  gboolean has_changed;
-  gint64 launched_us;
-  gint64 boots_at_us;
-  GPtrArray *tasks;    /* WorldTask */
-  double failure_rate; /* share of tasks that fail on it */
-  gint64 notice_us;    /* 0: none */
-  gint64 reclaimed_at_us;
+  guint64 heartbeat_number; /* of requests; an answer to an earlier one is dropped */
+  gint64 next_heartbeat_at_us;
+  gint64 last_heartbeat_at_us;
+  gboolean has_changed; /* since the last heartbeat: the next one may be sent early */
+
+  /* injected faults */
+  gint64 hung_until_us;          /* the worker is suspended */
+  gint64 cut_until_us;           /* its network is interrupted; messages are delivered afterwards */
+  gint64 inbound_lost_until_us;  /* heartbeats arrive, answers and direct commands are lost */
+  gint64 outbound_lost_until_us; /* heartbeats are lost, direct commands arrive */
+  guint n_direct_while_outbound_lost; /* direct commands that arrived then */
+  gint64 duplicate_at_us; /* when a copy of the next heartbeat arrives; 0: no copy is made */
+  guint duplicate_node;   /* index of the node at which it arrives */
 } WorldMachine;
 
+/* A key of the simulated key-value store. */
 typedef struct {
   json_t *value;
   guint64 version;
-  guint64 lease_id;
+  guint64 lease_id; /* 0: on no lease */
 } WorldKey;
 
 typedef struct {
   guint64 id;
   gint64 ttl_us;
-  gint64 expires_us;
+  gint64 expires_at_us;
 } WorldLease;
 
-/* What befalls a task on a machine. */
+/* What happens to a task on a machine. */
 typedef enum {
   WORLD_TASK_STARTS, /* it is on the machine from now on */
   WORLD_TASK_ENDS,   /* by itself, by command, or with its machine: no cause is set then */
-  WORLD_TASK_REFUSED /* it was not taken, see the cause */
+  WORLD_TASK_REFUSED /* it did not start, see the cause */
 } WorldTaskEvent;
 
 typedef void (*WorldTaskObserver)(gpointer data, const WorldMachine *machine, const WorldTask *task,
                                   WorldTaskEvent event);
-/* A request to a node, as world_ask_node has it. Takes the body. */
+/* Sends a request to a node, as world_send_request() does. Takes the body. */
 typedef void (*WorldRequestHandler)(World *world, guint index, const char *method, const char *path,
                                     json_t *body, gint64 timeout_us, MmResponseCallback answered,
                                     gpointer data);
 
 struct World {
-  WorldRequestHandler
-      request_handler; /* nodes are processes that are reached otherwise; NULL: they live here */
-  gpointer request_handler_data;
-  WorldTaskObserver observe_task; /* is told of each task; may be NULL */
-  gpointer observer_data;
+  /* time and chance */
   GRand *rand;
   gint64 now_us;
-  GSequence *events;
+  GSequence *events; /* ordered by time, then by when they were scheduled */
   guint64 n_events;
+  gboolean is_shutting_down; /* nodes do not start any more */
+
+  /* nodes */
   WorldNode nodes[WORLD_NODES];
-  GPtrArray *ended_nodes; /* MmNode whose answers have not all come in */
-  GPtrArray *retired_settings;
+  GPtrArray *ended_nodes; /* MmNode of ended processes: answers to their requests still come in */
+  GPtrArray *retired_settings; /* MmSettings that ended processes used */
+  WorldRequestHandler
+      request_handler; /* sends requests to nodes elsewhere; NULL: nodes live here */
+  gpointer request_handler_data;
 
-  /* state service */
+  /* parameters of the workload and of the nodes' settings */
+  double lease_s; /* of workers */
+  double heartbeat_interval_s;
+  double cancel_s;           /* within which a cancelled task ends */
+  double configured_lease_s; /* lease_s in the nodes' settings; 0: the true one */
+  guint capacity;            /* machines that the cloud has, for each type, zone and spot or not */
+  double team_cores;         /* each team's limit */
+  guint group_count;         /* machine groups in the operators' file; 0: machines are not shared */
+  double group_hold_s;       /* likewise, in the operators' file */
+
+  /* the key-value store */
   GTree *keys; /* path -> WorldKey */
   guint64 revision;
-  GPtrArray *changes; /* json_t events with their version */
-  GHashTable *leases;
-  guint64 next_lease;
-  GPtrArray *watches;
-  gint64 outage_until_us;
-  gint64 outage_from_us;
+  GPtrArray *changes; /* json_t events, each with its version */
+  GHashTable *leases; /* id -> WorldLease */
+  guint64 next_lease; /* id */
+  GPtrArray *watches; /* that wait for a change */
+  guint64 format;     /* the active format in truth; 0: its key is missing or malformed */
+  gint64 format_set_at_us;
   guint64 n_writes;
-  guint64 n_conflicts;       /* transactions whose conditions failed */
-  guint n_stops;             /* commands to stop that workers carried out, */
-  double last_stop_grace_s;  /* and the time to save that the last of them gave */
-  guint64 n_direct_commands; /* direct commands sent to workers */
-  guint64 n_frames;          /* between nodes, */
-  guint64 n_frame_bytes;     /* and what they took */
-  guint64 n_heartbeats;      /* that nodes were sent */
-
-  /* its limits; a request beyond them is a fault of the node, which knows them */
+  guint64 n_conflicts; /* transactions whose conditions failed */
+
+  /* limits of the key-value store; a larger transaction breaks an invariant, as nodes know them */
   guint value_bytes;
   guint txn_ops;
-  double write_rps; /* 0: no limit; beyond it 429 */
+  double write_rps; /* writes a second, beyond which it answers 429; 0: no limit */
   double write_tokens;
   gint64 write_tokens_at_us;
+  gboolean has_unannounced_limits; /* nodes do not know the limits: what is too large gets 400 */
+  gboolean announces_next_limits;  /* settings of nodes that start name the next, smaller limits */
   guint n_rate_limited;            /* requests that got 429 */
-  gboolean has_unannounced_limits; /* nodes don't know of the limits: what is too large gets 400 */
-  guint n_too_large;               /* such transactions */
-  gboolean announces_next_limits;  /* new nodes' settings name the smaller limits */
-
-  /* cloud */
-  GPtrArray *machines; /* WorldMachine */
-  guint next_machine;
-  GHashTable *launches;
+  guint n_too_large;               /* transactions that got 400 */
+
+  /* faults of the key-value store */
+  gint64 outage_until_us; /* it answers 503 to all nodes */
+  gint64 kv_slow_until_us;
+  double kv_slow_s;       /* until then, answers take up to this much longer */
+  double late_write_rate; /* share of transactions applied 2 to 12 s late, without an answer */
+  gboolean
+      delays_acquisitions; /* all transactions that write leaders or group owners are so late */
+  guint n_late_applied;    /* late transactions that were applied */
+  guint n_late_rejected;   /* late transactions whose conditions failed */
+
+  /* the cloud */
+  GPtrArray *machines;  /* WorldMachine */
+  guint next_machine;   /* number of the latest machine's name */
+  GHashTable *launches; /* request id -> json_t answer, for repetitions */
   gint64 cloud_down_until_us;
 
   /* users */
-  GPtrArray *jobs;
-  guint next_job;
-
+  GPtrArray *jobs;              /* WorldJob */
+  guint next_job;               /* number of the latest job's name */
+  gint avoided_node;            /* index of the node that no user asks; -1: none */
+  double cancel_at_end_rate;    /* share of jobs that are cancelled as their last task ends */
+  guint n_odd_requests_correct; /* requests of world_send_odd_requests() answered as they should */
+  gint64 waiting_checked_at_us; /* of world_check_waiting() */
+  gint64 faults_ended_at_us;    /* when the last injected fault ended */
+
+  /* faults of the network */
   gint64 links_refused_until_us; /* nodes refuse each other's connections */
-  gboolean ends_leave_half_open; /* machines of nodes that end leave their links half-open */
-  guint n_reconnects;            /* links that nodes opened anew of themselves */
-  gint avoided_node;             /* the node that no user asks; -1: none */
-  double stall_rate;             /* share of answers that a node stands still before sending */
-
-  guint cut_zone; /* of the node with this index */
+  gboolean ends_leave_half_open; /* links to a node that ends look open to the others */
+  guint cut_zone;                /* index of the node whose zone is cut off */
   gint64 zone_cut_until_us;
-  double duplicate_rate;      /* share of requests of which a late copy comes */
-  guint n_stale_incarnations; /* copies of reports that came when a newer session had begun */
-  double late_write_rate; /* share of transactions with no answer, carried out 2 to 12 s later */
-  gboolean delays_acquisitions; /* the same befalls all that move parts */
-  guint n_late_applied;         /* such that were applied, */
-  guint n_late_rejected;        /* and such that were not */
-  guint n_delayed_commands;     /* direct commands that were held up and carried out in the end */
-  gint64 kv_slow_until_us;      /* the state service answers up to slow_s late, */
-  double kv_slow_s;
-  double slow_links_s;       /* and workers' reports and their answers take up to so much longer */
-  double cancel_at_end_rate; /* share of jobs that are called off as their last task ends */
-  guint n_odd_correct;       /* odd requests with the right answer */
-  gint64 faults_ended_us;    /* when the last trouble ended; 0: not yet */
-  gint64 waiting_checked_us; /* when waiting was last looked at */
-
-  /* switches for the tests that break something on purpose */
-  gboolean ignore_acknowledgements;     /* owners take every machine for heard */
-  gboolean accept_duplicates;           /* nodes forget how new a machine's last report was */
-  gboolean respond_to_unacknowledging;  /* nodes answer machines on that show no sign of hearing */
-  gboolean lease_never_expires;         /* a node goes on as if its claim could not end */
-  gboolean view_never_stale;            /* nodes answer on however old what they have read is */
-  gboolean ignore_dependencies;         /* nodes take every dependency for done */
-  gboolean ignore_ancestors;            /* nodes don't cancel what depends on a cancelled job */
-  gboolean only_leader_knows_cancelled; /* only who holds a job's part knows that it is cancelled */
-  gboolean forget_grants;               /* owners of groups forget what they have granted */
-  gboolean ignore_group_acknowledgements; /* they take every machine for heard */
-  double configured_lease_s;              /* what the nodes' settings say; 0: the truth */
-
-  guint64 format; /* the active one, as it truly is; 0: the key is not readable */
-  gint64 format_set_us;
-
-  /* machines shared out among the nodes */
-  guint groups;              /* as the operators of new lives say; 0: they are not */
-  double group_hold_s;       /* likewise */
-  GHashTable *cores_granted; /* "machine/session/seq" -> double: cores started in answers to it */
-  guint n_moves_started;     /* by hand, as nodes answered */
-  guint n_double_owners;     /* times that two nodes took themselves for a machine's owner */
-  guint n_no_resources;      /* starts that a machine had no resources for */
-  gint64 unowned_since_us;   /* since when, as far as some node knows, a group has no owner */
-  gint64 worst_unowned_us;   /* the longest such time after troubles */
-
-  double lease_s, heartbeat_interval_s, cancel_s;
-  guint capacity;    /* machines of each type, zone and kind that the cloud has */
-  double team_cores; /* each team's limit */
-  guint n_starts;
-  gboolean is_closing;   /* users have gone home */
-  gboolean skips_checks; /* nothing is checked: where time is measured */
-  GPtrArray *violations; /* broken rules, as text */
+  double stall_rate;     /* share of answers that leave 0.1 to 3.9 s after the node gave them */
+  double duplicate_rate; /* share of requests of which a copy arrives late */
+  double slow_links_s;   /* heartbeats and their answers take up to this much longer */
+
+  /* counts */
+  guint n_starts;             /* tasks that were on a machine */
+  guint n_stops;              /* stop commands that workers executed */
+  double last_stop_grace_s;   /* time to save that the latest of them gave */
+  guint n_no_resources;       /* starts refused for want of resources on the machine */
+  guint64 n_heartbeats;       /* sent by workers */
+  guint n_stale_incarnations; /* copies of heartbeats that came after a newer incarnation began */
+  guint64 n_direct_commands;  /* sent by nodes */
+  guint n_delayed_commands;   /* direct commands that arrived after a cut or a hang was over */
+  guint64 n_frames;           /* sent between nodes */
+  guint64 n_frame_bytes;
+  guint n_reconnects; /* links that nodes opened anew */
+
+  /* machine groups */
+  GHashTable
+      *cores_granted;      /* "machine/incarnation/sequence" -> double: cores started in answers */
+  guint n_moves_started;   /* on an administrator's request, as nodes answered */
+  guint n_double_owners;   /* times that two nodes believed they own a machine's group */
+  gint64 unowned_since_us; /* since when some node sees a group without an owner */
+  gint64 longest_unowned_us; /* longest such duration after faults ended */
+
+  /* faults of the nodes themselves, with which tests show that the invariants find them */
+  gboolean ignore_acknowledgements;    /* shard leaders count every machine as acknowledged */
+  gboolean accept_duplicates;          /* nodes forget the heartbeat id of a machine's latest one */
+  gboolean respond_to_unacknowledging; /* nodes go on answering machines that ignore answers */
+  gboolean lease_never_expires;        /* nodes count their node lease as valid */
+  gboolean replica_never_stale;        /* nodes answer however stale their replica is */
+  gboolean ignore_dependencies;        /* nodes count every dependency as done */
+  gboolean ignore_ancestors;           /* nodes do not cancel dependents of a cancelled job */
+  gboolean only_leader_knows_cancelled;   /* only the shard leader knows that a job is cancelled */
+  gboolean forget_grants;                 /* group owners forget what they have granted */
+  gboolean ignore_group_acknowledgements; /* group owners count every machine as acknowledged */
+
+  /* checks */
+  gboolean skips_checks;          /* invariants are not checked: for measurements of time */
+  GPtrArray *violations;          /* broken invariants, as text */
+  WorldTaskObserver observe_task; /* called for each event of a task; may be NULL */
+  gpointer observer_data;
 };
 
 typedef void (*WorldCallback)(gpointer data);
 
+/* ---- world.c: the life of a world ---- */
+
+/* The caller may set parameters before world_start(). Free with world_free(). */
 World *world_new(guint32 seed);
-MmSettings *world_node_settings(World *world, guint index);
+/* Boots the nodes one after the other. */
 void world_start(World *world);
+/* Ends all nodes and machines, lets the requests under way come to their end and frees everything.
+ */
 void world_free(World *world);
+/* Adds a broken invariant to `violations`. */
+void world_report_violation(World *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
+
+/* ---- event-queue.c ---- */
+
+/* Runs the events of this much simulated time. */
 void world_run(World *world, double seconds);
-void world_schedule(World *world, gint64 us, WorldCallback callback, gpointer data);
-gint64 world_network_delay(World *world);
+/* Calls back at `at_us`, or now if that is in the past. Events of one instant keep their order. */
+void world_schedule(World *world, gint64 at_us, WorldCallback callback, gpointer data);
+/* One draw, uniform in [from, to). */
 double world_uniform(World *world, double from, double to);
+/* How long a message is under way, in microseconds; a draw. */
+gint64 world_network_delay(World *world);
 
-/* A node loses the state service, the cloud and the other nodes, but not its workers. */
+/* ---- nodes.c: processes and what befalls them ---- */
+
+/* Settings of the node, as the world's parameters say. Free with mm_settings_free(). */
+MmSettings *world_node_settings(World *world, guint index);
+/* Ends the process; it is started again `down_s` later. */
+void world_kill_node(World *world, guint index, double down_s);
+/* Suspends the process; what reaches it meanwhile waits, in order. */
+void world_freeze_node(World *world, guint index, double seconds);
+
+/* ---- network.c: cuts ---- */
+
+/* The node loses the key-value store, the cloud and the other nodes, but not its workers. */
 void world_cut_node(World *world, guint index, double seconds, gboolean delays_messages);
 /* The node's zone is cut off from everything; inside, the node and the zone's workers go on. */
 void world_cut_zone(World *world, guint index, double seconds, gboolean delays_messages);
 /* Whether a cut lies between the node and the machine. */
 gboolean world_is_partitioned(const World *world, guint index, const WorldMachine *machine);
-/* The links between all nodes end, and new ones are refused. */
+/* The links between all nodes end, and new ones are refused for that long. */
 void world_refuse_links(World *world, double seconds);
-/* The node stands still; what reaches it meanwhile waits, in order. */
-void world_freeze_node(World *world, guint index, double seconds);
-void world_kill_node(World *world, guint index, double down_s);
-void world_report_violation(World *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
-/* A request to a node as workers and users make it; `answered` gets status 0 when none came. */
+/* ---- requests-to-nodes.c ---- */
+
+/* Sends a request to a node as workers (`sender`) and users (NULL) do. Takes the body. `callback`
+ * is called once, with status 0 if no answer came within `timeout_us`. */
 void world_send_request(World *world, guint index, WorldMachine *sender, const char *method,
                         const char *path, json_t *body, gint64 timeout_us,
                         MmResponseCallback callback, gpointer data);
-
-/* For requests of which only the status matters: `data` is an int. */
+/* MmResponseCallback for requests of which only the status matters: `data` is an int. */
 void world_record_status(gpointer data, int status, json_t *body);
 
-/* kv-store.c */
+/* ---- kv-store.c: the key-value store ---- */
+
 void world_kv_init(World *world);
 void world_kv_free(World *world);
+/* Executes a request other than a watch at once; returns the status. `response` is the caller's. */
 int world_kv_handle(World *world, const char *method, const char *path, const json_t *body,
                     json_t **response);
+/* It answers 503 to all nodes; leases do not expire meanwhile and have their full time after it. */
 void world_kv_outage(World *world, double seconds);
+/* Calls back once, with the changes after the revision in `path` or with none at its time-out. */
 void world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
                         gpointer data);
 
-/* faulty-nodes.c */
-/* Does to the node, before each of its ticks, what the world's switches say. */
+/* ---- faulty-nodes.c ---- */
+
+/* Injects into the node, before each of its ticks, the faults that the world's switches name. */
 void world_make_node_faulty(const World *world, MmNode *node, MmTime now);
 
-/* fault-injection.c */
+/* ---- fault-injection.c ---- */
+
+/* A job drawn at random. */
 WorldJob *world_any_job(World *world);
-/* Something befalls a node, a machine, the state service or the links, for seconds. */
+/* A fault of a node, a machine, the key-value store or the links, drawn at random, for seconds. */
 void world_inject_random_fault(World *world);
-/* The node that holds most parts, of those that are up. */
+/* Index of the node that leads most shards, of those that are up. */
 guint world_node_leading_most_shards(World *world);
 /* Users send a job that fits no machine, one without each of its fields, and a repetition of each
- * that is accepted; they cancel what is done and ask for what never was. Wrong answers break rules,
- * right ones are counted; 503 is neither. */
+ * that is accepted; they cancel what is done and ask for what never was. Wrong answers break
+ * invariants, right ones are counted; 503 is neither. */
 void world_send_odd_requests(World *world);
-/* Tasks on machines whose jobs' users were told of the cancellation. */
+/* Tasks on machines whose jobs' cancellation was confirmed to their users. */
 guint world_count_cancelled_tasks(const World *world);
-/* Troubles over, no job waits 90 s while a machine that fits has room and its team is under its
- * limit. Gangs, and jobs bound to one zone or spread over several, are not judged: what fits them
- * hangs on all their places. */
-void world_check_waiting(World *world);
-/* What users are served, those apart who called their job off: at least half of all jobs, of each
- * team and of the largest; the largest begun within four minutes. */
-void world_check_served(World *world);
 
 /* Nine machines, some big, in three zones. */
 void world_add_nine_machines(World *world);
-/* Troubles are over: services are called off, all work gets done, the rules have held to the end.
+/* Faults have ended: services are cancelled, all work gets done, the invariants held to the end.
  * Frees the world. */
 void world_finish_day(World *world);
 
-/* pipelines.c */
-/* Submits a job that depends on others, each accepted before. */
+/* ---- service-checks.c: who waits and who is served ---- */
+
+/* After faults have ended, no job waits 90 s while a machine that fits has free resources and its
+ * team is under its limit. Not checked for gangs and for jobs bound to one zone or spread over
+ * several: whether they can start depends on all their places. */
+void world_check_waiting(World *world);
+/* Of the jobs that were not cancelled at least half are served: of each team, of each kind and of
+ * the largest; the largest begin within four minutes. */
+void world_check_served(World *world);
+
+/* ---- pipelines.c: jobs with dependencies ---- */
+
+/* Submits a job that depends on others, each accepted before. Takes `overrides`. */
 WorldJob *world_submit_dependent(World *world, json_t *overrides, double run_s,
-                                 WorldJob *const *needs, guint n_dependencies);
-/* Whether all that it depends on is done, in truth. */
+                                 WorldJob *const *dependencies, guint n_dependencies);
+/* Whether all its dependencies are done, in truth. */
 gboolean world_job_is_ready(const WorldJob *job);
-/* Whether its user, or that of a job that it depends on, directly or not, asked for its end. */
+/* Whether its user, or that of a job that it depends on, directly or not, requested its end. */
 gboolean world_job_may_be_cancelled(const WorldJob *job);
-/* When the first user was told of a cancellation that this job's follows from; 0: none was. */
+/* When a cancellation that this job's follows from was first confirmed; 0: none was. */
 gint64 world_job_ancestor_cancelled_us(const WorldJob *job);
-/* Notes which jobs have become ready. */
-void world_note_ready_jobs(World *world);
+/* Sets `ready_at_us` of jobs that have become ready. */
+void world_record_ready_jobs(World *world);
 
-/* upgrade.c */
-/* What a node of the old version would have sent: changes the request. */
+/* ---- upgrade.c ---- */
+
+/* Changes the request into what a node of the old release would have sent. */
 void world_downgrade_request(const World *world, guint node, json_t *request);
-/* Ends the node; it comes back with the new version. */
+/* Ends the node; it comes back with the new release. */
 void world_upgrade_node(World *world, guint index, double down_s);
-/* The state service has the limits that were announced. */
+/* The limits of the key-value store that were announced for later hold from now on. */
 void world_lower_limits(World *world);
 #define WORLD_NEXT_VALUE_BYTES 2048
 #define WORLD_NEXT_TXN_OPS 4
 #define WORLD_NEXT_WRITE_RPS 15.0
 
-/* sharing.c */
-/* No machine has two nodes that grant its resources, and, troubles over, no group is long without
- * an owner. */
+/* ---- sharing.c: machine groups ---- */
+
+/* No machine has two nodes that grant its resources, and, after faults have ended, no group is long
+ * without an owner. */
 void world_check_sharing(World *world);
-/* A node answers a report with these commands: all starts in answers to one report, copies of it
- * included, fit what the machine had free when it reported. */
+/* A node answers a heartbeat with these commands: all starts in answers to one heartbeat, its
+ * copies included, fit what the machine had free when it sent it. */
 void world_check_heartbeat_response(World *world, guint node, const json_t *heartbeat,
                                     const json_t *response);
-/* An administrator asks some node to give a group to some node. */
+/* An administrator asks a node to move a group to a node; all three are drawn at random. */
 void world_random_move(World *world);
 void world_move_group(World *world, guint via_node, guint group, guint target);
-/* The index of the node that owns the group, as the node knows; WORLD_NODES: nobody does. */
+/* Index of the node that owns the group, as `node` knows; WORLD_NODES: it has no owner. */
 guint world_group_owner(const World *world, guint node, guint group);
 /* The group of a machine. */
 guint world_group_of_machine(const World *world, const WorldMachine *machine);
 
-/* formats.c */
+/* ---- formats.c ---- */
+
 /* Somebody sets the active format; NULL removes the key. Takes the value. */
 void world_set_format(World *world, json_t *value);
-/* Notes what a node writes: one that does not know the active format, and has had time to see it,
- * breaks a rule. */
+/* A node writes: one that does not support the active format, and has had time to see it, breaks an
+ * invariant. */
 void world_check_write(const World *world, guint node);
 
-/* cloud.c */
+/* ---- cloud.c ---- */
+
+/* Executes a request to the cloud; returns the status. `response` is the caller's. */
 int world_cloud_handle(World *world, const char *method, const char *path, const json_t *body,
                        json_t **response);
 WorldMachine *world_add_machine(World *world, const char *type, const char *zone, gboolean spot,
                                 double boot_s);
-/* Its worker ends and is back shortly, under the same name, with a new session and nothing on it.
- */
+/* Its worker ends and is back shortly, under the same name, with a new incarnation and no tasks. */
 void world_restart_machine(World *world, WorldMachine *machine, double down_s);
+/* The machine ends for good; the cloud lists it as failed. */
 void world_kill_machine(World *world, WorldMachine *machine);
 
-/* worker.c */
+/* ---- worker.c ---- */
+
+/* The worker starts; `data` is the WorldMachine. */
 void world_machine_boot(gpointer data);
+/* The machine's status, as the next heartbeat in order. The caller's. */
 json_t *world_machine_heartbeat(WorldMachine *machine);
+/* Executes a direct command; returns the status. `response` is the caller's. */
 int world_machine_handle_direct(WorldMachine *machine, const json_t *body, json_t **response);
-WorldMachine *world_find_machine_by_address(World *world, const char *addr);
+WorldMachine *world_find_machine_by_address(World *world, const char *address);
+/* All tasks on the machine end. */
 void world_machine_clear_tasks(WorldMachine *machine);
 
-/* users.c */
-/* A job of any kind, priority, team, image and place. */
-json_t *world_random_job(World *world);
+/* ---- users.c ---- */
+
+/* Overrides for world_submit(): any kind, priority, team, image and place. */
+json_t *world_random_job_body(World *world);
+/* A user submits a job until it is answered, and polls it from then on. Takes `overrides`, fields
+ * of the request that replace the defaults. */
 WorldJob *world_submit(World *world, json_t *overrides, double run_s);
+/* Its user requests the cancellation until it is confirmed. */
 void world_cancel(WorldJob *job);
 WorldJob *world_find_job(World *world, const char *id);
 
-/* invariants.c */
+/* ---- invariants.c ---- */
+
+/* A task starts on a machine: no other attempt of it runs, and it is in a place that it may be. */
 void world_check_start(World *world, const WorldMachine *machine, const WorldTask *task);
+/* What must hold at any time: limits, cancellations, owners of groups, answers to users. */
 void world_check_invariants(World *world);
-/* Fails the test, and says which, when a rule was broken. */
+/* Fails the test, and says which, when an invariant was broken. */
 void world_assert_invariants(const World *world);
-/* Fails the test, and says which, when some job's user was not told that it is done or cancelled.
- */
-void world_assert_all_jobs_over(const World *world);
+/* Fails the test, and says which, when some job's user was not answered that it is done or
+ * cancelled. */
+void world_assert_all_jobs_finished(const World *world);
 /* How many tasks of the job run, on other machines than `except` (may be NULL). */
 guint world_count_running(const World *world, const WorldJob *job, const WorldMachine *except);
+/* Whether it has begun and not ended. */
 static inline gboolean
 world_task_is_on_machine(const WorldTask *task) {
   return task->state == MM_REPORTED_WAITING_FOR_GANG || task->state == MM_REPORTED_RUNNING
