--- /dev/null
+++ b/tests/world/node-settings.c
@@ -0,0 +1,46 @@
+/* The platform's settings of a simulated node. */
+#include "world/internal.h"
+
+const char *const world_zone_names[WORLD_NODES] = { "a", "b", "c" };
+
+MmSettings *
+world_node_settings(World *world, guint index) {
+  MmSettings *settings;
+  g_autofree char *reason = NULL;
+  g_autofree char *label = g_strdup_printf("n-%u", index);
+  g_autoptr(json_t) root = json_pack(
+      "{s:s, s:s, s:s, s:s, s:{s:s, s:s}, s:{s:i, s:{s:f, s:f, s:f, s:f, s:f},"
+      " s:{s:f, s:f, s:f, s:i}, s:{s:f, s:f}, s:{s:f, s:f, s:i}}}",
+      "label", label, "zone", world_zone_names[index], "front", "127.0.0.1:1", "cluster_listen",
+      "127.0.0.1:2", "external", "cloud", "127.0.0.1:3", "state", "127.0.0.1:4", "settings",
+      "count", WORLD_NODES, "workers", "report_s", world->heartbeat_interval_s, "lease_s",
+      world->configured_lease_s > 0 ? world->configured_lease_s : world->lease_s, "gang_wait_s",
+      20.0, "gang_peer_s", 4.0, "cancel_s", world->cancel_s, "state", "rps", 200.0, "write_rps",
+      20.0, "value_kb", 4.0, "txn_ops", 12, "cloud", "rps", 6.0, "list_lag_s", 2.0, "resources",
+      "cpu", 0.1, "ram_mb", 64.0, "max_sockets", 1000);
+  json_t *others = json_array(), *teams = json_array();
+
+  g_assert_nonnull(root);
+  for (guint i = 0; i < WORLD_NODES; i++) {
+    g_autofree char *other = g_strdup_printf("n-%u", i);
+    if (i != index)
+      json_array_append_new(others, json_pack("{s:s, s:s, s:s}", "label", other, "zone",
+                                              world_zone_names[i], "endpoint", "127.0.0.1:5"));
+  }
+  for (guint i = 0; i < 4; i++) {
+    g_autofree char *name = g_strdup_printf("team-%u", i);
+    json_array_append_new(teams,
+                          json_pack("{s:s, s:f, s:f, s:f, s:f}", "name", name, "cpus", 4.0, "gpus",
+                                    0.0, "cpus_max", world->team_cores, "gpus_max", 0.0));
+  }
+  json_object_set_new(root, "others", others);
+  json_object_set_new(json_object_get(root, "settings"), "teams", teams);
+  if (world->announces_next_limits && !world->nodes[index].is_old_version)
+    json_object_set_new(json_object_get(json_object_get(root, "settings"), "state"), "next",
+                        json_pack("{s:f, s:f, s:i}", "write_rps", WORLD_NEXT_WRITE_RPS, "value_kb",
+                                  WORLD_NEXT_VALUE_BYTES / 1024.0, "txn_ops", WORLD_NEXT_TXN_OPS));
+  settings = mm_settings_from_json("world", root, &reason);
+  if (settings == NULL)
+    g_error("%s", reason);
+  return settings;
+}
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -4,17 +4,17 @@
 #include "base/wire.h"
 
 WorldJob *
-world_submit_dependent(World *world, json_t *overrides, double run_s, WorldJob *const *needs,
+world_submit_dependent(World *world, json_t *overrides, double run_s, WorldJob *const *dependencies,
                        guint n_dependencies) {
   json_t *list = json_array();
   WorldJob *job;
 
   for (guint i = 0; i < n_dependencies; i++)
-    json_array_append_new(list, json_string(needs[i]->id));
+    json_array_append_new(list, json_string(dependencies[i]->id));
   json_object_set_new(overrides, WIRE_NEEDS, list);
   job = world_submit(world, overrides, run_s);
   for (guint i = 0; i < n_dependencies; i++)
-    g_ptr_array_add(job->dependencies, needs[i]);
+    g_ptr_array_add(job->dependencies, dependencies[i]);
   return job;
 }
 
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -1,5 +1,5 @@
 /* Requests of nodes: to the state service, the cloud and workers. */
-#include "world/network.h"
+#include "world/internal.h"
 
 #include "base/wire.h"
 #include "kv/kv-client.h"
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -1,5 +1,5 @@
 /* Requests to nodes: of workers and users. */
-#include "world/network.h"
+#include "world/internal.h"
 
 #include "base/wire.h"
 
@@ -174,3 +174,8 @@
   }
   inbound_request_release(request);
 }
+
+void
+world_record_status(gpointer data, int status, json_t *body) {
+  *(int *)data = status;
+}
--- /dev/null
+++ b/tests/world/service-checks.c
@@ -0,0 +1,141 @@
+/* Checks of the service that users get: no job waits needlessly, and jobs of all kinds are served.
+ */
+#include "world/world.h"
+
+#define WAIT_MAX_US (90 * (gint64)G_USEC_PER_SEC)
+#define LARGEST_JOB_WAIT_MAX_US (240 * (gint64)G_USEC_PER_SEC)
+
+static MmResources
+free_resources(const WorldMachine *machine) {
+  double cores = strcmp(machine->type, "small") == 0 ? 4 : 16;
+  MmResources resources = { cores, 0, cores * 4 };
+
+  for (guint k = 0; k < machine->tasks->len; k++) {
+    const WorldTask *task = g_ptr_array_index(machine->tasks, k);
+    if (task->state != MM_REPORTED_ENDED)
+      resources = mm_resources_sub(resources, task->job->spec.task_resources);
+  }
+  return resources;
+}
+
+static gboolean
+fits_somewhere(const World *world, const MmJobSpec *spec) {
+  for (guint i = 0; i < world->machines->len; i++) {
+    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    MmName type = mm_name(machine->type);
+    if (machine->is_up && !machine->is_terminated && machine->notice_at_us == 0
+        && world->now_us >= MAX(machine->hung_until_us, machine->cut_until_us)
+        && world->now_us >= MAX(machine->inbound_lost_until_us, machine->outbound_lost_until_us)
+        && mm_job_spec_allows_type(spec, &type) && (!machine->is_spot || spec->allows_spot)
+        && (mm_name_is_empty(&spec->zone) || strcmp(spec->zone.s, machine->zone) == 0)
+        && mm_resources_fits(spec->task_resources, free_resources(machine)))
+      return TRUE;
+  }
+  return FALSE;
+}
+
+/* Cores that the team's tasks take, images being fetched included, and how many of the job's tasks
+ * are given to machines. */
+static double
+team_cores(const World *world, const WorldJob *target_job, guint *n_given) {
+  double cores = 0;
+
+  *n_given = 0;
+  for (guint i = 0; i < world->machines->len; i++) {
+    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    for (guint k = 0; k < machine->tasks->len; k++) {
+      const WorldTask *task = g_ptr_array_index(machine->tasks, k);
+      if (task->state == MM_REPORTED_ENDED)
+        continue;
+      *n_given += task->job == target_job;
+      if (mm_name_equal(&task->job->spec.team, &target_job->spec.team))
+        cores += task->job->spec.task_resources.cores;
+    }
+  }
+  return cores;
+}
+
+static gboolean
+is_waiting_needlessly(const World *world, const WorldJob *job) {
+  const MmJobSpec *spec = &job->spec;
+  double cores;
+  guint n_given;
+
+  if (job->user_view != USER_SEES_ACCEPTED || world_job_may_be_cancelled(job)
+      || !world_job_is_ready(job) || spec->requires_one_zone || spec->spreads_over_zones
+      || (spec->kind == MM_JOB_KIND_GANG && spec->n_tasks > 1))
+    return FALSE;
+  cores = team_cores(world, job, &n_given);
+  return spec->n_tasks > job->n_done + n_given
+         && cores + spec->task_resources.cores <= world->team_cores + 1e-6
+         && fits_somewhere(world, spec);
+}
+
+void
+world_check_waiting(World *world) {
+  if (world->faults_ended_at_us == 0 || world->now_us < world->faults_ended_at_us
+      || world->now_us - world->waiting_checked_at_us < G_USEC_PER_SEC)
+    return;
+  world->waiting_checked_at_us = world->now_us;
+  for (guint i = 0; i < world->jobs->len; i++) {
+    WorldJob *job = g_ptr_array_index(world->jobs, i);
+    if (!is_waiting_needlessly(world, job))
+      job->waiting_since_us = 0;
+    else if (job->waiting_since_us == 0)
+      job->waiting_since_us = world->now_us;
+    else if (world->now_us - MAX(job->waiting_since_us, job->last_start_at_us) > WAIT_MAX_US)
+      world_report_violation(world, "waits: %s has waited 90 s beside a machine that fits it",
+                             job->id);
+  }
+}
+
+/* ---- who is served ---- */
+
+typedef struct {
+  guint n_jobs;
+  guint n_served;
+} ServedCount;
+
+static void
+count_served(World *world, ServedCount *served_count, const char *description,
+             const WorldJob *job) {
+  if (job != NULL) {
+    served_count->n_jobs++;
+    served_count->n_served += job->first_start_at_us != 0;
+  } else if (served_count->n_served * 2 < served_count->n_jobs) {
+    world_report_violation(world, "served: %u of %u jobs of %s", served_count->n_served,
+                           served_count->n_jobs, description);
+  }
+}
+
+void
+world_check_served(World *world) {
+  static const char *const kinds[] = { "arrays", "gangs", "services" };
+  ServedCount teams[4] = { 0 }, of_kind[3] = { 0 }, largest = { 0 };
+  guint most_tasks = 0;
+
+  for (guint i = 0; i < world->jobs->len; i++) {
+    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    if (!world_job_may_be_cancelled(job))
+      most_tasks = MAX(most_tasks, job->spec.n_tasks);
+  }
+  for (guint i = 0; i < world->jobs->len; i++) {
+    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    if (world_job_may_be_cancelled(job) || !job->was_accepted || job->ready_at_us == 0)
+      continue;
+    count_served(world, &teams[job->spec.team.s[5] - '0'], NULL, job);
+    count_served(world, &of_kind[job->spec.kind], NULL, job);
+    if (job->spec.n_tasks < most_tasks)
+      continue;
+    count_served(world, &largest, NULL, job);
+    if (job->first_start_at_us - job->ready_at_us > LARGEST_JOB_WAIT_MAX_US)
+      world_report_violation(world,
+                             "served: %s, one of the largest, began after %" G_GINT64_FORMAT " s",
+                             job->id, (job->first_start_at_us - job->ready_at_us) / G_USEC_PER_SEC);
+  }
+  for (guint i = 0; i < 4; i++)
+    count_served(world, &teams[i], "a team", NULL);
+  for (guint i = 0; i < 3; i++)
+    count_served(world, &of_kind[i], kinds[i], NULL);
+  count_served(world, &largest, "the largest", NULL);
+}
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -15,10 +15,10 @@
 static void worker_tick(gpointer data);
 
 WorldMachine *
-world_find_machine_by_address(World *world, const char *addr) {
+world_find_machine_by_address(World *world, const char *address) {
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    if (machine->is_up && strcmp(machine->address, addr) == 0)
+    if (machine->is_up && strcmp(machine->address, address) == 0)
       return machine;
   }
   return NULL;
