--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -1,30 +1,33 @@
 #include "kv/kv-client.h"
 
+#include "base/json.h"
+#include "base/log.h"
 #include "base/wire.h"
-#include "upgrade/format.h"
 
 #define REQUEST_TIMEOUT_MS 2000
-/* Two renewals of a claim. */
+/* About two renewals of a lease. */
 #define SILENT_AFTER_MS 1500
-/* Shares are by node, yet rarely do all nodes write at once; the state service's own 429 is the
- * last word. Claims and users' words are not held back by this budget. */
+/* The share of the store's writes that one node may use for work that can wait. Rarely do all nodes
+ * write at once, so the shares add up to more than one; the store's own 429 decides. Leases and
+ * what users wait for are not limited by this budget. */
 #define NODE_WRITE_SHARE 0.3
-/* After a 429 nothing that can wait is written for so long. */
+/* How long after a 429 nothing that can wait is written. */
 #define RATE_LIMITED_PAUSE_S 0.25
 #define MAX_AVAILABLE_PER_TICK_MS (4 * MM_NODE_TICK_MS)
 
-/* A transaction that this node may not send. */
+/* A transaction that this node may not send, to be answered 503. */
 typedef struct {
   MmResponseCallback on_response;
   gpointer data;
 } UnsentTransaction;
 
 MmKvClient *
-mm_kv_client_new(MmNode *node) {
+mm_kv_client_new(const MmPlatform *platform, const MmSettings *settings) {
   MmKvClient *kv = g_new0(MmKvClient, 1);
 
-  kv->node = node;
-  kv->learned_max_value_bytes = kv->learned_max_operations = G_MAXUINT;
+  kv->platform = platform;
+  kv->settings = settings;
+  kv->learned_max_value_bytes = kv->learned_max_operations = MM_KV_NO_LIMIT;
   kv->unsent_transactions = g_array_new(FALSE, FALSE, sizeof(UnsentTransaction));
   return kv;
 }
@@ -35,11 +38,22 @@
   g_free(kv);
 }
 
+void
+mm_kv_client_set_write_guard(MmKvClient *kv, MmMayWrite may_write, gconstpointer context) {
+  kv->may_write = may_write;
+  kv->may_write_context = context;
+}
+
+gboolean
+mm_kv_client_may_write(const MmKvClient *kv) {
+  return kv->may_write == NULL || kv->may_write(kv->may_write_context);
+}
+
 void
 mm_kv_client_fail_unsent(MmKvClient *kv) {
   g_autoptr(GArray) unsent = kv->unsent_transactions;
 
-  /* What they are answered may be refused in its turn. */
+  /* A callback may commit again, and that transaction may be withheld in its turn. */
   kv->unsent_transactions = g_array_new(FALSE, FALSE, sizeof(UnsentTransaction));
   for (guint i = 0; i < unsent->len; i++) {
     const UnsentTransaction *transaction = &g_array_index(unsent, UnsentTransaction, i);
@@ -49,7 +63,7 @@
 
 void
 mm_kv_client_tick(MmKvClient *kv) {
-  MmTime now = mm_node_now(kv->node);
+  MmTime now = mm_platform_now(kv->platform);
 
   if (kv->last_served_at.us != 0 && !mm_kv_client_is_refused(kv) && !mm_kv_client_is_silent(kv))
     kv->available_us += MIN(now.us - kv->last_tick_at.us, MAX_AVAILABLE_PER_TICK_MS * 1000);
@@ -61,13 +75,13 @@
 typedef struct {
   MmKvClient *kv;
   MmTime sent_at;
-  json_t *transaction; /* NULL: it is none */
+  json_t *transaction; /* NULL: no transaction */
   MmResponseCallback on_response;
   gpointer data;
 } Request;
 
-/* No limit is believed to be below these, whatever is refused: a final state and its record take
- * two changes, and a value that is too small for most jobs would only turn them away. */
+/* No learned limit goes below these, whatever is refused: a terminal state and its record take two
+ * operations, and smaller values would only turn most jobs away. */
 #define MIN_LEARNED_OPERATIONS 2
 #define MIN_LEARNED_VALUE_BYTES 1024
 #define LEASE_EXPIRED_ERROR "no such lease"
@@ -83,8 +97,9 @@
   return (guint)largest;
 }
 
-/* The limits have fallen earlier than expected, or further. Nothing is sent again as it was: what
- * is too much is halved, first the changes, then the values. */
+/* A transaction was refused as too large: the limits have fallen earlier than announced, or
+ * further. Nothing is sent again as it was: first the number of operations is halved, then the
+ * values. */
 static void
 learn_transaction_limits(MmKvClient *kv, const json_t *transaction, const json_t *response) {
   const json_t *operations = json_object_get(transaction, WIRE_THEN);
@@ -99,45 +114,45 @@
     kv->learned_max_value_bytes
         = MIN(kv->learned_max_value_bytes,
               MAX(largest_value_bytes(operations) / 2, MIN_LEARNED_VALUE_BYTES));
-  mm_info("the state service refuses %u changes of up to %u bytes", n_operations,
-          largest_value_bytes(operations));
+  mm_info("key-value store refused a transaction operations=%u largest_value_bytes=%u",
+          n_operations, largest_value_bytes(operations));
 }
 
 guint
 mm_kv_client_max_value_bytes(const MmKvClient *kv) {
-  return MIN(kv->node->settings->kv_max_value_bytes, kv->learned_max_value_bytes);
+  return MIN(kv->settings->kv_max_value_bytes, kv->learned_max_value_bytes);
 }
 
 guint
 mm_kv_client_max_operations(const MmKvClient *kv) {
-  return MIN(kv->node->settings->kv_max_operations, kv->learned_max_operations);
+  return MIN(kv->settings->kv_max_operations, kv->learned_max_operations);
 }
 
 static double
 write_budget_per_s(const MmKvClient *kv) {
-  return kv->node->settings->kv_writes_per_s * NODE_WRITE_SHARE;
+  return kv->settings->kv_writes_per_s * NODE_WRITE_SHARE;
 }
 
-/* Leases and what users wait for go first. */
+/* Leaves the rate to leases and to what users wait for. */
 static void
 pause_deferrable_writes(MmKvClient *kv) {
-  mm_info("the state service says 429");
+  mm_info("key-value store limits the rate status=429");
   kv->write_budget = -RATE_LIMITED_PAUSE_S * write_budget_per_s(kv);
-  kv->write_budget_at = mm_node_now(kv->node);
+  kv->write_budget_at = mm_platform_now(kv->platform);
 }
 
 static void
 on_request_done(gpointer data, int status, json_t *body) {
   Request *request = data;
 
-  /* A refusal is as old as its request: the answer may have lain unread while this node stood
-   * still, and a proof of an outage hangs on its age. */
+  /* A refusal is as old as its request: the response may have been unread for as long as this node
+   * stood still, and a proof of an outage depends on its age. */
   if (status == 503) {
     if (!mm_kv_client_is_refused(request->kv))
       request->kv->refused_since = request->sent_at;
     request->kv->last_refused_at = mm_time_max(request->kv->last_refused_at, request->sent_at);
   } else if (status == 0) {
-    request->kv->last_unanswered_at = mm_node_now(request->kv->node);
+    request->kv->last_unanswered_at = mm_platform_now(request->kv->platform);
   } else if (status != 429) {
     request->kv->last_served_at = mm_time_max(request->kv->last_served_at, request->sent_at);
   }
@@ -156,10 +171,11 @@
              guint timeout_ms, json_t *transaction, MmResponseCallback on_response, gpointer data) {
   Request *request = g_new(Request, 1);
 
-  *request = (Request){ kv, mm_node_now(kv->node), json_incref(transaction), on_response, data };
+  *request
+      = (Request){ kv, mm_platform_now(kv->platform), json_incref(transaction), on_response, data };
   kv->n_requests++;
-  kv->node->platform.request(kv->node->platform.context, MM_TARGET_KV_STORE, NULL, method, path,
-                             body, timeout_ms, on_request_done, request);
+  kv->platform->request(kv->platform->context, MM_TARGET_KV_STORE, NULL, method, path, body,
+                        timeout_ms, on_request_done, request);
 }
 
 void
@@ -168,40 +184,6 @@
   send_request(kv, method, path, body, timeout_ms, NULL, on_response, data);
 }
 
-MmTransaction
-mm_transaction_begin(void) {
-  return (MmTransaction){ json_array(), json_array(), 0 };
-}
-
-void
-mm_transaction_require_version(MmTransaction *transaction, const char *prefix, const char *key,
-                               MmKeyVersion version) {
-  g_autofree char *path = g_strconcat(prefix, key, NULL);
-
-  json_array_append_new(transaction->conditions, json_pack("{s:s, s:I}", WIRE_KEY, path,
-                                                           WIRE_VERSION, (json_int_t)version.v));
-}
-
-void
-mm_transaction_put(MmTransaction *transaction, const char *prefix, const char *key, json_t *value,
-                   guint64 lease_id) {
-  g_autofree char *path = g_strconcat(prefix, key, NULL);
-  json_t *operation = json_pack("{s:s, s:o}", WIRE_PUT, path, WIRE_VALUE, value);
-
-  if (lease_id != 0)
-    json_object_set_new(operation, WIRE_LEASE, json_integer((json_int_t)lease_id));
-  json_array_append_new(transaction->operations, operation);
-  transaction->n_operations++;
-}
-
-void
-mm_transaction_delete(MmTransaction *transaction, const char *prefix, const char *key) {
-  g_autofree char *path = g_strconcat(prefix, key, NULL);
-
-  json_array_append_new(transaction->operations, json_pack("{s:s}", WIRE_DELETE, path));
-  transaction->n_operations++;
-}
-
 void
 mm_kv_client_get(MmKvClient *kv, const char *prefix, const char *key,
                  MmResponseCallback on_response, gpointer data) {
@@ -236,9 +218,8 @@
   g_autoptr(json_t) body = json_pack("{s:o, s:o}", WIRE_IF, transaction->conditions, WIRE_THEN,
                                      transaction->operations);
 
-  /* Whatever decided on it: nothing is written in a format that is not known to be the active one.
-   */
-  if (!mm_format_is_supported(kv->node->format)) {
+  /* Asked here, whoever decided on the transaction: no module can write past the guard. */
+  if (!mm_kv_client_may_write(kv)) {
     *transaction = (MmTransaction){ 0 };
     if (on_response != NULL) {
       UnsentTransaction unsent = { on_response, data };
@@ -258,14 +239,12 @@
     mm_kv_client_commit(kv, transaction, on_response, data);
     return;
   }
-  json_decref(transaction->conditions);
-  json_decref(transaction->operations);
-  *transaction = (MmTransaction){ 0 };
+  mm_transaction_clear(transaction);
 }
 
 gboolean
 mm_kv_client_try_spend_writes(MmKvClient *kv, guint n_operations) {
-  MmTime now = mm_node_now(kv->node);
+  MmTime now = mm_platform_now(kv->platform);
   double budget_per_s = write_budget_per_s(kv);
 
   kv->write_budget += budget_per_s * (double)(now.us - kv->write_budget_at.us) / G_USEC_PER_SEC;
@@ -282,7 +261,7 @@
   MmTime last_response_at = mm_time_max(kv->last_served_at, kv->last_refused_at);
 
   return kv->last_unanswered_at.us > last_response_at.us
-         && mm_time_ms_since(mm_node_now(kv->node), last_response_at) > SILENT_AFTER_MS;
+         && mm_time_ms_since(mm_platform_now(kv->platform), last_response_at) > SILENT_AFTER_MS;
 }
 
 gboolean
--- a/src/machines/machine.c
+++ b/src/machines/machine.c
@@ -1,12 +1,11 @@
-/* What is known of one machine: its tasks, images, free resources, and commands that wait for it.
- */
-#include "machines/machine-table.h"
+#include "machines/machine.h"
 
 #include "machines/machine-health.h"
+#include "machines/machine-table.h"
 
 #define QUEUED_COMMANDS_MAX 256
 
-/* ---- image caches, which are inferred: a hint only ---- */
+/* ---- image cache ---- */
 
 void
 mm_machine_record_image(MmMachine *machine, MmTime now, const MmName *image, double image_gb) {
@@ -63,6 +62,21 @@
          && machine->registered_incarnation >= machine->latest_message_id.incarnation;
 }
 
+guint64
+mm_machine_newest_incarnation(const MmMachine *machine) {
+  return MAX(machine->has_reported ? machine->latest_message_id.incarnation : 0,
+             machine->registered_incarnation);
+}
+
+/* An incarnation whose lease has certainly expired is over: such a message was delayed on its way,
+ * and the tasks it shows have stopped. */
+gboolean
+mm_machine_lease_has_ended(const MmMachine *machine, MmHeartbeatId heartbeat_id) {
+  return machine->is_terminated
+         || (machine->has_reported && machine->lease_has_expired
+             && heartbeat_id.incarnation <= machine->latest_message_id.incarnation);
+}
+
 MmResources
 mm_machine_available_resources(const MmMachineTable *machine_table, MmMachine *machine) {
   MmResources available = { 0 };
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -150,17 +150,16 @@
  * reason printed. */
 static MmSettings *
 read_settings(const CommandLine *command_line, MmOperators *operators) {
-  g_autofree char *reason = NULL;
-  g_autoptr(MmSettings) settings = mm_settings_read(command_line->settings_path, &reason);
+  g_autoptr(GError) error = NULL;
+  g_autoptr(MmSettings) settings = mm_settings_read(command_line->settings_path, &error);
   const char *operators_path = command_line->operators_path;
 
   if (settings != NULL
       && (operators_path == NULL
-          || (mm_operators_read(operators, operators_path, &reason)
-              && mm_operators_check_against_settings(operators, settings, operators_path,
-                                                     &reason))))
+          || (mm_operators_read(operators, operators_path, &error)
+              && mm_operators_check_against_settings(operators, settings, operators_path, &error))))
     return g_steal_pointer(&settings);
-  fprintf(stderr, "martenmount: %s\n", reason);
+  fprintf(stderr, "martenmount: %s\n", error->message);
   return NULL;
 }
 
