--- a/tests/test-completed-tasks.c
+++ b/tests/test-completed-tasks.c
@@ -1,7 +1,7 @@
 #include "jobs/completed-tasks.h"
 
 static void
-test_round_trip(void) {
+test_text_round_trips(void) {
   GRand *rand = g_rand_new_with_seed(3);
 
   for (guint round = 0; round < 100; round++) {
@@ -26,7 +26,7 @@
 }
 
 static void
-test_runs(void) {
+test_runs_are_written_as_ranges(void) {
   MmCompletedTasks set;
   g_autofree char *text = NULL;
 
@@ -43,7 +43,7 @@
 /* What does not fit is left out, longest runs first in: the text must never claim more than is
  * done. */
 static void
-test_too_long(void) {
+test_too_long_text_leaves_tasks_out(void) {
   MmCompletedTasks set, back;
   g_autofree char *text = NULL;
 
@@ -64,7 +64,7 @@
 }
 
 static void
-test_nonsense(void) {
+test_malformed_text_is_refused(void) {
   const char *const bad[] = { "x", "1-", "3-2", "1,,2", "1,", "-1", "200", "1 2", "0-100" };
   MmCompletedTasks set;
 
@@ -79,9 +79,10 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/doneset/round-trip", test_round_trip);
-  g_test_add_func("/doneset/runs", test_runs);
-  g_test_add_func("/doneset/too-long", test_too_long);
-  g_test_add_func("/doneset/nonsense", test_nonsense);
+  g_test_add_func("/completed-tasks/text-round-trips", test_text_round_trips);
+  g_test_add_func("/completed-tasks/runs-are-written-as-ranges", test_runs_are_written_as_ranges);
+  g_test_add_func("/completed-tasks/too-long-text-leaves-tasks-out",
+                  test_too_long_text_leaves_tasks_out);
+  g_test_add_func("/completed-tasks/malformed-text-is-refused", test_malformed_text_is_refused);
   return g_test_run();
 }
--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -120,7 +120,7 @@
 
 /* A command is held up for seconds, and its machine goes on meanwhile. */
 static guint
-held_commands(World *world) {
+commands_are_delayed(World *world) {
   submit_many(world, 4, WIRE_KIND_ARRAY, 4, 30);
   world_run(world, 8);
   with_tasks(world, 3, cut, 6);
@@ -132,7 +132,7 @@
 }
 
 static guint
-zone_cut_with_node(World *world) {
+zone_is_cut_with_its_node(World *world) {
   submit_many(world, 4, WIRE_KIND_SERVICE, 3, 0);
   world_run(world, 8);
   world_cut_zone(world, 0, world->lease_s + 8, TRUE);
@@ -145,7 +145,7 @@
 /* The same while one of the other nodes ends and is back: it knows the cut-off machines from the
  * register only, and proves their sessions over as the zone comes back. */
 static guint
-zone_cut_and_restart(World *world) {
+node_restarts_while_zone_is_cut(World *world) {
   submit_many(world, 4, WIRE_KIND_SERVICE, 3, 0);
   submit_many(world, 8, WIRE_KIND_ARRAY, 6, 12);
   world_run(world, 6);
@@ -161,7 +161,7 @@
 
 /* Nodes hand over and back; all end, and one is back within a second. */
 static guint
-all_end_one_returns(World *world) {
+all_nodes_end_and_one_returns(World *world) {
   guint64 before;
 
   submit_many(world, 4, WIRE_KIND_ARRAY, 5, 25);
@@ -179,7 +179,7 @@
 
 /* Reports come again after newer ones, also of earlier sessions and attempts. */
 static guint
-old_reports(World *world) {
+stale_heartbeats_arrive(World *world) {
   world->duplicate_rate = 0.3;
   submit_many(world, 6, WIRE_KIND_ARRAY, 3, 12);
   for (guint round = 0; round < 3; round++) {
@@ -195,7 +195,7 @@
 /* Transactions get no answer and are carried out late, after newer ones of the same node, also in
  * its next life. */
 static guint
-late_writes(World *world) {
+transactions_are_applied_late(World *world) {
   world->late_write_rate = 0.3;
   for (guint round = 0; round < 8; round++) {
     submit_many(world, 2, WIRE_KIND_ARRAY, 3, 5);
@@ -214,7 +214,7 @@
 /* A node's claim is announced twice, and the first announcement is carried out last. The key once
  * hung on the older claim then and went with it; the node was never entitled to anything again. */
 static guint
-late_announcements(World *world) {
+lease_announcements_are_applied_late(World *world) {
   guint before;
 
   submit_many(world, 3, WIRE_KIND_ARRAY, 4, 20);
@@ -235,7 +235,7 @@
 
 /* Machines reach no node, while direct commands reach them; a job on them is called off. */
 static guint
-mute_machines(World *world) {
+heartbeats_are_lost_commands_arrive(World *world) {
   guint heard = 0;
 
   submit_many(world, 4, WIRE_KIND_ARRAY, 4, 40);
@@ -252,7 +252,7 @@
 
 /* A copy of a report comes to a new leader that has acted already. */
 static guint
-held_report(World *world) {
+delayed_heartbeat_reaches_new_leader(World *world) {
   guint old = world_node_leading_most_shards(world), met = 0;
   guint64 before = newest_term(world);
 
@@ -276,7 +276,7 @@
 /* Tasks of one array end far apart, with changes of leader between: none runs again that was done,
  * and none is missed. */
 static guint
-ends_far_apart(World *world) {
+tasks_end_far_apart_between_failovers(World *world) {
   guint met = 0;
 
   for (guint i = 0; i < world->machines->len; i++)
@@ -298,7 +298,7 @@
 
 /* Cancellations, questions and repeated submissions at the end of a job's last task. */
 static guint
-called_off_at_the_end(World *world) {
+jobs_are_cancelled_as_they_end(World *world) {
   guint done = 0, cancelled = 0;
 
   world->cancel_at_end_rate = 0.7;
@@ -319,7 +319,7 @@
 /* The state service refuses the leader alone, the others confirm cancellations, and then it is out
  * for all for longer than cancel_s, while the machines are answered. */
 static guint
-gap(World *world) {
+outage_follows_cancellation(World *world) {
   guint leader, met;
 
   submit_many(world, 6, WIRE_KIND_ARRAY, 4, 300);
@@ -342,7 +342,7 @@
 /* The same, but for the outage, which comes when the leader's claim has just ended and nobody has
  * taken its parts: they have no holder as long as it lasts. */
 static guint
-gap_without_a_holder(World *world) {
+outage_follows_cancellation_without_leader(World *world) {
   g_autofree char *key = NULL;
   guint leader, met = 0;
   const MmNode *other;
@@ -373,7 +373,7 @@
 
 /* Jobs bound to one zone lose machines. */
 static guint
-zone_bound_jobs(World *world) {
+zone_bound_jobs_lose_machines(World *world) {
   guint lost = 0;
 
   for (guint i = 0; i < 6; i++)
@@ -396,7 +396,7 @@
 
 /* The leader has its workers and users and nothing else; jobs are called off through the others. */
 static guint
-leader_apart(World *world) {
+leader_is_cut_off_from_cancellation(World *world) {
   guint leader, met = 0;
 
   submit_many(world, 6, WIRE_KIND_ARRAY, 4, 300);
@@ -416,7 +416,7 @@
 
 /* More work than room, urgent and not, over slow links. */
 static guint
-more_work_than_room(World *world) {
+more_work_than_resources(World *world) {
   static const char *const priorities[] = { "low", "normal", "urgent", "critical" };
   guint waiting = 0;
 
@@ -440,7 +440,7 @@
 
 /* A leader ends while machines with long tasks can't be reached, or don't hear the new one. */
 static guint
-unreached_at_the_end(World *world) {
+leader_ends_while_machines_are_unreached(World *world) {
   guint met = 0;
   guint64 before;
 
@@ -458,7 +458,7 @@
 
 /* Leaders change ten times in two minutes, also inside an outage. */
 static guint
-ten_leaders(World *world) {
+ten_failovers_in_two_minutes(World *world) {
   guint64 before;
   WorldJob *after;
 
@@ -482,7 +482,7 @@
 /* The state service is slow, then refuses the leader alone and then everybody, while users call off
  * jobs and ask. */
 static guint
-slow_then_refused(World *world) {
+store_is_slow_then_refuses(World *world) {
   guint met;
 
   world->kv_slow_s = 0.8;
@@ -502,7 +502,7 @@
 }
 
 static guint
-all_away(World *world) {
+all_nodes_are_down_beyond_a_lease(World *world) {
   submit_many(world, 4, WIRE_KIND_ARRAY, 4, 30);
   submit_many(world, 2, WIRE_KIND_SERVICE, 3, 0);
   world_run(world, 8);
@@ -515,7 +515,7 @@
 /* A team is at its limit when the leader changes; some of its machines can't be asked, and one of
  * its jobs is called off then. */
 static guint
-at_the_limit(World *world) {
+team_is_at_its_limit_during_failover(World *world) {
   guint running = 0;
 
   for (guint i = 0; i < 5; i++)
@@ -533,7 +533,7 @@
 
 /* Many jobs are called off within a fifth of a second, and their machines hang. */
 static guint
-called_off_and_hung(World *world) {
+machines_hang_as_jobs_are_cancelled(World *world) {
   guint met;
 
   submit_many(world, 8, WIRE_KIND_ARRAY, 3, 200);
@@ -548,7 +548,7 @@
 /* A node reads nothing new, while its claim is renewed and its links are refused, and its workers'
  * jobs are called off through the others. */
 static guint
-stale_node(World *world) {
+stale_node_misses_cancellation(World *world) {
   guint node;
 
   submit_many(world, 6, WIRE_KIND_ARRAY, 4, 300);
@@ -569,7 +569,7 @@
  * for a while, do answer the other nodes' questions. Healthy machines once were returned by the
  * dozen: nobody had answered the questions of the one who could ask nobody. */
 static guint
-fleet_cut_from_workers(World *world) {
+autoscaler_is_cut_from_workers(World *world) {
   guint holder = 0, n, up = 0, left = 0;
 
   submit_many(world, 6, WIRE_KIND_SERVICE, 2, 0);
@@ -589,30 +589,30 @@
 }
 
 static const Meeting meetings[] = {
-  { "fleet-cut-from-workers", fleet_cut_from_workers },
-  { "held-commands", held_commands },
-  { "zone-cut-with-node", zone_cut_with_node },
-  { "zone-cut-and-restart", zone_cut_and_restart },
-  { "all-end-one-returns", all_end_one_returns },
-  { "old-reports", old_reports },
-  { "late-writes", late_writes },
-  { "late-announcements", late_announcements },
-  { "mute-machines", mute_machines },
-  { "held-report", held_report },
-  { "ends-far-apart", ends_far_apart },
-  { "called-off-at-the-end", called_off_at_the_end },
-  { "gap", gap },
-  { "gap-without-a-holder", gap_without_a_holder },
-  { "zone-bound-jobs", zone_bound_jobs },
-  { "leader-apart", leader_apart },
-  { "more-work-than-room", more_work_than_room },
-  { "unreached-at-the-end", unreached_at_the_end },
-  { "ten-leaders", ten_leaders },
-  { "slow-then-refused", slow_then_refused },
-  { "all-away", all_away },
-  { "at-the-limit", at_the_limit },
-  { "called-off-and-hung", called_off_and_hung },
-  { "stale-node", stale_node },
+  { "autoscaler-is-cut-from-workers", autoscaler_is_cut_from_workers },
+  { "commands-are-delayed", commands_are_delayed },
+  { "zone-is-cut-with-its-node", zone_is_cut_with_its_node },
+  { "node-restarts-while-zone-is-cut", node_restarts_while_zone_is_cut },
+  { "all-nodes-end-and-one-returns", all_nodes_end_and_one_returns },
+  { "stale-heartbeats-arrive", stale_heartbeats_arrive },
+  { "transactions-are-applied-late", transactions_are_applied_late },
+  { "lease-announcements-are-applied-late", lease_announcements_are_applied_late },
+  { "heartbeats-are-lost-commands-arrive", heartbeats_are_lost_commands_arrive },
+  { "delayed-heartbeat-reaches-new-leader", delayed_heartbeat_reaches_new_leader },
+  { "tasks-end-far-apart-between-failovers", tasks_end_far_apart_between_failovers },
+  { "jobs-are-cancelled-as-they-end", jobs_are_cancelled_as_they_end },
+  { "outage-follows-cancellation", outage_follows_cancellation },
+  { "outage_follows_cancellation-without-a-holder", outage_follows_cancellation_without_leader },
+  { "zone-bound-jobs-lose-machines", zone_bound_jobs_lose_machines },
+  { "leader-is-cut-off-from-cancellation", leader_is_cut_off_from_cancellation },
+  { "more-work-than-resources", more_work_than_resources },
+  { "leader-ends-while-machines-are-unreached", leader_ends_while_machines_are_unreached },
+  { "ten-failovers-in-two-minutes", ten_failovers_in_two_minutes },
+  { "store-is-slow-then-refuses", store_is_slow_then_refuses },
+  { "all-nodes-are-down-beyond-a-lease", all_nodes_are_down_beyond_a_lease },
+  { "team-is-at-its-limit-during-failover", team_is_at_its_limit_during_failover },
+  { "machines-hang-as-jobs-are-cancelled", machines_hang_as_jobs_are_cancelled },
+  { "stale-node-misses-cancellation", stale_node_misses_cancellation },
 };
 
 static World *
@@ -646,7 +646,7 @@
 }
 
 static void
-test_meeting(gconstpointer data) {
+test_fault_scenario(gconstpointer data) {
   const Meeting *meeting = data;
   guint first = 1, days = 2, met = 0;
 
@@ -684,14 +684,14 @@
 
 /* Nodes that know only of the cancellations of their own parts' jobs let tasks run on. */
 static void
-test_judge_alone(void) {
-  g_assert_true(cancelled_run_on(gap_without_a_holder, TRUE, FALSE));
+test_cancellation_known_to_leader_only_is_found(void) {
+  g_assert_true(cancelled_run_on(outage_follows_cancellation_without_leader, TRUE, FALSE));
 }
 
 /* And so does one that answers its workers on though it has read nothing for long. */
 static void
-test_never_stale(void) {
-  g_assert_true(cancelled_run_on(stale_node, FALSE, TRUE));
+test_replica_never_stale_is_found(void) {
+  g_assert_true(cancelled_run_on(stale_node_misses_cancellation, FALSE, TRUE));
 }
 
 int
@@ -700,10 +700,12 @@
   if (g_getenv("LOG_LEVEL") != NULL)
     mm_log_read_level();
   for (guint i = 0; i < G_N_ELEMENTS(meetings); i++) {
-    g_autofree char *path = g_strconcat("/meetings/", meetings[i].name, NULL);
-    g_test_add_data_func(path, &meetings[i], test_meeting);
+    g_autofree char *path = g_strconcat("/concurrent-faults/", meetings[i].name, NULL);
+    g_test_add_data_func(path, &meetings[i], test_fault_scenario);
   }
-  g_test_add_func("/meetings/broken/judge-alone", test_judge_alone);
-  g_test_add_func("/meetings/broken/never-stale", test_never_stale);
+  g_test_add_func("/concurrent-faults/faulty/cancellation-known-to-leader-only-is-found",
+                  test_cancellation_known_to_leader_only_is_found);
+  g_test_add_func("/concurrent-faults/faulty/replica-never-stale-is-found",
+                  test_replica_never_stale_is_found);
   return g_test_run();
 }
--- a/tests/test-dependency-graph.c
+++ b/tests/test-dependency-graph.c
@@ -52,7 +52,7 @@
 
 /* A diamond: ready when the last of both arms is done, and counted from then. */
 static void
-test_diamond(void) {
+test_diamond_is_ready_when_both_arms_are_done(void) {
   Fixture f = fixture_new();
   MmVertex *end;
 
@@ -77,7 +77,7 @@
 /* Cancelled with all that depends on it, and with nothing that it depends on; also what comes after
  * it. */
 static void
-test_cancel(void) {
+test_cancellation_reaches_dependents_only(void) {
   Fixture f = fixture_new();
   MmName middle = job_name(2);
   MmVertex *late;
@@ -99,7 +99,7 @@
 
 /* A record that is gone says nothing of how the job ended. */
 static void
-test_gone_is_not_done(void) {
+test_deleted_record_does_not_count_as_done(void) {
   Fixture f = fixture_new();
   MmVertex *after, *last;
 
@@ -126,7 +126,7 @@
 
 /* No call depth hangs on the length of a chain, and each vertex is marked once. */
 static void
-test_long_chain(void) {
+test_long_chain_needs_no_recursion(void) {
   Fixture f = fixture_new();
 
   add(&f, 0, NULL, 0);
@@ -140,7 +140,7 @@
 }
 
 static void
-test_many_dependents(void) {
+test_many_dependents_are_each_marked_once(void) {
   Fixture f = fixture_new();
 
   add(&f, 0, NULL, 0);
@@ -236,7 +236,7 @@
 }
 
 static void
-test_random(gconstpointer data) {
+test_random_graph(gconstpointer data) {
   GRand *rand = g_rand_new_with_seed(GPOINTER_TO_UINT(data));
   Fixture f = fixture_new();
   Model m = { 0 };
@@ -255,14 +255,19 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/graph/diamond", test_diamond);
-  g_test_add_func("/graph/cancel", test_cancel);
-  g_test_add_func("/graph/gone-is-not-done", test_gone_is_not_done);
-  g_test_add_func("/graph/long-chain", test_long_chain);
-  g_test_add_func("/graph/many-dependents", test_many_dependents);
+  g_test_add_func("/dependency-graph/diamond-is-ready-when-both-arms-are-done",
+                  test_diamond_is_ready_when_both_arms_are_done);
+  g_test_add_func("/dependency-graph/cancellation-reaches-dependents-only",
+                  test_cancellation_reaches_dependents_only);
+  g_test_add_func("/dependency-graph/deleted-record-does-not-count-as-done",
+                  test_deleted_record_does_not_count_as_done);
+  g_test_add_func("/dependency-graph/long-chain-needs-no-recursion",
+                  test_long_chain_needs_no_recursion);
+  g_test_add_func("/dependency-graph/many-dependents-are-each-marked-once",
+                  test_many_dependents_are_each_marked_once);
   for (guint seed = 1; seed <= 20; seed++) {
-    g_autofree char *name = g_strdup_printf("/graph/random-%u", seed);
-    g_test_add_data_func(name, GUINT_TO_POINTER(seed), test_random);
+    g_autofree char *name = g_strdup_printf("/dependency-graph/random-graph-%u", seed);
+    g_test_add_data_func(name, GUINT_TO_POINTER(seed), test_random_graph);
   }
   return g_test_run();
 }
--- a/tests/test-faulty-nodes.c
+++ b/tests/test-faulty-nodes.c
@@ -35,19 +35,19 @@
 }
 
 static void
-test_sound(void) {
+test_sound_nodes_break_no_invariant(void) {
   g_assert_false(days_break_a_rule(FALSE, 0));
 }
 
 /* Tasks are given out though a machine that may hold them has not been heard. */
 static void
-test_ignores_acknowledgements(void) {
+test_ignored_acknowledgements_are_found(void) {
   g_assert_true(days_break_a_rule(TRUE, 0));
 }
 
 /* Machines are given up long before their lease has run out. */
 static void
-test_too_hasty(void) {
+test_too_short_lease_is_found(void) {
   g_assert_true(days_break_a_rule(FALSE, 1.5));
 }
 
@@ -78,7 +78,7 @@
 }
 
 static void
-test_believes_copies(void) {
+test_accepted_duplicates_are_found(void) {
   g_assert_false(copies_break_a_rule(FALSE));
   g_assert_true(copies_break_a_rule(TRUE));
 }
@@ -131,7 +131,7 @@
 /* Not on every day does the broken node's waiting show: where the last part is taken before the
  * machine has ended a session, nothing waits for it. */
 static void
-test_answers_the_deaf(void) {
+test_answers_to_unacknowledging_machines_are_found(void) {
   guint caught = 0;
 
   for (guint32 seed = 1; seed <= 6; seed++) {
@@ -174,7 +174,7 @@
 }
 
 static void
-test_claims_for_ever(void) {
+test_lease_without_expiry_is_found(void) {
   g_assert_false(cut_node_breaks_a_rule(FALSE));
   g_assert_true(cut_node_breaks_a_rule(TRUE));
 }
@@ -184,11 +184,16 @@
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
     mm_log_read_level();
-  g_test_add_func("/broken/sound", test_sound);
-  g_test_add_func("/broken/ignores-acknowledgements", test_ignores_acknowledgements);
-  g_test_add_func("/broken/too-hasty", test_too_hasty);
-  g_test_add_func("/broken/believes-copies", test_believes_copies);
-  g_test_add_func("/broken/answers-the-deaf", test_answers_the_deaf);
-  g_test_add_func("/broken/claims-for-ever", test_claims_for_ever);
+  g_test_add_func("/faulty-nodes/sound-nodes-break-no-invariant",
+                  test_sound_nodes_break_no_invariant);
+  g_test_add_func("/faulty-nodes/ignored-acknowledgements-are-found",
+                  test_ignored_acknowledgements_are_found);
+  g_test_add_func("/faulty-nodes/too-short-lease-is-found", test_too_short_lease_is_found);
+  g_test_add_func("/faulty-nodes/accepted-duplicates-are-found",
+                  test_accepted_duplicates_are_found);
+  g_test_add_func("/faulty-nodes/answers-to-unacknowledging-machines-are-found",
+                  test_answers_to_unacknowledging_machines_are_found);
+  g_test_add_func("/faulty-nodes/lease-without-expiry-is-found",
+                  test_lease_without_expiry_is_found);
   return g_test_run();
 }
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -127,7 +127,7 @@
 #define BYTES_A_REPORT 600
 
 static void
-test_six_thousand(void) {
+test_six_thousand_machines_are_served(void) {
   World *world = fleet_world();
 
   world_run(world, REPORT_S);
@@ -165,6 +165,6 @@
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
     mm_log_read_level();
-  g_test_add_func("/fleet/six-thousand", test_six_thousand);
+  g_test_add_func("/fleet/six-thousand-machines-are-served", test_six_thousand_machines_are_served);
   return g_test_run();
 }
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -43,7 +43,7 @@
 /* Whatever the key says that this program does not know or can't read: nobody writes, starts or
  * answers 200, and nobody ends; with the key set right all goes on as if nothing had been. */
 static void
-nobody_knows(gconstpointer data) {
+test_unknown_value_fences_all_nodes(gconstpointer data) {
   World *world = format_world(41, 0);
   const WorldJob *first;
   guint64 writes;
@@ -76,7 +76,7 @@
 /* Two nodes know the next format and one does not: it loses its shards to them, and its lease and
  * key are gone, however often it starts. */
 static void
-test_one_is_old(void) {
+test_old_node_is_fenced(void) {
   World *world = format_world(42, 2);
 
   world_run(world, 3);
@@ -100,7 +100,7 @@
 
 /* Random days on which the format is set to and fro while one node knows only the first. */
 static void
-a_day(gconstpointer data) {
+test_random_day(gconstpointer data) {
   World *world = format_world(GPOINTER_TO_UINT(data), 2);
 
   world->duplicate_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
@@ -130,13 +130,13 @@
   if (g_getenv("LOG_LEVEL") != NULL)
     mm_log_read_level();
   for (guint i = 0; i < G_N_ELEMENTS(values); i++) {
-    g_autofree char *path = g_strdup_printf("/format/nobody-knows-%u", i);
-    g_test_add_data_func(path, values[i], nobody_knows);
+    g_autofree char *path = g_strdup_printf("/format/unknown-value-%u-fences-all-nodes", i);
+    g_test_add_data_func(path, values[i], test_unknown_value_fences_all_nodes);
   }
-  g_test_add_func("/format/one-is-old", test_one_is_old);
+  g_test_add_func("/format/old-node-is-fenced", test_old_node_is_fenced);
   for (guint seed = 1; seed <= (g_test_slow() ? SLOW_DAYS : DAYS); seed++) {
-    g_autofree char *path = g_strdup_printf("/format/day-%u", seed);
-    g_test_add_data_func(path, GUINT_TO_POINTER(seed), a_day);
+    g_autofree char *path = g_strdup_printf("/format/random-day-%u", seed);
+    g_test_add_data_func(path, GUINT_TO_POINTER(seed), test_random_day);
   }
   return g_test_run();
 }
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -98,7 +98,7 @@
 
 /* New nodes begin on it: with the term that was reached, or a later one. */
 static void
-test_begin(void) {
+test_nodes_start_on_production_state(void) {
   g_autoptr(json_t) golden = recorded();
   json_t *keys = json_object_get(golden, "keys");
   guint64 term = mm_json_count(json_object_get(keys, MM_KEY_TERM), "t", G_MAXUINT64);
@@ -140,7 +140,7 @@
 
 /* Jobs, machines and final states are read as they were meant, and written as they were. */
 static void
-test_stored(void) {
+test_production_records_round_trip(void) {
   g_autoptr(json_t) golden = recorded();
   World *world = world_new(2);
   Counts counts = { 0 };
@@ -174,7 +174,7 @@
 /* Frames of the version before unpack, and pack to the very bytes again: nothing of them is unknown
  * or lost. */
 static void
-test_frames(void) {
+test_production_frames_round_trip(void) {
   g_autoptr(json_t) golden = recorded();
   guint kinds = 0;
   size_t i;
@@ -294,7 +294,7 @@
 /* Each field of the production version's messages is there with its number, label and type, and no
  * reserved number is used again: it reads what is sent now. */
 static void
-test_messages(void) {
+test_production_message_fields_are_kept(void) {
   g_autofree char *before = golden_text("production.proto");
   g_autoptr(GHashTable) messages = parse_messages(before);
 
@@ -307,9 +307,10 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/golden/begin", test_begin);
-  g_test_add_func("/golden/stored", test_stored);
-  g_test_add_func("/golden/frames", test_frames);
-  g_test_add_func("/golden/messages", test_messages);
+  g_test_add_func("/golden/nodes-start-on-production-state", test_nodes_start_on_production_state);
+  g_test_add_func("/golden/production-records-round-trip", test_production_records_round_trip);
+  g_test_add_func("/golden/production-frames-round-trip", test_production_frames_round_trip);
+  g_test_add_func("/golden/production-message-fields-are-kept",
+                  test_production_message_fields_are_kept);
   return g_test_run();
 }
--- a/tests/test-history-checker.c
+++ b/tests/test-history-checker.c
@@ -57,7 +57,7 @@
 }
 
 static void
-test_right(void) {
+test_correct_histories_pass(void) {
   expect("1 accepted a 2\n2 start a 0 m1 2\n2 start a 1 m1 2\n3 end a 0 m1 yes\n4 end a 1 m1 yes\n"
          "5 done a\n",
          NULL);
@@ -72,7 +72,7 @@
 }
 
 static void
-test_wrong(void) {
+test_wrong_histories_are_found(void) {
   const struct {
     const char *text, *about;
   } histories[] = {
@@ -106,7 +106,7 @@
 }
 
 static void
-test_lines(void) {
+test_events_round_trip_as_lines(void) {
   g_autoptr(GArray) events = history("1.5 accepted a 2\n2 start a 1 m1 2.5\n3 end a 1 m1 yes\n"
                                      "4 refused a 0 m2 0\n5 done a\n6 cancelled a\n");
   HistoryEvent again;
@@ -126,8 +126,8 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/history-checker/right", test_right);
-  g_test_add_func("/history-checker/wrong", test_wrong);
-  g_test_add_func("/history-checker/lines", test_lines);
+  g_test_add_func("/history-checker/correct-histories-pass", test_correct_histories_pass);
+  g_test_add_func("/history-checker/wrong-histories-are-found", test_wrong_histories_are_found);
+  g_test_add_func("/history-checker/events-round-trip-as-lines", test_events_round_trip_as_lines);
   return g_test_run();
 }
--- a/tests/test-job-spec.c
+++ b/tests/test-job-spec.c
@@ -20,7 +20,7 @@
 }
 
 static void
-test_good(void) {
+test_complete_spec_is_parsed(void) {
   g_autoptr(json_t) body = sample();
   g_autoptr(json_t) stored = NULL;
   const char *reason = NULL;
@@ -42,7 +42,7 @@
 
 /* Every field that may not be null must be there and of its kind; each fault is told by name. */
 static void
-test_bad(void) {
+test_malformed_fields_are_refused(void) {
   const struct {
     const char *field;
     json_t *value;
@@ -89,7 +89,7 @@
 }
 
 static void
-test_not_an_object(void) {
+test_non_objects_are_refused(void) {
   const char *const texts[] = { "3", "[]", "\"run-1\"", "null" };
   const char *reason = NULL;
   MmJobSpec spec;
@@ -102,7 +102,7 @@
 }
 
 static void
-test_report(void) {
+test_heartbeat_message_is_parsed(void) {
   g_autoptr(json_t) body = json_loads(
       "{\"burrow\":\"m-000231\",\"addr\":\"10.1.0.232:9000\",\"breed\":\"g8\",\"den\":\"a\","
       "\"strays\":true,\"tenure\":1,\"tick\":88,\"warrant\":41,\"warningS\":12.5,\"kits\":["
@@ -130,9 +130,9 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/spec/good", test_good);
-  g_test_add_func("/spec/bad", test_bad);
-  g_test_add_func("/spec/not-an-object", test_not_an_object);
-  g_test_add_func("/spec/report", test_report);
+  g_test_add_func("/job-spec/complete-spec-is-parsed", test_complete_spec_is_parsed);
+  g_test_add_func("/job-spec/malformed-fields-are-refused", test_malformed_fields_are_refused);
+  g_test_add_func("/job-spec/non-objects-are-refused", test_non_objects_are_refused);
+  g_test_add_func("/heartbeat/message-is-parsed", test_heartbeat_message_is_parsed);
   return g_test_run();
 }
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -99,7 +99,7 @@
  * written. Machines looked at for some task grow with the jobs; a bound a second keeps them at a
  * few a report. Each once grew without bound, and nodes gave out at four hundred machines. */
 static void
-test_work_per_report(void) {
+test_work_per_heartbeat_does_not_grow(void) {
   PerReport few = work_of(60), many = work_of(240);
 
   g_assert_cmpfloat(many.frames, <, few.frames * 1.1);
@@ -122,7 +122,7 @@
 /* A zone is cut off with all that is in it, a node among them. Its tasks run again elsewhere, its
  * machines are not returned, and they are used again afterwards. */
 static void
-test_zone_cut(void) {
+test_cut_zone_keeps_its_machines(void) {
   World *world = grown_world(2, 210);
   guint before, starts;
 
@@ -168,7 +168,7 @@
  * after 5 s here.
  */
 static void
-test_few_are_asked(void) {
+test_few_acknowledgements_are_requested(void) {
   World *world = grown_world(3, 210);
   guint64 before, first, most = 0;
   guint tenths = 0;
@@ -199,7 +199,7 @@
 /* Machines that were taken while all nodes were down are not on the cloud's list: the cloud's word
  * that they are gone spares the new holders a whole lease of waiting. */
 static void
-test_taken_unseen(void) {
+test_machines_reclaimed_in_an_outage_are_lost(void) {
   World *world = grown_world(4, 60);
   WorldJob *array;
 
@@ -228,7 +228,7 @@
 
 /* A node back from a cut does not repeat a transaction that must fail until it has seen why. */
 static void
-test_conflicts_are_few(void) {
+test_failed_transactions_are_not_repeated(void) {
   World *world = grown_world(5, 12);
   guint64 before;
 
@@ -245,7 +245,7 @@
 /* A user is told of a cancellation only when the owner of the part keeps to it, or can't start
  * anything any more. */
 static void
-test_cancel_is_known(void) {
+test_cancellation_waits_for_cut_leader(void) {
   World *world = grown_world(6, 12);
   gint owner = -1;
   WorldJob *job;
@@ -272,7 +272,7 @@
 /* More than there is room for, in small jobs that come without pause: the largest array, a gang and
  * a wide service of each of two teams all the same begin within four minutes. */
 static void
-test_nobody_starves(void) {
+test_large_jobs_do_not_starve(void) {
   World *world = world_new(2);
   WorldJob *big[6];
 
@@ -323,7 +323,7 @@
  * filled up with arrays; of the others, four that are idle are kept for accelerated work, and the
  * rest are lent to arrays. */
 static void
-test_fills_given_up(void) {
+test_accelerated_machines_with_services_are_filled(void) {
   World *world = world_new(12);
   guint with_services = 0, with_both = 0, lent = 0, idle = 0;
 
@@ -377,7 +377,7 @@
  * second, twice, copies of requests come late, and a zone is away and back. The rules hold and work
  * goes on. */
 static void
-test_far_larger(void) {
+test_oversized_fleet_survives_faults(void) {
   World *world = world_new(13);
   guint starts;
 
@@ -418,14 +418,19 @@
   g_test_init(&argc, &argv, NULL);
   if (g_getenv("LOG_LEVEL") != NULL)
     mm_log_read_level();
-  g_test_add_func("/large/work-per-report", test_work_per_report);
-  g_test_add_func("/large/zone-cut", test_zone_cut);
-  g_test_add_func("/large/few-are-asked", test_few_are_asked);
-  g_test_add_func("/large/taken-unseen", test_taken_unseen);
-  g_test_add_func("/large/conflicts-are-few", test_conflicts_are_few);
-  g_test_add_func("/large/cancel-is-known", test_cancel_is_known);
-  g_test_add_func("/large/nobody-starves", test_nobody_starves);
-  g_test_add_func("/large/fills-given-up", test_fills_given_up);
-  g_test_add_func("/large/far-larger", test_far_larger);
+  g_test_add_func("/large/work-per-heartbeat-does-not-grow", test_work_per_heartbeat_does_not_grow);
+  g_test_add_func("/large/cut-zone-keeps-its-machines", test_cut_zone_keeps_its_machines);
+  g_test_add_func("/large/few-acknowledgements-are-requested",
+                  test_few_acknowledgements_are_requested);
+  g_test_add_func("/large/machines-reclaimed-in-an-outage-are-lost",
+                  test_machines_reclaimed_in_an_outage_are_lost);
+  g_test_add_func("/large/failed-transactions-are-not-repeated",
+                  test_failed_transactions_are_not_repeated);
+  g_test_add_func("/large/cancellation-waits-for-cut-leader",
+                  test_cancellation_waits_for_cut_leader);
+  g_test_add_func("/large/large-jobs-do-not-starve", test_large_jobs_do_not_starve);
+  g_test_add_func("/large/accelerated-machines-with-services-are-filled",
+                  test_accelerated_machines_with_services_are_filled);
+  g_test_add_func("/large/oversized-fleet-survives-faults", test_oversized_fleet_survives_faults);
   return g_test_run();
 }
--- a/tests/test-machine-health.c
+++ b/tests/test-machine-health.c
@@ -73,7 +73,7 @@
 
 /* Jobs with a mistake fail on each machine; that once set all of those aside. */
 static void
-test_faulty_jobs(void) {
+test_faulty_jobs_quarantine_no_machine(void) {
   Setting s = set_up();
 
   for (guint job = 0; job < JOBS; job++)
@@ -86,7 +86,7 @@
 
 /* Jobs that succeed elsewhere, or that nobody else has tried, fail on one machine. */
 static void
-test_faulty_machine(void) {
+test_failing_machine_is_quarantined(void) {
   Setting s = set_up();
 
   ends(&s, 1, 0, MM_CAUSE_DONE);
@@ -103,7 +103,7 @@
  * not its fault, however often it happens. One that is answered all the time and still loses its
  * leases is set aside. */
 static void
-test_lost_leases(void) {
+test_losing_leases_though_answered_is_quarantined(void) {
   Setting s = set_up();
   gint64 second = G_USEC_PER_SEC;
   guint64 session = s.machines[0]->latest_message_id.incarnation;
@@ -136,8 +136,11 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/health/faulty-jobs", test_faulty_jobs);
-  g_test_add_func("/health/faulty-machine", test_faulty_machine);
-  g_test_add_func("/health/lost-leases", test_lost_leases);
+  g_test_add_func("/machine-health/faulty-jobs-quarantine-no-machine",
+                  test_faulty_jobs_quarantine_no_machine);
+  g_test_add_func("/machine-health/failing-machine-is-quarantined",
+                  test_failing_machine_is_quarantined);
+  g_test_add_func("/machine-health/losing-leases-though-answered-is-quarantined",
+                  test_losing_leases_though_answered_is_quarantined);
   return g_test_run();
 }
--- a/tests/test-modulo-priority.c
+++ b/tests/test-modulo-priority.c
@@ -2,7 +2,7 @@
 
 /* Worked by hand from equation 1 with n = 6 workers, f = 12 tasks, m = 2 controllers: b = 2. */
 static void
-test_by_hand(void) {
+test_values_match_the_equation(void) {
   /* z = 1: x = 1, y = 1; worker 1: 2 * ((1 + 6 - 1) % 6) + (1 + 2 - 1) % 2 = 0 + 0 */
   g_assert_cmpint(mm_modulo_priority(1, 12, 1, 6, 2), ==, 0);
   /* worker 2: 2 * ((1 + 6 - 2) % 6) + (1 + 2 - 0) % 2 = 10 + 1 */
@@ -30,7 +30,7 @@
 }
 
 static void
-test_an_order_without_ties(void) {
+test_order_has_no_ties(void) {
   GRand *rand = g_rand_new_with_seed(7);
 
   for (guint round = 0; round < 200; round++) {
@@ -53,8 +53,8 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/modulo/by-hand", test_by_hand);
-  g_test_add_func("/modulo/first-choices-differ", test_first_choices_differ);
-  g_test_add_func("/modulo/no-ties", test_an_order_without_ties);
+  g_test_add_func("/modulo-priority/values-match-the-equation", test_values_match_the_equation);
+  g_test_add_func("/modulo-priority/first-choices-differ", test_first_choices_differ);
+  g_test_add_func("/modulo-priority/order-has-no-ties", test_order_has_no_ties);
   return g_test_run();
 }
--- a/tests/test-operators.c
+++ b/tests/test-operators.c
@@ -9,7 +9,7 @@
 }
 
 static void
-test_good(void) {
+test_settings_are_read(void) {
   g_autoptr(GError) error = NULL;
   MmOperators operators;
 
@@ -23,7 +23,7 @@
 }
 
 static void
-test_faults(void) {
+test_errors_name_line_and_element(void) {
   const struct {
     const char *xml, *line, *about;
   } faults[] = {
@@ -58,7 +58,7 @@
 
 /* What names nodes must fit the platform's settings. */
 static void
-test_checked(void) {
+test_node_names_are_checked_against_settings(void) {
   const struct {
     const char *xml, *about;
   } faults[] = {
@@ -90,7 +90,7 @@
 
 /* docs/operators.md says of each setting what the program does. */
 static void
-test_documented(void) {
+test_page_documents_each_setting(void) {
   g_autofree char *path
       = g_build_filename(g_getenv("MM_SOURCE_ROOT"), "docs", "operators.md", NULL);
   g_autofree char *page = NULL;
@@ -109,9 +109,10 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/operators/good", test_good);
-  g_test_add_func("/operators/faults", test_faults);
-  g_test_add_func("/operators/checked", test_checked);
-  g_test_add_func("/operators/documented", test_documented);
+  g_test_add_func("/operators/settings-are-read", test_settings_are_read);
+  g_test_add_func("/operators/errors-name-line-and-element", test_errors_name_line_and_element);
+  g_test_add_func("/operators/node-names-are-checked-against-settings",
+                  test_node_names_are_checked_against_settings);
+  g_test_add_func("/operators/page-documents-each-setting", test_page_documents_each_setting);
   return g_test_run();
 }
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -45,7 +45,7 @@
  * tells of its answers all the same when the links are back. Once it did not, and a dozen living
  * machines were given up. */
 static void
-test_tells_whom_it_answered(void) {
+test_answered_machines_are_announced_on_a_new_link(void) {
   World *world = two_machines(3);
   const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
   guint host = host_of(world, id), back = (host + 1) % WORLD_NODES;
@@ -93,7 +93,7 @@
  * request: pongs are held back on their way, and both lie unread while a node stands still. A proof
  * of an outage hangs on their age. */
 static void
-test_old_refusals(void) {
+test_refusals_are_as_old_as_their_requests(void) {
   World *world = two_machines(4);
   MmNode *node = world->nodes[0].node;
   Mm__Frame frame = MM__FRAME__INIT;
@@ -124,7 +124,7 @@
  * alone. Machines of a zone that came back were once given up a moment after that, and their tasks
  * ran twice. */
 static void
-test_new_session_lives(void) {
+test_new_incarnation_lives_for_a_lease(void) {
   World *world = two_machines(7);
   const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
   MmNode *direct = world->nodes[0].node, *registered = world->nodes[1].node;
@@ -159,7 +159,7 @@
  * with a start: when a link comes up, the peer must not take it for a report, or it would count
  * that start as not carried out. */
 static void
-test_direct_answer_on_a_new_link(void) {
+test_direct_reply_stays_one_on_a_new_link(void) {
   World *world = two_machines(8);
   const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
   guint host = host_of(world, id), other = (host + 1) % WORLD_NODES;
@@ -191,7 +191,7 @@
  * The peers open their links anew; those that were open once led nowhere for minutes more, and the
  * parts that the node had taken waited for machines of which it was told nothing. */
 static void
-test_half_open(void) {
+test_half_open_links_are_opened_anew(void) {
   World *world = two_machines(5);
   const MmPeerLinks *links;
 
@@ -212,7 +212,7 @@
 /* A peer that stands still is told nothing but hello on the links that are opened meanwhile, and
  * all it must know once it lives, before any pong. */
 static void
-test_told_once_it_lives(void) {
+test_suspended_peer_is_updated_when_it_resumes(void) {
   World *world = two_machines(6);
   const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
   guint host = host_of(world, id), still = (host + 1) % WORLD_NODES;
@@ -244,11 +244,17 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/links/tells-whom-it-answered", test_tells_whom_it_answered);
-  g_test_add_func("/links/new-session-lives", test_new_session_lives);
-  g_test_add_func("/links/old-refusals", test_old_refusals);
-  g_test_add_func("/links/direct-answer-on-a-new-link", test_direct_answer_on_a_new_link);
-  g_test_add_func("/links/half-open", test_half_open);
-  g_test_add_func("/links/told-once-it-lives", test_told_once_it_lives);
+  g_test_add_func("/peer-links/answered-machines-are-announced-on-a-new-link",
+                  test_answered_machines_are_announced_on_a_new_link);
+  g_test_add_func("/peer-links/new-incarnation-lives-for-a-lease",
+                  test_new_incarnation_lives_for_a_lease);
+  g_test_add_func("/peer-links/refusals-are-as-old-as-their-requests",
+                  test_refusals_are_as_old_as_their_requests);
+  g_test_add_func("/peer-links/direct-reply-stays-one-on-a-new-link",
+                  test_direct_reply_stays_one_on_a_new_link);
+  g_test_add_func("/peer-links/half-open-links-are-opened-anew",
+                  test_half_open_links_are_opened_anew);
+  g_test_add_func("/peer-links/suspended-peer-is-updated-when-it-resumes",
+                  test_suspended_peer_is_updated_when_it_resumes);
   return g_test_run();
 }
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -67,7 +67,7 @@
 
 /* A diamond across teams: each stage begins shortly after the last one that it needs. */
 static void
-test_diamond(void) {
+test_diamond_runs_in_order(void) {
   World *world = pipeline_world(1);
   WorldJob *start = first_job(world, 0, 3, 4), *arms[2], *end;
 
@@ -85,7 +85,7 @@
 
 /* What a job names is checked: jobs that were accepted, no services, not itself, job ids. */
 static void
-test_checked(void) {
+test_named_dependencies_are_checked(void) {
   World *world = pipeline_world(2);
   WorldJob *good = first_job(world, 0, 1, 2);
   WorldJob *service = world_submit(
@@ -126,7 +126,7 @@
 
 /* A job that waits is no backlog and takes nothing of its team's limit and guarantee. */
 static void
-test_waits_for_free(void) {
+test_waiting_job_uses_no_quota(void) {
   World *world = pipeline_world(3);
   WorldJob *slow = first_job(world, 0, 1, 40), *wide, *other;
 
@@ -173,7 +173,7 @@
 /* A job takes over the deadline and the priority of what needs it, directly or not: in the order of
  * ordinary work while there is time, whole when the deadline is near. It gives both back. */
 static void
-test_urgency_flows_back(void) {
+test_dependency_inherits_urgency(void) {
   World *world = pipeline_world(4);
   WorldJob *start
       = world_submit(world, json_pack("{s:s, s:i}", WIRE_PRIORITY, "low", WIRE_TASKS, 1), 80);
@@ -209,7 +209,7 @@
 /* Hundreds of dependents of one job are cancelled with it, across teams, and all users hear of it
  * in time though the records take their turn. */
 static void
-test_many_dependents_cancelled(void) {
+test_cancellation_reaches_many_dependents(void) {
   World *world = pipeline_world(5);
   WorldJob *start = first_job(world, 0, 1, 300), *after[150];
 
@@ -235,7 +235,7 @@
 /* The owner of a dependency ends between the write of `done` and the telling: its dependents, of
  * another owner, go on by what the state service holds. */
 static void
-test_owner_ends_after_done(void) {
+test_leader_ends_after_done_is_written(void) {
   for (guint32 seed = 1; seed <= 3; seed++) {
     World *world = pipeline_world(seed);
     WorldJob *start = first_job(world, 0, 1, 6), *end;
@@ -260,7 +260,7 @@
 
 /* Cancellation confirmed, then the state service is down for all, and all nodes end in it. */
 static void
-test_cancelled_then_down(void) {
+test_cancellation_survives_outage_and_restart(void) {
   World *world = pipeline_world(6);
   WorldJob *start = first_job(world, 0, 2, 60), *middle, *end;
 
@@ -283,7 +283,7 @@
 
 /* A dependent is submitted to another node in the same moment as the cancellation. */
 static void
-test_submitted_as_cancelled(void) {
+test_dependent_is_submitted_during_cancellation(void) {
   for (guint32 seed = 1; seed <= 6; seed++) {
     World *world = pipeline_world(seed);
     WorldJob *start = first_job(world, 0, 2, 60), *end;
@@ -302,7 +302,7 @@
 
 /* It names one that was cancelled long ago, or that was done long ago: accepted both times. */
 static void
-test_named_when_over(void) {
+test_finished_dependencies_are_looked_up(void) {
   World *world = pipeline_world(7);
   WorldJob *done = first_job(world, 0, 1, 2), *gone = first_job(world, 0, 1, 60), *after_done,
            *after_gone;
@@ -330,7 +330,7 @@
  * what waits for them too early nor keeps it, nor turns new dependents away, nor calls one of them
  * queued that has been called cancelled. */
 static void
-test_replica_behind(void) {
+test_stale_replica_decides_nothing(void) {
   for (guint32 seed = 1; seed <= 6; seed++) {
     World *world = pipeline_world(seed);
     WorldJob *done = first_job(world, 0, 1, 4), *gone = first_job(world, 1, 1, 90);
@@ -360,7 +360,7 @@
 
 /* A cancellation comes as the last task ends: whichever is written first decides for all. */
 static void
-test_cancelled_at_the_end(void) {
+test_cancellation_races_the_last_task(void) {
   guint done = 0, cancelled = 0;
 
   for (guint32 seed = 1; seed <= 8; seed++) {
@@ -387,7 +387,7 @@
 
 /* All nodes restart amid a half-run pipeline; a gang loses a member while its dependent waits. */
 static void
-test_restart_amid(void) {
+test_pipeline_survives_restarts(void) {
   for (guint32 seed = 1; seed <= 2; seed++) {
     World *world = pipeline_world(seed);
     WorldJob *start = first_job(world, 0, 4, 3), *gang, *end;
@@ -466,7 +466,7 @@
 }
 
 static void
-a_day(gconstpointer data) {
+test_random_day(gconstpointer data) {
   World *world = pipeline_world(GPOINTER_TO_UINT(data));
   guint dependents = 0;
 
@@ -506,13 +506,13 @@
 }
 
 static void
-test_broken_too_early(void) {
+test_ignored_dependencies_are_found(void) {
   g_assert_false(breaks("too_early", FALSE, FALSE));
   g_assert_true(breaks("too_early", TRUE, FALSE));
 }
 
 static void
-test_broken_orphaned(void) {
+test_uncancelled_dependents_are_found(void) {
   g_assert_false(breaks("orphaned", FALSE, FALSE));
   g_assert_true(breaks("orphaned", FALSE, TRUE));
 }
@@ -527,23 +527,31 @@
   /* More days than CI plays: MM_PIPELINE_DAYS=100 tests/test-pipelines */
   if (g_getenv("MM_PIPELINE_DAYS") != NULL)
     days = (guint)g_ascii_strtoull(g_getenv("MM_PIPELINE_DAYS"), NULL, 10);
-  g_test_add_func("/pipelines/diamond", test_diamond);
-  g_test_add_func("/pipelines/checked", test_checked);
-  g_test_add_func("/pipelines/waits-for-free", test_waits_for_free);
-  g_test_add_func("/pipelines/urgency-flows-back", test_urgency_flows_back);
-  g_test_add_func("/pipelines/many-dependents-cancelled", test_many_dependents_cancelled);
-  g_test_add_func("/pipelines/owner-ends-after-done", test_owner_ends_after_done);
-  g_test_add_func("/pipelines/cancelled-then-down", test_cancelled_then_down);
-  g_test_add_func("/pipelines/submitted-as-cancelled", test_submitted_as_cancelled);
-  g_test_add_func("/pipelines/named-when-over", test_named_when_over);
-  g_test_add_func("/pipelines/replica-behind", test_replica_behind);
-  g_test_add_func("/pipelines/cancelled-at-the-end", test_cancelled_at_the_end);
-  g_test_add_func("/pipelines/restart-amid", test_restart_amid);
+  g_test_add_func("/pipelines/diamond-runs-in-order", test_diamond_runs_in_order);
+  g_test_add_func("/pipelines/named-dependencies-are-checked", test_named_dependencies_are_checked);
+  g_test_add_func("/pipelines/waiting-job-uses-no-quota", test_waiting_job_uses_no_quota);
+  g_test_add_func("/pipelines/dependency-inherits-urgency", test_dependency_inherits_urgency);
+  g_test_add_func("/pipelines/cancellation-reaches-many-dependents",
+                  test_cancellation_reaches_many_dependents);
+  g_test_add_func("/pipelines/leader-ends-after-done-is-written",
+                  test_leader_ends_after_done_is_written);
+  g_test_add_func("/pipelines/cancellation-survives-outage-and-restart",
+                  test_cancellation_survives_outage_and_restart);
+  g_test_add_func("/pipelines/dependent-is-submitted-during-cancellation",
+                  test_dependent_is_submitted_during_cancellation);
+  g_test_add_func("/pipelines/finished-dependencies-are-looked-up",
+                  test_finished_dependencies_are_looked_up);
+  g_test_add_func("/pipelines/stale-replica-decides-nothing", test_stale_replica_decides_nothing);
+  g_test_add_func("/pipelines/cancellation-races-the-last-task",
+                  test_cancellation_races_the_last_task);
+  g_test_add_func("/pipelines/pipeline-survives-restarts", test_pipeline_survives_restarts);
   for (guint seed = 1; seed <= days; seed++) {
-    g_autofree char *name = g_strdup_printf("/pipelines/day-%u", seed);
-    g_test_add_data_func(name, GUINT_TO_POINTER(seed), a_day);
+    g_autofree char *name = g_strdup_printf("/pipelines/random-day-%u", seed);
+    g_test_add_data_func(name, GUINT_TO_POINTER(seed), test_random_day);
   }
-  g_test_add_func("/pipelines/broken/too-early", test_broken_too_early);
-  g_test_add_func("/pipelines/broken/orphaned", test_broken_orphaned);
+  g_test_add_func("/pipelines/faulty/ignored-dependencies-are-found",
+                  test_ignored_dependencies_are_found);
+  g_test_add_func("/pipelines/faulty/uncancelled-dependents-are-found",
+                  test_uncancelled_dependents_are_found);
   return g_test_run();
 }
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -59,7 +59,7 @@
 
 /* The answers of the paper's Table I. */
 static void
-test_table_one(void) {
+test_start_requests_are_answered_as_in_the_paper(void) {
   Setting s = set_up(5);
 
   g_assert_cmpint(ask(&s, 0, 0, 1, FALSE), ==, 0); /* alpha: the first, the second is kept */
@@ -77,7 +77,7 @@
 
 /* What another machine keeps may be pulled; the kept-list's own machine then misses it. */
 static void
-test_pull_takes_kept(void) {
+test_pull_takes_from_kept_lists(void) {
   Setting s = set_up(2);
 
   g_assert_cmpint(ask(&s, 0, 0, 1, FALSE), ==, 0);
@@ -88,7 +88,7 @@
 
 /* 24 cores at most and 2 a task: starts that were never confirmed count as well. */
 static void
-test_limit(void) {
+test_limit_counts_unconfirmed_starts(void) {
   Setting s = set_up(20);
 
   for (guint i = 0; i < 8; i++)
@@ -103,7 +103,7 @@
 /* A limit of accelerators, of which eight of thirteen are used and eight more are kept for a job
  * that starves: who needs accelerators waits, who needs none does not. */
 static void
-test_owes_what_is_limited(void) {
+test_reserved_quota_binds_limited_resources_only(void) {
   Setting s = set_up(2);
   MmLedShard *held = mm_scheduler_shard_of_job(s.owner, s.job);
   MmTeamSettings team = *held->team;
@@ -128,7 +128,7 @@
 
 /* An ask for an overtaken report must get nothing: its answer may never reach the worker. */
 static void
-test_old_ask(void) {
+test_start_request_of_overtaken_heartbeat_is_refused(void) {
   Setting s = set_up(2);
   MmHeartbeatId now = s.machines[0]->latest_message_id;
 
@@ -176,7 +176,7 @@
  * report comes first, it stands. A late report once kept a task where it no longer was, and when
  * that machine was lost the task was given out a third time. */
 static void
-test_newer_attempt_stands(void) {
+test_newer_attempt_wins(void) {
   for (guint newer_first = 0; newer_first < 2; newer_first++) {
     Setting s = set_up(2);
     guint64 seq
@@ -195,7 +195,7 @@
 
 /* A job waits for the machines that it was ever allowed on, and for no others. */
 static void
-test_waits_where_it_may_be(void) {
+test_job_waits_where_it_may_have_started(void) {
   Setting s = set_up(2);
   MmLedShard *held = mm_scheduler_shard_of_job(s.owner, s.job);
   MmMachine *spot = s.machines[0];
@@ -225,7 +225,7 @@
 /* A silent machine is returned though nothing shows on it, since it may have been started on: until
  * it is proved gone, parts that are taken anew wait for it. */
 static void
-test_returns_silent_idle(void) {
+test_silent_idle_machine_is_returned(void) {
   World *world = world_new(6);
   WorldMachine *silent;
 
@@ -251,7 +251,7 @@
 
 /* What a copy is, and that it lengthens no belief in a lease. */
 static void
-test_late_copies(void) {
+test_late_copies_prove_nothing(void) {
   Setting s = set_up(2);
   MmMachine *machine = s.machines[0];
   guint64 seq = machine->latest_message_id.sequence + 10;
@@ -280,7 +280,7 @@
 
 /* A machine of which nothing is known proves itself by a term of this life of the node. */
 static void
-test_unproved(void) {
+test_unregistered_machine_is_verified_by_term(void) {
   Setting s = set_up(2);
   const MmMachineTable *machine_table = s.owner->node->machine_table;
   MmHeartbeat report = report_with(&s, 0, 3, 70, 100);
@@ -303,7 +303,7 @@
 
 /* Who may stop whose tasks for a guarantee of four cores. */
 static void
-test_reclaim(void) {
+test_quota_is_reclaimed_from_surplus_only(void) {
   Setting s = set_up(2);
   MmJob *job = s.job;
   MmJob from = *job;
@@ -357,7 +357,7 @@
 
 /* Services that should have been up within a second waited three for scans of idle time to save. */
 static void
-test_grace(void) {
+test_only_critical_work_gives_no_time_to_save(void) {
   g_assert_cmpfloat(grace_for("critical", 1, 5), ==, 0);
   g_assert_cmpfloat(grace_for("urgent", 1, 8), ==, 4);
 }
@@ -365,7 +365,7 @@
 /* Work above the lowest priority is not kept waiting by that, also when it is neither urgent nor
  * within its team's guarantee: arrays once waited for minutes while scans of idle time ran. */
 static void
-test_plain_work_stops_low_work(void) {
+test_normal_work_preempts_low_work(void) {
   g_assert_cmpfloat(grace_for("normal", 60, 12), ==, 4);
 }
 
@@ -373,7 +373,7 @@
  * their places are on machines that report to the gang's owner itself. It compared what a task
  * takes with the room left beside the place it had kept for it: such gangs never began. */
 static void
-test_gang_beside_its_owner(void) {
+test_gang_starts_on_machines_of_its_leader(void) {
   World *world = world_new(11);
   guint own = 0;
 
@@ -414,7 +414,7 @@
 /* Machines with accelerators that nothing accelerated waits for are lent to other work, all but
  * four; a gang that needs more than those has what it was lent to stopped, and begins at once. */
 static void
-test_lends_idle_machines(void) {
+test_idle_accelerators_are_lent_and_reclaimed(void) {
   World *world = world_new(13);
   WorldJob *first, *array, *gang;
 
@@ -448,20 +448,31 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/owner/table-one", test_table_one);
-  g_test_add_func("/owner/pull-takes-kept", test_pull_takes_kept);
-  g_test_add_func("/owner/limit", test_limit);
-  g_test_add_func("/owner/owes-what-is-limited", test_owes_what_is_limited);
-  g_test_add_func("/owner/old-ask", test_old_ask);
-  g_test_add_func("/owner/newer-attempt-stands", test_newer_attempt_stands);
-  g_test_add_func("/owner/late-copies", test_late_copies);
-  g_test_add_func("/owner/waits-where-it-may-be", test_waits_where_it_may_be);
-  g_test_add_func("/owner/returns-silent-idle", test_returns_silent_idle);
-  g_test_add_func("/owner/unproved", test_unproved);
-  g_test_add_func("/owner/reclaim", test_reclaim);
-  g_test_add_func("/owner/grace", test_grace);
-  g_test_add_func("/owner/plain-work-stops-low-work", test_plain_work_stops_low_work);
-  g_test_add_func("/owner/lends-idle-machines", test_lends_idle_machines);
-  g_test_add_func("/owner/gang-beside-its-owner", test_gang_beside_its_owner);
+  g_test_add_func("/scheduler/start-requests-are-answered-as-in-the-paper",
+                  test_start_requests_are_answered_as_in_the_paper);
+  g_test_add_func("/scheduler/pull-takes-from-kept-lists", test_pull_takes_from_kept_lists);
+  g_test_add_func("/scheduler/limit-counts-unconfirmed-starts",
+                  test_limit_counts_unconfirmed_starts);
+  g_test_add_func("/scheduler/reserved-quota-binds-limited-resources-only",
+                  test_reserved_quota_binds_limited_resources_only);
+  g_test_add_func("/scheduler/start-request-of-overtaken-heartbeat-is-refused",
+                  test_start_request_of_overtaken_heartbeat_is_refused);
+  g_test_add_func("/scheduler/newer-attempt-wins", test_newer_attempt_wins);
+  g_test_add_func("/scheduler/late-copies-prove-nothing", test_late_copies_prove_nothing);
+  g_test_add_func("/scheduler/job-waits-where-it-may-have-started",
+                  test_job_waits_where_it_may_have_started);
+  g_test_add_func("/scheduler/silent-idle-machine-is-returned",
+                  test_silent_idle_machine_is_returned);
+  g_test_add_func("/scheduler/unregistered-machine-is-verified-by-term",
+                  test_unregistered_machine_is_verified_by_term);
+  g_test_add_func("/scheduler/quota-is-reclaimed-from-surplus-only",
+                  test_quota_is_reclaimed_from_surplus_only);
+  g_test_add_func("/scheduler/only-critical-work-gives-no-time-to-save",
+                  test_only_critical_work_gives_no_time_to_save);
+  g_test_add_func("/scheduler/normal-work-preempts-low-work", test_normal_work_preempts_low_work);
+  g_test_add_func("/scheduler/idle-accelerators-are-lent-and-reclaimed",
+                  test_idle_accelerators_are_lent_and_reclaimed);
+  g_test_add_func("/scheduler/gang-starts-on-machines-of-its-leader",
+                  test_gang_starts_on_machines_of_its_leader);
   return g_test_run();
 }
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -14,7 +14,7 @@
 }
 
 static void
-test_good(void) {
+test_settings_are_read(void) {
   g_autoptr(GError) error = NULL;
   g_autoptr(MmSettings) settings = read_text(sample_settings, &error);
   MmName red = mm_name("red");
@@ -28,7 +28,7 @@
 
 /* One line that names the file, the field and what is wrong with it. */
 static void
-test_faults(void) {
+test_errors_name_file_and_field(void) {
   const struct {
     const char *from, *to, *field;
   } faults[] = {
@@ -71,7 +71,7 @@
 
 /* Of the limits that hold and those that are announced, the smaller ones, from the start. */
 static void
-test_next_limits(void) {
+test_smaller_of_announced_limits_holds(void) {
   const struct {
     const char *next;
     double write_rps;
@@ -111,7 +111,7 @@
 
 /* Sets of peers are kept as bits. */
 static void
-test_too_many_others(void) {
+test_too_many_peers_are_refused(void) {
   g_autoptr(GString) text = g_string_new(sample_settings);
   g_autoptr(GError) error = NULL;
 
@@ -123,7 +123,7 @@
 }
 
 static void
-test_unreadable(void) {
+test_unreadable_file_is_an_error(void) {
   g_autoptr(GError) error = NULL;
   g_autoptr(GError) other = NULL;
 
@@ -139,11 +139,12 @@
 
   g_test_init(&argc, &argv, NULL);
   directory = g_dir_make_tmp("mm-test-XXXXXX", NULL);
-  g_test_add_func("/settings/good", test_good);
-  g_test_add_func("/settings/faults", test_faults);
-  g_test_add_func("/settings/next-limits", test_next_limits);
-  g_test_add_func("/settings/too-many-others", test_too_many_others);
-  g_test_add_func("/settings/unreadable", test_unreadable);
+  g_test_add_func("/settings/settings-are-read", test_settings_are_read);
+  g_test_add_func("/settings/errors-name-file-and-field", test_errors_name_file_and_field);
+  g_test_add_func("/settings/smaller-of-announced-limits-holds",
+                  test_smaller_of_announced_limits_holds);
+  g_test_add_func("/settings/too-many-peers-are-refused", test_too_many_peers_are_refused);
+  g_test_add_func("/settings/unreadable-file-is-an-error", test_unreadable_file_is_an_error);
   result = g_test_run();
   {
     g_autofree char *path = g_build_filename(directory, "settings.toml", NULL);
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -42,7 +42,7 @@
 }
 
 static void
-a_day(gconstpointer data) {
+test_random_day(gconstpointer data) {
   guint seed = GPOINTER_TO_UINT(data);
   World *world = sharing_world(seed);
 
@@ -153,7 +153,7 @@
 }
 
 static void
-duty_holder_ends(Move *move) {
+leader_of_duty_ends(Move *move) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = move->world->nodes[i].node;
     if (node != NULL && mm_shard_ownership_leads(node->shard_ownership, MM_SHARD_SHARING))
@@ -163,7 +163,7 @@
 
 /* Beyond its lease; it wakes with what came meanwhile in its queues. */
 static void
-source_stands_still(Move *move) {
+source_is_suspended(Move *move) {
   world_freeze_node(move->world, move->source, 6);
 }
 
@@ -193,18 +193,18 @@
 }
 
 static void
-links_are_cut(Move *move) {
+links_are_refused(Move *move) {
   world_refuse_links(move->world, 8);
 }
 
 static void
-source_is_unread(Move *move) {
+source_misses_changes(Move *move) {
   move->world->nodes[move->source].watches_lost_until_us = move->world->now_us + 5 * SECOND;
 }
 
 /* Of the machine's next report a copy reaches the former owner well over a lease later. */
 static void
-report_comes_again(Move *move) {
+heartbeat_arrives_again(Move *move) {
   move->machine->duplicate_at_us
       = move->world->now_us + (gint64)(1.5 * move->world->lease_s * (double)SECOND);
   move->machine->duplicate_node = move->source;
@@ -223,7 +223,7 @@
 }
 
 static void
-moves_back(Move *move) {
+group_moves_back(Move *move) {
   world_move_group(move->world, move->target, move->group, move->source);
 }
 
@@ -239,7 +239,7 @@
 }
 
 static void
-key_is_garbled(Move *move) {
+key_is_malformed(Move *move) {
   g_autofree char *path = g_strdup_printf("mm/r/g/n-%u", move->target);
   g_autoptr(json_t) body = json_pack("{s:[], s:[{s:s, s:{s:s}}]}", WIRE_IF, WIRE_THEN, WIRE_PUT,
                                      path, WIRE_VALUE, "g", "nonsense");
@@ -249,26 +249,26 @@
 }
 
 static const HardCase hard_cases[] = {
-  { "nothing-happens", NULL, NULL },
+  { "move-is-undisturbed", NULL, NULL },
   { "source-ends", NULL, source_ends },
   { "source-is-back-at-once", NULL, source_is_back_at_once },
   { "target-ends", NULL, target_ends },
   { "target-is-back-at-once", NULL, target_is_back_at_once },
-  { "duty-holder-ends", NULL, duty_holder_ends },
-  { "source-stands-still", NULL, source_stands_still },
+  { "leader-of-duty-ends", NULL, leader_of_duty_ends },
+  { "source-is-suspended", NULL, source_is_suspended },
   { "machine-is-lost", NULL, machine_is_lost },
   { "machine-is-back", NULL, machine_is_back },
   { "source-is-refused", NULL, source_is_refused },
   { "target-is-refused", NULL, target_is_refused },
   { "store-is-down", NULL, store_is_down },
-  { "links-are-cut", NULL, links_are_cut },
-  { "source-is-unread", NULL, source_is_unread },
-  { "report-comes-again", report_comes_again, NULL },
+  { "links-are-refused", NULL, links_are_refused },
+  { "source-misses-changes", NULL, source_misses_changes },
+  { "heartbeat-arrives-again", heartbeat_arrives_again, NULL },
   { "shards-change-hands", NULL, shards_change_hands },
   { "jobs-are-cancelled", NULL, jobs_are_cancelled },
-  { "moves-back", NULL, moves_back },
-  { "late-write", writes_are_late, writes_are_late_no_more },
-  { "key-is-garbled", NULL, key_is_garbled },
+  { "group-moves-back", NULL, group_moves_back },
+  { "transactions-are-applied-late", writes_are_late, writes_are_late_no_more },
+  { "key-is-malformed", NULL, key_is_malformed },
 };
 
 /* Afterwards all nodes agree on an owner for each group, and it grants. */
@@ -311,7 +311,7 @@
 }
 
 static void
-a_hard_case(gconstpointer data) {
+test_move_case(gconstpointer data) {
   const HardCase *hard = data;
   guint moments = g_test_slow() ? G_N_ELEMENTS(moments_ms) : FEW_MOMENTS;
   guint given = 0;
@@ -358,7 +358,7 @@
 /* Machines are shared out once every node of the settings takes part, and no longer when one does
  * not; then nothing is left behind, and the service goes on as without. */
 static void
-test_on_and_off(void) {
+test_sharing_turns_on_and_off(void) {
   World *world = sharing_world(31);
   const WorldKey *key;
 
@@ -386,7 +386,7 @@
 /* A node that divides the fleet otherwise finds it out before it tells anybody, and does nothing.
  */
 static void
-test_other_number(void) {
+test_other_group_count_is_inactive(void) {
   World *world = sharing_world(32);
 
   world_start(world);
@@ -403,7 +403,7 @@
 
 /* The smaller limits hold while groups move all the time: the store fails the test on more. */
 static void
-test_falling_limits(void) {
+test_limits_fall_while_groups_move(void) {
   World *world = sharing_world(33);
 
   world->announces_next_limits = TRUE;
@@ -437,7 +437,7 @@
 
 /* A gang runs on machines of several groups that all move; nothing that runs is stopped. */
 static void
-test_gang_in_moving_groups(void) {
+test_gang_runs_while_groups_move(void) {
   World *world = sharing_world(34);
   WorldJob *gang, *late;
 
@@ -470,7 +470,7 @@
 
 /* Weights: a node of weight 0 is left by all groups, one at a time; then nothing moves any more. */
 static void
-test_weights(void) {
+test_weights_decide_shares(void) {
   World *world = sharing_world(35);
   guint64 moved;
 
@@ -539,7 +539,7 @@
 }
 
 static void
-test_broken_nodes(void) {
+test_faulty_nodes_are_found(void) {
   guint forgetful = 0, hasty = 0;
   guint seeds = g_test_slow() ? 60 : 6;
 
@@ -561,18 +561,20 @@
     mm_log_read_level();
   /* `-m slow`: some hundred days, which take minutes. */
   for (guint seed = 1; seed <= (g_test_slow() ? SLOW_DAYS : DAYS); seed++) {
-    g_autofree char *path = g_strdup_printf("/sharing-world/day-%u", seed);
-    g_test_add_data_func(path, GUINT_TO_POINTER(seed), a_day);
+    g_autofree char *path = g_strdup_printf("/sharing-world/random-day-%u", seed);
+    g_test_add_data_func(path, GUINT_TO_POINTER(seed), test_random_day);
   }
   for (guint i = 0; i < G_N_ELEMENTS(hard_cases); i++) {
     g_autofree char *path = g_strdup_printf("/sharing-world/%s", hard_cases[i].name);
-    g_test_add_data_func(path, &hard_cases[i], a_hard_case);
+    g_test_add_data_func(path, &hard_cases[i], test_move_case);
   }
-  g_test_add_func("/sharing-world/on-and-off", test_on_and_off);
-  g_test_add_func("/sharing-world/other-number", test_other_number);
-  g_test_add_func("/sharing-world/falling-limits", test_falling_limits);
-  g_test_add_func("/sharing-world/gang-in-moving-groups", test_gang_in_moving_groups);
-  g_test_add_func("/sharing-world/weights", test_weights);
-  g_test_add_func("/sharing-world/broken-nodes", test_broken_nodes);
+  g_test_add_func("/sharing-world/sharing-turns-on-and-off", test_sharing_turns_on_and_off);
+  g_test_add_func("/sharing-world/other-group-count-is-inactive",
+                  test_other_group_count_is_inactive);
+  g_test_add_func("/sharing-world/limits-fall-while-groups-move",
+                  test_limits_fall_while_groups_move);
+  g_test_add_func("/sharing-world/gang-runs-while-groups-move", test_gang_runs_while_groups_move);
+  g_test_add_func("/sharing-world/weights-decide-shares", test_weights_decide_shares);
+  g_test_add_func("/sharing-world/faulty-nodes-are-found", test_faulty_nodes_are_found);
   return g_test_run();
 }
--- a/tests/test-sharing.c
+++ b/tests/test-sharing.c
@@ -8,7 +8,7 @@
 #define SMALL_VALUE_BYTES 2048
 
 static void
-test_hash(void) {
+test_machines_hash_evenly(void) {
   guint machines[GROUPS] = { 0 };
   guint most = 0;
 
@@ -29,7 +29,7 @@
 }
 
 static void
-test_set_text(void) {
+test_group_sets_round_trip(void) {
   static const char *const good[] = { "", "0", "0-3,7", "5-6,8-255" };
   static const char *const bad[]
       = { "256", "3-1", "a", "1,", ",1", "1-", "-1", "1 2", "1--2", "99999999999999999999" };
@@ -70,7 +70,7 @@
 }
 
 static void
-test_map(void) {
+test_map_names_owners(void) {
   MmGroupMap *map = mm_group_map_new(GROUPS);
   g_autoptr(json_t) a = value_of(GROUPS, 7, 0, 100, 3), b = value_of(GROUPS, 8, 100, 256, 4);
   g_autoptr(json_t) later = value_of(GROUPS, 9, 0, 1, 9);
@@ -92,7 +92,7 @@
 }
 
 static void
-test_other_count(void) {
+test_other_group_count_conflicts(void) {
   MmGroupMap *map = mm_group_map_new(GROUPS);
   g_autoptr(json_t) a = value_of(GROUPS, 7, 0, 100, 3), other = value_of(128, 9, 0, 1, 9);
 
@@ -106,7 +106,7 @@
 }
 
 static void
-test_malformed(void) {
+test_malformed_values_are_refused(void) {
   static const char *const bad[] = { "{}",
                                      "[]",
                                      "{\"c\":1,\"of\":256}",
@@ -137,7 +137,7 @@
 /* A key must fit into the smallest values, also after its groups came one by one: then all go under
  * one term. */
 static void
-test_value_size(void) {
+test_value_fits_smallest_limit(void) {
   g_autoptr(MmGroupValue) value = mm_group_value_new(MM_GROUPS_MAX, 1);
   g_autoptr(json_t) many = NULL, one = NULL;
 
@@ -205,7 +205,7 @@
 }
 
 static void
-test_shares_random(void) {
+test_random_shares_converge(void) {
   g_autoptr(GRand) rand = g_rand_new_with_seed(5);
 
   for (guint round = 0; round < 2000; round++) {
@@ -225,7 +225,7 @@
 }
 
 static void
-test_shares_slack(void) {
+test_small_imbalance_stays(void) {
   MmShare near[] = { { 1, 88 }, { 1, 84 }, { 1, 84 } },
           far[] = { { 1, 100 }, { 1, 84 }, { 1, 72 } };
   MmShare leaving[] = { { 0, 2 }, { 1, 127 }, { 1, 127 } };
@@ -245,7 +245,7 @@
 }
 
 static void
-test_takers(void) {
+test_free_groups_go_below_shares(void) {
   MmShare shares[] = { { 1, 3 }, { 2, 0 }, { 1, 0 } };
   guint targets[3] = { 0 };
 
@@ -261,14 +261,14 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/sharing/hash", test_hash);
-  g_test_add_func("/sharing/set-text", test_set_text);
-  g_test_add_func("/sharing/map", test_map);
-  g_test_add_func("/sharing/other-count", test_other_count);
-  g_test_add_func("/sharing/malformed", test_malformed);
-  g_test_add_func("/sharing/value-size", test_value_size);
-  g_test_add_func("/sharing/shares-random", test_shares_random);
-  g_test_add_func("/sharing/shares-slack", test_shares_slack);
-  g_test_add_func("/sharing/takers", test_takers);
+  g_test_add_func("/sharing/machines-hash-evenly", test_machines_hash_evenly);
+  g_test_add_func("/sharing/group-sets-round-trip", test_group_sets_round_trip);
+  g_test_add_func("/sharing/map-names-owners", test_map_names_owners);
+  g_test_add_func("/sharing/other-group-count-conflicts", test_other_group_count_conflicts);
+  g_test_add_func("/sharing/malformed-values-are-refused", test_malformed_values_are_refused);
+  g_test_add_func("/sharing/value-fits-smallest-limit", test_value_fits_smallest_limit);
+  g_test_add_func("/sharing/random-shares-converge", test_random_shares_converge);
+  g_test_add_func("/sharing/small-imbalance-stays", test_small_imbalance_stays);
+  g_test_add_func("/sharing/free-groups-go-below-shares", test_free_groups_go_below_shares);
   return g_test_run();
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -39,7 +39,7 @@
 /* A job that depends on another gets 503 until every node has said that it is new, and is accepted
  * from then on, whoever ends. */
 static void
-test_gate(void) {
+test_dependencies_wait_for_all_nodes(void) {
   World *world = old_world(1, 6);
   WorldJob *first = world_submit(world, json_object(), 2), *after;
 
@@ -102,7 +102,7 @@
 /* Packs of machines that were written under larger limits are taken apart before they change, and
  * machines that are lost leave them. */
 static void
-test_large_packs(void) {
+test_large_packs_are_split(void) {
   World *world = world_of_services(2, 120);
   guint registered = 0;
 
@@ -146,7 +146,7 @@
 /* Limits that fall though nothing announced them: nodes that are refused write less at a time, and
  * nothing is sent twice as it was for long. */
 static void
-test_unannounced(void) {
+test_unannounced_limits_are_learned(void) {
   World *world = world_new(3);
   guint refused;
 
@@ -186,7 +186,7 @@
 /* The nodes' turns come at random moments; what is new is asked for once all have had theirs, and
  * the limits fall at some moment after that. */
 static void
-a_roll(gconstpointer data) {
+test_rolling_upgrade(gconstpointer data) {
   World *world = old_world(GPOINTER_TO_UINT(data), 9);
   guint turns[WORLD_NODES], all_new = 0, fall;
 
@@ -228,12 +228,12 @@
   /* More days than CI plays: MM_UPGRADE_DAYS=100 tests/test-upgrade */
   if (g_getenv("MM_UPGRADE_DAYS") != NULL)
     days = (guint)g_ascii_strtoull(g_getenv("MM_UPGRADE_DAYS"), NULL, 10);
-  g_test_add_func("/upgrade/gate", test_gate);
-  g_test_add_func("/upgrade/large-packs", test_large_packs);
-  g_test_add_func("/upgrade/unannounced", test_unannounced);
+  g_test_add_func("/upgrade/dependencies-wait-for-all-nodes", test_dependencies_wait_for_all_nodes);
+  g_test_add_func("/upgrade/large-packs-are-split", test_large_packs_are_split);
+  g_test_add_func("/upgrade/unannounced-limits-are-learned", test_unannounced_limits_are_learned);
   for (guint seed = 1; seed <= days; seed++) {
-    g_autofree char *name = g_strdup_printf("/upgrade/roll-%u", seed);
-    g_test_add_data_func(name, GUINT_TO_POINTER(seed), a_roll);
+    g_autofree char *name = g_strdup_printf("/upgrade/rolling-upgrade-%u", seed);
+    g_test_add_data_func(name, GUINT_TO_POINTER(seed), test_rolling_upgrade);
   }
   return g_test_run();
 }
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -206,7 +206,7 @@
 }
 
 static void
-a_day(gconstpointer data) {
+test_random_day(gconstpointer data) {
   World *world = world_new(GPOINTER_TO_UINT(data));
   gboolean rough = GPOINTER_TO_UINT(data) >= ROUGH_DAYS;
   guint started_half;
@@ -258,7 +258,7 @@
 /* Nodes that all start anew while the cloud is down go by the machine types that were stored: they
  * once stood idle, and unhealthy, until it was back. */
 static void
-test_restart_without_cloud(void) {
+test_restart_needs_no_cloud(void) {
   World *world = world_new(9);
   WorldJob *job;
 
@@ -281,7 +281,7 @@
 /* Two nodes that are refused alone at the same time, while the third is served, are no outage: they
  * stop answering and their claims end, as the third one's doing shows; nothing runs twice. */
 static void
-test_two_refused_alone(void) {
+test_two_refused_nodes_are_no_outage(void) {
   World *world = world_new(5);
   gint64 second = G_USEC_PER_SEC;
 
@@ -308,7 +308,7 @@
  * Reports wait a moment for the last of them: a worker shows one higher term at once and the next
  * only half a lease later, and the parts waited for that. */
 static void
-test_last_term_first(void) {
+test_last_term_is_shown_first(void) {
   World *world = world_new(11);
   guint changes = 0;
   guint64 tokens[20] = { 0 };
@@ -339,7 +339,7 @@
 /* A node that has lost the state service and the other nodes answers its users at once, sends its
  * workers on when its claim can have ended, and is back by itself. */
 static void
-test_cut_node_answers(void) {
+test_cut_node_answers_users_503(void) {
   World *world = world_new(7);
   int submitted = -1, health = -1, polled = -1;
   json_t *body = json_pack("{s:s}", WIRE_JOB_ID, "run-000001");
@@ -385,7 +385,7 @@
 /* A node that falls behind turns polls away first, then submissions, never bad input's right answer
  * for long, nor health checks; on time again, it takes everything. */
 static void
-test_sheds_in_order(void) {
+test_load_is_shed_in_order(void) {
   World *world = world_new(8);
   const char *poll = WIRE_JOBS_PATH "/run-555555";
 
@@ -404,7 +404,7 @@
 
 /* An outage for all, in which two nodes find each other refused: claims hold throughout. */
 static void
-test_outage_holds_claims(void) {
+test_leases_hold_in_an_outage(void) {
   World *world = world_new(6);
 
   for (guint i = 0; i < 4; i++)
@@ -432,21 +432,22 @@
   /* More days than CI plays: MM_WORLD_DAYS=100 tests/test-world */
   if (g_getenv("MM_WORLD_DAYS") != NULL)
     days = rough = (guint)g_ascii_strtoull(g_getenv("MM_WORLD_DAYS"), NULL, 10);
-  g_test_add_func("/world/restart-without-cloud", test_restart_without_cloud);
-  g_test_add_func("/world/two-refused-alone", test_two_refused_alone);
-  g_test_add_func("/world/outage-holds-claims", test_outage_holds_claims);
-  g_test_add_func("/world/cut-node-answers", test_cut_node_answers);
-  g_test_add_func("/world/sheds-in-order", test_sheds_in_order);
-  g_test_add_func("/world/last-term-first", test_last_term_first);
+  g_test_add_func("/world/restart-needs-no-cloud", test_restart_needs_no_cloud);
+  g_test_add_func("/world/two-refused-nodes-are-no-outage", test_two_refused_nodes_are_no_outage);
+  g_test_add_func("/world/leases-hold-in-an-outage", test_leases_hold_in_an_outage);
+  g_test_add_func("/world/cut-node-answers-users-503", test_cut_node_answers_users_503);
+  g_test_add_func("/world/load-is-shed-in-order", test_load_is_shed_in_order);
+  g_test_add_func("/world/last-term-is-shown-first", test_last_term_is_shown_first);
   /* Day 31: a gang split by a lost machine waited without end. */
-  g_test_add_data_func("/world/day-31-split-gang", GUINT_TO_POINTER(31), a_day);
+  g_test_add_data_func("/world/random-day-31-with-split-gang", GUINT_TO_POINTER(31),
+                       test_random_day);
   for (guint seed = 1; seed <= days; seed++) {
-    g_autofree char *name = g_strdup_printf("/world/day-%u", seed);
-    g_test_add_data_func(name, GUINT_TO_POINTER(seed), a_day);
+    g_autofree char *name = g_strdup_printf("/world/random-day-%u", seed);
+    g_test_add_data_func(name, GUINT_TO_POINTER(seed), test_random_day);
   }
   for (guint i = 0; i < rough; i++) {
-    g_autofree char *name = g_strdup_printf("/world/rough-%u", ROUGH_DAYS + i);
-    g_test_add_data_func(name, GUINT_TO_POINTER(ROUGH_DAYS + i), a_day);
+    g_autofree char *name = g_strdup_printf("/world/rough-day-%u", ROUGH_DAYS + i);
+    g_test_add_data_func(name, GUINT_TO_POINTER(ROUGH_DAYS + i), test_random_day);
   }
   return g_test_run();
 }
