--- /dev/null
+++ b/tests/test-concurrent-faults-cancellation.c
@@ -0,0 +1,160 @@
+/* Cancellations meet outages, cuts and machines that do not get their commands. */
+#include "test-concurrent-faults.h"
+
+#include "base/wire.h"
+#include "kv/kv-client.h"
+#include "kv/replica.h"
+#include "leases/shard-ownership.h"
+
+/* Cancellations, polls and repeated submissions arrive as a job's last task ends. */
+guint
+jobs_are_cancelled_as_they_end(World *world) {
+  guint n_done = 0, n_cancelled = 0;
+
+  world->cancel_at_end_rate = 0.7;
+  for (guint i = 0; i < 12; i++) {
+    submit_jobs(world, 2, WIRE_KIND_ARRAY, 1 + i % 3, 1 + i % 4);
+    world_run(world, 2);
+    world_send_odd_requests(world);
+  }
+  world_run(world, 10);
+  for (guint i = 0; i < world->jobs->len; i++) {
+    n_done
+        += job_at(world, i)->is_cancel_requested && job_at(world, i)->user_view == USER_SEES_DONE;
+    n_cancelled += job_at(world, i)->user_view == USER_SEES_CANCELLED;
+  }
+  g_test_message("%u cancelled after all, %u done", n_cancelled, n_done);
+  return MIN(world->n_odd_requests_correct, n_cancelled + n_done);
+}
+
+/* The key-value store refuses the leader only, the others confirm cancellations, and then it
+ * refuses everybody for longer than cancel_s, while the machines are answered. */
+guint
+outage_follows_cancellation(World *world) {
+  guint leader, n_met;
+
+  submit_jobs(world, 6, WIRE_KIND_ARRAY, 4, 300);
+  submit_jobs(world, 2, WIRE_KIND_SERVICE, 2, 0);
+  world_run(world, 8);
+  leader = world_node_leading_most_shards(world);
+  refuse_kv_requests(world, leader, 14);
+  world_run(world, 1.5);
+  /* The first commands to these are lost. */
+  on_machines_with_tasks(world, 4, lose_inbound, 4);
+  cancel_all_jobs(world);
+  world_run(world, 0.4);
+  world_kv_outage(world, world->cancel_s + 12);
+  world_run(world, 0.5);
+  n_met = world_count_cancelled_tasks(world);
+  world_run(world, world->cancel_s + 20);
+  return n_met;
+}
+
+/* The same, but the outage begins when the leader's lease has just expired and nobody has acquired
+ * its shards: they have no leader as long as it lasts. */
+guint
+outage_follows_cancellation_without_leader(World *world) {
+  g_autofree char *key = NULL;
+  guint leader, n_met = 0;
+  const MmNode *other;
+
+  submit_jobs(world, 8, WIRE_KIND_ARRAY, 3, 300);
+  world_run(world, 8);
+  leader = world_node_leading_most_shards(world);
+  other = world->nodes[(leader + 1) % WORLD_NODES].node;
+  key = g_strconcat(MM_KEY_LIVE_NODE, world->nodes[leader].settings->label.s, NULL);
+  refuse_kv_requests(world, leader, 14);
+  for (guint i = 0; i < 500 && g_tree_lookup(world->keys, key) != NULL; i++)
+    world_run(world, 0.01);
+  on_machines_with_tasks(world, 4, lose_inbound, 3);
+  cancel_all_jobs(world);
+  world->delays_acquisitions = TRUE;
+  world_run(world, 0.3);
+  world->delays_acquisitions = FALSE;
+  world_kv_outage(world, world->cancel_s + 12);
+  world_run(world, 0.5);
+  for (guint i = 0; i < world->jobs->len; i++) {
+    g_autofree char *shard = mm_shard_ownership_shard_of_team(&job_at(world, i)->spec.team);
+    n_met += job_at(world, i)->user_view == USER_SEES_CANCELLED
+             && mm_replica_shard(other->replica, shard) == NULL;
+  }
+  world_run(world, world->cancel_s + 20);
+  return n_met;
+}
+
+/* The leader reaches its workers and users and nothing else; jobs are cancelled through the others.
+ */
+guint
+leader_is_cut_off_from_cancellation(World *world) {
+  guint leader, n_met = 0;
+
+  submit_jobs(world, 6, WIRE_KIND_ARRAY, 4, 300);
+  world_run(world, 8);
+  leader = world_node_leading_most_shards(world);
+  world_cut_node(world, leader, world->cancel_s + 10, FALSE);
+  world_run(world, 1);
+  on_machines_with_tasks(world, 4, lose_inbound, 6);
+  cancel_all_jobs(world);
+  for (guint i = 0; i < 60; i++) {
+    world_run(world, 0.1);
+    n_met = MAX(n_met, world_count_cancelled_tasks(world));
+  }
+  world_run(world, world->cancel_s + 10);
+  return n_met;
+}
+
+/* The key-value store is slow, then refuses the leader only and then everybody, while users cancel
+ * jobs and poll. */
+guint
+store_is_slow_then_refuses(World *world) {
+  guint n_met;
+
+  world->kv_slow_s = 0.8;
+  world->kv_slow_until_us = world->now_us + 30 * SECOND;
+  submit_jobs(world, 6, WIRE_KIND_ARRAY, 4, 200);
+  world_run(world, 15);
+  cancel_all_jobs(world);
+  refuse_kv_requests(world, world_node_leading_most_shards(world), 10);
+  world_run(world, 2);
+  world_send_odd_requests(world);
+  world_kv_outage(world, world->cancel_s + 10);
+  world_run(world, 1);
+  n_met = count_jobs_seen_as(world, USER_SEES_CANCELLED) + world_count_cancelled_tasks(world);
+  world_send_odd_requests(world);
+  world_run(world, world->cancel_s + 20);
+  return n_met;
+}
+
+/* Many jobs are cancelled within a fifth of a second, and their machines hang. */
+guint
+machines_hang_as_jobs_are_cancelled(World *world) {
+  guint n_met;
+
+  submit_jobs(world, 8, WIRE_KIND_ARRAY, 3, 200);
+  world_run(world, 10);
+  cancel_all_jobs(world);
+  world_run(world, 0.1);
+  n_met = on_machines_with_tasks(world, 5, suspend_worker, world->lease_s - 1);
+  world_run(world, world->cancel_s + 10);
+  return n_met;
+}
+
+/* A node's replica gets no changes, while its lease is renewed and its links are refused, and jobs
+ * of its workers are cancelled through the other nodes. */
+guint
+stale_node_misses_cancellation(World *world) {
+  guint node;
+
+  submit_jobs(world, 6, WIRE_KIND_ARRAY, 4, 300);
+  world_run(world, 8);
+  node = world_node_leading_most_shards(world);
+  world->nodes[node].watches_lost_until_us = world->now_us + 60 * SECOND;
+  world_refuse_links(world, 60);
+  /* Else its own users would tell it of the cancellations. */
+  world->avoided_node = node;
+  world_run(world, 0.5);
+  cancel_all_jobs(world);
+  world_run(world, 58);
+  world->avoided_node = -1;
+  return count_jobs_seen_as(world, USER_SEES_CANCELLED);
+}
--- /dev/null
+++ b/tests/test-concurrent-faults-failover.c
@@ -0,0 +1,208 @@
+/* Failovers meet late transactions, lost machines and full teams. */
+#include "test-concurrent-faults.h"
+
+#include "base/wire.h"
+#include "leases/node-lease.h"
+
+/* Leadership goes to another node and back; all nodes end, and one is back within a second. */
+guint
+all_nodes_end_and_one_returns(World *world) {
+  guint64 before;
+
+  submit_jobs(world, 4, WIRE_KIND_ARRAY, 5, 25);
+  world_run(world, 6);
+  before = newest_term(world);
+  for (guint round = 0; round < 3; round++) {
+    world_kill_node(world, world_node_leading_most_shards(world), 0.2);
+    world_run(world, 4);
+    for (guint i = 0; i < WORLD_NODES; i++)
+      world_kill_node(world, i, i == round ? 0.3 : 4);
+    world_run(world, 7);
+  }
+  return newest_term(world) >= before + 6;
+}
+
+/* Transactions get no answer and are applied late, after newer ones of the same node, also of its
+ * next process. */
+guint
+transactions_are_applied_late(World *world) {
+  world->late_write_rate = 0.3;
+  for (guint round = 0; round < 8; round++) {
+    submit_jobs(world, 2, WIRE_KIND_ARRAY, 3, 5);
+    world_run(world, 4);
+    world_cancel(job_at(world, round * 2));
+    if (round % 3 == 1)
+      world_kill_node(world, world_node_leading_most_shards(world), 0.3);
+    if (round % 3 == 2)
+      on_machines_with_tasks(world, 1, interrupt_network, world->lease_s + 2);
+    world_run(world, 2);
+  }
+  world->late_write_rate = 0;
+  return world->n_late_applied > 0 && world->n_late_rejected > 0;
+}
+
+/* A node announces its lease twice, and the first announcement is applied last. Without a condition
+ * on it the key would hang on the older lease and be deleted with that; the node could never act
+ * again. */
+guint
+lease_announcements_are_applied_late(World *world) {
+  guint before;
+
+  submit_jobs(world, 3, WIRE_KIND_ARRAY, 4, 20);
+  world_run(world, 6);
+  before = world->n_late_rejected;
+  for (guint round = 0; round < 8; round++) {
+    guint node = round % WORLD_NODES;
+    world_kill_node(world, node, 0.2);
+    world_run(world, 0.2);
+    world->late_write_rate = 1;
+    world_run(world, 0.15);
+    world->late_write_rate = 0;
+    world_run(world, 20);
+    g_assert_true(mm_node_lease_may_answer_workers(world->nodes[node].node->node_lease));
+  }
+  return world->n_late_rejected - before;
+}
+
+/* Tasks of one array end far apart, with failovers between: none that is done runs again, and none
+ * is missed. */
+guint
+tasks_end_far_apart_between_failovers(World *world) {
+  guint n_met = 0;
+
+  for (guint i = 0; i < world->machines->len; i++)
+    machine_at(world, i)->failure_rate = 0;
+  for (guint i = 0; i < 6; i++)
+    world_submit(world, json_pack("{s:i}", WIRE_TASKS, 2 + i % 2), 2)->stagger_s = 14;
+  for (guint i = 0; i < 3; i++) {
+    world_run(world, 8);
+    world_kill_node(world, world_node_leading_most_shards(world), i % 2 == 0 ? 0.3 : 3);
+  }
+  world_run(world, 30);
+  for (guint i = 0; i < 6; i++) {
+    g_assert_cmpint(job_at(world, i)->user_view, ==, USER_SEES_DONE);
+    n_met += job_at(world, i)->n_starts == job_at(world, i)->spec.n_tasks;
+  }
+  g_assert_cmpuint(n_met, ==, 6);
+  return n_met;
+}
+
+/* Jobs bound to one zone lose machines. */
+guint
+zone_bound_jobs_lose_machines(World *world) {
+  guint lost = 0;
+
+  for (guint i = 0; i < 6; i++)
+    world_submit(world,
+                 json_pack("{s:i, s:s, s:s}", WIRE_TASKS, 3, WIRE_ZONE, "b", WIRE_KIND,
+                           i % 3 == 0 ? WIRE_KIND_SERVICE : WIRE_KIND_ARRAY),
+                 12);
+  world_run(world, 8);
+  for (guint i = 0; i < world->machines->len && lost < 2; i++) {
+    WorldMachine *machine = machine_at(world, i);
+    if (strcmp(machine->zone, "b") != 0 || machine->tasks->len == 0)
+      continue;
+    world_kill_machine(world, machine);
+    lost++;
+  }
+  world_kill_node(world, 1, 0.3);
+  world_run(world, 20);
+  return lost;
+}
+
+/* More work than resources, urgent and not, over slow links. */
+guint
+more_work_than_resources(World *world) {
+  static const char *const priorities[] = { "low", "normal", "urgent", "critical" };
+  guint waiting = 0;
+
+  world->slow_links_s = 1.5;
+  world->capacity = 1;
+  for (guint i = 0; i < 36; i++) {
+    g_autofree char *team = g_strdup_printf("team-%u", i % 4);
+    world_submit(world,
+                 json_pack("{s:i, s:s, s:s}", WIRE_TASKS, 5, WIRE_PRIORITY, priorities[i / 4 % 4],
+                           WIRE_TEAM, team),
+                 20);
+  }
+  world_run(world, 30);
+  for (guint i = 0; i < world->jobs->len; i++)
+    waiting += job_at(world, i)->first_start_at_us == 0;
+  world_kill_node(world, world_node_leading_most_shards(world), 0.5);
+  world_run(world, 60);
+  world->slow_links_s = 0;
+  return waiting;
+}
+
+/* A leader ends while machines with long tasks cannot be reached, or get no answer of the new one.
+ */
+guint
+leader_ends_while_machines_are_unreached(World *world) {
+  guint n_met = 0;
+  guint64 before;
+
+  submit_jobs(world, 5, WIRE_KIND_ARRAY, 4, 35);
+  world_run(world, 8);
+  before = newest_term(world);
+  n_met += on_machines_with_tasks(world, 2, interrupt_network, world->lease_s - 2);
+  n_met += on_machines_with_tasks(world, 4, lose_inbound, 6);
+  world_kill_node(world, world_node_leading_most_shards(world), 15);
+  world_run(world, 1);
+  world_cancel(job_at(world, 0));
+  world_run(world, 30);
+  return newest_term(world) > before ? n_met : 0;
+}
+
+/* Leaders change ten times in two minutes, also during an outage. */
+guint
+ten_failovers_in_two_minutes(World *world) {
+  guint64 before;
+  WorldJob *after;
+
+  submit_jobs(world, 6, WIRE_KIND_ARRAY, 4, 30);
+  world_run(world, 6);
+  before = newest_term(world);
+  for (guint i = 0; i < 11; i++) {
+    world_kill_node(world, world_node_leading_most_shards(world), i % 2 == 0 ? 0.3 : 3);
+    if (i == 4)
+      world_kv_outage(world, 8);
+    /* So that the autoscaler keeps the machines. */
+    submit_jobs(world, 2, WIRE_KIND_ARRAY, 2, 5);
+    world_run(world, 10.5);
+  }
+  after = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 2), 3);
+  world_run(world, 25);
+  g_assert_cmpint(after->first_start_at_us, >, 0);
+  return newest_term(world) >= before + 10;
+}
+
+/* All nodes are down for longer than a worker lease. */
+guint
+all_nodes_are_down_beyond_a_lease(World *world) {
+  submit_jobs(world, 4, WIRE_KIND_ARRAY, 4, 30);
+  submit_jobs(world, 2, WIRE_KIND_SERVICE, 3, 0);
+  world_run(world, 8);
+  for (guint i = 0; i < WORLD_NODES; i++)
+    world_kill_node(world, i, world->lease_s + 6);
+  world_run(world, 2 * world->lease_s + 10);
+  return count_lost_leases(world, NULL);
+}
+
+/* A team is at its limit when the leader changes; some of its machines are not reached, and one of
+ * its jobs is cancelled then. */
+guint
+team_is_at_its_limit_during_failover(World *world) {
+  guint running = 0;
+
+  for (guint i = 0; i < 5; i++)
+    world_submit(world, json_pack("{s:i}", WIRE_TASKS, 6), 25);
+  world_run(world, 10);
+  for (guint i = 0; i < 5; i++)
+    running += world_count_running(world, job_at(world, i), NULL);
+  on_machines_with_tasks(world, 3, interrupt_network, world->lease_s + 4);
+  world_kill_node(world, world_node_leading_most_shards(world), 5);
+  world_run(world, 0.5);
+  world_cancel(job_at(world, 0));
+  world_run(world, 40);
+  return running * 2 >= (guint)world->team_cores - 2 ? running : 0;
+}
--- /dev/null
+++ b/tests/test-concurrent-faults-network.c
@@ -0,0 +1,126 @@
+/* Faults of the network meet one another, or the end of a node. */
+#include "test-concurrent-faults.h"
+
+#include "autoscaler/autoscaler.h"
+#include "base/wire.h"
+
+/* Direct commands are delayed by seconds while their machines go on. */
+guint
+commands_are_delayed(World *world) {
+  submit_jobs(world, 4, WIRE_KIND_ARRAY, 4, 30);
+  world_run(world, 8);
+  on_machines_with_tasks(world, 3, interrupt_network, 6);
+  cancel_all_jobs(world);
+  world_run(world, 2);
+  on_machines_with_tasks(world, 6, suspend_worker, 5);
+  world_run(world, 10);
+  return world->n_delayed_commands;
+}
+
+/* A zone is cut off beyond a worker lease, a node and workers in it. */
+guint
+zone_is_cut_with_its_node(World *world) {
+  submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
+  world_run(world, 8);
+  world_cut_zone(world, 0, world->lease_s + 8, TRUE);
+  world_run(world, 5);
+  submit_jobs(world, 2, WIRE_KIND_ARRAY, 4, 5);
+  world_run(world, world->lease_s + 15);
+  return count_lost_leases(world, "a");
+}
+
+/* The same while one of the other nodes restarts: it knows the machines in the zone from the
+ * registry only, and proves that their incarnations are over as the zone comes back. */
+guint
+node_restarts_while_zone_is_cut(World *world) {
+  submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
+  submit_jobs(world, 8, WIRE_KIND_ARRAY, 6, 12);
+  world_run(world, 6);
+  world_cut_zone(world, 0, 2 * world->lease_s + world_uniform(world, 1, 4), TRUE);
+  world_run(world, world_uniform(world, 2, world->lease_s + 2));
+  world_kill_node(world, 1, world_uniform(world, 0.3, 3));
+  for (guint i = 0; i < 12; i++) {
+    world_run(world, 3);
+    submit_jobs(world, 2, WIRE_KIND_ARRAY, 5, 12);
+  }
+  return count_lost_leases(world, "a");
+}
+
+/* Copies of heartbeats arrive after newer ones, also of earlier incarnations and attempts. */
+guint
+stale_heartbeats_arrive(World *world) {
+  world->duplicate_rate = 0.3;
+  submit_jobs(world, 6, WIRE_KIND_ARRAY, 3, 12);
+  for (guint round = 0; round < 3; round++) {
+    world_run(world, 6);
+    on_machines_with_tasks(world, 2, round % 2 == 0 ? interrupt_network : lose_inbound,
+                           world->lease_s + 3);
+    world_kill_node(world, round, 0.3);
+    world_run(world, 8);
+  }
+  world->duplicate_rate = 0;
+  return world->n_stale_incarnations;
+}
+
+/* Machines reach no node while direct commands reach them; jobs on them are cancelled. */
+guint
+heartbeats_are_lost_commands_arrive(World *world) {
+  guint n_arrived = 0;
+
+  submit_jobs(world, 4, WIRE_KIND_ARRAY, 4, 40);
+  world_run(world, 8);
+  on_machines_with_tasks(world, 4, lose_outbound, world->lease_s + 12);
+  world_run(world, 0.5);
+  world_cancel(job_at(world, 0));
+  world_cancel(job_at(world, 1));
+  world_run(world, world->lease_s + 14);
+  for (guint i = 0; i < world->machines->len; i++)
+    n_arrived += machine_at(world, i)->n_direct_while_outbound_lost;
+  return n_arrived;
+}
+
+/* A copy of a heartbeat reaches a new leader that has acted already. */
+guint
+delayed_heartbeat_reaches_new_leader(World *world) {
+  guint old = world_node_leading_most_shards(world), n_met = 0;
+  guint64 before = newest_term(world);
+
+  submit_jobs(world, 5, WIRE_KIND_ARRAY, 3, 6);
+  world_run(world, 4);
+  for (guint i = 0; i < world->machines->len; i++) {
+    machine_at(world, i)->duplicate_at_us = world->now_us + 9 * SECOND + (gint64)i * SECOND / 3;
+    machine_at(world, i)->duplicate_node = (old + 1 + i % 2) % WORLD_NODES;
+  }
+  world_run(world, 1.5);
+  world_kill_node(world, old, 20);
+  world_run(world, 6.5);
+  submit_jobs(world, 5, WIRE_KIND_ARRAY, 3, 6);
+  for (guint i = 0; i < world->machines->len; i++)
+    n_met += machine_at(world, i)->duplicate_at_us == 0
+             && machine_at(world, i)->fencing_token > before;
+  world_run(world, 20);
+  return newest_term(world) > before ? n_met : 0;
+}
+
+/* The autoscaler's node is cut off from the workers, and some of these, which reach no node for a
+ * while, answer the other nodes' requests. That nobody answers a node which reaches no worker must
+ * not count as silence of healthy machines: they would be returned. */
+guint
+autoscaler_is_cut_from_workers(World *world) {
+  guint autoscaler_node = 0, n_met, up = 0, left = 0;
+
+  submit_jobs(world, 6, WIRE_KIND_SERVICE, 2, 0);
+  world_run(world, 8);
+  while (!world->nodes[autoscaler_node].node->autoscaler->is_active)
+    autoscaler_node++;
+  for (guint i = 0; i < 9; i++)
+    up += machine_at(world, i)->is_up;
+  world->nodes[autoscaler_node].workers_cut_until_us = world->now_us + 20 * SECOND;
+  world_run(world, 5);
+  n_met = on_machines_with_tasks(world, 1, lose_outbound, world->lease_s - 1.5);
+  world_run(world, 15);
+  for (guint i = 0; i < 9; i++)
+    left += machine_at(world, i)->is_up;
+  g_assert_cmpuint(left, ==, up);
+  return n_met;
+}
