--- /dev/null
+++ b/tests/test-scheduler-fixture.c
@@ -0,0 +1,33 @@
+/* Fixture of the tests of the shard leader. */
+#include "test-scheduler.h"
+
+#include "base/wire.h"
+
+SchedulerFixture
+scheduler_fixture(guint tasks) {
+  SchedulerFixture f = { world_new(5) };
+  WorldJob *job;
+
+  for (guint i = 0; i < 2; i++)
+    world_add_machine(f.world, "big", "a", FALSE, 0.1);
+  world_start(f.world);
+  world_run(f.world, 5);
+  for (guint i = 0; i < 2; i++)
+    ((WorldMachine *)g_ptr_array_index(f.world->machines, i))->hung_until_us
+        = f.world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+  job = world_submit(f.world, json_pack("{s:i}", WIRE_TASKS, (int)tasks), 5);
+  world_run(f.world, 0.5);
+  for (guint i = 0; i < WORLD_NODES; i++) {
+    MmNode *node = f.world->nodes[i].node;
+    MmJob *known = mm_job_table_find(node->job_table, job->id);
+    g_assert_nonnull(known);
+    if (mm_scheduler_shard_of_job(node->scheduler, known) == NULL)
+      continue;
+    f.scheduler = node->scheduler;
+    f.job = known;
+    f.machines[0] = mm_machine_table_find(node->machine_table, "m-000001");
+    f.machines[1] = mm_machine_table_find(node->machine_table, "m-000002");
+  }
+  g_assert_nonnull(f.scheduler);
+  return f;
+}
--- /dev/null
+++ b/tests/test-scheduler-heartbeats.c
@@ -0,0 +1,167 @@
+/* What heartbeats show the shard leader, and what they do not prove. */
+#include "test-scheduler.h"
+
+#include "base/wire.h"
+#include "kv/replica.h"
+
+/* A heartbeat of a machine with one task of the fixture's job on it; attempt 0: without. */
+static MmHeartbeat
+heartbeat_with_task(const SchedulerFixture *f, guint machine, guint64 incarnation, guint64 sequence,
+                    guint64 attempt) {
+  MmHeartbeat heartbeat = { .machine_id = f->machines[machine]->id,
+                            .type = f->machines[machine]->type_name,
+                            .zone = f->machines[machine]->zone,
+                            .heartbeat_id = { incarnation, sequence },
+                            .fencing_token = f->machines[machine]->acknowledged_term,
+                            .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
+  MmReportedTask reported
+      = { .job = f->job->spec.id, .attempt = { attempt }, .state = MM_REPORTED_RUNNING };
+
+  if (attempt != 0)
+    g_array_append_val(heartbeat.tasks, reported);
+  return heartbeat;
+}
+
+/* Records the heartbeat as one that the node received itself. Takes it. */
+static MmMachine *
+record_heartbeat(const SchedulerFixture *f, MmHeartbeat heartbeat) {
+  MmNode *node = f->scheduler->node;
+  MmMachine *machine = mm_machine_table_record_heartbeat(node->machine_table, &heartbeat,
+                                                         mm_node_now(node), MM_SERVING_NODE_SELF);
+
+  mm_heartbeat_clear(&heartbeat);
+  return machine;
+}
+
+/* Of two reported attempts at a task the newer was approved when the older had ended: whichever
+ * heartbeat comes first, it wins. Else a late heartbeat would keep the task where it no longer is,
+ * and when that machine is lost the task would start a third time. */
+void
+test_newer_attempt_wins(void) {
+  for (guint newer_first = 0; newer_first < 2; newer_first++) {
+    SchedulerFixture f = scheduler_fixture(2);
+    guint64 sequence
+        = MAX(f.machines[0]->latest_message_id.sequence, f.machines[1]->latest_message_id.sequence)
+          + 1;
+    guint first = newer_first ? 1 : 0;
+
+    record_heartbeat(&f, heartbeat_with_task(&f, first, 1, sequence, first == 1 ? 200 : 100));
+    record_heartbeat(&f, heartbeat_with_task(&f, 1 - first, 1, sequence, first == 1 ? 100 : 200));
+    g_assert_true(f.job->tasks[0].machine == f.machines[1]);
+    g_assert_cmpuint(f.job->tasks[0].attempt.v, ==, 200);
+    g_assert_cmpuint(f.job->n_maybe_on_machines, ==, 1);
+    world_free(f.world);
+  }
+}
+
+/* A job waits for the unacknowledged machines that it was ever allowed on, and for no others. */
+void
+test_job_waits_where_it_may_have_started(void) {
+  SchedulerFixture f = scheduler_fixture(2);
+  MmLedShard *led_shard = mm_scheduler_shard_of_job(f.scheduler, f.job);
+  MmMachine *spot = f.machines[0];
+
+  f.job->submitted_after_acquire = FALSE;
+  g_assert_true(mm_scheduler_knows_all_starts(f.scheduler, f.job));
+  led_shard->is_ready = FALSE;
+  led_shard->unacknowledged_changed = TRUE;
+  g_hash_table_insert(led_shard->unacknowledged_machines, g_strdup(spot->id.s),
+                      GSIZE_TO_POINTER(1));
+  spot->is_spot = TRUE;
+  f.job->spec.allows_spot = TRUE;
+  g_assert_false(mm_scheduler_knows_all_starts(f.scheduler, f.job));
+  g_assert_false(mm_scheduler_job_is_schedulable(f.scheduler, f.job));
+  f.job->spec.allows_spot = FALSE;
+  g_assert_true(mm_scheduler_knows_all_starts(f.scheduler, f.job));
+  g_assert_true(mm_scheduler_job_is_schedulable(f.scheduler, f.job));
+  f.job->spec.allows_spot = TRUE;
+  f.job->spec.zone = mm_name("elsewhere");
+  g_assert_true(mm_scheduler_knows_all_starts(f.scheduler, f.job));
+  /* A machine of which nothing is known may have any task. */
+  g_hash_table_insert(led_shard->unacknowledged_machines, g_strdup("m-999999"),
+                      GSIZE_TO_POINTER(1));
+  led_shard->unacknowledged_changed = TRUE;
+  g_assert_false(mm_scheduler_knows_all_starts(f.scheduler, f.job));
+  world_free(f.world);
+}
+
+/* A silent machine is returned though it reports no tasks, since starts may have reached it: until
+ * it is proved lost, shards that are acquired anew wait for it. */
+void
+test_silent_idle_machine_is_returned(void) {
+  World *world = world_new(6);
+  WorldMachine *silent;
+
+  for (guint i = 0; i < 9; i++)
+    world_add_machine(world, "small", "a", FALSE, 0.1);
+  world_start(world);
+  world_run(world, 8);
+  silent = g_ptr_array_index(world->machines, 0);
+  g_assert_cmpuint(silent->tasks->len, ==, 0);
+  silent->cut_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+  world_run(world, 7.5);
+  g_assert_true(silent->is_terminated);
+  world_free(world);
+}
+
+static gboolean
+is_stale(const SchedulerFixture *f, MmHeartbeat heartbeat) {
+  gboolean is_stale_heartbeat
+      = mm_machine_table_is_stale_heartbeat(f->scheduler->node->machine_table, &heartbeat);
+
+  mm_heartbeat_clear(&heartbeat);
+  return is_stale_heartbeat;
+}
+
+/* Which heartbeats are late copies, and that these extend no belief in a lease. */
+void
+test_late_copies_prove_nothing(void) {
+  SchedulerFixture f = scheduler_fixture(2);
+  MmMachine *machine = f.machines[0];
+  guint64 sequence = machine->latest_message_id.sequence + 10;
+  MmTime answered;
+
+  record_heartbeat(&f, heartbeat_with_task(&f, 0, 1, sequence, 100));
+  answered = machine->last_possible_response_at;
+  world_run(f.world, 1);
+  g_assert_true(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence, 100)));
+  g_assert_true(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence - 1, 0)));
+  g_assert_false(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence + 1, 0)));
+  g_assert_false(is_stale(&f, heartbeat_with_task(&f, 0, 2, 1, 0)));
+  /* One that a peer passes on all the same denies nothing and renews nothing. */
+  g_assert_null(record_heartbeat(&f, heartbeat_with_task(&f, 0, 1, sequence - 1, 0)));
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, answered.us);
+  g_assert_true(f.job->tasks[0].machine == machine);
+  /* A heartbeat that a direct reply has overtaken is no copy. */
+  machine->latest_message_id.sequence = sequence + 5;
+  g_assert_false(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence + 2, 0)));
+  /* Nothing brings back a terminated machine. */
+  mm_machine_table_record_termination(f.scheduler->node->machine_table, machine->id.s);
+  g_assert_true(is_stale(&f, heartbeat_with_task(&f, 0, 9, 1, 100)));
+  g_assert_null(record_heartbeat(&f, heartbeat_with_task(&f, 0, 9, 1, 100)));
+  world_free(f.world);
+}
+
+/* An unregistered machine is verified by a term that this process of the node has seen. */
+void
+test_unregistered_machine_is_verified_by_term(void) {
+  SchedulerFixture f = scheduler_fixture(2);
+  const MmMachineTable *machine_table = f.scheduler->node->machine_table;
+  MmHeartbeat heartbeat = heartbeat_with_task(&f, 0, 3, 70, 100);
+
+  f.scheduler->node->replica->term_at_start.v
+      = 7; /* as if others had raised the term before its start */
+  heartbeat.machine_id = mm_name("m-000999");
+  heartbeat.fencing_token.v = f.scheduler->node->replica->term_at_start.v - 1;
+  g_assert_true(mm_machine_table_is_unverified_heartbeat(machine_table, &heartbeat));
+  heartbeat.fencing_token = f.scheduler->node->replica->term_at_start;
+  g_assert_false(mm_machine_table_is_unverified_heartbeat(machine_table, &heartbeat));
+  /* A registered machine may have tasks: whatever it shows counts. */
+  heartbeat.machine_id = f.machines[0]->id;
+  heartbeat.heartbeat_id.incarnation = f.machines[0]->registered_incarnation;
+  heartbeat.fencing_token.v = 0;
+  f.machines[0]->has_reported = FALSE;
+  g_assert_false(mm_machine_table_is_unverified_heartbeat(machine_table, &heartbeat));
+  mm_heartbeat_clear(&heartbeat);
+  world_free(f.world);
+}
--- /dev/null
+++ b/tests/test-scheduler-preemption.c
@@ -0,0 +1,149 @@
+/* Preemption, gangs and lent machines. */
+#include "test-scheduler.h"
+
+#include "base/wire.h"
+
+/* Which jobs may preempt which others for a quota of four cores. */
+void
+test_quota_is_reclaimed_from_surplus_only(void) {
+  SchedulerFixture f = scheduler_fixture(2);
+  MmJob *job = f.job;
+  MmJob from = *job;
+
+  job->is_within_quota = TRUE;
+  from.team_index = 1;
+  from.is_within_quota = FALSE;
+  f.scheduler->team_used[1] = (MmResources){ 6, 0, 0 };
+  g_assert_true(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
+  f.scheduler->team_used[1].cores = 5; /* would fall below its own quota */
+  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
+  f.scheduler->team_used[1].cores = 6;
+  from.is_within_quota = TRUE;
+  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
+  from.is_within_quota = FALSE;
+  from.effective_priority = MM_PRIORITY_URGENT;
+  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
+  from.effective_priority = job->effective_priority;
+  job->is_within_quota = FALSE;
+  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
+  world_free(f.world);
+}
+
+/* A machine is full of work of the lowest priority that takes three seconds to save; a job comes
+ * for which it must be preempted. Returns the time to save that it got. */
+static double
+grace_given_to(const char *priority, guint tasks, double wait_s) {
+  World *world = world_new(12);
+  double grace_s;
+  WorldJob *job;
+
+  world->capacity = 0; /* nothing can be rented */
+  world_add_machine(world, "small", "a", FALSE, 0.1)->failure_rate = 0;
+  world_start(world);
+  world_run(world, 5);
+  world_submit(world,
+               json_pack("{s:i, s:f, s:s, s:f, s:f}", WIRE_TASKS, 4, WIRE_CORES, 1.0, WIRE_PRIORITY,
+                         "low", WIRE_CHECKPOINT, 30.0, WIRE_SAVE, 3.0),
+               300);
+  world_run(world, 6);
+  job = world_submit(world,
+                     json_pack("{s:i, s:s}", WIRE_TASKS, (int)tasks, WIRE_PRIORITY, priority), 30);
+  world_run(world, wait_s);
+  g_assert_cmpuint(world_count_running(world, job, NULL), >, 0);
+  g_assert_cmpuint(world->n_stops, >, 0);
+  grace_s = world->last_stop_grace_s;
+  world_assert_invariants(world);
+  world_free(world);
+  return grace_s;
+}
+
+/* Critical services, which should be up within a second, do not wait for work of the lowest
+ * priority to save. */
+void
+test_only_critical_work_gives_no_time_to_save(void) {
+  g_assert_cmpfloat(grace_given_to("critical", 1, 5), ==, 0);
+  g_assert_cmpfloat(grace_given_to("urgent", 1, 8), ==, 4);
+}
+
+/* Work above the lowest priority does not wait for work of the lowest either, also when it is
+ * neither urgent nor within its team's quota. */
+void
+test_normal_work_preempts_low_work(void) {
+  g_assert_cmpfloat(grace_given_to("normal", 60, 12), ==, 4);
+}
+
+/* Gangs whose tasks take most of a machine each, one of each team after another, so that some of
+ * their places are on machines that the gang's leader serves itself. A task must not be compared
+ * with the resources left beside its own reservation: such gangs would never begin. */
+void
+test_gang_starts_on_machines_of_its_leader(void) {
+  World *world = world_new(11);
+  guint n_on_own_machines = 0;
+
+  for (guint i = 0; i < 2; i++)
+    world_add_machine(world, "big", "a", FALSE, 0.1)->failure_rate = 0;
+  world_start(world);
+  world_run(world, 5);
+  for (guint team = 0; team < 4; team++) {
+    g_autofree char *name = g_strdup_printf("team-%u", team);
+    WorldJob *job = world_submit(world,
+                                 json_pack("{s:i, s:s, s:s, s:f}", WIRE_TASKS, 2, WIRE_KIND,
+                                           WIRE_KIND_GANG, WIRE_TEAM, name, WIRE_CORES, 12.0),
+                                 60);
+    world_run(world, 8);
+    g_assert_cmpuint(world_count_running(world, job, NULL), ==, 2);
+    for (guint i = 0; i < WORLD_NODES; i++) {
+      const MmJob *known = mm_job_table_find(world->nodes[i].node->job_table, job->id);
+      for (guint k = 0; known->tasks != NULL && k < 2; k++)
+        n_on_own_machines += known->tasks[k].machine->serving_node == MM_SERVING_NODE_SELF;
+    }
+    world_cancel(job);
+    world_run(world, 4);
+  }
+  g_assert_cmpuint(n_on_own_machines, >, 0);
+  world_assert_invariants(world);
+  world_free(world);
+}
+
+static guint
+count_machines_in_use(const World *world) {
+  guint n = 0;
+
+  for (guint i = 0; i < world->machines->len; i++)
+    n += ((WorldMachine *)g_ptr_array_index(world->machines, i))->tasks->len > 0;
+  return n;
+}
+
+/* Accelerated machines that no accelerated work waits for are lent to other work, all but four; a
+ * gang that needs more than those preempts the work on lent machines, and begins at once. */
+void
+test_idle_accelerators_are_lent_and_reclaimed(void) {
+  World *world = world_new(13);
+  WorldJob *first, *array, *gang;
+
+  world->capacity = 0; /* nothing can be rented */
+  world->team_cores = 1000;
+  for (guint i = 0; i < 7; i++)
+    world_add_machine(world, "big", "a", FALSE, 0.1)->failure_rate = 0;
+  world_start(world);
+  world_run(world, 5);
+  first = world_submit(world,
+                       json_pack("{s:i, s:s, s:f, s:f}", WIRE_TASKS, 1, WIRE_PRIORITY, "urgent",
+                                 WIRE_CORES, 16.0, WIRE_ACCELERATORS, 2.0),
+                       3);
+  world_run(world, 8);
+  g_assert_cmpuint(first->n_done, ==, 1);
+  array = world_submit(world, json_pack("{s:i, s:s}", WIRE_TASKS, 60, WIRE_TEAM, "team-1"), 300);
+  world_run(world, 12);
+  g_assert_cmpuint(world_count_running(world, array, NULL), >, 0);
+  g_assert_cmpuint(count_machines_in_use(world), <=, 3);
+  gang = world_submit(world,
+                      json_pack("{s:i, s:s, s:s, s:f, s:f}", WIRE_TASKS, 6, WIRE_KIND,
+                                WIRE_KIND_GANG, WIRE_PRIORITY, "urgent", WIRE_CORES, 16.0,
+                                WIRE_ACCELERATORS, 2.0),
+                      30);
+  world_run(world, 10);
+  g_assert_cmpuint(world_count_running(world, gang, NULL), ==, 6);
+  world_assert_invariants(world);
+  world_free(world);
+}
