--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -1,4 +1,4 @@
-/* A stand-in for the cloud. */
+/* The simulated cloud: instance types, launches, releases, the list of machines. */
 #include "world/world.h"
 
 #include "base/wire.h"
--- a/tests/world/faulty-nodes.c
+++ b/tests/world/faulty-nodes.c
@@ -1,4 +1,4 @@
-/* Nodes that are broken on purpose, so that the checks of the rules are seen to fail. */
+/* Nodes that are faulty on purpose, so that the checks of the invariants are seen to fail. */
 #include "dependencies/dependencies.h"
 #include "scheduler/scheduler.h"
 #include "leases/node-lease.h"
@@ -6,7 +6,7 @@
 #include "kv/replica.h"
 #include "world/world.h"
 
-/* An owner that is broken on purpose: it takes every machine for heard at once. */
+/* A shard leader that counts every machine as acknowledged at once. */
 static void
 forget_unacknowledged(MmScheduler *scheduler) {
   GHashTableIter iter;
@@ -19,7 +19,7 @@
   }
 }
 
-/* A node that is broken on purpose: it takes late copies of reports for newer ones. */
+/* A node that accepts late copies of heartbeats as newer ones. */
 static void
 forget_heartbeat_ids(MmMachineTable *machine_table) {
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
@@ -28,8 +28,8 @@
   }
 }
 
-/* Another: it answers every machine on, and waits for the acknowledgement of each that reports,
- * whatever else its reports prove. */
+/* A node that goes on answering machines which ignore its answers, and waits for the
+ * acknowledgement of each that sends heartbeats, whatever else these prove. */
 static void
 ignore_unacknowledging(const MmNode *node) {
   GHashTableIter iter;
@@ -51,7 +51,7 @@
   }
 }
 
-/* A node that knows of the cancellations of its own parts' jobs only. */
+/* A node that knows only of the cancellations in shards that it leads. */
 static void
 forget_cancelled(const MmJobTable *job_table) {
   for (guint i = 0; i < job_table->by_submission->len; i++) {
@@ -60,7 +60,7 @@
   }
 }
 
-/* Dependencies that are not done yet are taken for done. */
+/* A node that counts dependencies as done which are not. */
 static void
 forget_dependencies(const MmNode *node) {
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
@@ -70,7 +70,7 @@
   }
 }
 
-/* What depends on a cancelled job goes on. */
+/* A node that does not cancel dependents of a cancelled job. */
 static void
 forget_ancestors(const MmNode *node) {
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
@@ -80,21 +80,21 @@
   }
 }
 
-/* One for which what it has read does not grow old. */
+/* A node whose replica never counts as stale. */
 static void
 forget_staleness(const MmNode *node, MmTime now) {
   node->replica->staleness_us = 0;
   node->replica->staleness_at = now;
 }
 
-/* And one that goes on as if its claim could not end either. */
+/* A node whose lease does not expire either. */
 static void
 extend_lease_forever(const MmNode *node, MmTime now) {
   node->node_lease->valid_until = mm_time_add_ms(now, 60000);
   forget_staleness(node, now);
 }
 
-/* An owner of machine groups that takes every machine for heard, or forgets what it has granted. */
+/* A group owner that counts every machine as acknowledged, or forgets what it has granted. */
 static void
 make_sharing_faulty(const World *world, MmSharing *sharing) {
   for (guint group = 0; group < sharing->n_groups && world->ignore_group_acknowledgements; group++)
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -5,8 +5,8 @@
 #include "kv/kv-client.h"
 #include "upgrade/format.h"
 
-/* A watch whose answer is lost, or comes to a node that stands still, is opened anew after 3.7 s.
- */
+/* Within this time a node has seen a change: a watch whose answer is lost, or arrives while the
+ * node is suspended, is opened anew after 3.7 s. */
 #define SEEN_US (4 * G_USEC_PER_SEC)
 
 void
@@ -32,7 +32,8 @@
   guint64 highest
       = world_node->highest_format != 0 ? world_node->highest_format : MM_FORMAT_HIGHEST;
 
-  /* A node that is kept from reading can't know; what it writes meanwhile the guards decide on. */
+  /* A node that cannot read cannot know; the conditions of its transactions decide on what it
+   * writes meanwhile. */
   if ((world->format >= MM_FORMAT_LOWEST && world->format <= highest)
       || world->now_us < world->format_set_at_us + SEEN_US || world->format_set_at_us == 0
       || world->now_us < world_node->watches_lost_until_us + SEEN_US
--- a/tests/world/invariants.c
+++ b/tests/world/invariants.c
@@ -1,4 +1,4 @@
-/* The rules of the protocol's page, over what truly runs in the world. */
+/* The invariants of the protocol's page, checked on what truly runs in the world. */
 #include "world/world.h"
 
 static gboolean
@@ -65,7 +65,7 @@
   world_check_sharing(world);
   world_record_ready_jobs(world);
   world_check_waiting(world);
-  /* Troubles over, each job that was accepted has some question answered within 75 s. */
+  /* After faults have ended, some request about each accepted job is answered within 75 s. */
   for (guint i = 0; i < world->jobs->len && world->faults_ended_at_us != 0; i++) {
     const WorldJob *job = g_ptr_array_index(world->jobs, i);
     gint64 since = MAX(job->last_answer_at_us, world->faults_ended_at_us);
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -1,4 +1,4 @@
-/* A stand-in for the state service: keys with revisions, transactions, leases, watches. */
+/* The simulated key-value store: keys with versions, transactions, leases, watches. */
 #include "world/world.h"
 
 #include <stdlib.h>
@@ -226,7 +226,7 @@
   world_schedule(world, world->outage_until_us, on_outage_over, world);
 }
 
-/* Whether the changes are within the rate, with one second's worth of burst. */
+/* Whether the writes are within the rate, with a burst of one second's worth. */
 static gboolean
 is_within_write_rate(World *world, gsize n_changes) {
   double max_rps = world->write_rps;
@@ -346,7 +346,7 @@
   if (g_str_has_prefix(path, WIRE_KEYS_PATH "?")) {
     g_autofree char *prefix = query_text(path, WIRE_PREFIX);
     g_autofree char *after = query_text(path, WIRE_AFTER);
-    /* Small pages, so that reading goes on over several. */
+    /* Small pages, so that nodes have to read several. */
     KeyPage page = { prefix, after, 7, json_array(), FALSE };
     g_tree_foreach(world->keys, append_key, &page);
     *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.has_more,
--- a/tests/world/links.c
+++ b/tests/world/links.c
@@ -97,7 +97,7 @@
   *message
       = (LinkMessage){ world, from, to, world->nodes[from].generation, world->nodes[to].generation,
                        NULL,  0 };
-  /* Which side comes first is left to chance. */
+  /* Which side opens first is random. */
   world_schedule(world, world->now_us + 100000 + world_network_delay(world) * 20, on_link_up,
                  message);
 }
@@ -143,7 +143,7 @@
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (i == index || world->nodes[i].node == NULL)
       continue;
-    /* One that is being opened is tried again until it stands. */
+    /* A link that is being opened is tried again until it is up. */
     if (world->ends_leave_half_open
         && world->nodes[i].node->peer_links->peers[peer_index(i, index)].is_connected)
       world->nodes[i].is_link_half_open[index] = TRUE;
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -61,8 +61,7 @@
 
   if (world_node->node == NULL)
     return;
-  /* What it had asked still comes back to it, so it is kept until the end; it can do nothing more.
-   */
+  /* Answers to its requests still come in, so it is kept until the end; it can do nothing more. */
   g_ptr_array_add(world->ended_nodes, world_node->node);
   world_node->node = NULL;
   world_node->generation++;
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -1,4 +1,4 @@
-/* Jobs that depend on others, and the rules about them. */
+/* Jobs that depend on others, and what must hold of them. */
 #include "world/world.h"
 
 #include "base/wire.h"
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -1,4 +1,4 @@
-/* Requests of nodes: to the state service, the cloud and workers. */
+/* Requests that nodes send: to the key-value store, the cloud and workers. */
 #include "world/internal.h"
 
 #include "base/wire.h"
@@ -13,8 +13,8 @@
   int status;
   json_t *response_body;
   gboolean is_over;
-  gboolean is_late;     /* a transaction that its sender has no answer to */
-  gboolean was_delayed; /* a command that was held up on its way */
+  gboolean is_late;     /* a transaction that is applied late and not answered */
+  gboolean was_delayed; /* a direct command that arrived after a cut or a hang */
   /* the request */
   MmTarget target;
   char *address;
@@ -34,7 +34,7 @@
   g_free(request->path);
 }
 
-/* Every event that is to come holds on to the call. */
+/* Each scheduled event has a reference to the request. */
 static void
 node_request_schedule(NodeRequest *request, gint64 us, WorldCallback callback) {
   world_schedule(request->world, us, callback, g_rc_box_acquire(request));
@@ -45,7 +45,7 @@
   g_rc_box_release_full(request, node_request_clear);
 }
 
-/* The one answer; what comes later is dropped. */
+/* The callback is called once: what comes after the first answer or the time-out is dropped. */
 static void
 node_request_respond(gpointer data) {
   NodeRequest *request = data;
@@ -97,7 +97,7 @@
   node_request_release(request);
 }
 
-/* Carries the request out at its target; FALSE when no answer follows from here. */
+/* Executes the request at its target; FALSE: no answer follows now. */
 static gboolean
 node_request_execute(NodeRequest *request) {
   World *world = request->world;
@@ -134,7 +134,7 @@
       return FALSE;
     held_until = MAX(machine->cut_until_us, machine->hung_until_us);
     if (world->now_us < held_until) {
-      /* Held back, and executed when it arrives at last, whether or not anybody still waits. */
+      /* Delayed, and executed when it arrives, whether or not its sender still waits. */
       request->was_delayed = TRUE;
       node_request_schedule(request, held_until + world_network_delay(world), node_request_arrive);
       return FALSE;
@@ -152,8 +152,8 @@
   }
 }
 
-/* Requests of a node that is cut off are lost, or held until the cut is over and carried out then,
- * whether or not anybody still waits. */
+/* Requests of a node that is cut off are lost, or arrive when the cut is over and are executed
+ * then, whether or not the node still waits. */
 static gboolean
 is_stopped_by_cut(NodeRequest *request) {
   WorldNode *world_node = &request->world->nodes[request->node];
@@ -227,7 +227,7 @@
   request->request_body = json_deep_copy(body);
   if (world_node->is_old_version && target == MM_TARGET_KV_STORE)
     world_downgrade_request(world, world_node->index, request->request_body);
-  /* Now and then a request is lost, or so late that its sender has given up. */
+  /* Now and then a request is lost, or so late that its sender has timed out. */
   if (world_node->node != NULL || target == MM_TARGET_KV_STORE) {
     gint64 delay = world_network_delay(world);
     if (world_uniform(world, 0, 1) < 0.002)
@@ -241,7 +241,7 @@
                && world->now_us + delay < world->now_us + (gint64)timeout_ms * 1000)
       node_request_schedule(request, world->now_us + delay, node_request_arrive);
   }
-  /* A late copy of what changes something; nobody waits for its answer. */
+  /* A late copy of a request that changes something; nobody waits for its answer. */
   if (strcmp(method, "GET") != 0 && world_uniform(world, 0, 1) < world->duplicate_rate) {
     NodeRequest *duplicate = g_rc_box_new0(NodeRequest);
     duplicate->world = world;
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -1,4 +1,4 @@
-/* Requests to nodes: of workers and users. */
+/* Requests that nodes receive: from workers and users. */
 #include "world/internal.h"
 
 #include "base/wire.h"
@@ -9,14 +9,14 @@
   guint node;
   guint generation;
   WorldMachine *sender;
-  WorldMachine *duplicate_of; /* a late copy of a report: whose */
+  WorldMachine *duplicate_of; /* a late copy of a heartbeat: whose */
   char *method;
   char *path;
   json_t *request_body;
   int status;
   json_t *response_body;
   gboolean is_over;
-  gboolean is_pending; /* the node has it and has not answered */
+  gboolean is_pending; /* the node has received it and not answered */
   MmResponseCallback callback;
   gpointer data;
 } InboundRequest;
@@ -31,7 +31,7 @@
   g_free(request->path);
 }
 
-/* Every event that is to come, and the node while it owes an answer, holds on to the visit. */
+/* Each scheduled event, and the node until it has answered, has a reference to the request. */
 static void
 inbound_request_schedule(InboundRequest *request, gint64 us, WorldCallback callback) {
   world_schedule(request->world, us, callback, g_rc_box_acquire(request));
@@ -69,10 +69,10 @@
     world_check_heartbeat_response(world, request->node, request->request_body, body);
   request->status = status;
   request->response_body = body;
-  /* An answer to a machine that is cut off is held back; the worker drops what comes after 4 s. */
+  /* An answer to a machine that is cut off is delayed; the worker drops what arrives after 4 s. */
   if (request->sender != NULL && world->now_us < request->sender->cut_until_us)
     at = request->sender->cut_until_us + world_network_delay(world);
-  /* It had judged that it may answer, and stood still before the answer went out. */
+  /* The node decides that it may answer, and is suspended before the answer leaves. */
   if (world->stall_rate > 0 && world_uniform(world, 0, 1) < world->stall_rate)
     at += (gint64)(world_uniform(world, 0.1, 3.9) * G_USEC_PER_SEC);
   if (world->nodes[request->node].generation != request->generation)
@@ -118,7 +118,7 @@
 ignore_response(gpointer data, int status, json_t *body) {
 }
 
-/* A late copy of a request, whose answer nobody waits for. */
+/* A late copy of a request, for whose answer nobody waits. */
 static void
 inbound_request_duplicate(World *world, guint index, const InboundRequest *request, gint64 at) {
   InboundRequest *duplicate = g_rc_box_new0(InboundRequest);
@@ -163,7 +163,7 @@
     at += (gint64)(world_uniform(world, 0, world->slow_links_s) * G_USEC_PER_SEC);
   inbound_request_schedule(request, at, inbound_request_arrive);
   inbound_request_schedule(request, world->now_us + timeout_us, inbound_request_time_out);
-  /* It may reach any node. */
+  /* The copy may reach any node. */
   if (strcmp(method, "GET") != 0 && world_uniform(world, 0, 1) < world->duplicate_rate) {
     guint to = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
     inbound_request_duplicate(world, to, request, world->now_us + world_duplicate_delay(world));
--- a/tests/world/service-checks.c
+++ b/tests/world/service-checks.c
@@ -34,8 +34,8 @@
   return FALSE;
 }
 
-/* Cores that the team's tasks take, images being fetched included, and how many of the job's tasks
- * are given to machines. */
+/* Cores that the team's tasks use, images being fetched included; `n_given`: how many of the job's
+ * tasks machines have. */
 static double
 team_cores(const World *world, const WorldJob *target_job, guint *n_given) {
   double cores = 0;
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -1,4 +1,5 @@
-/* Machine groups in the simulated world: what must hold of them, and moves by hand. */
+/* Machine groups in the simulated world: what must hold of them, and moves that an administrator
+ * requests. */
 #include "world/world.h"
 
 #include "base/wire.h"
@@ -8,10 +9,11 @@
 #include "kv/kv-client.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
-/* Troubles over: a lease, the patience with whoever should take a group, and two transactions. */
+/* After faults have ended: a node lease, the time after which any node may acquire a free group,
+ * and two transactions. */
 #define UNOWNED_MAX_US (8 * SECOND)
 
-/* The map as the state service has it. Free with mm_group_map_free. */
+/* The map as the key-value store has it. Free with mm_group_map_free. */
 static MmGroupMap *
 stored_group_map(const World *world) {
   MmGroupMap *map = mm_group_map_new(world->group_count);
@@ -26,10 +28,11 @@
   return map;
 }
 
-/* Whether a start that the node granted now could still be carried out. A node that is refused by
- * the state service, together with another, takes that for an outage in which leases don't end; cut
- * off from the third it grants on. But whoever owns the group by now grants only once the machine
- * has shown the later term, and from then on the worker drops what that node's grants travel in. */
+/* Whether a start that the node grants now could still be executed. A node that the key-value store
+ * refuses, together with another, has proof of an outage in which leases do not expire; cut off
+ * from the third it goes on granting. But whoever owns the group by now grants only once the
+ * machine has acknowledged the later term, and from then on the worker drops the answers that carry
+ * that node's grants. */
 static gboolean
 takes_effect(const MmGroupMap *map, guint node, const WorldMachine *machine) {
   MmGroupOwner owner = mm_group_map_owner(map, mm_group_of_machine(machine->id, map->n_groups));
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -1,5 +1,5 @@
-/* Upgrades: nodes that speak and store as the version before did, and limits of the state service
- * that fall. */
+/* Upgrades: nodes that speak and store as the previous release did, and limits of the key-value
+ * store that fall. */
 #include "world/world.h"
 
 #include "base/wire.h"
@@ -23,7 +23,7 @@
       continue;
     if (g_str_has_prefix(key, MM_KEY_TERMINAL_RECORD))
       json_object_del(value, "t");
-    /* It would drop what it does not know of. */
+    /* It would drop the field, which it does not know. */
     if (g_str_has_prefix(key, MM_KEY_JOB) && mm_json_get(value, "w") != NULL)
       world_report_violation(((WorldNode *)&world->nodes[node])->world,
                              "upgrade: the old node %u rewrites %s, which depends on others", node,
@@ -38,7 +38,7 @@
   world_kill_node(world, index, down_s);
   world_node->is_old_version = FALSE;
   world_node->operators.group_count = world->group_count;
-  /* Its last life may still read the old ones. */
+  /* The process that has just ended may still read the old ones. */
   g_ptr_array_add(world->retired_settings, world_node->settings);
   world_node->settings = world_node_settings(world, index);
 }
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -1,5 +1,5 @@
-/* Users: they submit until they are answered, poll until the job is over, and remember what they
- * were told. */
+/* Users: they submit until they are answered, poll until the job is finished, and remember the
+ * answers. */
 #include "world/world.h"
 
 #include "base/wire.h"
@@ -28,8 +28,8 @@
   return (gint)node == world->avoided_node ? (node + 1) % WORLD_NODES : node;
 }
 
-/* A request, with what its user had been told when it was sent: of two under way at once either may
- * be answered first, so only what was known before binds. */
+/* A request, with what its user knew when it was sent: of two requests under way at once either may
+ * be answered first, so an answer must only fit what was known before. */
 typedef struct {
   WorldJob *job;
   WorldUserView user_view;
@@ -138,7 +138,7 @@
     record_job_state(question, body);
   else if (status == 404)
     world_report_violation(world, "forgotten: %s gets 404", job->id);
-  /* Those that are over are asked for again, more rarely, and now and then submitted again. */
+  /* Finished jobs are polled on, more rarely, and now and then submitted again. */
   if (world_uniform(world, 0, 1) < 0.05)
     world_send_request(world, pick_node(world), NULL, "POST", WIRE_JOBS_PATH,
                        json_deep_copy(job->body), 5 * (gint64)G_USEC_PER_SEC, on_resubmit_response,
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -1,4 +1,5 @@
-/* A stand-in for the workers, one a machine, by the protocol's page. */
+/* The simulated workers, one a machine, by the protocol's page: heartbeats, commands, tasks,
+ * leases. */
 #include "world/world.h"
 
 #include <stdlib.h>
@@ -98,7 +99,7 @@
   machine->has_changed = TRUE;
   if (was_on)
     notify_observer(machine, task, WORLD_TASK_ENDS);
-  /* Of a gang, when one task is done, all of them are, also one whose machine hangs. */
+  /* When one task of a gang is done, all are, also one whose machine hangs. */
   for (guint i = 0; cause == MM_CAUSE_DONE && i < task->job->spec.n_tasks; i++)
     if (i == task->number || task->job->spec.kind == MM_JOB_KIND_GANG) {
       task->job->n_done += !task->job->is_task_done[i];
@@ -154,11 +155,11 @@
 
   if (job == NULL || find_task(machine, job, number, attempt, FALSE) != NULL)
     return;
-  /* Workers drop answers after 4 s: none that was under way then comes so late. */
+  /* Workers drop answers after 4 s: none that was under way at the cancellation arrives so late. */
   if (job->user_view == USER_SEES_CANCELLED
       && world->now_us - job->cancelled_at_us > TIMEOUT_US + 100000)
-    world_report_violation(world, "ran_cancelled: %s/%u is started after it was called off",
-                           job->id, number);
+    world_report_violation(world, "ran_cancelled: %s/%u is started after its cancellation", job->id,
+                           number);
   job->n_starts++;
   job->last_start_at_us = world->now_us;
   task = g_new0(WorldTask, 1);
@@ -229,7 +230,7 @@
   size_t i;
   json_t *item;
 
-  /* Starts never travel this way: one could be carried out minutes late. */
+  /* Starts are never sent as direct commands: one could be executed minutes late. */
   json_array_foreach(json_object_get(body, WIRE_COMMANDS), i,
                      item) if (g_strcmp0(mm_json_string(item, WIRE_OP), WIRE_START) == 0)
       world_report_violation(machine->world, "a start was sent as a direct command to %s",
@@ -246,7 +247,7 @@
   return 200;
 }
 
-/* ---- reporting ---- */
+/* ---- heartbeats ---- */
 
 typedef struct {
   WorldMachine *machine;
@@ -310,7 +311,7 @@
                        request);
 }
 
-/* ---- running ---- */
+/* ---- tasks ---- */
 
 static gboolean
 is_gang_complete(World *world, const WorldTask *task) {
