--- a/tests/world/internal.h
+++ b/tests/world/internal.h
@@ -47,6 +47,34 @@
 /* The zone of each node. */
 extern const char *const world_zone_names[WORLD_NODES];
 
+/* ---- request.c ---- */
+
+/* A request under way, from a node or to one. Each scheduled event has a reference to it. Embedded
+ * as the first member, so that its functions take a pointer to the whole. */
+typedef struct {
+  World *world;
+  guint node;       /* index of the node that sends or receives it */
+  guint generation; /* of that node's process */
+  char *method;
+  char *path;
+  json_t *body;
+  int status;
+  json_t *response_body;
+  MmResponseCallback callback; /* NULL: nobody waits for the answer */
+  gpointer data;
+  gboolean is_over; /* it was answered or has timed out */
+} WorldRequest;
+
+/* Allocates `size` bytes for a struct that begins with a WorldRequest; takes the body. */
+gpointer world_request_new(gsize size, World *world, guint node, const char *method,
+                           const char *path, json_t *body);
+/* Calls back with the request, to which the event has a reference until then. */
+void world_request_schedule(gpointer request, gint64 at_us, WorldCallback callback);
+/* Drops a reference. */
+void world_request_release(gpointer request);
+/* The one answer, status 0 for none; what comes after it is dropped. Drops a reference. */
+void world_request_finish(gpointer request, int status, json_t *response_body);
+
 /* ---- requests-of-nodes.c ---- */
 
 /* MmPlatform.request of a node: to the key-value store, the cloud or a worker. */
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -5,150 +5,122 @@
 #include "kv/kv-client.h"
 
 typedef struct {
-  World *world;
-  guint node;
-  guint generation;
-  MmResponseCallback callback;
-  gpointer data;
-  int status;
-  json_t *response_body;
-  gboolean is_over;
+  WorldRequest base;
+  MmTarget target;
+  char address[64];     /* of a worker */
   gboolean is_late;     /* a transaction that is applied late and not answered */
   gboolean was_delayed; /* a direct command that arrived after a cut or a hang */
-  /* the request */
-  MmTarget target;
-  char *address;
-  char *method;
-  char *path;
-  json_t *request_body;
 } NodeRequest;
 
+static void node_request_arrive(gpointer data);
+
 static void
-node_request_clear(gpointer data) {
+node_request_respond(gpointer data) {
   NodeRequest *request = data;
+  const WorldRequest *base = &request->base;
 
-  json_decref(request->response_body);
-  json_decref(request->request_body);
-  g_free(request->address);
-  g_free(request->method);
-  g_free(request->path);
+  if (!world_defer_while_frozen(&base->world->nodes[base->node], base->generation,
+                                node_request_respond, request))
+    world_request_finish(request, base->status, base->response_body);
 }
 
-/* Each scheduled event has a reference to the request. */
 static void
-node_request_schedule(NodeRequest *request, gint64 us, WorldCallback callback) {
-  world_schedule(request->world, us, callback, g_rc_box_acquire(request));
-}
+node_request_time_out(gpointer data) {
+  NodeRequest *request = data;
+  const WorldRequest *base = &request->base;
 
-static void
-node_request_release(NodeRequest *request) {
-  g_rc_box_release_full(request, node_request_clear);
+  if (!world_defer_while_frozen(&base->world->nodes[base->node], base->generation,
+                                node_request_time_out, request))
+    world_request_finish(request, 0, NULL);
 }
 
-/* The callback is called once: what comes after the first answer or the time-out is dropped. */
-static void
-node_request_respond(gpointer data) {
-  NodeRequest *request = data;
+static gboolean
+is_sender_alive(const WorldRequest *base) {
+  const WorldNode *world_node = &base->world->nodes[base->node];
 
-  if (world_defer_while_frozen(&request->world->nodes[request->node], request->generation,
-                               node_request_respond, request))
-    return;
-  if (!request->is_over) {
-    request->is_over = TRUE;
-    request->callback(request->data, request->status, request->response_body);
-  }
-  node_request_release(request);
+  return world_node->node != NULL && world_node->generation == base->generation;
 }
 
 static void
-node_request_time_out(gpointer data) {
+on_watch_response(gpointer data, int status, json_t *body) {
   NodeRequest *request = data;
-
-  if (world_defer_while_frozen(&request->world->nodes[request->node], request->generation,
-                               node_request_time_out, request))
-    return;
-  if (!request->is_over) {
-    request->is_over = TRUE;
-    request->callback(request->data, 0, NULL);
+  WorldRequest *base = &request->base;
+  World *world = base->world;
+  const WorldNode *world_node = &world->nodes[base->node];
+
+  if (!base->is_over && world->now_us >= world_node->cut_until_us
+      && world->now_us >= world_node->watches_lost_until_us) {
+    base->status = is_sender_alive(base) ? status : 0;
+    base->response_body = json_incref(body);
+    world_request_schedule(request, world->now_us + world_network_delay(world),
+                           node_request_respond);
   }
-  node_request_release(request);
+  world_request_release(request);
 }
 
-static void node_request_arrive(gpointer data);
+/* The functions that execute a request at its target return FALSE when no answer follows now. */
 
 static gboolean
-is_sender_alive(const NodeRequest *request) {
-  return request->world->nodes[request->node].node != NULL
-         && request->world->nodes[request->node].generation == request->generation;
+execute_at_kv_store(NodeRequest *request) {
+  WorldRequest *base = &request->base;
+  World *world = base->world;
+  gboolean is_refused = world->now_us < world->outage_until_us
+                        || world->now_us < world->nodes[base->node].kv_refuses_until_us;
+  gboolean is_watch = g_str_has_prefix(base->path, WIRE_WATCH_PATH);
+
+  if (is_refused)
+    base->status = 503;
+  else if (is_watch)
+    world_kv_add_watch(world, base->node, base->path, on_watch_response, g_rc_box_acquire(request));
+  else
+    base->status
+        = world_kv_handle(world, base->method, base->path, base->body, &base->response_body);
+  return !is_watch;
 }
 
-static void
-on_watch_response(gpointer data, int status, json_t *body) {
-  NodeRequest *request = data;
-
-  if (!request->is_over
-      && request->world->now_us >= request->world->nodes[request->node].cut_until_us
-      && request->world->now_us >= request->world->nodes[request->node].watches_lost_until_us) {
-    request->status = is_sender_alive(request) ? status : 0;
-    request->response_body = json_incref(body);
-    node_request_schedule(request, request->world->now_us + world_network_delay(request->world),
-                          node_request_respond);
+static gboolean
+execute_at_worker(NodeRequest *request) {
+  WorldRequest *base = &request->base;
+  World *world = base->world;
+  WorldMachine *machine = world_find_machine_by_address(world, request->address);
+  gint64 delayed_until_us;
+
+  if (machine == NULL || world->now_us < machine->inbound_lost_until_us
+      || world_is_partitioned(world, base->node, machine))
+    return FALSE;
+  delayed_until_us = MAX(machine->cut_until_us, machine->hung_until_us);
+  if (world->now_us < delayed_until_us) {
+    /* Executed when it arrives, whether or not its sender still waits. */
+    request->was_delayed = TRUE;
+    world_request_schedule(request, delayed_until_us + world_network_delay(world),
+                           node_request_arrive);
+    return FALSE;
   }
-  node_request_release(request);
+  world->n_delayed_commands += request->was_delayed;
+  machine->n_direct_while_outbound_lost += world->now_us < machine->outbound_lost_until_us;
+  if (strcmp(base->path, WIRE_STATUS_PATH) == 0) {
+    base->status = 200;
+    base->response_body = world_machine_heartbeat(machine);
+  } else {
+    base->status = world_machine_handle_direct(machine, base->body, &base->response_body);
+  }
+  return TRUE;
 }
 
-/* Executes the request at its target; FALSE: no answer follows now. */
 static gboolean
 node_request_execute(NodeRequest *request) {
-  World *world = request->world;
-  WorldNode *world_node = &world->nodes[request->node];
-  gboolean is_refused
-      = world->now_us < world->outage_until_us || world->now_us < world_node->kv_refuses_until_us;
-  gboolean is_watch
-      = request->target == MM_TARGET_KV_STORE && g_str_has_prefix(request->path, WIRE_WATCH_PATH);
-  WorldMachine *machine;
-  gint64 held_until;
+  WorldRequest *base = &request->base;
 
   switch (request->target) {
   case MM_TARGET_KV_STORE:
-    if (is_watch && !is_refused)
-      world_kv_add_watch(world, request->node, request->path, on_watch_response,
-                         g_rc_box_acquire(request));
-    else if (is_refused)
-      request->status = 503;
-    else
-      request->status = world_kv_handle(world, request->method, request->path,
-                                        request->request_body, &request->response_body);
-    return !is_watch;
+    return execute_at_kv_store(request);
   case MM_TARGET_CLOUD:
-    request->status = world_cloud_handle(world, request->method, request->path,
-                                         request->request_body, &request->response_body);
+    base->status = world_cloud_handle(base->world, base->method, base->path, base->body,
+                                      &base->response_body);
     return TRUE;
   case MM_TARGET_WORKER:
   default:
-    machine = world_find_machine_by_address(world, request->address);
-    if (machine == NULL)
-      return FALSE;
-    if (world->now_us < machine->inbound_lost_until_us
-        || world_is_partitioned(world, request->node, machine))
-      return FALSE;
-    held_until = MAX(machine->cut_until_us, machine->hung_until_us);
-    if (world->now_us < held_until) {
-      /* Delayed, and executed when it arrives, whether or not its sender still waits. */
-      request->was_delayed = TRUE;
-      node_request_schedule(request, held_until + world_network_delay(world), node_request_arrive);
-      return FALSE;
-    }
-    world->n_delayed_commands += request->was_delayed;
-    machine->n_direct_while_outbound_lost += world->now_us < machine->outbound_lost_until_us;
-    if (strcmp(request->path, WIRE_STATUS_PATH) == 0) {
-      request->status = 200;
-      request->response_body = world_machine_heartbeat(machine);
-    } else {
-      request->status
-          = world_machine_handle_direct(machine, request->request_body, &request->response_body);
-    }
-    return TRUE;
+    return execute_at_worker(request);
   }
 }
 
@@ -156,36 +128,39 @@
  * then, whether or not the node still waits. */
 static gboolean
 is_stopped_by_cut(NodeRequest *request) {
-  WorldNode *world_node = &request->world->nodes[request->node];
+  World *world = request->base.world;
+  const WorldNode *world_node = &world->nodes[request->base.node];
 
-  if (request->target == MM_TARGET_WORKER || request->world->now_us >= world_node->cut_until_us)
+  if (request->target == MM_TARGET_WORKER || world->now_us >= world_node->cut_until_us)
     return FALSE;
   if (world_node->cut_delays_messages && request->target == MM_TARGET_KV_STORE)
-    node_request_schedule(request, world_node->cut_until_us + world_network_delay(request->world),
-                          node_request_arrive);
+    world_request_schedule(request, world_node->cut_until_us + world_network_delay(world),
+                           node_request_arrive);
   return TRUE;
 }
 
 static void
 node_request_arrive(gpointer data) {
   NodeRequest *request = data;
+  WorldRequest *base = &request->base;
+  World *world = base->world;
 
   if (!is_stopped_by_cut(request) && node_request_execute(request)) {
-    gint64 at = request->world->now_us + world_network_delay(request->world);
+    gint64 at_us = world->now_us + world_network_delay(world);
     if (request->is_late) {
-      request->world->n_late_applied += request->status == 200;
-      request->world->n_late_rejected += request->status == 409 || request->status == 400;
+      world->n_late_applied += base->status == 200;
+      world->n_late_rejected += base->status == 409 || base->status == 400;
     }
-    if (!is_sender_alive(request))
-      request->status = 0;
-    if (request->target == MM_TARGET_KV_STORE
-        && request->world->now_us < request->world->kv_slow_until_us)
-      at += (gint64)(world_uniform(request->world, 0, request->world->kv_slow_s) * G_USEC_PER_SEC);
-    node_request_schedule(request, at, node_request_respond);
+    if (!is_sender_alive(base))
+      base->status = 0;
+    if (request->target == MM_TARGET_KV_STORE && world->now_us < world->kv_slow_until_us)
+      at_us += (gint64)(world_uniform(world, 0, world->kv_slow_s) * G_USEC_PER_SEC);
+    world_request_schedule(request, at_us, node_request_respond);
   }
-  node_request_release(request);
+  world_request_release(request);
 }
 
+/* Whether it is a transaction that is to be applied late, by the world's parameters; may draw. */
 static gboolean
 is_delayed(World *world, const char *path, const json_t *body) {
   const json_t *changes = mm_json_get(body, WIRE_THEN);
@@ -203,61 +178,73 @@
   return world->late_write_rate > 0 && world_uniform(world, 0, 1) < world->late_write_rate;
 }
 
+static NodeRequest *
+node_request_new(const WorldNode *world_node, MmTarget target, const char *address,
+                 const char *method, const char *path, const json_t *body) {
+  NodeRequest *request = world_request_new(sizeof *request, world_node->world, world_node->index,
+                                           method, path, json_deep_copy(body));
+
+  request->base.generation = world_node->generation;
+  request->target = target;
+  if (address != NULL)
+    g_strlcpy(request->address, address, sizeof request->address);
+  return request;
+}
+
+/* Now and then a request is lost, or so late that its sender has timed out. */
+static void
+node_request_send(NodeRequest *request, const json_t *body, gint64 timeout_us) {
+  World *world = request->base.world;
+  gint64 delay_us = world_network_delay(world);
+
+  if (world_uniform(world, 0, 1) < 0.002)
+    delay_us += timeout_us / 2 + 500000;
+  if (is_delayed(world, request->base.path, body)) {
+    request->is_late = TRUE;
+    world_request_schedule(request,
+                           world->now_us + (gint64)(world_uniform(world, 2, 12) * G_USEC_PER_SEC),
+                           node_request_arrive);
+  } else if (world_uniform(world, 0, 1) >= 0.001 && delay_us < timeout_us) {
+    world_request_schedule(request, world->now_us + delay_us, node_request_arrive);
+  }
+}
+
+/* A late copy of the request, for whose answer nobody waits. */
+static void
+node_request_duplicate(const NodeRequest *request) {
+  const WorldRequest *base = &request->base;
+  World *world = base->world;
+  NodeRequest *duplicate = node_request_new(&world->nodes[base->node], request->target,
+                                            request->address, base->method, base->path, base->body);
+
+  duplicate->base.is_over = TRUE;
+  world_request_schedule(duplicate, world->now_us + world_duplicate_delay(world),
+                         node_request_arrive);
+  world_request_release(duplicate);
+}
+
 void
 world_platform_request(gpointer data, MmTarget target, const char *address, const char *method,
                        const char *path, const json_t *body, guint timeout_ms,
                        MmResponseCallback callback, gpointer callback_data) {
-  WorldNode *world_node = data;
+  const WorldNode *world_node = data;
   World *world = world_node->world;
-  NodeRequest *request = g_rc_box_new0(NodeRequest);
+  gint64 timeout_us = (gint64)timeout_ms * 1000;
+  NodeRequest *request;
 
   if (target == MM_TARGET_KV_STORE && strcmp(path, WIRE_TXN_PATH) == 0)
     world_check_write(world, world_node->index);
   world->n_direct_commands += target == MM_TARGET_WORKER && strcmp(method, "POST") == 0;
 
-  request->world = world;
-  request->node = world_node->index;
-  request->generation = world_node->generation;
-  request->callback = callback;
-  request->data = callback_data;
-  request->target = target;
-  request->address = g_strdup(address);
-  request->method = g_strdup(method);
-  request->path = g_strdup(path);
-  request->request_body = json_deep_copy(body);
+  request = node_request_new(world_node, target, address, method, path, body);
+  request->base.callback = callback;
+  request->base.data = callback_data;
   if (world_node->is_old_version && target == MM_TARGET_KV_STORE)
-    world_downgrade_request(world, world_node->index, request->request_body);
-  /* Now and then a request is lost, or so late that its sender has timed out. */
-  if (world_node->node != NULL || target == MM_TARGET_KV_STORE) {
-    gint64 delay = world_network_delay(world);
-    if (world_uniform(world, 0, 1) < 0.002)
-      delay += (gint64)timeout_ms * 1000 / 2 + 500000;
-    if (is_delayed(world, path, body)) {
-      request->is_late = TRUE;
-      node_request_schedule(request,
-                            world->now_us + (gint64)(world_uniform(world, 2, 12) * G_USEC_PER_SEC),
-                            node_request_arrive);
-    } else if (world_uniform(world, 0, 1) >= 0.001
-               && world->now_us + delay < world->now_us + (gint64)timeout_ms * 1000)
-      node_request_schedule(request, world->now_us + delay, node_request_arrive);
-  }
-  /* A late copy of a request that changes something; nobody waits for its answer. */
-  if (strcmp(method, "GET") != 0 && world_uniform(world, 0, 1) < world->duplicate_rate) {
-    NodeRequest *duplicate = g_rc_box_new0(NodeRequest);
-    duplicate->world = world;
-    duplicate->node = world_node->index;
-    duplicate->generation = world_node->generation;
-    duplicate->is_over = TRUE;
-    duplicate->target = target;
-    duplicate->address = g_strdup(address);
-    duplicate->method = g_strdup(method);
-    duplicate->path = g_strdup(path);
-    duplicate->request_body = json_deep_copy(request->request_body);
-    node_request_schedule(duplicate, world->now_us + world_duplicate_delay(world),
-                          node_request_arrive);
-    node_request_release(duplicate);
-  }
-  node_request_schedule(request, world->now_us + (gint64)timeout_ms * 1000 + 1000,
-                        node_request_time_out);
-  node_request_release(request);
+    world_downgrade_request(world, world_node->index, request->base.body);
+  if (world_node->node != NULL || target == MM_TARGET_KV_STORE)
+    node_request_send(request, body, timeout_us);
+  if (strcmp(method, "GET") != 0 && world_uniform(world, 0, 1) < world->duplicate_rate)
+    node_request_duplicate(request);
+  world_request_schedule(request, world->now_us + timeout_us + 1000, node_request_time_out);
+  world_request_release(request);
 }
