--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -1,5 +1,5 @@
 /* The simulated cloud: instance types, launches, releases, the list of machines. */
-#include "world/world.h"
+#include "world/internal.h"
 
 #include "base/wire.h"
 
@@ -10,6 +10,14 @@
 
 static const char *const zones[] = { "a", "b", "c" };
 
+double
+world_type_cores(const char *type) {
+  for (guint i = 0; i < G_N_ELEMENTS(machine_types); i++)
+    if (strcmp(machine_types[i].name, type) == 0)
+      return machine_types[i].cores;
+  g_assert_not_reached();
+}
+
 WorldMachine *
 world_add_machine(World *world, const char *type, const char *zone, gboolean spot, double boot_s) {
   WorldMachine *machine = g_new0(WorldMachine, 1);
--- a/tests/world/internal.h
+++ b/tests/world/internal.h
@@ -47,6 +47,32 @@
 /* The zone of each node. */
 extern const char *const world_zone_names[WORLD_NODES];
 
+/* ---- cloud.c ---- */
+
+#define WORLD_MEMORY_GB_PER_CORE 4
+/* Cores of a machine of that instance type. */
+double world_type_cores(const char *type);
+
+/* ---- worker.c ---- */
+
+/* A worker drops answers to heartbeats that arrive later. */
+#define WORLD_HEARTBEAT_TIMEOUT_US (4 * (gint64)G_USEC_PER_SEC)
+
+/* ---- tasks.c ---- */
+
+/* The task that is on the machine or has ended there and is not forgotten yet; NULL: none. */
+WorldTask *world_machine_find_task(WorldMachine *machine, const WorldJob *job, guint number,
+                                   guint64 attempt);
+/* A start command: fetches the image, unless the machine refuses. A known attempt is not started.
+ */
+void world_task_start(WorldMachine *machine, WorldJob *job, guint number, guint64 attempt);
+/* The task ends, and what that means for its gang. */
+void world_task_end(WorldMachine *machine, WorldTask *task, guint8 cause);
+/* The task's next change of state, if it is due. */
+void world_task_advance(WorldMachine *machine, WorldTask *task);
+/* The protocol's word for why the task ended. */
+const char *world_task_cause_word(const WorldTask *task);
+
 /* ---- request.c ---- */
 
 /* A request under way, from a node or to one. Each scheduled event has a reference to it. Embedded
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -5,6 +5,9 @@
 
 #include "base/wire.h"
 
+/* Small pages, so that nodes have to read several. */
+#define KEYS_A_PAGE 7
+
 typedef struct {
   guint node;
   char *prefix;
@@ -259,45 +262,40 @@
   return FALSE;
 }
 
-static int
-commit_transaction(World *world, const json_t *body, json_t **response) {
-  const json_t *guards = json_object_get(body, WIRE_IF),
-               *changes = json_object_get(body, WIRE_THEN);
-  json_t *failed;
+/* The keys whose versions are not as the conditions say. The caller's. */
+static json_t *
+failed_conditions(const World *world, const json_t *guards) {
+  json_t *failed = json_array();
   size_t i;
   json_t *item;
 
-  if (world->has_unannounced_limits && is_too_large(world, guards, changes)) {
-    world->n_too_large++;
-    *response = mm_json_error("too large");
-    return 400;
-  }
-  g_assert_false(is_too_large(world, guards, changes));
-  if (!is_within_write_rate(world, json_array_size(changes))) {
-    *response = mm_json_error("too many changes");
-    return 429;
-  }
-  failed = json_array();
   json_array_foreach(guards, i, item) {
     const char *path = mm_json_string(item, WIRE_KEY);
-    WorldKey *key = g_tree_lookup(world->keys, path);
+    const WorldKey *key = g_tree_lookup(world->keys, path);
     if ((key != NULL ? key->version : 0) != mm_json_count(item, WIRE_VERSION, 0))
       json_array_append_new(failed, json_string(path));
   }
-  if (json_array_size(failed) > 0) {
-    *response = json_pack("{s:o, s:I}", WIRE_CONFLICT, failed, WIRE_REVISION,
-                          (json_int_t)world->revision);
-    world->n_conflicts++;
-    return 409;
-  }
-  json_decref(failed);
+  return failed;
+}
+
+static gboolean
+all_leases_exist(const World *world, const json_t *changes) {
+  size_t i;
+  json_t *item;
+
   json_array_foreach(changes, i, item) {
     guint64 lease_id = mm_json_count(item, WIRE_LEASE, 0);
-    if (lease_id != 0 && g_hash_table_lookup(world->leases, &lease_id) == NULL) {
-      *response = mm_json_error("no such lease");
-      return 400;
-    }
+    if (lease_id != 0 && g_hash_table_lookup(world->leases, &lease_id) == NULL)
+      return FALSE;
   }
+  return TRUE;
+}
+
+static void
+apply_changes(World *world, const json_t *changes) {
+  size_t i;
+  json_t *item;
+
   if (json_array_size(changes) > 0)
     world->revision++;
   json_array_foreach(changes, i, item) {
@@ -308,6 +306,36 @@
     else
       delete_key(world, mm_json_string(item, WIRE_DELETE));
   }
+}
+
+static int
+commit_transaction(World *world, const json_t *body, json_t **response) {
+  const json_t *guards = json_object_get(body, WIRE_IF),
+               *changes = json_object_get(body, WIRE_THEN);
+  g_autoptr(json_t) failed = NULL;
+
+  if (world->has_unannounced_limits && is_too_large(world, guards, changes)) {
+    world->n_too_large++;
+    *response = mm_json_error("too large");
+    return 400;
+  }
+  g_assert_false(is_too_large(world, guards, changes));
+  if (!is_within_write_rate(world, json_array_size(changes))) {
+    *response = mm_json_error("too many changes");
+    return 429;
+  }
+  failed = failed_conditions(world, guards);
+  if (json_array_size(failed) > 0) {
+    *response = json_pack("{s:O, s:I}", WIRE_CONFLICT, failed, WIRE_REVISION,
+                          (json_int_t)world->revision);
+    world->n_conflicts++;
+    return 409;
+  }
+  if (!all_leases_exist(world, changes)) {
+    *response = mm_json_error("no such lease");
+    return 400;
+  }
+  apply_changes(world, changes);
   *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
   answer_watches(world);
   return 200;
@@ -338,48 +366,67 @@
   return FALSE;
 }
 
+static int
+list_keys(World *world, const char *path, json_t **response) {
+  g_autofree char *prefix = query_text(path, WIRE_PREFIX);
+  g_autofree char *after = query_text(path, WIRE_AFTER);
+  KeyPage page = { prefix, after, KEYS_A_PAGE, json_array(), FALSE };
+
+  g_tree_foreach(world->keys, append_key, &page);
+  *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.has_more,
+                        WIRE_REVISION, (json_int_t)world->revision);
+  return 200;
+}
+
+static int
+get_key(const World *world, const char *key_path, json_t **response) {
+  const WorldKey *key = g_tree_lookup(world->keys, key_path);
+
+  if (key == NULL) {
+    *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
+    return 404;
+  }
+  *response
+      = json_pack("{s:O, s:I}", WIRE_VALUE, key->value, WIRE_VERSION, (json_int_t)key->version);
+  return 200;
+}
+
+static int
+grant_lease(World *world, const json_t *body, json_t **response) {
+  WorldLease *lease = g_new(WorldLease, 1);
+
+  lease->id = ++world->next_lease;
+  lease->ttl_us = (gint64)mm_json_count(body, WIRE_TTL, 0) * 1000;
+  lease->expires_at_us = world->now_us + lease->ttl_us;
+  g_hash_table_insert(world->leases, &lease->id, lease);
+  *response = json_pack("{s:I}", WIRE_LEASE, (json_int_t)lease->id);
+  return 200;
+}
+
+static int
+renew_lease(World *world, guint64 id, json_t **response) {
+  WorldLease *lease = g_hash_table_lookup(world->leases, &id);
+
+  if (lease == NULL)
+    return 404;
+  lease->expires_at_us = world->now_us + lease->ttl_us;
+  *response = json_object();
+  return 200;
+}
+
 int
 world_kv_handle(World *world, const char *method, const char *path, const json_t *body,
                 json_t **response) {
   if (strcmp(path, WIRE_TXN_PATH) == 0)
     return commit_transaction(world, body, response);
-  if (g_str_has_prefix(path, WIRE_KEYS_PATH "?")) {
-    g_autofree char *prefix = query_text(path, WIRE_PREFIX);
-    g_autofree char *after = query_text(path, WIRE_AFTER);
-    /* Small pages, so that nodes have to read several. */
-    KeyPage page = { prefix, after, 7, json_array(), FALSE };
-    g_tree_foreach(world->keys, append_key, &page);
-    *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.has_more,
-                          WIRE_REVISION, (json_int_t)world->revision);
-    return 200;
-  }
-  if (g_str_has_prefix(path, WIRE_KEYS_PATH "/")) {
-    const WorldKey *key = g_tree_lookup(world->keys, path + strlen(WIRE_KEYS_PATH "/"));
-    if (key == NULL) {
-      *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
-      return 404;
-    }
-    *response
-        = json_pack("{s:O, s:I}", WIRE_VALUE, key->value, WIRE_VERSION, (json_int_t)key->version);
-    return 200;
-  }
-  if (strcmp(path, WIRE_LEASES_PATH) == 0) {
-    WorldLease *lease = g_new(WorldLease, 1);
-    *lease
-        = (WorldLease){ ++world->next_lease, (gint64)mm_json_count(body, WIRE_TTL, 0) * 1000, 0 };
-    lease->expires_at_us = world->now_us + lease->ttl_us;
-    g_hash_table_insert(world->leases, &lease->id, lease);
-    *response = json_pack("{s:I}", WIRE_LEASE, (json_int_t)lease->id);
-    return 200;
-  }
-  if (g_str_has_prefix(path, WIRE_LEASES_PATH "/")) {
-    guint64 id = g_ascii_strtoull(path + strlen(WIRE_LEASES_PATH "/"), NULL, 10);
-    WorldLease *lease = g_hash_table_lookup(world->leases, &id);
-    if (lease == NULL)
-      return 404;
-    lease->expires_at_us = world->now_us + lease->ttl_us;
-    *response = json_object();
-    return 200;
-  }
+  if (g_str_has_prefix(path, WIRE_KEYS_PATH "?"))
+    return list_keys(world, path, response);
+  if (g_str_has_prefix(path, WIRE_KEYS_PATH "/"))
+    return get_key(world, path + strlen(WIRE_KEYS_PATH "/"), response);
+  if (strcmp(path, WIRE_LEASES_PATH) == 0)
+    return grant_lease(world, body, response);
+  if (g_str_has_prefix(path, WIRE_LEASES_PATH "/"))
+    return renew_lease(world, g_ascii_strtoull(path + strlen(WIRE_LEASES_PATH "/"), NULL, 10),
+                       response);
   return 400;
 }
--- a/tests/world/service-checks.c
+++ b/tests/world/service-checks.c
@@ -1,14 +1,14 @@
 /* Checks of the service that users get: no job waits needlessly, and jobs of all kinds are served.
  */
-#include "world/world.h"
+#include "world/internal.h"
 
 #define WAIT_MAX_US (90 * (gint64)G_USEC_PER_SEC)
 #define LARGEST_JOB_WAIT_MAX_US (240 * (gint64)G_USEC_PER_SEC)
 
 static MmResources
 free_resources(const WorldMachine *machine) {
-  double cores = strcmp(machine->type, "small") == 0 ? 4 : 16;
-  MmResources resources = { cores, 0, cores * 4 };
+  double cores = world_type_cores(machine->type);
+  MmResources resources = { cores, 0, cores * WORLD_MEMORY_GB_PER_CORE };
 
   for (guint k = 0; k < machine->tasks->len; k++) {
     const WorldTask *task = g_ptr_array_index(machine->tasks, k);
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -1,6 +1,6 @@
 /* Machine groups in the simulated world: what must hold of them, and moves that an administrator
  * requests. */
-#include "world/world.h"
+#include "world/internal.h"
 
 #include "base/wire.h"
 #include "sharing/admin.h"
@@ -120,7 +120,7 @@
 
 static double
 free_cores(World *world, const json_t *heartbeat) {
-  double cores = g_strcmp0(mm_json_string(heartbeat, WIRE_TYPE), "small") == 0 ? 4 : 16;
+  double cores = world_type_cores(mm_json_string(heartbeat, WIRE_TYPE));
   size_t i;
   json_t *task;
 
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -65,41 +65,36 @@
   check_periodically(world);
 }
 
-static gboolean
-is_drained(World *world, gint64 until) {
-  return !world_run_next_event(world, until);
-}
+static void
+run_all_events(World *world, double most_s) {
+  gint64 until_us = world->now_us + (gint64)(most_s * G_USEC_PER_SEC);
 
-void
-world_free(World *world) {
-  gint64 until;
+  while (world_run_next_event(world, until_us))
+    continue;
+}
 
-  world->is_shutting_down = TRUE;
+static void
+end_nodes(World *world) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (world->nodes[i].node != NULL)
       g_ptr_array_add(world->ended_nodes, world->nodes[i].node);
     world->nodes[i].node = NULL;
     world->nodes[i].generation++;
   }
-  for (guint i = 0; i < world->machines->len; i++)
-    world_kill_machine(world, g_ptr_array_index(world->machines, i));
-  /* Every answer that dead nodes still wait for comes, as none, within the longest time-out. */
-  until = world->now_us + 120 * (gint64)G_USEC_PER_SEC;
-  while (!is_drained(world, until))
-    continue;
-  for (guint i = 0; i < world->ended_nodes->len; i++)
-    mm_node_free(g_ptr_array_index(world->ended_nodes, i));
-  until = world->now_us + 10 * (gint64)G_USEC_PER_SEC;
-  while (!is_drained(world, until))
-    continue;
-  for (guint i = 0; i < WORLD_NODES; i++)
-    mm_settings_free(world->nodes[i].settings);
+}
+
+static void
+free_machines(World *world) {
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = g_ptr_array_index(world->machines, i);
     world_machine_clear_tasks(machine);
     g_ptr_array_unref(machine->tasks);
     g_free(machine);
   }
+}
+
+static void
+free_jobs(World *world) {
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = g_ptr_array_index(world->jobs, i);
     json_decref(job->body);
@@ -108,6 +103,23 @@
     g_free(job->is_task_done);
     g_free(job);
   }
+}
+
+void
+world_free(World *world) {
+  world->is_shutting_down = TRUE;
+  end_nodes(world);
+  for (guint i = 0; i < world->machines->len; i++)
+    world_kill_machine(world, g_ptr_array_index(world->machines, i));
+  /* Each answer that ended nodes still wait for comes, as none, within the longest time-out. */
+  run_all_events(world, 120);
+  for (guint i = 0; i < world->ended_nodes->len; i++)
+    mm_node_free(g_ptr_array_index(world->ended_nodes, i));
+  run_all_events(world, 10);
+  for (guint i = 0; i < WORLD_NODES; i++)
+    mm_settings_free(world->nodes[i].settings);
+  free_machines(world);
+  free_jobs(world);
   world_kv_free(world);
   g_hash_table_unref(world->launches);
   g_hash_table_unref(world->cores_granted);
