--- a/tests/world/internal.h
+++ b/tests/world/internal.h
@@ -47,6 +47,19 @@
 /* The zone of each node. */
 extern const char *const world_zone_names[WORLD_NODES];
 
+/* ---- kv-watches.c ---- */
+
+void world_kv_watches_init(World *world);
+/* Answers all watches that wait with status 0, and frees them. */
+void world_kv_watches_free(World *world);
+/* A key has changed in the current revision; takes the event. */
+void world_kv_record_change(World *world, const char *path, json_t *event);
+/* Answers each watch that has changes or has waited long enough, unless the store refuses its node.
+ */
+void world_kv_answer_watches(World *world);
+/* The value of a field of the path's query; NULL: it is not there. Free with g_free(). */
+char *world_kv_query_text(const char *path, const char *name);
+
 /* ---- cloud.c ---- */
 
 #define WORLD_MEMORY_GB_PER_CORE 4
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -1,5 +1,5 @@
 /* The simulated key-value store: keys with versions, transactions, leases, watches. */
-#include "world/world.h"
+#include "world/internal.h"
 
 #include <stdlib.h>
 
@@ -8,41 +8,12 @@
 /* Small pages, so that nodes have to read several. */
 #define KEYS_A_PAGE 7
 
-typedef struct {
-  guint node;
-  char *prefix;
-  guint64 after_revision;
-  gint64 expires_us;
-  MmResponseCallback callback;
-  gpointer data;
-  gboolean is_over;
-} Watch;
-
-typedef struct {
-  guint64 version;
-  char *path;
-  json_t *event;
-} KeyChange;
-
 static void
 key_free(gpointer data) {
   json_decref(((WorldKey *)data)->value);
   g_free(data);
 }
 
-static void
-change_free(gpointer data) {
-  json_decref(((KeyChange *)data)->event);
-  g_free(((KeyChange *)data)->path);
-  g_free(data);
-}
-
-static void
-watch_free(gpointer data) {
-  g_free(((Watch *)data)->prefix);
-  g_free(data);
-}
-
 static gint
 compare_paths(gconstpointer a, gconstpointer b, gpointer data) {
   return strcmp(a, b);
@@ -53,37 +24,22 @@
 void
 world_kv_init(World *world) {
   world->keys = g_tree_new_full(compare_paths, NULL, g_free, key_free);
-  world->changes = g_ptr_array_new_with_free_func(change_free);
   world->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-  world->watches = g_ptr_array_new_with_free_func(watch_free);
+  world_kv_watches_init(world);
   world_schedule(world, world->now_us, expire_leases, world);
 }
 
 void
 world_kv_free(World *world) {
-  for (guint i = 0; i < world->watches->len; i++) {
-    Watch *watch = g_ptr_array_index(world->watches, i);
-    watch->callback(watch->data, 0, NULL);
-  }
+  world_kv_watches_free(world);
   g_tree_unref(world->keys);
-  g_ptr_array_unref(world->changes);
   g_hash_table_unref(world->leases);
-  g_ptr_array_unref(world->watches);
-}
-
-static void
-record_change(World *world, const char *path, json_t *event) {
-  KeyChange *change = g_new(KeyChange, 1);
-
-  json_object_set_new(event, WIRE_VERSION, json_integer((json_int_t)world->revision));
-  *change = (KeyChange){ world->revision, g_strdup(path), event };
-  g_ptr_array_add(world->changes, change);
 }
 
 static void
 delete_key(World *world, const char *path) {
   if (g_tree_remove(world->keys, path))
-    record_change(world, path, json_pack("{s:s}", WIRE_DELETE, path));
+    world_kv_record_change(world, path, json_pack("{s:s}", WIRE_DELETE, path));
 }
 
 static void
@@ -92,77 +48,7 @@
 
   *key = (WorldKey){ json_incref(value), world->revision, lease_id };
   g_tree_replace(world->keys, g_strdup(path), key);
-  record_change(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
-}
-
-static void
-answer_watches(World *world) {
-  for (guint i = 0; i < world->watches->len; i++) {
-    Watch *watch = g_ptr_array_index(world->watches, i);
-    g_autoptr(json_t) response = NULL;
-    json_t *events;
-
-    if (watch->is_over || world->now_us < world->outage_until_us
-        || world->now_us < world->nodes[watch->node].kv_refuses_until_us)
-      continue;
-    events = json_array();
-    for (guint k = world->changes->len; k > 0; k--) {
-      const KeyChange *change = g_ptr_array_index(world->changes, k - 1);
-      if (change->version <= watch->after_revision)
-        break;
-      if (g_str_has_prefix(change->path, watch->prefix))
-        json_array_insert(events, 0, change->event);
-    }
-    if (json_array_size(events) == 0 && world->now_us < watch->expires_us) {
-      json_decref(events);
-      continue;
-    }
-    response
-        = json_pack("{s:I, s:o}", WIRE_REVISION, (json_int_t)world->revision, WIRE_EVENTS, events);
-    watch->is_over = TRUE;
-    watch->callback(watch->data, 200, response);
-  }
-  for (guint i = world->watches->len; i > 0; i--)
-    if (((Watch *)g_ptr_array_index(world->watches, i - 1))->is_over)
-      g_ptr_array_remove_index_fast(world->watches, i - 1);
-}
-
-static const char *
-find_query_value(const char *path, const char *name) {
-  g_autofree char *find = g_strconcat(name, "=", NULL);
-  const char *at = strchr(path, '?');
-
-  while (at != NULL) {
-    at++;
-    if (g_str_has_prefix(at, find))
-      return at + strlen(find);
-    at = strchr(at, '&');
-  }
-  return NULL;
-}
-
-static char *
-query_text(const char *path, const char *name) {
-  const char *value = find_query_value(path, name);
-
-  return value != NULL ? g_strndup(value, strcspn(value, "&")) : NULL;
-}
-
-void
-world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
-                   gpointer data) {
-  Watch *watch = g_new0(Watch, 1);
-
-  watch->node = node;
-  watch->prefix = query_text(path, WIRE_PREFIX);
-  watch->after_revision = g_ascii_strtoull(find_query_value(path, WIRE_AFTER), NULL, 10);
-  watch->expires_us
-      = world->now_us
-        + (gint64)g_ascii_strtoull(find_query_value(path, WIRE_WAIT), NULL, 10) * 1000;
-  watch->callback = callback;
-  watch->data = data;
-  g_ptr_array_add(world->watches, watch);
-  answer_watches(world);
+  world_kv_record_change(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
 }
 
 typedef struct {
@@ -206,7 +92,7 @@
         g_array_append_val(ended, ((WorldLease *)value)->id);
     for (guint i = 0; i < ended->len; i++)
       end_lease(world, g_array_index(ended, guint64, i));
-    answer_watches(world);
+    world_kv_answer_watches(world);
   }
   world_schedule(world, world->now_us + 20000, expire_leases, world);
 }
@@ -337,7 +223,7 @@
   }
   apply_changes(world, changes);
   *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
-  answer_watches(world);
+  world_kv_answer_watches(world);
   return 200;
 }
 
@@ -368,8 +254,8 @@
 
 static int
 list_keys(World *world, const char *path, json_t **response) {
-  g_autofree char *prefix = query_text(path, WIRE_PREFIX);
-  g_autofree char *after = query_text(path, WIRE_AFTER);
+  g_autofree char *prefix = world_kv_query_text(path, WIRE_PREFIX);
+  g_autofree char *after = world_kv_query_text(path, WIRE_AFTER);
   KeyPage page = { prefix, after, KEYS_A_PAGE, json_array(), FALSE };
 
   g_tree_foreach(world->keys, append_key, &page);
--- /dev/null
+++ b/tests/world/kv-watches.c
@@ -0,0 +1,138 @@
+/* Changes and watches of the simulated key-value store. */
+#include "world/internal.h"
+
+#include <stdlib.h>
+
+#include "base/wire.h"
+
+typedef struct {
+  guint node;
+  char *prefix;
+  guint64 after_revision;
+  gint64 expires_us;
+  MmResponseCallback callback;
+  gpointer data;
+  gboolean is_over;
+} Watch;
+
+typedef struct {
+  guint64 version;
+  char *path;
+  json_t *event;
+} KeyChange;
+
+static void
+change_free(gpointer data) {
+  json_decref(((KeyChange *)data)->event);
+  g_free(((KeyChange *)data)->path);
+  g_free(data);
+}
+
+static void
+watch_free(gpointer data) {
+  g_free(((Watch *)data)->prefix);
+  g_free(data);
+}
+
+void
+world_kv_watches_init(World *world) {
+  world->changes = g_ptr_array_new_with_free_func(change_free);
+  world->watches = g_ptr_array_new_with_free_func(watch_free);
+}
+
+void
+world_kv_watches_free(World *world) {
+  for (guint i = 0; i < world->watches->len; i++) {
+    Watch *watch = g_ptr_array_index(world->watches, i);
+    watch->callback(watch->data, 0, NULL);
+  }
+  g_ptr_array_unref(world->changes);
+  g_ptr_array_unref(world->watches);
+}
+
+void
+world_kv_record_change(World *world, const char *path, json_t *event) {
+  KeyChange *change = g_new(KeyChange, 1);
+
+  json_object_set_new(event, WIRE_VERSION, json_integer((json_int_t)world->revision));
+  *change = (KeyChange){ world->revision, g_strdup(path), event };
+  g_ptr_array_add(world->changes, change);
+}
+
+/* The changes after the watch's revision, in order. The caller's. */
+static json_t *
+watched_changes(const World *world, const Watch *watch) {
+  json_t *events = json_array();
+
+  for (guint k = world->changes->len; k > 0; k--) {
+    const KeyChange *change = g_ptr_array_index(world->changes, k - 1);
+    if (change->version <= watch->after_revision)
+      break;
+    if (g_str_has_prefix(change->path, watch->prefix))
+      json_array_insert(events, 0, change->event);
+  }
+  return events;
+}
+
+void
+world_kv_answer_watches(World *world) {
+  for (guint i = 0; i < world->watches->len; i++) {
+    Watch *watch = g_ptr_array_index(world->watches, i);
+    g_autoptr(json_t) response = NULL;
+    json_t *events;
+
+    if (watch->is_over || world->now_us < world->outage_until_us
+        || world->now_us < world->nodes[watch->node].kv_refuses_until_us)
+      continue;
+    events = watched_changes(world, watch);
+    if (json_array_size(events) == 0 && world->now_us < watch->expires_us) {
+      json_decref(events);
+      continue;
+    }
+    response
+        = json_pack("{s:I, s:o}", WIRE_REVISION, (json_int_t)world->revision, WIRE_EVENTS, events);
+    watch->is_over = TRUE;
+    watch->callback(watch->data, 200, response);
+  }
+  for (guint i = world->watches->len; i > 0; i--)
+    if (((Watch *)g_ptr_array_index(world->watches, i - 1))->is_over)
+      g_ptr_array_remove_index_fast(world->watches, i - 1);
+}
+
+static const char *
+find_query_value(const char *path, const char *name) {
+  g_autofree char *find = g_strconcat(name, "=", NULL);
+  const char *at = strchr(path, '?');
+
+  while (at != NULL) {
+    at++;
+    if (g_str_has_prefix(at, find))
+      return at + strlen(find);
+    at = strchr(at, '&');
+  }
+  return NULL;
+}
+
+char *
+world_kv_query_text(const char *path, const char *name) {
+  const char *value = find_query_value(path, name);
+
+  return value != NULL ? g_strndup(value, strcspn(value, "&")) : NULL;
+}
+
+void
+world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
+                   gpointer data) {
+  Watch *watch = g_new0(Watch, 1);
+
+  watch->node = node;
+  watch->prefix = world_kv_query_text(path, WIRE_PREFIX);
+  watch->after_revision = g_ascii_strtoull(find_query_value(path, WIRE_AFTER), NULL, 10);
+  watch->expires_us
+      = world->now_us
+        + (gint64)g_ascii_strtoull(find_query_value(path, WIRE_WAIT), NULL, 10) * 1000;
+  watch->callback = callback;
+  watch->data = data;
+  g_ptr_array_add(world->watches, watch);
+  world_kv_answer_watches(world);
+}
--- a/tests/world/types.h
+++ b/tests/world/types.h
@@ -180,7 +180,7 @@
   /* the key-value store */
   GTree *keys; /* path -> WorldKey */
   guint64 revision;
-  GPtrArray *changes; /* json_t events, each with its version */
+  GPtrArray *changes; /* KeyChange of kv-watches.c, in order */
   GHashTable *leases; /* id -> WorldLease */
   guint64 next_lease; /* id */
   GPtrArray *watches; /* that wait for a change */
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -72,7 +72,8 @@
                     json_t **response);
 /* It answers 503 to all nodes; leases do not expire meanwhile and have their full time after it. */
 void world_kv_outage(World *world, double seconds);
-/* Calls back once, with the changes after the revision in `path` or with none at its time-out. */
+/* (kv-watches.c) Calls back once, with the changes after the revision in `path` or with none at its
+ * time-out. */
 void world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
                         gpointer data);
 
