--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -75,7 +75,7 @@
 static void
 note_told(Run *run) {
   for (guint i = 0; i < run->world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(run->world->jobs, i);
+    const WorldJob *job = world_job_at(run->world, i);
     guint before = GPOINTER_TO_UINT(g_hash_table_lookup(run->told, job->id));
     HistoryEvent event = { .us = run->world->now_us,
                            .tasks = job->spec.kind == MM_JOB_KIND_SERVICE ? 0 : job->spec.n_tasks };
@@ -153,7 +153,7 @@
 static void
 cancel_services(World *world) {
   for (guint i = 0; i < world->jobs->len; i++) {
-    WorldJob *job = g_ptr_array_index(world->jobs, i);
+    WorldJob *job = world_job_at(world, i);
     if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->is_cancel_requested)
       world_cancel(job);
   }
--- a/tests/loopback/stand-ins.c
+++ b/tests/loopback/stand-ins.c
@@ -61,7 +61,7 @@
 static int
 ask_worker(World *world, const char *path, const json_t *body, json_t **reply) {
   for (guint i = 0; i < world->machines->len; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     const char *rest = path + 1 + strlen(machine->id);
     if (!machine->is_up || !g_str_has_prefix(path + 1, machine->id) || rest[0] != '/')
       continue;
--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -124,7 +124,7 @@
   GPtrArray *machines = g_ptr_array_new();
 
   for (guint i = 0; i < world->machines->len; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     if (machine->is_up && world_group_of_machine(world, machine) == group
         && some_node_grants(world, machine))
       g_ptr_array_add(machines, machine);
--- a/tests/test-concurrent-faults-cancellation.c
+++ b/tests/test-concurrent-faults-cancellation.c
@@ -19,9 +19,9 @@
   }
   world_run(world, 10);
   for (guint i = 0; i < world->jobs->len; i++) {
-    n_done
-        += job_at(world, i)->is_cancel_requested && job_at(world, i)->user_view == USER_SEES_DONE;
-    n_cancelled += job_at(world, i)->user_view == USER_SEES_CANCELLED;
+    n_done += world_job_at(world, i)->is_cancel_requested
+              && world_job_at(world, i)->user_view == USER_SEES_DONE;
+    n_cancelled += world_job_at(world, i)->user_view == USER_SEES_CANCELLED;
   }
   g_test_message("%u cancelled after all, %u done", n_cancelled, n_done);
   return MIN(world->n_odd_requests_correct, n_cancelled + n_done);
@@ -74,8 +74,8 @@
   world_kv_outage(world, world->cancel_s + 12);
   world_run(world, 0.5);
   for (guint i = 0; i < world->jobs->len; i++) {
-    g_autofree char *shard = mm_shard_ownership_shard_of_team(&job_at(world, i)->spec.team);
-    n_met += job_at(world, i)->user_view == USER_SEES_CANCELLED
+    g_autofree char *shard = mm_shard_ownership_shard_of_team(&world_job_at(world, i)->spec.team);
+    n_met += world_job_at(world, i)->user_view == USER_SEES_CANCELLED
              && mm_replica_shard(other->replica, shard) == NULL;
   }
   world_run(world, world->cancel_s + 20);
--- a/tests/test-concurrent-faults-failover.c
+++ b/tests/test-concurrent-faults-failover.c
@@ -30,7 +30,7 @@
   for (guint round = 0; round < 8; round++) {
     submit_jobs(world, 2, WIRE_KIND_ARRAY, 3, 5);
     world_run(world, 4);
-    world_cancel(job_at(world, round * 2));
+    world_cancel(world_job_at(world, round * 2));
     if (round % 3 == 1)
       world_kill_node(world, world_node_leading_most_shards(world), 0.3);
     if (round % 3 == 2)
@@ -71,7 +71,7 @@
   guint n_met = 0;
 
   for (guint i = 0; i < world->machines->len; i++)
-    machine_at(world, i)->failure_rate = 0;
+    world_machine_at(world, i)->failure_rate = 0;
   for (guint i = 0; i < 6; i++)
     world_submit(world, json_pack("{s:i}", WIRE_TASKS, 2 + i % 2), 2)->stagger_s = 14;
   for (guint i = 0; i < 3; i++) {
@@ -80,8 +80,8 @@
   }
   world_run(world, 30);
   for (guint i = 0; i < 6; i++) {
-    g_assert_cmpint(job_at(world, i)->user_view, ==, USER_SEES_DONE);
-    n_met += job_at(world, i)->n_starts == job_at(world, i)->spec.n_tasks;
+    g_assert_cmpint(world_job_at(world, i)->user_view, ==, USER_SEES_DONE);
+    n_met += world_job_at(world, i)->n_starts == world_job_at(world, i)->spec.n_tasks;
   }
   g_assert_cmpuint(n_met, ==, 6);
   return n_met;
@@ -99,7 +99,7 @@
                  12);
   world_run(world, 8);
   for (guint i = 0; i < world->machines->len && lost < 2; i++) {
-    WorldMachine *machine = machine_at(world, i);
+    WorldMachine *machine = world_machine_at(world, i);
     if (strcmp(machine->zone, "b") != 0 || machine->tasks->len == 0)
       continue;
     world_kill_machine(world, machine);
@@ -127,7 +127,7 @@
   }
   world_run(world, 30);
   for (guint i = 0; i < world->jobs->len; i++)
-    waiting += job_at(world, i)->first_start_at_us == 0;
+    waiting += world_job_at(world, i)->first_start_at_us == 0;
   world_kill_node(world, world_node_leading_most_shards(world), 0.5);
   world_run(world, 60);
   world->slow_links_s = 0;
@@ -148,7 +148,7 @@
   n_met += on_machines_with_tasks(world, 4, lose_inbound, 6);
   world_kill_node(world, world_node_leading_most_shards(world), 15);
   world_run(world, 1);
-  world_cancel(job_at(world, 0));
+  world_cancel(world_job_at(world, 0));
   world_run(world, 30);
   return newest_term(world) > before ? n_met : 0;
 }
@@ -198,11 +198,11 @@
     world_submit(world, json_pack("{s:i}", WIRE_TASKS, 6), 25);
   world_run(world, 10);
   for (guint i = 0; i < 5; i++)
-    running += world_count_running(world, job_at(world, i), NULL);
+    running += world_count_running(world, world_job_at(world, i), NULL);
   on_machines_with_tasks(world, 3, interrupt_network, world->lease_s + 4);
   world_kill_node(world, world_node_leading_most_shards(world), 5);
   world_run(world, 0.5);
-  world_cancel(job_at(world, 0));
+  world_cancel(world_job_at(world, 0));
   world_run(world, 40);
   return running * 2 >= (guint)world->team_cores - 2 ? running : 0;
 }
--- a/tests/test-concurrent-faults-fixtures.c
+++ b/tests/test-concurrent-faults-fixtures.c
@@ -4,16 +4,6 @@
 #include "base/wire.h"
 #include "kv/replica.h"
 
-WorldMachine *
-machine_at(const World *world, guint index) {
-  return g_ptr_array_index(world->machines, index);
-}
-
-WorldJob *
-job_at(const World *world, guint index) {
-  return g_ptr_array_index(world->jobs, index);
-}
-
 void
 submit_jobs(World *world, guint n, const char *kind, guint tasks, double run_s) {
   for (guint i = 0; i < n; i++) {
@@ -27,8 +17,8 @@
 void
 cancel_all_jobs(World *world) {
   for (guint i = 0; i < world->jobs->len; i++)
-    if (!job_at(world, i)->is_cancel_requested)
-      world_cancel(job_at(world, i));
+    if (!world_job_at(world, i)->is_cancel_requested)
+      world_cancel(world_job_at(world, i));
 }
 
 guint
@@ -36,7 +26,7 @@
   guint n = 0;
 
   for (guint i = 0; i < world->jobs->len; i++)
-    n += job_at(world, i)->user_view == view;
+    n += world_job_at(world, i)->user_view == view;
   return n;
 }
 
@@ -45,8 +35,8 @@
   guint n = 0;
 
   for (guint i = 0; i < world->machines->len; i++)
-    n += machine_at(world, i)->incarnation > 1
-         && (zone == NULL || strcmp(machine_at(world, i)->zone, zone) == 0);
+    n += world_machine_at(world, i)->incarnation > 1
+         && (zone == NULL || strcmp(world_machine_at(world, i)->zone, zone) == 0);
   return n;
 }
 
@@ -66,9 +56,9 @@
   guint n = 0;
 
   for (guint i = 0; i < world->machines->len && n < n_most; i++) {
-    if (machine_at(world, i)->tasks->len == 0)
+    if (world_machine_at(world, i)->tasks->len == 0)
       continue;
-    inject(machine_at(world, i), until_us);
+    inject(world_machine_at(world, i), until_us);
     n++;
   }
   return n;
--- a/tests/test-concurrent-faults-network.c
+++ b/tests/test-concurrent-faults-network.c
@@ -71,11 +71,11 @@
   world_run(world, 8);
   on_machines_with_tasks(world, 4, lose_outbound, world->lease_s + 12);
   world_run(world, 0.5);
-  world_cancel(job_at(world, 0));
-  world_cancel(job_at(world, 1));
+  world_cancel(world_job_at(world, 0));
+  world_cancel(world_job_at(world, 1));
   world_run(world, world->lease_s + 14);
   for (guint i = 0; i < world->machines->len; i++)
-    n_arrived += machine_at(world, i)->n_direct_while_outbound_lost;
+    n_arrived += world_machine_at(world, i)->n_direct_while_outbound_lost;
   return n_arrived;
 }
 
@@ -88,16 +88,17 @@
   submit_jobs(world, 5, WIRE_KIND_ARRAY, 3, 6);
   world_run(world, 4);
   for (guint i = 0; i < world->machines->len; i++) {
-    machine_at(world, i)->duplicate_at_us = world->now_us + 9 * SECOND + (gint64)i * SECOND / 3;
-    machine_at(world, i)->duplicate_node = (old + 1 + i % 2) % WORLD_NODES;
+    world_machine_at(world, i)->duplicate_at_us
+        = world->now_us + 9 * SECOND + (gint64)i * SECOND / 3;
+    world_machine_at(world, i)->duplicate_node = (old + 1 + i % 2) % WORLD_NODES;
   }
   world_run(world, 1.5);
   world_kill_node(world, old, 20);
   world_run(world, 6.5);
   submit_jobs(world, 5, WIRE_KIND_ARRAY, 3, 6);
   for (guint i = 0; i < world->machines->len; i++)
-    n_met += machine_at(world, i)->duplicate_at_us == 0
-             && machine_at(world, i)->fencing_token > before;
+    n_met += world_machine_at(world, i)->duplicate_at_us == 0
+             && world_machine_at(world, i)->fencing_token > before;
   world_run(world, 20);
   return newest_term(world) > before ? n_met : 0;
 }
@@ -114,13 +115,13 @@
   while (!world->nodes[autoscaler_node].node->autoscaler->is_active)
     autoscaler_node++;
   for (guint i = 0; i < 9; i++)
-    up += machine_at(world, i)->is_up;
+    up += world_machine_at(world, i)->is_up;
   world->nodes[autoscaler_node].workers_cut_until_us = world->now_us + 20 * SECOND;
   world_run(world, 5);
   n_met = on_machines_with_tasks(world, 1, lose_outbound, world->lease_s - 1.5);
   world_run(world, 15);
   for (guint i = 0; i < 9; i++)
-    left += machine_at(world, i)->is_up;
+    left += world_machine_at(world, i)->is_up;
   g_assert_cmpuint(left, ==, up);
   return n_met;
 }
--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -39,8 +39,7 @@
 new_fault_world(guint32 seed) {
   World *world = world_new(seed);
 
-  for (guint i = 0; i < 9; i++)
-    world_add_machine(world, "small", i % 3 == 0 ? "a" : i % 3 == 1 ? "b" : "c", FALSE, 0.1);
+  world_add_machines(world, 9, "small", 3);
   world_start(world);
   world_run(world, 3);
   return world;
@@ -51,16 +50,16 @@
 run_to_the_end(World *world) {
   world->faults_ended_at_us = world->now_us + 30 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++)
-    if (job_at(world, i)->spec.kind == MM_JOB_KIND_SERVICE
-        && !job_at(world, i)->is_cancel_requested)
-      world_cancel(job_at(world, i));
+    if (world_job_at(world, i)->spec.kind == MM_JOB_KIND_SERVICE
+        && !world_job_at(world, i)->is_cancel_requested)
+      world_cancel(world_job_at(world, i));
   world_run(world, 150);
   world_check_served(world);
   world_assert_invariants(world);
   for (guint i = 0; i < world->jobs->len; i++)
-    if (job_at(world, i)->user_view < USER_SEES_CANCELLED)
-      g_test_message("%s is not finished: %u of %u done", job_at(world, i)->id,
-                     job_at(world, i)->n_done, job_at(world, i)->spec.n_tasks);
+    if (world_job_at(world, i)->user_view < USER_SEES_CANCELLED)
+      g_test_message("%s is not finished: %u of %u done", world_job_at(world, i)->id,
+                     world_job_at(world, i)->n_done, world_job_at(world, i)->spec.n_tasks);
   g_assert_cmpuint(count_jobs_seen_as(world, USER_SEES_DONE)
                        + count_jobs_seen_as(world, USER_SEES_CANCELLED),
                    ==, world->jobs->len);
--- a/tests/test-concurrent-faults.h
+++ b/tests/test-concurrent-faults.h
@@ -7,8 +7,6 @@
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 
-WorldMachine *machine_at(const World *world, guint index);
-WorldJob *job_at(const World *world, guint index);
 /* Submits `n` jobs of that kind and number of tasks, of each team in turn. */
 void submit_jobs(World *world, guint n, const char *kind, guint tasks, double run_s);
 /* Users of all jobs request their cancellation, of those that were not before. */
--- a/tests/test-faulty-nodes.c
+++ b/tests/test-faulty-nodes.c
@@ -11,8 +11,7 @@
     World *world = world_new(seed);
     world->ignore_acknowledgements = ignore_acknowledgements;
     world->configured_lease_s = believed_lease_s;
-    for (guint i = 0; i < 6; i++)
-      world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+    world_add_machines(world, 6, "small", 2);
     world_start(world);
     world_run(world, 3);
     for (guint i = 0; i < 4; i++)
@@ -60,8 +59,7 @@
     World *world = world_new(seed);
     world->duplicate_rate = 0.3;
     world->accept_duplicates = believe;
-    for (guint i = 0; i < 6; i++)
-      world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+    world_add_machines(world, 6, "small", 2);
     world_start(world);
     world_run(world, 3);
     for (guint second = 0; second < 60 && !broken; second++) {
@@ -86,7 +84,7 @@
 static WorldMachine *
 first_that_runs(World *world) {
   for (guint i = 0; i < world->machines->len; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     if (machine->tasks->len > 0)
       return machine;
   }
@@ -103,8 +101,7 @@
   gboolean over;
 
   world->respond_to_unacknowledging = answer_deaf;
-  for (guint i = 0; i < 6; i++)
-    world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+  world_add_machines(world, 6, "small", 2);
   world_start(world);
   world_run(world, 3);
   service = world_submit(world,
@@ -152,8 +149,7 @@
   for (guint seed = 1; seed <= 4 && !broken; seed++) {
     World *world = world_new(seed);
     world->lease_never_expires = claim_for_ever;
-    for (guint i = 0; i < 6; i++)
-      world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+    world_add_machines(world, 6, "small", 2);
     world_start(world);
     world_run(world, 3);
     for (guint i = 0; i < 2; i++)
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -33,7 +33,7 @@
   guint n = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     n += machine->is_up && !machine->is_terminated;
   }
   return n;
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -51,7 +51,7 @@
 
   world_run(world, 3);
   run_under_load(world, 6);
-  first = g_ptr_array_index(world->jobs, 0);
+  first = world_job_at(world, 0);
   world_set_format(world, json_loads(data, 0, NULL));
   world_run(world, 3);
   writes = world->n_writes;
--- a/tests/test-large-capacity.c
+++ b/tests/test-large-capacity.c
@@ -45,10 +45,8 @@
 
   world->capacity = 0;
   world->team_cores = 60;
-  for (guint i = 0; i < 12; i++)
-    world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
-  for (guint i = 0; i < 4; i++)
-    world_add_machine(world, "big", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+  world_add_machines(world, 12, "small", 2);
+  world_add_machines(world, 4, "big", 2);
   world_start(world);
   world_run(world, 3);
   for (guint second = 0; second < 300; second++) {
@@ -82,7 +80,7 @@
   MachineUses uses = { 0 };
 
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     gboolean has_services = FALSE, has_arrays = FALSE;
     for (guint k = 0; k < machine->tasks->len && strcmp(machine->type, "big") == 0; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
@@ -107,10 +105,8 @@
 
   world->capacity = 0;
   world->team_cores = 600;
-  for (guint i = 0; i < 2; i++)
-    world_add_machine(world, "small", "a", FALSE, 0.1);
-  for (guint i = 0; i < 12; i++)
-    world_add_machine(world, "big", zones[i % 3], FALSE, 0.1);
+  world_add_machines(world, 2, "small", 1);
+  world_add_machines(world, 12, "big", 3);
   world_start(world);
   world_run(world, 8);
   world_submit(world,
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -72,7 +72,7 @@
   guint n = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     n += machine->is_up && !machine->is_terminated && strcmp(machine->zone, zone) == 0;
   }
   return n;
@@ -92,7 +92,7 @@
   world_assert_invariants(world);
   g_assert_cmpuint(count_up_in_zone(world, "c") + 4, >=, before);
   for (guint i = 0; i < world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     if (job->spec.kind == MM_JOB_KIND_SERVICE && job->user_view == USER_SEES_ACCEPTED)
       g_assert_cmpuint(world_count_running(world, job, NULL), ==, job->spec.n_tasks);
   }
@@ -168,7 +168,7 @@
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 1);
   for (guint i = 0; i < 5; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     world_kill_machine(world, machine);
     machine->is_terminated = TRUE;
   }
--- a/tests/test-machine-health.c
+++ b/tests/test-machine-health.c
@@ -20,13 +20,12 @@
 set_up(void) {
   Setting s = { world_new(9) };
 
-  for (guint i = 0; i < MACHINES; i++)
-    world_add_machine(s.world, "big", "a", FALSE, 0.1);
+  world_add_machines(s.world, MACHINES, "big", 1);
   world_start(s.world);
   world_run(s.world, 5);
   s.node = s.world->nodes[0].node;
   for (guint i = 0; i < MACHINES; i++) {
-    WorldMachine *machine = g_ptr_array_index(s.world->machines, i);
+    WorldMachine *machine = world_machine_at(s.world, i);
     machine->hung_until_us = s.world->now_us + 100 * (gint64)G_USEC_PER_SEC;
     s.machines[i] = mm_machine_table_find(s.node->machine_table, machine->id);
     g_assert_nonnull(s.machines[i]);
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -10,8 +10,7 @@
 two_machines(guint32 seed) {
   World *world = world_new(seed);
 
-  for (guint i = 0; i < 2; i++)
-    world_add_machine(world, "small", "a", FALSE, 0.1);
+  world_add_machines(world, 2, "small", 1);
   world_start(world);
   world_run(world, 8);
   return world;
@@ -47,7 +46,7 @@
 static void
 test_answered_machines_are_announced_on_a_new_link(void) {
   World *world = two_machines(3);
-  const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
+  const char *id = world_machine_at(world, 0)->id;
   guint host = host_of(world, id), back = (host + 1) % WORLD_NODES;
   MmNode *node;
   MmMachine *machine;
@@ -66,8 +65,7 @@
   world_run(world, 8);
   /* From now on it reports to nobody. */
   for (guint i = 0; i < world->machines->len; i++)
-    ((WorldMachine *)g_ptr_array_index(world->machines, i))->hung_until_us
-        = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+    world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 0.1);
   g_assert_cmpint(host_of(world, id), ==, host);
   report = report_of(machine, TRUE);
@@ -126,7 +124,7 @@
 static void
 test_new_incarnation_lives_for_a_lease(void) {
   World *world = two_machines(7);
-  const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
+  const char *id = world_machine_at(world, 0)->id;
   MmNode *direct = world->nodes[0].node, *registered = world->nodes[1].node;
   MmMachine *machine = mm_machine_table_find(direct->machine_table, id);
   MmHeartbeat report = report_of(machine, TRUE);
@@ -161,7 +159,7 @@
 static void
 test_direct_reply_stays_one_on_a_new_link(void) {
   World *world = two_machines(8);
-  const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
+  const char *id = world_machine_at(world, 0)->id;
   guint host = host_of(world, id), other = (host + 1) % WORLD_NODES;
   MmNode *node = world->nodes[host].node;
   MmMachine *machine = mm_machine_table_find(node->machine_table, id);
@@ -169,8 +167,7 @@
   MmHeartbeat report;
 
   for (guint i = 0; i < world->machines->len; i++)
-    ((WorldMachine *)g_ptr_array_index(world->machines, i))->hung_until_us
-        = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+    world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 0.5);
   report = report_of(machine, TRUE);
   mm_machine_table_record_heartbeat(node->machine_table, &report, mm_node_now(node),
@@ -214,7 +211,7 @@
 static void
 test_suspended_peer_is_updated_when_it_resumes(void) {
   World *world = two_machines(6);
-  const char *id = ((WorldMachine *)g_ptr_array_index(world->machines, 0))->id;
+  const char *id = world_machine_at(world, 0)->id;
   guint host = host_of(world, id), still = (host + 1) % WORLD_NODES;
   const MmPeer *peer = NULL;
   guint64 frames;
--- a/tests/test-pipelines-days.c
+++ b/tests/test-pipelines-days.c
@@ -62,7 +62,7 @@
   world_run(world, 260);
   world_assert_invariants(world);
   for (guint i = 0; i < world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     n_dependents += job->dependencies->len > 0;
   }
   g_test_message("%u jobs, %u with dependencies", world->jobs->len, n_dependents);
--- a/tests/test-pipelines-faults.c
+++ b/tests/test-pipelines-faults.c
@@ -178,7 +178,7 @@
       world_run(world, 0.2);
     g_assert_cmpint(gang->first_start_at_us, !=, 0);
     for (guint i = 0; i < world->machines->len; i++) {
-      WorldMachine *machine = g_ptr_array_index(world->machines, i);
+      WorldMachine *machine = world_machine_at(world, i);
       if (machine->tasks->len > 0
           && ((WorldTask *)g_ptr_array_index(machine->tasks, 0))->job == gang) {
         world_kill_machine(world, machine);
--- a/tests/test-scheduler-fixture.c
+++ b/tests/test-scheduler-fixture.c
@@ -8,13 +8,11 @@
   SchedulerFixture f = { world_new(5) };
   WorldJob *job;
 
-  for (guint i = 0; i < 2; i++)
-    world_add_machine(f.world, "big", "a", FALSE, 0.1);
+  world_add_machines(f.world, 2, "big", 1);
   world_start(f.world);
   world_run(f.world, 5);
   for (guint i = 0; i < 2; i++)
-    ((WorldMachine *)g_ptr_array_index(f.world->machines, i))->hung_until_us
-        = f.world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+    world_machine_at(f.world, i)->hung_until_us = f.world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   job = world_submit(f.world, json_pack("{s:i}", WIRE_TASKS, (int)tasks), 5);
   world_run(f.world, 0.5);
   for (guint i = 0; i < WORLD_NODES; i++) {
--- a/tests/test-scheduler-heartbeats.c
+++ b/tests/test-scheduler-heartbeats.c
@@ -92,11 +92,10 @@
   World *world = world_new(6);
   WorldMachine *silent;
 
-  for (guint i = 0; i < 9; i++)
-    world_add_machine(world, "small", "a", FALSE, 0.1);
+  world_add_machines(world, 9, "small", 1);
   world_start(world);
   world_run(world, 8);
-  silent = g_ptr_array_index(world->machines, 0);
+  silent = world_machine_at(world, 0);
   g_assert_cmpuint(silent->tasks->len, ==, 0);
   silent->cut_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 7.5);
--- a/tests/test-scheduler-preemption.c
+++ b/tests/test-scheduler-preemption.c
@@ -110,7 +110,7 @@
   guint n = 0;
 
   for (guint i = 0; i < world->machines->len; i++)
-    n += ((WorldMachine *)g_ptr_array_index(world->machines, i))->tasks->len > 0;
+    n += world_machine_at(world, i)->tasks->len > 0;
   return n;
 }
 
--- a/tests/test-sharing-world-moves.c
+++ b/tests/test-sharing-world-moves.c
@@ -35,7 +35,7 @@
   Move move = { .world = world };
 
   for (guint i = 0; move.machine == NULL; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     if (machine->is_up)
       move.machine = machine;
   }
--- a/tests/test-sharing-world-settings.c
+++ b/tests/test-sharing-world-settings.c
@@ -121,7 +121,7 @@
   WorldJob *gang, *late;
 
   for (guint i = 0; i < world->machines->len; i++)
-    ((WorldMachine *)g_ptr_array_index(world->machines, i))->failure_rate = 0;
+    world_machine_at(world, i)->failure_rate = 0;
   world_start(world);
   world_run(world, 5);
   gang = submit_gang(world, 15);
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -66,7 +66,7 @@
 static void
 duplicate_heartbeats(World *world, gint64 later_us) {
   for (guint i = 0; i < world->machines->len; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     machine->duplicate_at_us = machine->next_heartbeat_at_us + later_us;
     machine->duplicate_node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
   }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -19,8 +19,7 @@
   world->team_cores = 4 * MAX(machines, 6);
   for (guint i = 0; i < WORLD_NODES; i++)
     world->nodes[i].is_old_version = TRUE;
-  for (guint i = 0; i < machines; i++)
-    world_add_machine(world, "small", i % 3 == 0 ? "a" : i % 3 == 1 ? "b" : "c", FALSE, 0.1);
+  world_add_machines(world, machines, "small", 3);
   world_start(world);
   world_run(world, 4);
   return world;
@@ -118,7 +117,7 @@
   world_assert_invariants(world);
   g_assert_cmpuint(largest_pack(world), <=, WORLD_NEXT_VALUE_BYTES);
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     const MmMachine *seen = mm_machine_table_find(world->nodes[0].node->machine_table, machine->id);
     gboolean known = seen != NULL && seen->is_in_registry;
     if (machine->is_up)
@@ -152,8 +151,7 @@
 
   world->has_unannounced_limits = TRUE;
   world->team_cores = 4 * 120;
-  for (guint i = 0; i < 120; i++)
-    world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+  world_add_machines(world, 120, "small", 2);
   world_start(world);
   world_run(world, 4);
   for (guint i = 0; i < 8; i++)
--- a/tests/test-world-days.c
+++ b/tests/test-world-days.c
@@ -152,8 +152,7 @@
   World *world = target->world;
 
   for (guint i = 0; i < 4; i++)
-    world_cancel(g_ptr_array_index(
-        world->jobs, (guint)g_rand_int_range(world->rand, 0, (gint32)world->jobs->len)));
+    world_cancel(world_any_job(world));
   if (target->machine != NULL)
     target->machine->hung_until_us = world->now_us + 6 * SECOND;
 }
@@ -217,8 +216,7 @@
     if (second % 4 == 0)
       world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
     if (second % 13 == 7)
-      world_cancel(g_ptr_array_index(
-          world->jobs, (guint)g_rand_int_range(world->rand, 0, (gint32)world->jobs->len)));
+      world_cancel(world_any_job(world));
     if (second > 10 && world_uniform(world, 0, 1) < 0.2)
       inject_random_fault(world, rough);
     mm_debug("second %u", second);
@@ -233,7 +231,7 @@
   world->late_write_rate = 0;
   world->faults_ended_at_us = world->now_us + 45 * (gint64)G_USEC_PER_SEC;
   for (guint i = 0; i < world->jobs->len; i++) {
-    WorldJob *job = g_ptr_array_index(world->jobs, i);
+    WorldJob *job = world_job_at(world, i);
     if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->is_cancel_requested)
       world_cancel(job);
   }
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -35,8 +35,7 @@
   World *world = world_new(5);
   gint64 second = G_USEC_PER_SEC;
 
-  for (guint i = 0; i < 6; i++)
-    world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+  world_add_machines(world, 6, "small", 2);
   world_start(world);
   world_run(world, 3);
   world_submit(world, json_pack("{s:i, s:s}", WIRE_TASKS, 6, WIRE_KIND, WIRE_KIND_SERVICE), 0);
@@ -72,7 +71,7 @@
   for (guint step = 0; step < 350; step++) {
     world_run(world, 0.02);
     for (guint i = 0; i < G_N_ELEMENTS(fencing_tokens); i++) {
-      const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+      const WorldMachine *machine = world_machine_at(world, i);
       n_changes += machine->fencing_token > fencing_tokens[i] && step > 0;
       fencing_tokens[i] = machine->fencing_token;
     }
@@ -81,7 +80,7 @@
   g_test_message("%u changes of term on %u machines", n_changes,
                  (guint)G_N_ELEMENTS(fencing_tokens));
   for (guint i = 0; i < G_N_ELEMENTS(fencing_tokens); i++)
-    if (((WorldMachine *)g_ptr_array_index(world->machines, i))->is_up)
+    if (world_machine_at(world, i)->is_up)
       g_assert_cmpuint(fencing_tokens[i], ==, world->nodes[0].node->replica->term.v);
   g_assert_cmpuint(n_changes, <=, G_N_ELEMENTS(fencing_tokens) + 2);
   world_free(world);
@@ -95,13 +94,12 @@
   int submitted = -1, health = -1, polled = -1;
   json_t *body = json_pack("{s:s}", WIRE_JOB_ID, "run-000001");
 
-  for (guint i = 0; i < 6; i++)
-    world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+  world_add_machines(world, 6, "small", 2);
   world_start(world);
   world_run(world, 8);
   world_submit(world, json_pack("{s:i}", WIRE_TASKS, 4), 5);
   world_run(world, 2);
-  json_object_update(body, ((WorldJob *)g_ptr_array_index(world->jobs, 0))->body);
+  json_object_update(body, world_job_at(world, 0)->body);
   json_object_set_new(body, WIRE_JOB_ID, json_string("run-000001"));
   world_cut_node(world, 1, 20, FALSE);
   world_run(world, 4);
@@ -160,8 +158,7 @@
 test_leases_hold_in_an_outage(void) {
   World *world = world_new(6);
 
-  for (guint i = 0; i < 4; i++)
-    world_add_machine(world, "small", "a", FALSE, 0.1);
+  world_add_machines(world, 4, "small", 1);
   world_start(world);
   world_run(world, 10);
   world_kv_outage(world, 25);
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -165,7 +165,7 @@
 add_end(World *world) {
   g_tree_foreach(world->keys, add_key, NULL);
   for (guint i = 0; i < world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     add_text(job->id);
     add_number(job->user_view);
     add_number(job->n_done);
--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -40,6 +40,12 @@
   return machine;
 }
 
+void
+world_add_machines(World *world, guint n, const char *type, guint n_zones) {
+  for (guint i = 0; i < n; i++)
+    world_add_machine(world, type, zones[i % n_zones], FALSE, 0.1);
+}
+
 static void
 on_restart_due(gpointer data) {
   WorldMachine *machine = data;
@@ -99,7 +105,7 @@
     if (strcmp(machine_types[i].name, type) == 0)
       boot_s = machine_types[i].boot_s;
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     n_existing += !machine->is_terminated && strcmp(machine->type, type) == 0
                   && strcmp(machine->zone, zone) == 0 && machine->is_spot == spot;
   }
@@ -125,7 +131,7 @@
 
   json_array_foreach(json_object_get(body, WIRE_MACHINES), i, name) {
     for (guint k = 0; k < world->machines->len; k++) {
-      WorldMachine *machine = g_ptr_array_index(world->machines, k);
+      WorldMachine *machine = world_machine_at(world, k);
       if (strcmp(machine->id, json_string_value(name)) == 0) {
         world_kill_machine(world, machine);
         machine->is_terminated = TRUE;
@@ -141,7 +147,7 @@
   json_t *list = json_array();
 
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     double age_s = (double)(world->now_us - machine->launched_at_us) / G_USEC_PER_SEC;
     /* The list lags. */
     if (machine->is_terminated || age_s < 2)
--- a/tests/world/fault-injection.c
+++ b/tests/world/fault-injection.c
@@ -79,7 +79,7 @@
   guint n_cancelled = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
       n_cancelled += world_task_is_on_machine(task) && task->job->user_view == USER_SEES_CANCELLED;
@@ -134,7 +134,7 @@
 
 void
 world_send_odd_requests(World *world) {
-  WorldJob *template = g_ptr_array_index(world->jobs, 0);
+  WorldJob *template = world_job_at(world, 0);
   json_t *body = fresh_body(world, template);
   const char *field;
   json_t *value;
@@ -154,7 +154,7 @@
   send_odd_request(world, "POST", WIRE_JOBS_PATH "/run-555555555/" WIRE_CANCEL_WORD, NULL, 404,
                    NULL, "a cancellation of a job nobody submitted");
   for (guint i = 0; i < world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     g_autofree char *path = g_strdup_printf(WIRE_JOBS_PATH "/%s/" WIRE_CANCEL_WORD, job->id);
     if (job->user_view == USER_SEES_DONE)
       send_odd_request(world, "POST", path, NULL, 200, WIRE_DONE, job->id);
@@ -180,7 +180,7 @@
   world->delays_acquisitions = FALSE;
   world->faults_ended_at_us = world->now_us + 45 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++) {
-    WorldJob *job = g_ptr_array_index(world->jobs, i);
+    WorldJob *job = world_job_at(world, i);
     if (job->spec.kind == MM_JOB_KIND_SERVICE && !job->is_cancel_requested)
       world_cancel(job);
   }
--- a/tests/world/invariants.c
+++ b/tests/world/invariants.c
@@ -15,7 +15,7 @@
   if (task->job->first_start_at_us == 0)
     task->job->first_start_at_us = world->now_us;
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *other = g_ptr_array_index(world->machines, i);
+    const WorldMachine *other = world_machine_at(world, i);
     for (guint k = 0; k < other->tasks->len; k++) {
       const WorldTask *other_task = g_ptr_array_index(other->tasks, k);
       if (other_task == task || !world_task_is_on_machine(other_task))
@@ -49,7 +49,7 @@
   double cores[4] = { 0 };
 
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
       const WorldJob *job = task->job;
@@ -67,7 +67,7 @@
   world_check_waiting(world);
   /* After faults have ended, some request about each accepted job is answered within 75 s. */
   for (guint i = 0; i < world->jobs->len && world->faults_ended_at_us != 0; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     gint64 since = MAX(job->last_answer_at_us, world->faults_ended_at_us);
     if (job->was_accepted && job->user_view != USER_SEES_CANCELLED
         && world->now_us - since > 75 * (gint64)G_USEC_PER_SEC)
@@ -90,7 +90,7 @@
   guint n_over = 0;
 
   for (guint i = 0; i < world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     n_over += job->user_view >= USER_SEES_CANCELLED;
     if (job->user_view < USER_SEES_CANCELLED)
       g_test_message("%s is not over: %u of %u done, %u needs", job->id, job->n_done,
@@ -104,7 +104,7 @@
   guint n_running = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     for (guint k = 0; k < machine->tasks->len && machine != except; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
       n_running += task->job == job && task->state == MM_REPORTED_RUNNING;
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -73,7 +73,7 @@
 void
 world_record_ready_jobs(World *world) {
   for (guint i = 0; i < world->jobs->len; i++) {
-    WorldJob *job = g_ptr_array_index(world->jobs, i);
+    WorldJob *job = world_job_at(world, i);
     if (job->ready_at_us == 0 && world_job_is_ready(job))
       job->ready_at_us = job->dependencies->len == 0 ? job->submitted_at_us : world->now_us;
   }
--- a/tests/world/service-checks.c
+++ b/tests/world/service-checks.c
@@ -21,7 +21,7 @@
 static gboolean
 fits_somewhere(const World *world, const MmJobSpec *spec) {
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     MmName type = mm_name(machine->type);
     if (machine->is_up && !machine->is_terminated && machine->notice_at_us == 0
         && world->now_us >= MAX(machine->hung_until_us, machine->cut_until_us)
@@ -42,7 +42,7 @@
 
   *n_given = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
       if (task->state == MM_REPORTED_ENDED)
@@ -78,7 +78,7 @@
     return;
   world->waiting_checked_at_us = world->now_us;
   for (guint i = 0; i < world->jobs->len; i++) {
-    WorldJob *job = g_ptr_array_index(world->jobs, i);
+    WorldJob *job = world_job_at(world, i);
     if (!is_waiting_needlessly(world, job))
       job->waiting_since_us = 0;
     else if (job->waiting_since_us == 0)
@@ -115,12 +115,12 @@
   guint most_tasks = 0;
 
   for (guint i = 0; i < world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     if (!world_job_may_be_cancelled(job))
       most_tasks = MAX(most_tasks, job->spec.n_tasks);
   }
   for (guint i = 0; i < world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     if (world_job_may_be_cancelled(job) || !job->was_accepted || job->ready_at_us == 0)
       continue;
     count_served(world, &teams[job->spec.team.s[5] - '0'], NULL, job);
--- a/tests/world/tasks.c
+++ b/tests/world/tasks.c
@@ -71,7 +71,7 @@
   if (task->job->spec.kind != MM_JOB_KIND_GANG)
     return;
   for (guint i = 0; i < world->machines->len; i++) {
-    WorldMachine *other = g_ptr_array_index(world->machines, i);
+    WorldMachine *other = world_machine_at(world, i);
     for (guint k = 0; k < other->tasks->len; k++) {
       WorldTask *peer = g_ptr_array_index(other->tasks, k);
       if (peer != task && peer->job == task->job && peer->attempt == task->attempt
@@ -160,7 +160,7 @@
   guint n_present = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *peer = g_ptr_array_index(machine->tasks, k);
       n_present
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -14,7 +14,7 @@
 WorldJob *
 world_find_job(World *world, const char *id) {
   for (guint i = 0; i < world->jobs->len; i++) {
-    WorldJob *job = g_ptr_array_index(world->jobs, i);
+    WorldJob *job = world_job_at(world, i);
     if (strcmp(job->id, id) == 0)
       return job;
   }
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -13,7 +13,7 @@
 WorldMachine *
 world_find_machine_by_address(World *world, const char *address) {
   for (guint i = 0; i < world->machines->len; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     if (machine->is_up && strcmp(machine->address, address) == 0)
       return machine;
   }
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -86,7 +86,7 @@
 static void
 free_machines(World *world) {
   for (guint i = 0; i < world->machines->len; i++) {
-    WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    WorldMachine *machine = world_machine_at(world, i);
     world_machine_clear_tasks(machine);
     g_ptr_array_unref(machine->tasks);
     g_free(machine);
@@ -96,7 +96,7 @@
 static void
 free_jobs(World *world) {
   for (guint i = 0; i < world->jobs->len; i++) {
-    WorldJob *job = g_ptr_array_index(world->jobs, i);
+    WorldJob *job = world_job_at(world, i);
     json_decref(job->body);
     mm_job_spec_clear(&job->spec);
     g_ptr_array_unref(job->dependencies);
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -171,6 +171,8 @@
                        json_t **response);
 WorldMachine *world_add_machine(World *world, const char *type, const char *zone, gboolean spot,
                                 double boot_s);
+/* `n` machines that boot at once, in the first `n_zones` zones in turn; none is a spot machine. */
+void world_add_machines(World *world, guint n, const char *type, guint n_zones);
 /* Its worker ends and is back shortly, under the same name, with a new incarnation and no tasks. */
 void world_restart_machine(World *world, WorldMachine *machine, double down_s);
 /* The machine ends for good; the cloud lists it as failed. */
@@ -212,6 +214,14 @@
 void world_assert_all_jobs_finished(const World *world);
 /* How many tasks of the job run, on other machines than `except` (may be NULL). */
 guint world_count_running(const World *world, const WorldJob *job, const WorldMachine *except);
+static inline WorldMachine *
+world_machine_at(const World *world, guint index) {
+  return g_ptr_array_index(world->machines, index);
+}
+static inline WorldJob *
+world_job_at(const World *world, guint index) {
+  return g_ptr_array_index(world->jobs, index);
+}
 /* Whether it has begun and not ended. */
 static inline gboolean
 world_task_is_on_machine(const WorldTask *task) {
