--- a/tests/loopback/checker.h
+++ b/tests/loopback/checker.h
@@ -1,13 +1,13 @@
-/* Checks the history of a run: what users were told, and what truly ran on the machines. It shares
- * no code with the scheduler, nor with what stands in for machines and users. */
+/* Checks the history of a run: what users were answered, and what truly ran on the machines. It
+ * shares no code with the scheduler, nor with the simulated machines and users. */
 #pragma once
 
 #include <glib.h>
 
 typedef enum {
-  HISTORY_ACCEPTED,  /* a user was told that the job is accepted */
-  HISTORY_DONE,      /* a user was told that it is done, */
-  HISTORY_CANCELLED, /* or cancelled */
+  HISTORY_ACCEPTED,  /* a user was answered that the job is accepted, */
+  HISTORY_DONE,      /* that it is done, */
+  HISTORY_CANCELLED, /* that it is cancelled */
   HISTORY_START,     /* a task is on a machine from now on */
   HISTORY_END,       /* no longer; `completed` says whether it had finished */
   HISTORY_REFUSED    /* a machine had no resources for a start */
@@ -26,11 +26,11 @@
 } HistoryEvent;
 
 typedef struct {
-  double cancel_s; /* tasks are gone so long after their user was told of the cancellation */
+  double cancel_s; /* tasks have ended so long after the cancellation was confirmed */
 } HistoryRules;
 
 /* `events` (HistoryEvent) in the order in which they happened. Returns what was wrong, as text; the
- * array is empty when all was right. */
+ * array is empty when all was right. Free with g_ptr_array_unref(). */
 GPtrArray *history_check(const GArray *events, const HistoryRules *rules);
 /* A line of JSON. Free with g_free. */
 char *history_event_to_line(const HistoryEvent *event);
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -112,7 +112,7 @@
   Which *which = data;
 
   which->processes->alive--;
-  /* A kill that was asked for has forgotten the process already. */
+  /* processes_kill() has forgotten the process already. */
   if (which->processes->pids[which->index] == pid) {
     fprintf(stderr, "n-%u has ended by itself, status %d\n", which->index, status);
     which->processes->ends++;
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -12,17 +12,18 @@
   GPid pids[WORLD_NODES];      /* 0: it is down */
   guint pauses[WORLD_NODES];   /* the timer that continues it; 0: it runs */
   guint restarts[WORLD_NODES]; /* the timer that starts it; 0: none */
-  guint ends;                  /* that were not asked for */
-  guint alive;                 /* that have not been waited for */
+  guint ends;                  /* of processes that were not killed on purpose */
+  guint alive;                 /* processes that have not been waited for */
 } Processes;
 
 /* Chooses ports and a folder. */
 Processes *processes_new(const char *program);
-/* Writes the settings: of nodes n-0, n-1, ... with this address of state service and cloud. */
+/* Writes the settings of nodes n-0, n-1, ... with this address of the key-value store and the
+ * cloud. */
 void processes_write_settings(Processes *processes, World *world, const char *outside,
                               const char *operators_xml);
 void processes_start(Processes *processes, guint index);
-/* Kills the node; it is back after so long. */
+/* Kills the node; it is started again after so long. */
 void processes_kill(Processes *processes, guint index, guint down_ms);
 void processes_pause(Processes *processes, guint index, guint ms);
 /* Continues all that are paused. */
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -33,7 +33,7 @@
   GArray *history;  /* HistoryEvent */
   GHashTable *told; /* job id -> WorldTold + 1, as recorded */
   GMainLoop *loop;
-  gint64 until_us; /* in the world's time: when troubles, moves and jobs end */
+  gint64 until_us; /* in the world's time: when faults, moves and jobs end */
   guint kills;
   guint pauses;
   guint programs;       /* that run to their end, */
@@ -71,7 +71,7 @@
                                     : HISTORY_CANCELLED;
 }
 
-/* What users have been told since this was last looked at. */
+/* Records what users have been answered since the last call. */
 static void
 note_told(Run *run) {
   for (guint i = 0; i < run->world->jobs->len; i++) {
@@ -92,7 +92,7 @@
   }
 }
 
-/* ---- what goes on ---- */
+/* ---- load and faults ---- */
 
 static gboolean
 goes_on(const Run *run) {
@@ -159,7 +159,7 @@
   }
 }
 
-/* ---- the program's commands, once all is quiet ---- */
+/* ---- the program's commands, after the faults ---- */
 
 typedef struct {
   Run *run;
--- a/tests/loopback/stand-ins.h
+++ b/tests/loopback/stand-ins.h
@@ -1,5 +1,5 @@
-/* The simulated world's state service, cloud, workers and users, served over loopback sockets to
- * nodes that are processes. The world's clock is the steady clock. */
+/* The simulated key-value store, cloud, workers and users, served over loopback sockets to nodes
+ * that are processes. The world's clock is the steady clock. */
 #pragma once
 
 #include "world/world.h"
@@ -12,7 +12,7 @@
 void stand_ins_stop(StandIns *stand_ins);
 /* After the world, whose watches are answered as it is freed. */
 void stand_ins_free(StandIns *stand_ins);
-/* The address of the state service and the cloud alike. */
+/* The address of the key-value store and the cloud alike. */
 const char *stand_ins_address(const StandIns *stand_ins);
 /* Makes the machine's worker reachable. */
 void stand_ins_add_machine(const StandIns *stand_ins, WorldMachine *machine);
--- a/tests/test-completed-tasks.c
+++ b/tests/test-completed-tasks.c
@@ -40,8 +40,8 @@
   mm_completed_tasks_clear(&set);
 }
 
-/* What does not fit is left out, longest runs first in: the text must never claim more than is
- * done. */
+/* What does not fit is left out, the shortest ranges first: the text never has a task that is not
+ * completed. */
 static void
 test_too_long_text_leaves_tasks_out(void) {
   MmCompletedTasks set, back;
--- a/tests/test-dependency-graph.c
+++ b/tests/test-dependency-graph.c
@@ -157,12 +157,12 @@
 #define JOBS 60
 #define NEEDS_MOST 4
 
-/* What has truly happened, and what the graph was told of it. */
+/* What has truly happened, and what the graph knows of it. */
 typedef struct {
   guint needs[JOBS][NEEDS_MOST];
   guint n_needs[JOBS];
   gboolean added[JOBS], removed[JOBS];
-  gboolean done[JOBS], cancelled[JOBS]; /* as told, by record or final state */
+  gboolean done[JOBS], cancelled[JOBS]; /* as the graph knows, by record or terminal state */
 } Model;
 
 static gboolean
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -1,12 +1,12 @@
-/* Half as many machines again as the largest fleet that is in sight: no limit is met below it. What
- * it costs is counted in messages and bytes. */
+/* Half as many machines again as the largest fleet that is planned: no limit is met below that. The
+ * cost is counted in messages and bytes. */
 #include "base/wire.h"
 #include "scheduler/scheduler.h"
 #include "kv/replica.h"
 #include "world/world.h"
 
 #define MACHINES 6000
-#define REPORT_S 10
+#define HEARTBEAT_S 10
 
 static const char *const zones[] = { "a", "b", "c" };
 
@@ -14,8 +14,8 @@
 fleet_world(void) {
   World *world = world_new(17);
 
-  world->heartbeat_interval_s = REPORT_S;
-  world->lease_s = 3 * REPORT_S;
+  world->heartbeat_interval_s = HEARTBEAT_S;
+  world->lease_s = 3 * HEARTBEAT_S;
   world->cancel_s = world->lease_s + 25;
   world->capacity = 40;
   world->team_cores = 4 * MACHINES;
@@ -39,7 +39,7 @@
   return n;
 }
 
-/* Machines that the node knows, has heard of and finds on the register. */
+/* Machines that the node knows from heartbeats and from the registry. */
 static guint
 machines_known(const World *world, guint node) {
   const GPtrArray *order = world->nodes[node].node->machine_table->sorted_machines;
@@ -53,7 +53,7 @@
   return n;
 }
 
-/* Machines that some owner still waits for. */
+/* Machines that some shard leader still counts as unacknowledged. */
 static guint
 machines_unacknowledged(const World *world) {
   guint n = 0;
@@ -96,9 +96,10 @@
   return machines_unacknowledged(world) == 0 && shards_owned(world) == 4;
 }
 
-#define KNOWN_WITHIN_S (5 * REPORT_S)
+#define KNOWN_WITHIN_S (5 * HEARTBEAT_S)
 
-/* Every node knows every machine, and every shard's owner has heard all of them. */
+/* Every node knows every machine, and all of them have acknowledged the terms of all shard leaders.
+ */
 static void
 run_until_all_known(World *world) {
   for (guint s = 0; s < KNOWN_WITHIN_S && !all_known(world); s++)
@@ -123,14 +124,14 @@
   g_assert_true(all_done(world));
 }
 
-/* A report is told to two peers, whole where it shows anything new. */
-#define BYTES_A_REPORT 600
+/* A heartbeat is passed on to two peers, whole where it shows anything new. */
+#define BYTES_A_HEARTBEAT 600
 
 static void
 test_six_thousand_machines_are_served(void) {
   World *world = fleet_world();
 
-  world_run(world, REPORT_S);
+  world_run(world, HEARTBEAT_S);
   run_until_all_known(world);
   /* Three of a hundred never come up in this world. */
   g_assert_cmpuint(machines_up(world), >=, MACHINES * 95 / 100);
@@ -139,12 +140,12 @@
   /* All shards change hands. */
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.3 + 0.3 * i);
-  world_run(world, REPORT_S);
+  world_run(world, HEARTBEAT_S);
   run_until_all_known(world);
   /* A zone is lost for longer than a lease, with a node. */
-  world_cut_zone(world, 1, world->lease_s + REPORT_S, FALSE);
+  world_cut_zone(world, 1, world->lease_s + HEARTBEAT_S, FALSE);
   submit_arrays(world, 4, 400);
-  world_run(world, world->lease_s + 2 * REPORT_S);
+  world_run(world, world->lease_s + 2 * HEARTBEAT_S);
   world_assert_invariants(world);
   run_until_all_known(world);
   submit_arrays(world, 4, 400);
@@ -155,7 +156,7 @@
                  world->n_heartbeats, world->n_frames,
                  (double)world->n_frame_bytes / (double)world->n_heartbeats, world->n_writes,
                  world->n_direct_commands);
-  g_assert_cmpuint(world->n_frame_bytes, <, BYTES_A_REPORT * world->n_heartbeats);
+  g_assert_cmpuint(world->n_frame_bytes, <, BYTES_A_HEARTBEAT * world->n_heartbeats);
   g_assert_cmpuint(world->n_writes, <, MACHINES);
   world_free(world);
 }
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -40,8 +40,8 @@
   return status;
 }
 
-/* Whatever the key says that this program does not know or can't read: nobody writes, starts or
- * answers 200, and nobody ends; with the key set right all goes on as if nothing had been. */
+/* The key has a value that this program does not know or cannot read: no node writes, starts tasks
+ * or answers 200, and none ends; with the key set right all goes on as before. */
 static void
 test_unknown_value_fences_all_nodes(gconstpointer data) {
   World *world = format_world(41, 0);
@@ -73,8 +73,8 @@
   world_finish_day(world);
 }
 
-/* Two nodes know the next format and one does not: it loses its shards to them, and its lease and
- * key are gone, however often it starts. */
+/* Two nodes know the next format and one does not: they acquire its shards, and its lease and key
+ * are gone, however often it starts. */
 static void
 test_old_node_is_fenced(void) {
   World *world = format_world(42, 2);
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -34,7 +34,7 @@
   return *rest != NULL;
 }
 
-/* A state service that holds what production left, and new nodes that begin on it. */
+/* A key-value store with the keys that production left, and new nodes that start on it. */
 static World *
 world_of(json_t *keys) {
   World *world = world_new(1);
@@ -96,7 +96,7 @@
       g_assert_true(json_equal(json_object_get(written, field), old));
 }
 
-/* New nodes begin on it: with the term that was reached, or a later one. */
+/* New nodes start on the state of production: with the term that was reached, or a later one. */
 static void
 test_nodes_start_on_production_state(void) {
   g_autoptr(json_t) golden = recorded();
@@ -134,11 +134,11 @@
     check_final(value);
     counts->finals++;
   }
-  /* Nothing tells what the nodes understand. */
+  /* No key says what the nodes understand. */
   g_assert_false(after_prefix(path, MM_KEY_NODE_VERSION, &rest));
 }
 
-/* Jobs, machines and final states are read as they were meant, and written as they were. */
+/* Jobs, machines and terminal states are read as they were meant, and written as they were. */
 static void
 test_production_records_round_trip(void) {
   g_autoptr(json_t) golden = recorded();
--- a/tests/test-history-checker.c
+++ b/tests/test-history-checker.c
@@ -61,7 +61,7 @@
   expect("1 accepted a 2\n2 start a 0 m1 2\n2 start a 1 m1 2\n3 end a 0 m1 yes\n4 end a 1 m1 yes\n"
          "5 done a\n",
          NULL);
-  /* Stopped and run again elsewhere; lost and run again; a kept result told once more. */
+  /* Stopped and run again elsewhere; lost and run again; a kept result reported once more. */
   expect("1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m1 no\n4 start a 0 m2 2\n5 end a 0 m2 yes\n"
          "6 start a 0 m2 2\n6 end a 0 m2 yes\n7 done a\n",
          NULL);
--- a/tests/test-job-spec.c
+++ b/tests/test-job-spec.c
@@ -40,7 +40,7 @@
   mm_job_spec_clear(&again);
 }
 
-/* Every field that may not be null must be there and of its kind; each fault is told by name. */
+/* Every field that may not be null must be there and of its kind; the error names the field. */
 static void
 test_malformed_fields_are_refused(void) {
   const struct {
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -1,5 +1,5 @@
-/* What nodes tell one another must carry the proofs that hang on it, however links come and go and
- * however late anything is read. */
+/* What nodes send one another must prove what others conclude from it, however links come and go
+ * and however late it is read. */
 #include "machines/registry.h"
 #include "peers/peer-links.h"
 #include "peers/peer-receiver.h"
@@ -7,7 +7,7 @@
 #include "world/world.h"
 
 static World *
-two_machines(guint32 seed) {
+new_world_with_two_machines(guint32 seed) {
   World *world = world_new(seed);
 
   world_add_machines(world, 2, "small", 1);
@@ -16,9 +16,9 @@
   return world;
 }
 
-/* The node that takes itself for the host of the machine. */
+/* The node that considers itself to serve the machine. */
 static guint
-host_of(World *world, const char *id) {
+find_serving_node(World *world, const char *id) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmMachine *machine = mm_machine_table_find(world->nodes[i].node->machine_table, id);
     if (machine != NULL && machine->serving_node == MM_SERVING_NODE_SELF)
@@ -28,7 +28,7 @@
 }
 
 static MmHeartbeat
-report_of(const MmMachine *machine, gboolean direct) {
+next_heartbeat(const MmMachine *machine, gboolean direct) {
   return (MmHeartbeat){ .machine_id = machine->id,
                         .type = machine->type_name,
                         .zone = machine->zone,
@@ -39,47 +39,48 @@
                         .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
 }
 
-/* Links are refused; a node is back meanwhile and hears a machine by a direct answer only, which
- * makes it nobody's host. The node that does answer the machine takes another for its host, and
- * tells of its answers all the same when the links are back. Once it did not, and a dozen living
- * machines were given up. */
+/* Links are refused; a node restarts meanwhile and gets a direct reply of a machine only, which
+ * does not make it the serving node. The node that does answer the machine believes that another
+ * serves it, and announces its answers all the same when the links are back: else the others would
+ * count living machines as lost. */
 static void
 test_answered_machines_are_announced_on_a_new_link(void) {
-  World *world = two_machines(3);
+  World *world = new_world_with_two_machines(3);
   const char *id = world_machine_at(world, 0)->id;
-  guint host = host_of(world, id), back = (host + 1) % WORLD_NODES;
+  guint serving_node = find_serving_node(world, id), restarted = (serving_node + 1) % WORLD_NODES;
   MmNode *node;
   MmMachine *machine;
-  MmHeartbeat report;
+  MmHeartbeat heartbeat;
   MmTime loaded;
 
   /* Else the machine would be returned. */
   world->cloud_down_until_us = G_MAXINT64;
   world_refuse_links(world, 12);
-  world_kill_node(world, back, 0.2);
+  world_kill_node(world, restarted, 0.2);
   world_run(world, 1);
-  node = world->nodes[back].node;
+  node = world->nodes[restarted].node;
   machine = mm_machine_table_find(node->machine_table, id);
   g_assert_nonnull(machine);
   loaded = machine->last_possible_response_at;
   world_run(world, 8);
-  /* From now on it reports to nobody. */
+  /* From now on it sends no heartbeats. */
   for (guint i = 0; i < world->machines->len; i++)
     world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 0.1);
-  g_assert_cmpint(host_of(world, id), ==, host);
-  report = report_of(machine, TRUE);
-  mm_machine_table_record_heartbeat(node->machine_table, &report, mm_node_now(node),
+  g_assert_cmpint(find_serving_node(world, id), ==, serving_node);
+  heartbeat = next_heartbeat(machine, TRUE);
+  mm_machine_table_record_heartbeat(node->machine_table, &heartbeat, mm_node_now(node),
                                     MM_SERVING_NODE_SELF);
-  mm_heartbeat_clear(&report);
+  mm_heartbeat_clear(&heartbeat);
   g_assert_cmpint(machine->serving_node, ==, MM_SERVING_NODE_NONE);
-  /* What an earlier version passed on: the direct answer as a report to the node that was back. */
-  report = report_of(machine, FALSE);
-  mm_machine_table_record_heartbeat(world->nodes[host].node->machine_table, &report, (MmTime){ 1 },
-                                    0);
-  mm_heartbeat_clear(&report);
-  g_assert_cmpint(mm_machine_table_find(world->nodes[host].node->machine_table, id)->serving_node,
-                  ==, 0);
+  /* What an earlier release passes on: the direct reply as a heartbeat to the restarted node. */
+  heartbeat = next_heartbeat(machine, FALSE);
+  mm_machine_table_record_heartbeat(world->nodes[serving_node].node->machine_table, &heartbeat,
+                                    (MmTime){ 1 }, 0);
+  mm_heartbeat_clear(&heartbeat);
+  g_assert_cmpint(
+      mm_machine_table_find(world->nodes[serving_node].node->machine_table, id)->serving_node, ==,
+      0);
   g_assert_cmpint(machine->last_possible_response_at.us, ==, loaded.us);
   world_run(world, 4);
   g_assert_true(node->peer_links->peers[0].is_up && node->peer_links->peers[1].is_up);
@@ -87,25 +88,25 @@
   world_free(world);
 }
 
-/* A refusal of another node is as old as our question for it, and one of our own as old as our
- * request: pongs are held back on their way, and both lie unread while a node stands still. A proof
- * of an outage hangs on their age. */
+/* A refusal that a pong reports is as old as the ping, and one of our own as old as our request:
+ * pongs may be delayed, and both lie unread while a node is suspended. The proof of an outage
+ * depends on their age. */
 static void
 test_refusals_are_as_old_as_their_requests(void) {
-  World *world = two_machines(4);
+  World *world = new_world_with_two_machines(4);
   MmNode *node = world->nodes[0].node;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Pong pong = MM__PONG__INIT;
-  MmTime asked = mm_time_add_ms(mm_node_now(node), -5000);
+  MmTime pinged_at = mm_time_add_ms(mm_node_now(node), -5000);
 
-  pong.ping_sent_at_us = (guint64)asked.us;
+  pong.ping_sent_at_us = (guint64)pinged_at.us;
   pong.refused_age_plus_one_ms = 1;
   frame.body_case = MM__FRAME__BODY_PONG;
   frame.pong = &pong;
   g_assert_cmpint(mm_peer_links_last_refused_at(node->peer_links).us, ==, 0);
   mm_peer_links_receive(node->peer_links, 0, &frame);
   g_assert_cmpint(mm_peer_links_last_refused_at(node->peer_links).us, >, 0);
-  g_assert_cmpint(mm_peer_links_last_refused_at(node->peer_links).us, <=, asked.us);
+  g_assert_cmpint(mm_peer_links_last_refused_at(node->peer_links).us, <=, pinged_at.us);
 
   world->nodes[0].kv_refuses_until_us = world->now_us + G_USEC_PER_SEC;
   world_run(world, 0.9);
@@ -117,29 +118,29 @@
   world_free(world);
 }
 
-/* A session that shows for the first time counts as answered then, so it lives for a lease, however
- * long ago the machine was answered last: seen by a direct answer, or by its entry in the register
- * alone. Machines of a zone that came back were once given up a moment after that, and their tasks
- * ran twice. */
+/* An incarnation that shows for the first time counts as answered then, so it lives for a lease,
+ * however long ago the machine was answered last: whether shown by a direct reply, or by the
+ * registry alone. Else machines of a zone that comes back would count as lost a moment later, and
+ * their tasks would run twice. */
 static void
 test_new_incarnation_lives_for_a_lease(void) {
-  World *world = two_machines(7);
+  World *world = new_world_with_two_machines(7);
   const char *id = world_machine_at(world, 0)->id;
   MmNode *direct = world->nodes[0].node, *registered = world->nodes[1].node;
   MmMachine *machine = mm_machine_table_find(direct->machine_table, id);
-  MmHeartbeat report = report_of(machine, TRUE);
+  MmHeartbeat heartbeat = next_heartbeat(machine, TRUE);
   MmTime before = machine->last_possible_response_at;
   MmRegistryEntry entry;
 
   world->now_us += 2 * (gint64)G_USEC_PER_SEC;
-  mm_machine_table_record_heartbeat(direct->machine_table, &report, mm_node_now(direct),
+  mm_machine_table_record_heartbeat(direct->machine_table, &heartbeat, mm_node_now(direct),
                                     MM_SERVING_NODE_NONE);
   g_assert_cmpint(machine->last_possible_response_at.us, ==, before.us);
-  report.heartbeat_id.incarnation++;
-  mm_machine_table_record_heartbeat(direct->machine_table, &report, mm_node_now(direct),
+  heartbeat.heartbeat_id.incarnation++;
+  mm_machine_table_record_heartbeat(direct->machine_table, &heartbeat, mm_node_now(direct),
                                     MM_SERVING_NODE_NONE);
   g_assert_cmpint(machine->last_possible_response_at.us, ==, mm_node_now(direct).us);
-  mm_heartbeat_clear(&report);
+  mm_heartbeat_clear(&heartbeat);
 
   machine = mm_machine_table_find(registered->machine_table, id);
   before = machine->last_possible_response_at;
@@ -153,43 +154,43 @@
   world_free(world);
 }
 
-/* A direct answer is newer than the machine's newest report, whose answer may still be on its way
- * with a start: when a link comes up, the peer must not take it for a report, or it would count
- * that start as not carried out. */
+/* A direct reply is newer than the machine's newest heartbeat, whose answer may still be on its way
+ * with a start: when a link comes up, the peer must not take the reply for a heartbeat, or it would
+ * count that start as not executed. */
 static void
 test_direct_reply_stays_one_on_a_new_link(void) {
-  World *world = two_machines(8);
+  World *world = new_world_with_two_machines(8);
   const char *id = world_machine_at(world, 0)->id;
-  guint host = host_of(world, id), other = (host + 1) % WORLD_NODES;
-  MmNode *node = world->nodes[host].node;
+  guint serving_node = find_serving_node(world, id), other = (serving_node + 1) % WORLD_NODES;
+  MmNode *node = world->nodes[serving_node].node;
   MmMachine *machine = mm_machine_table_find(node->machine_table, id);
   const MmMachine *there = mm_machine_table_find(world->nodes[other].node->machine_table, id);
-  MmHeartbeat report;
+  MmHeartbeat heartbeat;
 
   for (guint i = 0; i < world->machines->len; i++)
     world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 0.5);
-  report = report_of(machine, TRUE);
-  mm_machine_table_record_heartbeat(node->machine_table, &report, mm_node_now(node),
+  heartbeat = next_heartbeat(machine, TRUE);
+  mm_machine_table_record_heartbeat(node->machine_table, &heartbeat, mm_node_now(node),
                                     MM_SERVING_NODE_NONE);
   for (guint i = 0; i < WORLD_NODES - 1; i++)
     node->platform.reconnect(node->platform.context, i);
   world_run(world, 1.5);
-  g_assert_cmpuint(there->latest_message_id.sequence, ==, report.heartbeat_id.sequence);
-  g_assert_true(mm_heartbeat_id_is_newer(report.heartbeat_id, there->latest_heartbeat_id));
+  g_assert_cmpuint(there->latest_message_id.sequence, ==, heartbeat.heartbeat_id.sequence);
+  g_assert_true(mm_heartbeat_id_is_newer(heartbeat.heartbeat_id, there->latest_heartbeat_id));
   g_assert_cmpint(
       mm_time_ms_since(mm_node_now(world->nodes[other].node), there->last_possible_response_at), <,
       2500);
-  mm_heartbeat_clear(&report);
+  mm_heartbeat_clear(&heartbeat);
   world_free(world);
 }
 
-/* A node's machine loses its power, so that its peers are told of no end, and is back much later.
- * The peers open their links anew; those that were open once led nowhere for minutes more, and the
- * parts that the node had taken waited for machines of which it was told nothing. */
+/* A node's machine loses its power, so that its peers see no link closed, and is back much later.
+ * The peers open their links anew: else those that look open lead nowhere for minutes, and the
+ * shards that the node acquires wait for machines of which nobody tells it. */
 static void
 test_half_open_links_are_opened_anew(void) {
-  World *world = two_machines(5);
+  World *world = new_world_with_two_machines(5);
   const MmPeerLinks *links;
 
   world->ends_leave_half_open = TRUE;
@@ -206,32 +207,32 @@
   world_free(world);
 }
 
-/* A peer that stands still is told nothing but hello on the links that are opened meanwhile, and
- * all it must know once it lives, before any pong. */
+/* A suspended peer is sent nothing but hello on the links that are opened meanwhile, and all it
+ * must know once it resumes, before any pong. */
 static void
 test_suspended_peer_is_updated_when_it_resumes(void) {
-  World *world = two_machines(6);
+  World *world = new_world_with_two_machines(6);
   const char *id = world_machine_at(world, 0)->id;
-  guint host = host_of(world, id), still = (host + 1) % WORLD_NODES;
+  guint serving_node = find_serving_node(world, id), suspended = (serving_node + 1) % WORLD_NODES;
   const MmPeer *peer = NULL;
   guint64 frames;
 
   for (guint i = 0; i < WORLD_NODES - 1; i++)
-    if (mm_name_equal(&world->nodes[host].node->peer_links->peers[i].label,
-                      &world->nodes[still].node->settings->label))
-      peer = &world->nodes[host].node->peer_links->peers[i];
-  world_freeze_node(world, still, 20);
+    if (mm_name_equal(&world->nodes[serving_node].node->peer_links->peers[i].label,
+                      &world->nodes[suspended].node->settings->label))
+      peer = &world->nodes[serving_node].node->peer_links->peers[i];
+  world_freeze_node(world, suspended, 20);
   world_run(world, 12);
   g_assert_cmpuint(world->n_reconnects, >=, 2);
   g_assert_true(peer->is_connected && !peer->is_up);
-  frames = world->nodes[host].node->peer_links->n_frames_sent;
+  frames = world->nodes[serving_node].node->peer_links->n_frames_sent;
   world_run(world, 1);
-  g_assert_cmpuint(world->nodes[host].node->peer_links->n_frames_sent - frames, <, 40);
+  g_assert_cmpuint(world->nodes[serving_node].node->peer_links->n_frames_sent - frames, <, 40);
   world_run(world, 9);
   g_assert_true(peer->is_up);
   g_assert_cmpint(
-      mm_time_ms_since(mm_node_now(world->nodes[still].node),
-                       mm_machine_table_find(world->nodes[still].node->machine_table, id)
+      mm_time_ms_since(mm_node_now(world->nodes[suspended].node),
+                       mm_machine_table_find(world->nodes[suspended].node->machine_table, id)
                            ->last_possible_response_at),
       <, 4000);
   world_assert_invariants(world);
--- a/tests/test-sharing.c
+++ b/tests/test-sharing.c
@@ -97,7 +97,7 @@
   g_autoptr(json_t) a = value_of(GROUPS, 7, 0, 100, 3), other = value_of(128, 9, 0, 1, 9);
 
   g_assert_true(mm_group_map_put(map, "n-0", a, (MmKeyVersion){ 11 }));
-  /* A key that divides the fleet otherwise owns nothing, and is told of. */
+  /* A key with another number of groups owns nothing, and is noticed. */
   g_assert_cmpuint(mm_group_map_conflicting_count(map), ==, 0);
   g_assert_true(mm_group_map_put(map, "n-0", other, (MmKeyVersion){ 15 }));
   g_assert_null(owner_of(map, 0));
@@ -217,7 +217,7 @@
     mm_shares_targets(shares, n, groups, targets);
     check_targets(shares, targets, n, groups);
     check_moves(shares, targets, n);
-    /* Once there, the targets are the same: nothing swings back. */
+    /* Once reached, the targets stay the same: no group moves back. */
     mm_shares_targets(shares, n, groups, targets);
     for (guint i = 0; i < n; i++)
       g_assert_cmpuint(shares[i].owned, ==, targets[i]);
@@ -238,7 +238,7 @@
   g_assert_true(mm_shares_next_move(far, targets, 3, 4, &move));
   g_assert_cmpuint(move.from, ==, 0);
   g_assert_cmpuint(move.to, ==, 2);
-  /* A node of weight 0 gives up its last groups, however few. */
+  /* A node of weight 0 releases its last groups, however few. */
   mm_shares_targets(leaving, 3, GROUPS, targets);
   g_assert_true(mm_shares_next_move(leaving, targets, 3, 4, &move));
   g_assert_cmpuint(move.from, ==, 0);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,5 +1,5 @@
-/* Upgrades: old and new nodes side by side and on each other's data, rolled a few at a time amid
- * seeded troubles, and limits of the state service that fall at a random moment. */
+/* Upgrades: old and new nodes side by side and on each other's data, restarted a few at a time
+ * beside random faults, and limits of the key-value store that fall at a random moment. */
 #include "base/wire.h"
 #include "jobs/job-table.h"
 #include "peers.pb-c.h"
@@ -35,8 +35,8 @@
   return n;
 }
 
-/* A job that depends on another gets 503 until every node has said that it is new, and is accepted
- * from then on, whoever ends. */
+/* A job that depends on another gets 503 until every node has announced the new version, and is
+ * accepted from then on, whichever node ends. */
 static void
 test_dependencies_wait_for_all_nodes(void) {
   World *world = old_world(1, 6);
@@ -54,7 +54,7 @@
   world_run(world, 12); /* a request to a node that has just ended waits for five */
   g_assert_cmpuint(nodes_knowing_all_new(world), ==, WORLD_NODES);
   g_assert_true(after->was_accepted);
-  /* What was said stays said while a node is away. */
+  /* Announcements stay while a node is down. */
   world_kill_node(world, 2, 60);
   world_run(world, 6);
   g_assert_cmpuint(nodes_knowing_all_new(world), ==, WORLD_NODES - 1);
@@ -98,8 +98,8 @@
   return most;
 }
 
-/* Packs of machines that were written under larger limits are taken apart before they change, and
- * machines that are lost leave them. */
+/* Registry packs that were written under larger limits are split before they change, and lost
+ * machines leave them. */
 static void
 test_large_packs_are_split(void) {
   World *world = world_of_services(2, 120);
@@ -160,7 +160,7 @@
   world_lower_limits(world);
   for (guint i = 0; i < world->machines->len; i += 10)
     world_kill_machine(world, g_ptr_array_index(world->machines, i));
-  /* One takes all shards at once. */
+  /* One node acquires all shards at once. */
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, i == 0 ? 0.5 : 30);
   world_run(world, 20);
@@ -181,8 +181,8 @@
   world_free(world);
 }
 
-/* The nodes' turns come at random moments; what is new is asked for once all have had theirs, and
- * the limits fall at some moment after that. */
+/* The nodes are upgraded at random moments; users use what is new once all are, and the limits fall
+ * at some moment after that. */
 static void
 test_rolling_upgrade(gconstpointer data) {
   World *world = old_world(GPOINTER_TO_UINT(data), 9);
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -3,9 +3,9 @@
  *
  *   world-digest [FIRST_SEED [SEEDS]]     seed 1 and 20 seeds unless said otherwise
  *
- * A digest covers every request to the state service and the cloud, every direct command and its
- * answer, every frame between nodes, every start and end of a task, what each user was told, and
- * the keys of the state service at the end. Every other seed shares machine groups out. */
+ * A digest covers every request to the key-value store and the cloud, every direct command and its
+ * answer, every frame between nodes, every start and end of a task, what each user was answered,
+ * and the keys of the key-value store at the end. Every other seed shares machine groups out. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -18,7 +18,7 @@
 #define GROUPS 16
 
 static GChecksum *digest;
-static gboolean day_is_over; /* what comes as the world is freed is no part of the day */
+static gboolean day_is_over; /* what comes as the world is freed is left out */
 
 static void
 add_bytes(const guint8 *bytes, gsize length) {
