--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -119,9 +119,7 @@
 
 int
 main(int argc, char **argv) {
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   for (guint i = 0; i < G_N_ELEMENTS(scenarios); i++) {
     g_autofree char *path = g_strconcat("/concurrent-faults/", scenarios[i].name, NULL);
     g_test_add_data_func(path, &scenarios[i], test_fault_scenario);
--- a/tests/test-faulty-nodes.c
+++ b/tests/test-faulty-nodes.c
@@ -178,9 +178,7 @@
 
 int
 main(int argc, char **argv) {
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   g_test_add_func("/faulty-nodes/sound-nodes-break-no-invariant",
                   test_sound_nodes_break_no_invariant);
   g_test_add_func("/faulty-nodes/ignored-acknowledgements-are-found",
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -163,9 +163,7 @@
 
 int
 main(int argc, char **argv) {
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   g_test_add_func("/fleet/six-thousand-machines-are-served", test_six_thousand_machines_are_served);
   return g_test_run();
 }
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -126,9 +126,7 @@
   static const char *const values[]
       = { "{\"f\":2}", "{\"f\":0}", "{\"f\":-1}", "{\"f\":\"1\"}", "{}", "[]" };
 
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   for (guint i = 0; i < G_N_ELEMENTS(values); i++) {
     g_autofree char *path = g_strdup_printf("/format/unknown-value-%u-fences-all-nodes", i);
     g_test_add_data_func(path, values[i], test_unknown_value_fences_all_nodes);
--- a/tests/test-job-spec.c
+++ b/tests/test-job-spec.c
@@ -40,6 +40,21 @@
   mm_job_spec_clear(&again);
 }
 
+/* Takes the value; NULL: without the field. */
+static void
+assert_field_is_refused(const char *field, json_t *value) {
+  g_autoptr(json_t) body = sample();
+  const char *reason = NULL;
+  MmJobSpec spec;
+
+  if (value == NULL)
+    json_object_del(body, field);
+  else
+    json_object_set_new(body, field, value);
+  g_assert_false(mm_job_spec_parse(&spec, body, &reason));
+  g_assert_nonnull(strstr(reason, field));
+}
+
 /* Every field that may not be null must be there and of its kind; the error names the field. */
 static void
 test_malformed_fields_are_refused(void) {
@@ -75,17 +90,8 @@
     { WIRE_DEADLINE, json_string("soon") },
   };
 
-  for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
-    g_autoptr(json_t) body = sample();
-    const char *reason = NULL;
-    MmJobSpec spec;
-    if (faults[i].value == NULL)
-      json_object_del(body, faults[i].field);
-    else
-      json_object_set_new(body, faults[i].field, faults[i].value);
-    g_assert_false(mm_job_spec_parse(&spec, body, &reason));
-    g_assert_nonnull(strstr(reason, faults[i].field));
-  }
+  for (guint i = 0; i < G_N_ELEMENTS(faults); i++)
+    assert_field_is_refused(faults[i].field, faults[i].value);
 }
 
 static void
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -229,9 +229,7 @@
 
 int
 main(int argc, char **argv) {
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   g_test_add_func("/large/work-per-heartbeat-does-not-grow", test_work_per_heartbeat_does_not_grow);
   g_test_add_func("/large/cut-zone-keeps-its-machines", test_cut_zone_keeps_its_machines);
   g_test_add_func("/large/few-acknowledgements-are-requested",
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -39,6 +39,20 @@
                         .tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask)) };
 }
 
+static void
+suspend_workers(World *world) {
+  for (guint i = 0; i < world->machines->len; i++)
+    world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+}
+
+/* Records a heartbeat that the node receives now. */
+static void
+receive_heartbeat(MmNode *node, MmHeartbeat heartbeat) {
+  mm_machine_table_record_heartbeat(node->machine_table, &heartbeat, mm_node_now(node),
+                                    MM_SERVING_NODE_SELF);
+  mm_heartbeat_clear(&heartbeat);
+}
+
 /* Links are refused; a node restarts meanwhile and gets a direct reply of a machine only, which
  * does not make it the serving node. The node that does answer the machine believes that another
  * serves it, and announces its answers all the same when the links are back: else the others would
@@ -64,14 +78,10 @@
   loaded = machine->last_possible_response_at;
   world_run(world, 8);
   /* From now on it sends no heartbeats. */
-  for (guint i = 0; i < world->machines->len; i++)
-    world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+  suspend_workers(world);
   world_run(world, 0.1);
   g_assert_cmpint(find_serving_node(world, id), ==, serving_node);
-  heartbeat = next_heartbeat(machine, TRUE);
-  mm_machine_table_record_heartbeat(node->machine_table, &heartbeat, mm_node_now(node),
-                                    MM_SERVING_NODE_SELF);
-  mm_heartbeat_clear(&heartbeat);
+  receive_heartbeat(node, next_heartbeat(machine, TRUE));
   g_assert_cmpint(machine->serving_node, ==, MM_SERVING_NODE_NONE);
   /* What an earlier release passes on: the direct reply as a heartbeat to the restarted node. */
   heartbeat = next_heartbeat(machine, FALSE);
@@ -167,8 +177,7 @@
   const MmMachine *there = mm_machine_table_find(world->nodes[other].node->machine_table, id);
   MmHeartbeat heartbeat;
 
-  for (guint i = 0; i < world->machines->len; i++)
-    world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+  suspend_workers(world);
   world_run(world, 0.5);
   heartbeat = next_heartbeat(machine, TRUE);
   mm_machine_table_record_heartbeat(node->machine_table, &heartbeat, mm_node_now(node),
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -174,9 +174,7 @@
 
 int
 main(int argc, char **argv) {
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   g_test_add_func("/pipelines/diamond-runs-in-order", test_diamond_runs_in_order);
   g_test_add_func("/pipelines/named-dependencies-are-checked", test_named_dependencies_are_checked);
   g_test_add_func("/pipelines/waiting-job-uses-no-quota", test_waiting_job_uses_no_quota);
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -42,12 +42,7 @@
   world_start(world);
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
-    if (second % 3 == 0)
-      world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
-    if (second % 13 == 7)
-      world_cancel(world_any_job(world));
-    if (second > 10 && world_uniform(world, 0, 1) < 0.15)
-      world_inject_random_fault(world);
+    world_start_random_second(world, second);
     world_random_move(world);
     mm_debug("second %u", second);
     world_run(world, 1);
@@ -122,9 +117,7 @@
 
 int
 main(int argc, char **argv) {
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   /* `-m slow`: some hundred days, which take minutes. */
   for (guint seed = 1; seed <= (g_test_slow() ? SLOW_DAYS : DAYS); seed++) {
     g_autofree char *path = g_strdup_printf("/sharing-world/random-day-%u", seed);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -220,9 +220,7 @@
 main(int argc, char **argv) {
   guint days = 6;
 
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   /* More days than CI plays: MM_UPGRADE_DAYS=100 tests/test-upgrade */
   if (g_getenv("MM_UPGRADE_DAYS") != NULL)
     days = (guint)g_ascii_strtoull(g_getenv("MM_UPGRADE_DAYS"), NULL, 10);
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -174,9 +174,7 @@
 
 int
 main(int argc, char **argv) {
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   g_test_add_func("/world/restart-needs-no-cloud", test_restart_needs_no_cloud);
   g_test_add_func("/world/two-refused-nodes-are-no-outage", test_two_refused_nodes_are_no_outage);
   g_test_add_func("/world/leases-hold-in-an-outage", test_leases_hold_in_an_outage);
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -149,12 +149,7 @@
   world_start(world);
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
-    if (second % 3 == 0)
-      world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
-    if (second % 13 == 7)
-      world_cancel(world_any_job(world));
-    if (second > 10 && world_uniform(world, 0, 1) < 0.15)
-      world_inject_random_fault(world);
+    world_start_random_second(world, second);
     if (world->group_count > 0)
       world_random_move(world);
     world_run(world, 1);
--- a/tests/world/fault-injection.c
+++ b/tests/world/fault-injection.c
@@ -55,6 +55,16 @@
   }
 }
 
+void
+world_start_random_second(World *world, guint second) {
+  if (second % 3 == 0)
+    world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
+  if (second % 13 == 7)
+    world_cancel(world_any_job(world));
+  if (second > 10 && world_uniform(world, 0, 1) < 0.15)
+    world_inject_random_fault(world);
+}
+
 guint
 world_node_leading_most_shards(World *world) {
   guint leader = G_MAXUINT, most_led = 0;
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -13,6 +13,13 @@
   va_end(args);
 }
 
+void
+world_test_init(int *argc, char ***argv) {
+  g_test_init(argc, argv, NULL);
+  if (g_getenv("LOG_LEVEL") != NULL)
+    mm_log_read_level();
+}
+
 static void
 check_periodically(gpointer data) {
   World *world = data;
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -22,6 +22,9 @@
 /* Adds a broken invariant to `violations`. */
 void world_report_violation(World *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
+/* g_test_init(), and the log level that LOG_LEVEL names, if it does. */
+void world_test_init(int *argc, char ***argv);
+
 /* ---- event-queue.c ---- */
 
 /* Runs the events of this much simulated time. */
@@ -88,6 +91,9 @@
 WorldJob *world_any_job(World *world);
 /* A fault of a node, a machine, the key-value store or the links, drawn at random, for seconds. */
 void world_inject_random_fault(World *world);
+/* What a random day has at the start of this second: a job on each third, a cancellation now and
+ * then, after ten seconds a fault on one of seven. */
+void world_start_random_second(World *world, guint second);
 /* Index of the node that leads most shards, of those that are up. */
 guint world_node_leading_most_shards(World *world);
 /* Users send a job that fits no machine, one without each of its fields, and a repetition of each
