--- a/tests/loopback/checker.c
+++ b/tests/loopback/checker.c
@@ -12,9 +12,9 @@
 
 typedef struct {
   guint tasks;
-  gboolean accepted;
-  gint64 cancelled_us; /* 0: not */
-  gboolean told_done;
+  gboolean was_accepted;
+  gint64 cancelled_at_us; /* 0: not */
+  gboolean was_answered_done;
   GHashTable *completed; /* task -> itself */
 } Job;
 
@@ -41,7 +41,7 @@
 }
 
 static void
-G_GNUC_PRINTF(3, 4) complain(Check *check, const HistoryEvent *event, const char *format, ...) {
+G_GNUC_PRINTF(3, 4) report_wrong(Check *check, const HistoryEvent *event, const char *format, ...) {
   g_autofree char *text = NULL;
   va_list args;
 
@@ -70,7 +70,7 @@
 }
 
 static void
-use(Check *check, const HistoryEvent *event, double cores) {
+add_used_cores(Check *check, const HistoryEvent *event, double cores) {
   double *used = g_hash_table_lookup(check->used, event->machine);
 
   if (used == NULL) {
@@ -79,70 +79,70 @@
   }
   *used += cores;
   if (cores > 0 && *used > event->capacity + SLACK)
-    complain(check, event, "%s has %g cores and its tasks take %g", event->machine, event->capacity,
-             *used);
+    report_wrong(check, event, "%s has %g cores and its tasks take %g", event->machine,
+                 event->capacity, *used);
 }
 
 static void
-take_start(Check *check, const HistoryEvent *event, const char *task) {
+record_start(Check *check, const HistoryEvent *event, const char *task) {
   const Job *job = find_job(check, event->job);
   const Presence *elsewhere = g_hash_table_lookup(check->present, task);
   Presence *presence;
 
   if (elsewhere != NULL)
-    complain(check, event, "%s starts on %s while it is on %s", task, event->machine,
-             elsewhere->machine);
-  if (job->cancelled_us != 0
-      && (double)(event->us - job->cancelled_us) > UNDER_WAY_S * G_USEC_PER_SEC)
-    complain(check, event, "%s starts after its job's cancellation was confirmed", task);
+    report_wrong(check, event, "%s starts on %s while it is on %s", task, event->machine,
+                 elsewhere->machine);
+  if (job->cancelled_at_us != 0
+      && (double)(event->us - job->cancelled_at_us) > UNDER_WAY_S * G_USEC_PER_SEC)
+    report_wrong(check, event, "%s starts after its job's cancellation was confirmed", task);
   presence = g_new0(Presence, 1);
   g_strlcpy(presence->machine, event->machine, sizeof presence->machine);
   g_strlcpy(presence->job, event->job, sizeof presence->job);
   presence->since_us = event->us;
   presence->cores = event->cores;
   g_hash_table_replace(check->present, g_strdup(task), presence);
-  use(check, event, event->cores);
+  add_used_cores(check, event, event->cores);
 }
 
 static void
-take_end(Check *check, const HistoryEvent *event, const char *task) {
+record_end(Check *check, const HistoryEvent *event, const char *task) {
   Job *job = find_job(check, event->job);
   const Presence *presence = g_hash_table_lookup(check->present, task);
   gpointer number = GUINT_TO_POINTER(event->task + 1);
 
   if (presence == NULL || strcmp(presence->machine, event->machine) != 0) {
-    complain(check, event, "%s ends on %s, where it was not", task, event->machine);
+    report_wrong(check, event, "%s ends on %s, where it was not", task, event->machine);
     return;
   }
   /* A machine keeps results: a finished task that is started again ends in the same moment. */
   if (event->completed && presence->since_us < event->us
       && !g_hash_table_add(job->completed, number))
-    complain(check, event, "%s was done before and has run once more", task);
+    report_wrong(check, event, "%s was done before and has run once more", task);
   if (event->completed)
     g_hash_table_add(job->completed, number);
-  use(check, event, -presence->cores);
+  add_used_cores(check, event, -presence->cores);
   g_hash_table_remove(check->present, task);
 }
 
 static void
-take_told(Check *check, const HistoryEvent *event) {
+record_answer(Check *check, const HistoryEvent *event) {
   Job *job = find_job(check, event->job);
 
   if (event->kind == HISTORY_ACCEPTED) {
-    job->accepted = TRUE;
+    job->was_accepted = TRUE;
     job->tasks = event->tasks;
   } else if (event->kind == HISTORY_DONE) {
     if (!is_complete(job))
-      complain(check, event, "%s is called done with %u of %u tasks", event->job,
-               g_hash_table_size(job->completed), job->tasks);
-    if (job->cancelled_us != 0)
-      complain(check, event, "%s is called done after it was called cancelled", event->job);
-    job->told_done = TRUE;
+      report_wrong(check, event, "%s is called done with %u of %u tasks", event->job,
+                   g_hash_table_size(job->completed), job->tasks);
+    if (job->cancelled_at_us != 0)
+      report_wrong(check, event, "%s is called done after it was called cancelled", event->job);
+    job->was_answered_done = TRUE;
   } else {
-    if (job->told_done)
-      complain(check, event, "%s is called cancelled after it was called done", event->job);
-    if (job->cancelled_us == 0)
-      job->cancelled_us = event->us;
+    if (job->was_answered_done)
+      report_wrong(check, event, "%s is called cancelled after it was called done", event->job);
+    if (job->cancelled_at_us == 0)
+      job->cancelled_at_us = event->us;
   }
 }
 
@@ -155,11 +155,11 @@
   while (g_hash_table_iter_next(&iter, &task, &value)) {
     const Presence *presence = value;
     const Job *job = find_job(check, presence->job);
-    if (job->cancelled_us == 0
-        || (double)(event->us - job->cancelled_us) <= check->rules->cancel_s * G_USEC_PER_SEC)
+    if (job->cancelled_at_us == 0
+        || (double)(event->us - job->cancelled_at_us) <= check->rules->cancel_s * G_USEC_PER_SEC)
       continue;
-    complain(check, event, "%s is still on %s long after its cancellation", (char *)task,
-             presence->machine);
+    report_wrong(check, event, "%s is still on %s long after its cancellation", (char *)task,
+                 presence->machine);
     g_hash_table_iter_remove(&iter);
   }
 }
@@ -172,37 +172,37 @@
   g_hash_table_iter_init(&iter, check->jobs);
   while (g_hash_table_iter_next(&iter, &id, &value)) {
     const Job *job = value;
-    if (!job->accepted && g_hash_table_size(job->completed) > 0)
-      complain(check, last, "%s ran and was never accepted", (char *)id);
-    if (!job->accepted || job->cancelled_us != 0)
+    if (!job->was_accepted && g_hash_table_size(job->completed) > 0)
+      report_wrong(check, last, "%s ran and was never accepted", (char *)id);
+    if (!job->was_accepted || job->cancelled_at_us != 0)
       continue;
     if (!is_complete(job))
-      complain(check, last, "%s is lost: %u of %u tasks are done", (char *)id,
-               g_hash_table_size(job->completed), job->tasks);
-    else if (!job->told_done)
-      complain(check, last, "%s is done and its user was not told", (char *)id);
+      report_wrong(check, last, "%s is lost: %u of %u tasks are done", (char *)id,
+                   g_hash_table_size(job->completed), job->tasks);
+    else if (!job->was_answered_done)
+      report_wrong(check, last, "%s is done and its user was not told", (char *)id);
   }
 }
 
 static void
-take_event(Check *check, const HistoryEvent *event) {
+record_event(Check *check, const HistoryEvent *event) {
   g_autofree char *task = g_strdup_printf("%s/%u", event->job, event->task);
 
   switch (event->kind) {
   case HISTORY_ACCEPTED:
   case HISTORY_DONE:
   case HISTORY_CANCELLED:
-    take_told(check, event);
+    record_answer(check, event);
     break;
   case HISTORY_START:
-    take_start(check, event, task);
+    record_start(check, event, task);
     break;
   case HISTORY_END:
-    take_end(check, event, task);
+    record_end(check, event, task);
     break;
   case HISTORY_REFUSED:
   default:
-    complain(check, event, "%s was given %s without resources for it", event->machine, task);
+    report_wrong(check, event, "%s was given %s without resources for it", event->machine, task);
     break;
   }
   check_late_tasks(check, event);
@@ -216,7 +216,7 @@
                   g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free) };
 
   for (guint i = 0; i < events->len; i++)
-    take_event(&check, &g_array_index(events, HistoryEvent, i));
+    record_event(&check, &g_array_index(events, HistoryEvent, i));
   if (events->len > 0)
     check_end(&check, &g_array_index(events, HistoryEvent, events->len - 1));
   g_hash_table_unref(check.jobs);
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -21,17 +21,17 @@
 #define OPERATORS_WITHOUT                                                                          \
   "<martenmount><rent>0</rent><idle-return-s>100000</idle-return-s></martenmount>"
 #define MOVE_EVERY_MS 300
-#define TROUBLE_EVERY_MS 3000
+#define FAULT_EVERY_MS 3000
 #define SUBMIT_EVERY_MS 400
-#define LOOK_EVERY_MS 50
+#define RECORD_EVERY_MS 50
 #define CANCELLED_SHARE 0.1
 
 typedef struct {
   World *world;
   StandIns *stand_ins;
   Processes *processes;
-  GArray *history;  /* HistoryEvent */
-  GHashTable *told; /* job id -> WorldTold + 1, as recorded */
+  GArray *history;        /* HistoryEvent */
+  GHashTable *seen_views; /* job id -> WorldUserView + 1, as recorded */
   GMainLoop *loop;
   gint64 until_us; /* in the world's time: when faults, moves and jobs end */
   guint kills;
@@ -48,7 +48,8 @@
 /* ---- the history ---- */
 
 static void
-note_task(gpointer data, const WorldMachine *machine, const WorldTask *task, WorldTaskEvent what) {
+record_task_event(gpointer data, const WorldMachine *machine, const WorldTask *task,
+                  WorldTaskEvent task_event) {
   Run *run = data;
   HistoryEvent event = { .us = machine->world->now_us,
                          .task = task->number,
@@ -56,38 +57,38 @@
                          .capacity = strcmp(machine->type, "small") == 0 ? 4 : 16,
                          .completed = task->cause == MM_CAUSE_DONE };
 
-  event.kind = what == WORLD_TASK_STARTS ? HISTORY_START
-               : what == WORLD_TASK_ENDS ? HISTORY_END
-                                         : HISTORY_REFUSED;
+  event.kind = task_event == WORLD_TASK_STARTS ? HISTORY_START
+               : task_event == WORLD_TASK_ENDS ? HISTORY_END
+                                               : HISTORY_REFUSED;
   g_strlcpy(event.job, task->job->id, sizeof event.job);
   g_strlcpy(event.machine, machine->id, sizeof event.machine);
   g_array_append_val(run->history, event);
 }
 
 static HistoryKind
-kind_of(WorldUserView told) {
-  return told == USER_SEES_ACCEPTED ? HISTORY_ACCEPTED
-         : told == USER_SEES_DONE   ? HISTORY_DONE
+kind_of_view(WorldUserView view) {
+  return view == USER_SEES_ACCEPTED ? HISTORY_ACCEPTED
+         : view == USER_SEES_DONE   ? HISTORY_DONE
                                     : HISTORY_CANCELLED;
 }
 
 /* Records what users have been answered since the last call. */
 static void
-note_told(Run *run) {
+record_answers(Run *run) {
   for (guint i = 0; i < run->world->jobs->len; i++) {
     const WorldJob *job = world_job_at(run->world, i);
-    guint before = GPOINTER_TO_UINT(g_hash_table_lookup(run->told, job->id));
+    guint before = GPOINTER_TO_UINT(g_hash_table_lookup(run->seen_views, job->id));
     HistoryEvent event = { .us = run->world->now_us,
                            .tasks = job->spec.kind == MM_JOB_KIND_SERVICE ? 0 : job->spec.n_tasks };
 
     g_strlcpy(event.job, job->id, sizeof event.job);
-    for (guint told = MAX(before, USER_SEES_ACCEPTED);
-         told <= (guint)job->user_view && before <= told; told++) {
-      if (told == USER_SEES_CANCELLED && job->user_view == USER_SEES_DONE)
+    for (guint view = MAX(before, USER_SEES_ACCEPTED);
+         view <= (guint)job->user_view && before <= view; view++) {
+      if (view == USER_SEES_CANCELLED && job->user_view == USER_SEES_DONE)
         continue;
-      event.kind = kind_of((WorldUserView)told);
+      event.kind = kind_of_view((WorldUserView)view);
       g_array_append_val(run->history, event);
-      g_hash_table_replace(run->told, g_strdup(job->id), GUINT_TO_POINTER(told + 1));
+      g_hash_table_replace(run->seen_views, g_strdup(job->id), GUINT_TO_POINTER(view + 1));
     }
   }
 }
@@ -95,7 +96,7 @@
 /* ---- load and faults ---- */
 
 static gboolean
-goes_on(const Run *run) {
+is_before_end(const Run *run) {
   return run->world->now_us < run->until_us;
 }
 
@@ -104,7 +105,7 @@
   Run *run = data;
   World *world = run->world;
 
-  if (!goes_on(run))
+  if (!is_before_end(run))
     return G_SOURCE_REMOVE;
   world_submit(world, world_random_job_body(world), world_uniform(world, 0.5, 4));
   if (world_uniform(world, 0, 1) < CANCELLED_SHARE)
@@ -116,20 +117,20 @@
 move(gpointer data) {
   Run *run = data;
 
-  if (!goes_on(run))
+  if (!is_before_end(run))
     return G_SOURCE_REMOVE;
   world_random_move(run->world);
   return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-trouble(gpointer data) {
+inject_fault(gpointer data) {
   Run *run = data;
   World *world = run->world;
   guint node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
   double what = world_uniform(world, 0, 1);
 
-  if (!goes_on(run))
+  if (!is_before_end(run))
     return G_SOURCE_REMOVE;
   if (what < 0.4) {
     run->kills++;
@@ -225,12 +226,12 @@
 }
 
 static gboolean
-look(gpointer data) {
+record_periodically(gpointer data) {
   Run *run = data;
 
-  note_told(run);
+  record_answers(run);
   world_check_invariants(run->world);
-  if (goes_on(run))
+  if (is_before_end(run))
     return G_SOURCE_CONTINUE;
   processes_continue_all(run->processes);
   cancel_services(run->world);
@@ -258,7 +259,7 @@
 }
 
 static int
-report(const Run *run) {
+print_outcome(const Run *run) {
   HistoryRules rules = { run->world->cancel_s };
   g_autoptr(GPtrArray) wrong = history_check(run->history, &rules);
 
@@ -295,8 +296,8 @@
   g_timeout_add(SUBMIT_EVERY_MS, submit, run);
   if (!without_groups)
     g_timeout_add(MOVE_EVERY_MS, move, run);
-  g_timeout_add(TROUBLE_EVERY_MS, trouble, run);
-  g_timeout_add(LOOK_EVERY_MS, look, run);
+  g_timeout_add(FAULT_EVERY_MS, inject_fault, run);
+  g_timeout_add(RECORD_EVERY_MS, record_periodically, run);
 }
 
 static int
@@ -305,13 +306,13 @@
   Run run = { .world = world_new((guint32)seed),
               .processes = processes_new(program),
               .history = g_array_new(FALSE, FALSE, sizeof(HistoryEvent)),
-              .told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
+              .seen_views = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
               .loop = g_main_loop_new(NULL, FALSE) };
   int status;
 
   run.world->group_count = GROUPS;
   run.world->team_cores = 60;
-  run.world->observe_task = note_task;
+  run.world->observe_task = record_task_event;
   run.world->observer_data = &run;
   run.stand_ins = stand_ins_new(run.world, (const char *const *)run.processes->fronts, &error);
   if (run.stand_ins == NULL)
@@ -319,7 +320,7 @@
   run.until_us = run.world->now_us + (gint64)seconds * G_USEC_PER_SEC;
   start_all(&run);
   g_main_loop_run(run.loop);
-  status = report(&run);
+  status = print_outcome(&run);
   write_record(&run);
   run.world->is_shutting_down = TRUE;
   processes_stop(run.processes);
@@ -328,7 +329,7 @@
   stand_ins_free(run.stand_ins);
   processes_free(run.processes);
   g_array_unref(run.history);
-  g_hash_table_unref(run.told);
+  g_hash_table_unref(run.seen_views);
   g_main_loop_unref(run.loop);
   return status;
 }
@@ -336,7 +337,7 @@
 int
 main(int argc, char **argv) {
   const GOptionEntry entries[] = {
-    { "seconds", 's', 0, G_OPTION_ARG_INT, &seconds, "How long troubles and jobs come", "N" },
+    { "seconds", 's', 0, G_OPTION_ARG_INT, &seconds, "How long faults and jobs come", "N" },
     { "seed", 'r', 0, G_OPTION_ARG_INT, &seed, "What is drawn", "N" },
     { "record", 'o', 0, G_OPTION_ARG_FILENAME, &record_path, "Write the history there", "FILE" },
     { "without-groups", 0, 0, G_OPTION_ARG_NONE, &without_groups,
