--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -28,7 +28,7 @@
 typedef struct {
   double frames; /* all a machine and second */
   double bytes;
-  double reports;
+  double heartbeats;
   double writes; /* a second */
   double starts; /* a second */
   double processor_s;
@@ -84,7 +84,7 @@
 static Cost
 measure_cost(guint size, gboolean shared) {
   World *world = new_world(size, shared);
-  guint64 frames = world->n_frames, bytes = world->n_frame_bytes, reports = world->n_heartbeats;
+  guint64 frames = world->n_frames, bytes = world->n_frame_bytes, heartbeats = world->n_heartbeats;
   guint64 writes = world->n_writes;
   guint starts = world->n_starts;
   clock_t began = clock();
@@ -97,7 +97,7 @@
   }
   cost = (Cost){ (double)(world->n_frames - frames) * scale,
                  (double)(world->n_frame_bytes - bytes) * scale,
-                 (double)(world->n_heartbeats - reports) * scale,
+                 (double)(world->n_heartbeats - heartbeats) * scale,
                  (double)(world->n_writes - writes) / MEASURED_S,
                  (double)(world->n_starts - starts) / MEASURED_S,
                  (double)(clock() - began) / CLOCKS_PER_SEC };
@@ -225,8 +225,8 @@
 static void
 print_cost(guint size, const Cost *without, const Cost *with, double ratio) {
   printf("| %u | %.3f, %.3f | %.1f, %.1f | %.3f, %.3f | %.2f, %.2f | %.2f, %.2f | %.2f |\n", size,
-         without->frames, with->frames, without->bytes, with->bytes, without->reports,
-         with->reports, without->writes, with->writes, without->starts, with->starts, ratio);
+         without->frames, with->frames, without->bytes, with->bytes, without->heartbeats,
+         with->heartbeats, without->writes, with->writes, without->starts, with->starts, ratio);
 }
 
 static void
@@ -306,7 +306,7 @@
     return EXIT_USAGE;
   }
   printf("Each pair: without, with groups. A machine and second: messages between nodes, their "
-         "bytes, reports; a second: writes, starts; processor time of the run, as a ratio.\n");
+         "bytes, heartbeats; a second: writes, starts; processor time of the run, as a ratio.\n");
   for (guint i = 0; i < N_SIZES; i++) {
     double ratio = measure_ratio(sizes[i], &without[i], &with[i]);
     print_cost(sizes[i], &without[i], &with[i], ratio);
