--- a/src/heartbeat/pending-response.h
+++ b/src/heartbeat/pending-response.h
@@ -12,9 +12,13 @@
 
 #include "heartbeat/heartbeat-server.h"
 #include "machines/machine-table.h"
-#include "placement/placement.h"
+#include "placement/candidates.h"
 #include "sharing/sharing.h"
 
+/* Messages of peers.proto. */
+typedef struct Mm__StartResponse Mm__StartResponse;
+typedef struct Mm__GrantResponse Mm__GrantResponse;
+
 /* A start that the shard's leader has approved. */
 typedef struct {
   MmCommand command;
@@ -44,6 +48,9 @@
 /* Begins the response to a recorded heartbeat; the exchange is answered once, now or later. */
 void mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                                MmMachine *machine, MmHttpExchange *exchange);
+/* A peer's response to a start request. */
+void mm_pending_response_handle_start_response(MmHeartbeatServer *server, guint peer,
+                                               const Mm__StartResponse *reply);
 /* The group's owner has answered which of the approved starts may have their resources. */
 void mm_pending_response_handle_grant_response(MmHeartbeatServer *server, guint peer,
                                                const Mm__GrantResponse *reply);
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -2,7 +2,7 @@
 
 #include "machines/machine-health.h"
 #include "machines/registry.h"
-#include "scheduler/scheduler.h"
+#include "scheduler/heartbeats.h"
 #include "sharing/sharing.h"
 
 static void
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -1,31 +1,49 @@
-/* What machines' reports say of the tasks of the parts held here, and what follows for the
- * machines.
- */
-#include "scheduler/scheduler.h"
+#include "scheduler/heartbeats.h"
 
 #include "machines/machine-health.h"
 #include "peers/peer-broadcast.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/stop-commands.h"
+#include "scheduler/task-state.h"
 
-/* Old days weigh less and less: guesses may be too high on one day and too low on the next. */
+/* Weight of what is known of a job class when one more of its tasks has ended. */
+#define ESTIMATE_ERROR_DECAY 0.98
+/* Pause after a task's n-th error: doubled each time, and bounded. */
+#define TASK_ERRORS_MAX 10
+#define TASK_RETRY_MIN_MS 500
+#define TASK_RETRY_MAX_MS 30000
+/* Pause of a whole job after so many errors without a success between. */
+#define JOB_ERRORS_BEFORE_PAUSE 4
+#define JOB_PAUSE_MIN_MS 2000
+#define JOB_PAUSE_MAX_MS 60000
+#define JOB_PAUSE_DOUBLINGS_MAX 5
+#define MISSING_TASK_RETRY_MS 2000
+/* A stop is repeated with the response only when its direct command is that old. */
+#define STOP_REPEAT_MS 500
+
+/* Old errors weigh less and less: users' estimates may be too high on one day and too low on the
+ * next. */
 static void
-learn_run_time(MmScheduler *owner, const MmJob *job, double ran_s) {
+learn_estimate_error(MmScheduler *scheduler, const MmJob *job, double ran_s) {
   MmEstimateError *estimate_error
-      = g_hash_table_lookup(owner->estimate_errors, job->spec.job_class.s);
+      = g_hash_table_lookup(scheduler->estimate_errors, job->spec.job_class.s);
 
   if (job->spec.run_estimate_s <= 0)
     return;
   if (estimate_error == NULL) {
     estimate_error = g_new0(MmEstimateError, 1);
-    g_hash_table_insert(owner->estimate_errors, g_strdup(job->spec.job_class.s), estimate_error);
+    g_hash_table_insert(scheduler->estimate_errors, g_strdup(job->spec.job_class.s),
+                        estimate_error);
   }
-  estimate_error->actual_s = estimate_error->actual_s * 0.98 + ran_s;
-  estimate_error->estimated_s = estimate_error->estimated_s * 0.98 + job->spec.run_estimate_s;
+  estimate_error->actual_s = estimate_error->actual_s * ESTIMATE_ERROR_DECAY + ran_s;
+  estimate_error->estimated_s
+      = estimate_error->estimated_s * ESTIMATE_ERROR_DECAY + job->spec.run_estimate_s;
 }
 
 static void
-task_done(MmScheduler *owner, MmJob *job, guint number) {
+task_done(MmScheduler *scheduler, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
-  MmTime now = mm_node_now(owner->node);
+  MmTime now = mm_node_now(scheduler->node);
 
   if (task->state == MM_TASK_DONE || job->spec.kind == MM_JOB_KIND_SERVICE)
     return;
@@ -33,44 +51,52 @@
     double ran_s = (double)mm_time_ms_since(now, task->state_since) / 1000.0;
     job->observed_run_s_sum += ran_s;
     job->n_observed_runs++;
-    learn_run_time(owner, job, ran_s);
+    learn_estimate_error(scheduler, job, ran_s);
   }
   if (task->machine != NULL)
-    mm_scheduler_unplace_task(owner, job, number);
-  mm_scheduler_set_task_state(owner, job, number, MM_TASK_DONE);
+    mm_scheduler_unplace_task(scheduler, job, number);
+  mm_scheduler_set_task_state(scheduler, job, number, MM_TASK_DONE);
   mm_completed_tasks_add(&job->completed, number);
   job->n_consecutive_errors = 0;
   if (job->unwritten_since.us == 0)
     job->unwritten_since = now;
 }
 
-/* What each cause of ending asks for. The task has left the machine in every case. */
 static void
-task_ended(MmScheduler *owner, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
+pause_after_error(MmJob *job, MmTask *task, const MmMachine *machine, MmTime now) {
+  guint n_doublings;
+
+  task->n_errors = MIN(task->n_errors + 1, TASK_ERRORS_MAX);
+  task->last_failed_on = machine->id;
+  task->retry_not_before
+      = mm_time_add_ms(now, MIN(TASK_RETRY_MIN_MS << task->n_errors, TASK_RETRY_MAX_MS));
+  if (++job->n_consecutive_errors < JOB_ERRORS_BEFORE_PAUSE)
+    return;
+  /* A job that fails everywhere may not occupy all machines. */
+  n_doublings = MIN(job->n_consecutive_errors - JOB_ERRORS_BEFORE_PAUSE, JOB_PAUSE_DOUBLINGS_MAX);
+  job->paused_until = mm_time_add_ms(now, MIN(JOB_PAUSE_MIN_MS << n_doublings, JOB_PAUSE_MAX_MS));
+}
+
+/* The task has left the machine; what follows depends on the cause. */
+static void
+task_ended(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
   MmTask *task = &job->tasks[number];
-  MmTime now = mm_node_now(owner->node);
+  MmTime now = mm_node_now(scheduler->node);
 
-  mm_scheduler_unplace_task(owner, job, number);
+  mm_scheduler_unplace_task(scheduler, job, number);
   switch (cause) {
   case MM_CAUSE_ERROR:
-    task->n_errors = MIN(task->n_errors + 1, 10);
-    task->last_failed_on = machine->id;
-    task->retry_not_before = mm_time_add_ms(now, MIN(500 << task->n_errors, 30000));
-    /* A job that fails everywhere may not hog the fleet. */
-    if (++job->n_consecutive_errors >= 4)
-      job->paused_until
-          = mm_time_add_ms(now, MIN(2000 << MIN(job->n_consecutive_errors - 4, 5), 60000));
+    pause_after_error(job, task, machine, now);
     break;
   case MM_CAUSE_NO_RESOURCES:
-    /* Our idea of its room was wrong; the next report but one shows better. */
-    machine->full_until
-        = mm_time_add_ms(now, (gint64)(owner->node->settings->heartbeat_interval_s * 1000));
+    /* What this node takes as free was wrong; the next heartbeat but one shows better. */
+    machine->full_until = mm_time_add_ms(now, mm_scheduler_heartbeat_interval_ms(scheduler));
     break;
   case MM_CAUSE_NO_SUCH_TASK:
-    /* The user has not uploaded it yet, or never does. */
-    task->retry_not_before = mm_time_add_ms(now, 2000);
+    /* The user has not uploaded the task yet, or never does. */
+    task->retry_not_before = mm_time_add_ms(now, MISSING_TASK_RETRY_MS);
     break;
-  case MM_CAUSE_OTHER_ATTEMPT: /* the other attempt shows in the same report */
+  case MM_CAUSE_OTHER_ATTEMPT: /* the other attempt shows in the same heartbeat */
   case MM_CAUSE_GANG_INCOMPLETE:
   case MM_CAUSE_GANG_PEER_ENDED:
   case MM_CAUSE_STOPPED:
@@ -87,125 +113,156 @@
 }
 
 static void
-apply_reported_task(MmScheduler *owner, MmMachine *machine, MmJob *job,
+apply_reported_task(MmScheduler *scheduler, MmMachine *machine, MmJob *job,
                     const MmReportedTask *reported) {
   MmTask *task = &job->tasks[reported->number];
   gboolean is_same_attempt = task->machine == machine && task->attempt.v == reported->attempt.v;
 
   if (reported->state == MM_REPORTED_ENDED) {
     if (reported->cause == MM_CAUSE_DONE && (is_same_attempt || !mm_task_is_live(task->state)))
-      task_done(owner, job, reported->number);
+      task_done(scheduler, job, reported->number);
     else if (is_same_attempt && mm_task_is_live(task->state))
-      task_ended(owner, job, reported->number, machine, reported->cause);
+      task_ended(scheduler, job, reported->number, machine, reported->cause);
     return;
   }
   if (is_same_attempt || !mm_task_is_live(task->state) || task->state == MM_TASK_PLACE_RESERVED
       || task->machine == machine) {
     if (task->state == MM_TASK_DONE)
-      return; /* to be stopped, see commands_for */
+      return; /* to be stopped, see queue_commands */
     if (is_same_attempt && task->state == MM_TASK_START_SENT)
       machine->consecutive_refused_starts = 0;
-    mm_scheduler_place_task(owner, job, reported->number, machine,
+    mm_scheduler_place_task(scheduler, job, reported->number, machine,
                             state_of_reported(reported->state), reported->attempt);
     return;
   }
   /* A newer attempt is only ever approved when the older is gone for certain: of two that show, the
-   * older is what a late report brought back. */
+   * older comes from a late heartbeat. */
   if (reported->attempt.v > task->attempt.v) {
-    mm_info("task %s/%u is on %s: what %s showed is over", job->spec.id.s, reported->number,
-            machine->id.s, task->machine->id.s);
-    mm_scheduler_place_task(owner, job, reported->number, machine,
+    mm_info("task %s/%u reported with newer attempt machine=%s replaced=%s", job->spec.id.s,
+            reported->number, machine->id.s, task->machine->id.s);
+    mm_scheduler_place_task(scheduler, job, reported->number, machine,
                             state_of_reported(reported->state), reported->attempt);
     return;
   }
-  mm_info("task %s/%u shows on %s while it is placed on %s", job->spec.id.s, reported->number,
-          machine->id.s, task->machine->id.s);
+  mm_info("task %s/%u reported with older attempt machine=%s placed=%s", job->spec.id.s,
+          reported->number, machine->id.s, task->machine->id.s);
 }
 
 void
-mm_scheduler_apply_reported_tasks(MmScheduler *owner, MmMachine *machine, const char *only_shard) {
-  gboolean unsettled = FALSE;
+mm_scheduler_apply_reported_tasks(MmScheduler *scheduler, MmMachine *machine,
+                                  const char *only_shard) {
+  gboolean needs_review = FALSE;
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
-    unsettled = unsettled || job == NULL || reported->state == MM_REPORTED_ENDED;
+    MmJob *job = mm_job_table_find(scheduler->node->job_table, reported->job.s);
+    needs_review = needs_review || job == NULL || reported->state == MM_REPORTED_ENDED;
     if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
       continue;
     if (only_shard == NULL || strcmp(only_shard, job->shard) == 0)
-      apply_reported_task(owner, machine, job, reported);
-    unsettled = unsettled || job->tasks[reported->number].machine != machine;
+      apply_reported_task(scheduler, machine, job, reported);
+    needs_review = needs_review || job->tasks[reported->number].machine != machine;
   }
-  /* A record may come after the report that shows its tasks, and a result may be taken only once
-   * another attempt has left its machine: the same report must then be looked at again. */
-  machine->needs_task_review = unsettled;
+  /* A job's record may arrive after the heartbeat that shows its tasks, and a result counts only
+   * once another attempt has left its machine: then the same heartbeat must be applied again. */
+  machine->needs_task_review = needs_review;
 }
 
-/* Tasks placed on the machine that this report does not show have left it; a start is denied only
- * by a report that was sent after the one whose answer carried it. */
+/* Whether the heartbeat, which does not show the task, proves that its start was not carried out:
+ * it is of a newer incarnation, or was sent after the one whose response carried the start. A
+ * direct reply proves nothing, since the start may still be under way. */
+static gboolean
+is_start_refused(const MmTask *task, const MmHeartbeat *heartbeat) {
+  return heartbeat->heartbeat_id.incarnation > task->start_heartbeat_id.incarnation
+         || (!heartbeat->is_direct_reply
+             && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
+}
+
+/* Tasks placed on the machine that the heartbeat does not show have left it. */
 static void
-unplace_missing_tasks(MmScheduler *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
+unplace_missing_tasks(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   for (guint i = machine->placed_tasks->len; i > 0; i--) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i - 1);
     MmJob *job = placed->job;
     guint number = placed->number;
-    MmTask *task = &job->tasks[number];
+    const MmTask *task = &job->tasks[number];
 
     if (task->state == MM_TASK_PLACE_RESERVED
         || mm_machine_find_reported_task(machine, &job->spec.id, number, task->attempt) != NULL)
       continue;
     if (task->state == MM_TASK_START_SENT) {
-      gboolean is_start_refused
-          = heartbeat->heartbeat_id.incarnation > task->start_heartbeat_id.incarnation
-            || (!heartbeat->is_direct_reply
-                && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
-      if (!is_start_refused)
+      if (!is_start_refused(task, heartbeat))
         continue;
-      mm_debug("start of %s/%u on %s was not carried out", job->spec.id.s, number, machine->id.s);
+      mm_debug("task %s/%u start not carried out machine=%s", job->spec.id.s, number,
+               machine->id.s);
       if (heartbeat->heartbeat_id.incarnation == task->start_heartbeat_id.incarnation)
-        mm_machine_health_record_refused_start(owner->node->machine_table, machine);
+        mm_machine_health_record_refused_start(scheduler->node->machine_table, machine);
     }
-    mm_scheduler_unplace_task(owner, job, number);
+    mm_scheduler_unplace_task(scheduler, job, number);
   }
 }
 
-/* Stops and clears that follow from the report. */
+/* The machine may forget the result only once the key-value store has it. */
+static gboolean
+may_forget_ended_task(const MmJob *job, const MmReportedTask *reported) {
+  return reported->cause != MM_CAUSE_DONE || job->spec.kind == MM_JOB_KIND_SERVICE
+         || mm_completed_tasks_contains(&job->recorded_completed, reported->number)
+         || job->is_cancelled;
+}
+
+/* Whether a task that the heartbeat shows as live must be stopped with the response. */
+static gboolean
+must_stop_task(const MmScheduler *scheduler, const MmMachine *machine, const MmJob *job,
+               const MmReportedTask *reported) {
+  const MmTask *task = &job->tasks[reported->number];
+  MmTime now = mm_node_now(scheduler->node);
+
+  return job->is_cancelled || task->state == MM_TASK_DONE
+         || (task->is_stopping && task->machine == machine
+             && mm_time_ms_since(now, task->stop_sent_at) > STOP_REPEAT_MS
+             && reported->state != MM_REPORTED_CHECKPOINTING);
+}
+
+/* The command that follows from the reported task; FALSE: none. */
+static gboolean
+command_for_reported_task(MmScheduler *scheduler, const MmMachine *machine,
+                          const MmReportedTask *reported, MmCommand *command) {
+  MmJob *job = mm_job_table_find(scheduler->node->job_table, reported->job.s);
+  MmTask *task;
+
+  if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
+    return FALSE;
+  *command = (MmCommand){ .op = MM_OP_FORGET,
+                          .job = reported->job,
+                          .number = reported->number,
+                          .attempt = reported->attempt };
+  if (reported->state == MM_REPORTED_ENDED)
+    return may_forget_ended_task(job, reported);
+  command->op = MM_OP_STOP;
+  command->grace_s = mm_scheduler_stop_grace_s(job);
+  if (must_stop_task(scheduler, machine, job, reported))
+    return TRUE;
+  task = &job->tasks[reported->number];
+  if (!machine->has_termination_notice || task->is_stopping || task->machine != machine)
+    return FALSE;
+  /* The cloud is about to take the machine: save a checkpoint, or at least start sooner elsewhere.
+   */
+  task->is_stopping = TRUE;
+  task->stop_sent_at = mm_node_now(scheduler->node);
+  return TRUE;
+}
+
+/* Queues the commands that follow from the newest heartbeat for the next response to the machine,
+ * here or at the node that answers its heartbeats. */
 static void
-queue_commands(MmScheduler *owner, MmMachine *machine, const MmHeartbeat *heartbeat) {
+queue_commands(MmScheduler *scheduler, MmMachine *machine) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
-  MmTime now = mm_node_now(owner->node);
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    MmJob *job = mm_job_table_find(owner->node->job_table, reported->job.s);
-    MmCommand command = { MM_OP_FORGET, reported->job, reported->number, reported->attempt, 0 };
-    MmTask *task;
-
-    if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
-      continue;
-    task = &job->tasks[reported->number];
-    if (reported->state == MM_REPORTED_ENDED) {
-      /* The result is forgotten here only once the state service holds it. */
-      if (reported->cause == MM_CAUSE_DONE && job->spec.kind != MM_JOB_KIND_SERVICE
-          && !mm_completed_tasks_contains(&job->recorded_completed, reported->number)
-          && !job->is_cancelled)
-        continue;
+    MmCommand command;
+    if (command_for_reported_task(scheduler, machine, reported, &command))
       g_array_append_val(commands, command);
-      continue;
-    }
-    command.op = MM_OP_STOP;
-    command.grace_s = mm_scheduler_stop_grace_s(job);
-    if (job->is_cancelled || task->state == MM_TASK_DONE
-        || (task->is_stopping && task->machine == machine
-            && mm_time_ms_since(now, task->stop_sent_at) > 500
-            && reported->state != MM_REPORTED_CHECKPOINTING)) {
-      g_array_append_val(commands, command);
-    } else if (machine->has_termination_notice && !task->is_stopping && task->machine == machine) {
-      /* The machine is about to be taken: save, or at least start again elsewhere sooner. */
-      task->is_stopping = TRUE;
-      task->stop_sent_at = now;
-      g_array_append_val(commands, command);
-    }
   }
   if (commands->len == 0)
     return;
@@ -214,63 +271,62 @@
       mm_machine_queue_command(machine, machine->latest_message_id.incarnation,
                                &g_array_index(commands, MmCommand, i));
   else if (machine->serving_node >= 0)
-    mm_peer_links_send_commands(owner->node->peer_links, (guint)machine->serving_node, machine,
+    mm_peer_links_send_commands(scheduler->node->peer_links, (guint)machine->serving_node, machine,
                                 commands);
 }
 
-/* Its report acknowledgements the part's term; or it shows a newer session than any that was on the
- * register when the part was taken: the old session's tasks are gone, and starts for the new one
- * need an entry that only who has seen the part's term can believe. */
+/* Whether the machine has acknowledged the shard's term, or shows a newer incarnation than the one
+ * registered at the acquisition: the tasks of the old incarnation are gone, and starts for the new
+ * one need a registry entry that only a node that has seen the shard's term can have read. */
 static gboolean
-has_acknowledged_term(const MmLedShard *held, const MmMachine *machine) {
+has_acknowledged_term(const MmLedShard *shard, const MmMachine *machine) {
   gpointer registered_incarnation;
 
-  return machine->acknowledged_term.v >= held->term.v
-         || (g_hash_table_lookup_extended(held->unacknowledged_machines, machine->id.s, NULL,
+  return machine->acknowledged_term.v >= shard->term.v
+         || (g_hash_table_lookup_extended(shard->unacknowledged_machines, machine->id.s, NULL,
                                           &registered_incarnation)
              && machine->latest_message_id.incarnation > GPOINTER_TO_SIZE(registered_incarnation));
 }
 
 void
-mm_scheduler_heartbeat_received(MmScheduler *owner, MmMachine *machine,
-                                const MmHeartbeat *heartbeat, gboolean changed) {
+mm_scheduler_heartbeat_received(MmScheduler *scheduler, MmMachine *machine,
+                                const MmHeartbeat *heartbeat, gboolean tasks_changed) {
   GHashTableIter iter;
   gpointer value;
 
-  if (g_hash_table_size(owner->led_shards) == 0)
+  if (g_hash_table_size(scheduler->led_shards) == 0)
     return;
-  if (changed || machine->needs_task_review)
-    mm_scheduler_apply_reported_tasks(owner, machine, NULL);
-  unplace_missing_tasks(owner, machine, heartbeat);
-  g_hash_table_iter_init(&iter, owner->led_shards);
+  if (tasks_changed || machine->needs_task_review)
+    mm_scheduler_apply_reported_tasks(scheduler, machine, NULL);
+  unplace_missing_tasks(scheduler, machine, heartbeat);
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmLedShard *held = value;
-    if (!held->is_ready && has_acknowledged_term(held, machine)
-        && g_hash_table_remove(held->unacknowledged_machines, machine->id.s)) {
-      held->unacknowledged_changed = TRUE;
-      mm_scheduler_check_shard_ready(owner, held);
+    MmLedShard *shard = value;
+    if (!shard->is_ready && has_acknowledged_term(shard, machine)
+        && g_hash_table_remove(shard->unacknowledged_machines, machine->id.s)) {
+      shard->unacknowledged_changed = TRUE;
+      mm_scheduler_check_shard_ready(scheduler, shard);
     }
   }
-  queue_commands(owner, machine, heartbeat);
+  queue_commands(scheduler, machine);
 }
 
-/* Lost or returned: nothing is on it any more and no start can reach it. */
 void
-mm_scheduler_machine_gone(MmScheduler *owner, MmMachine *machine) {
+mm_scheduler_machine_gone(MmScheduler *scheduler, MmMachine *machine) {
   GHashTableIter iter;
   gpointer value;
 
   while (machine->placed_tasks->len > 0) {
     const MmPlacedTask *placed
         = g_ptr_array_index(machine->placed_tasks, machine->placed_tasks->len - 1);
-    mm_scheduler_unplace_task(owner, placed->job, placed->number);
+    mm_scheduler_unplace_task(scheduler, placed->job, placed->number);
   }
-  g_hash_table_iter_init(&iter, owner->led_shards);
+  g_hash_table_iter_init(&iter, scheduler->led_shards);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    MmLedShard *held = value;
-    if (g_hash_table_remove(held->unacknowledged_machines, machine->id.s)) {
-      held->unacknowledged_changed = TRUE;
-      mm_scheduler_check_shard_ready(owner, held);
+    MmLedShard *shard = value;
+    if (g_hash_table_remove(shard->unacknowledged_machines, machine->id.s)) {
+      shard->unacknowledged_changed = TRUE;
+      mm_scheduler_check_shard_ready(scheduler, shard);
     }
   }
 }
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -1,22 +1,34 @@
-/* Writing what is done, and jobs' ends, into their records. */
-#include "scheduler/scheduler.h"
+#include "scheduler/job-writer.h"
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 #include "kv/kv-client.h"
+#include "scheduler/led-shards.h"
 
-#define JOB_WRITE_INTERVAL_MS 1000
+/* How long completed tasks wait for more of the same job, and how long a job's writes are apart. */
 #define JOB_WRITE_DELAY_MS 300
+#define JOB_WRITE_INTERVAL_MS 1000
+#define TERMINAL_WRITE_INTERVAL_MS 100
+/* What a record takes beside its fields and the text of its completed tasks. */
+#define RECORD_MARGIN_BYTES 64
+/* The key-value store allows so many conditions for each operation. */
+#define CONDITIONS_PER_OPERATION 4
+#define HTTP_OK 200
+#define HTTP_CONFLICT 409
+/* Conditions and operations that one job may need. */
+#define OPERATIONS_PER_JOB 2
+#define CONDITIONS_PER_JOB 2
 
 typedef struct {
   MmName id;
-  char *completed_text;
-  json_t *terminal_record; /* the final record; NULL: it goes on */
+  char *completed_text;    /* as written; NULL with a terminal record */
+  json_t *terminal_record; /* NULL: the job goes on */
 } WrittenJob;
 
+/* A transaction under way. */
 typedef struct {
-  MmScheduler *owner;
-  GArray *jobs; /* Written */
+  MmScheduler *scheduler;
+  GArray *jobs; /* WrittenJob */
 } JobWrite;
 
 static void
@@ -25,79 +37,100 @@
   json_decref(((WrittenJob *)data)->terminal_record);
 }
 
+static JobWrite *
+job_write_new(MmScheduler *scheduler) {
+  JobWrite *write = g_new(JobWrite, 1);
+
+  *write = (JobWrite){ scheduler, g_array_new(FALSE, TRUE, sizeof(WrittenJob)) };
+  g_array_set_clear_func(write->jobs, written_job_clear);
+  return write;
+}
+
+static void
+job_write_free(JobWrite *write) {
+  g_array_unref(write->jobs);
+  g_free(write);
+}
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(JobWrite, job_write_free)
+
+/* The transaction has been answered for this job. What was not written is due again at once. */
+static void
+job_written(const MmNode *node, const WrittenJob *written_job, int status, guint64 revision) {
+  MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
+
+  if (status == HTTP_OK && written_job->terminal_record != NULL)
+    mm_job_table_add_terminal_record(node->job_table, written_job->id.s,
+                                     written_job->terminal_record);
+  if (job == NULL)
+    return;
+  job->is_being_written = FALSE;
+  if (status != HTTP_OK) {
+    job->unwritten_since = mm_node_now(node);
+    return;
+  }
+  if (written_job->terminal_record == NULL) {
+    mm_completed_tasks_add_text(&job->recorded_completed, written_job->completed_text);
+    job->record_version.v = MAX(job->record_version.v, revision);
+  }
+}
+
+/* After a conflict, the jobs are written one by one, so that one that was changed elsewhere does
+ * not hold up the others. */
 static void
 jobs_written(gpointer data, int status, json_t *body) {
-  JobWrite *write = data;
-  MmScheduler *owner = write->owner;
-  MmNode *node = owner->node;
+  g_autoptr(JobWrite) write = data;
+  MmScheduler *scheduler = write->scheduler;
   guint64 revision = mm_json_count(body, WIRE_REVISION, 0);
 
-  owner->is_writing = FALSE;
-  if (status == 409)
-    owner->single_job_writes = write->jobs->len;
-  for (guint i = 0; i < write->jobs->len; i++) {
-    const WrittenJob *written_job = &g_array_index(write->jobs, WrittenJob, i);
-    MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
-
-    if (status == 200 && written_job->terminal_record != NULL)
-      mm_job_table_add_terminal_record(node->job_table, written_job->id.s,
-                                       written_job->terminal_record);
-    if (job == NULL)
-      continue;
-    job->is_being_written = FALSE;
-    if (status != 200) {
-      job->unwritten_since = mm_node_now(node);
-      continue;
-    }
-    if (written_job->terminal_record == NULL) {
-      mm_completed_tasks_add_text(&job->recorded_completed, written_job->completed_text);
-      job->record_version.v = MAX(job->record_version.v, revision);
-    }
-  }
-  g_array_unref(write->jobs);
-  g_free(write);
+  scheduler->is_writing = FALSE;
+  if (status == HTTP_CONFLICT)
+    scheduler->single_job_writes = write->jobs->len;
+  for (guint i = 0; i < write->jobs->len; i++)
+    job_written(scheduler->node, &g_array_index(write->jobs, WrittenJob, i), status, revision);
 }
 
 static gboolean
-needs_terminal_record(MmScheduler *owner, const MmJob *job) {
+needs_terminal_record(MmScheduler *scheduler, const MmJob *job) {
   if (job->is_cancelled)
     return job->n_maybe_on_machines == 0
-           && (mm_job_has_cancelled_dependency(job) || mm_scheduler_knows_all_starts(owner, job));
+           && (mm_job_has_cancelled_dependency(job)
+               || mm_scheduler_knows_all_starts(scheduler, job));
   return job->spec.kind != MM_JOB_KIND_SERVICE && job->completed.n_completed == job->spec.n_tasks;
 }
 
-/* The longest done set's text that fits beside the rest of the record. */
+/* The longest text of completed tasks that fits beside the rest of the record. Free with g_free. */
 static char *
-completed_tasks_text(const MmScheduler *owner, const MmJob *job) {
+completed_tasks_text(const MmScheduler *scheduler, const MmJob *job) {
   g_autoptr(json_t) bare_record
       = mm_job_record_to_json(&job->spec, job->submitted_at_ms, FALSE, NULL);
-  gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + 64;
-  gsize max_bytes = mm_kv_client_max_value_bytes(owner->node->kv);
+  gsize record_bytes = json_dumpb(bare_record, NULL, 0, JSON_COMPACT) + RECORD_MARGIN_BYTES;
+  gsize max_bytes = mm_kv_client_max_value_bytes(scheduler->node->kv);
 
   return mm_completed_tasks_to_text(&job->completed,
                                     max_bytes > record_bytes ? max_bytes - record_bytes : 0);
 }
 
 static void
-add_to_write(MmScheduler *owner, MmTransaction *transaction, JobWrite *write, MmLedShard *held,
+add_to_write(MmScheduler *scheduler, MmTransaction *transaction, JobWrite *write, MmLedShard *shard,
              MmJob *job, gboolean is_terminal) {
   WrittenJob written_job = { .id = job->spec.id };
 
   mm_transaction_require_version(transaction, MM_KEY_JOB, job->spec.id.s, job->record_version);
-  mm_transaction_require_version(transaction, MM_KEY_SHARD, held->name, held->version);
+  mm_transaction_require_version(transaction, MM_KEY_SHARD, shard->name, shard->version);
   if (is_terminal) {
-    mm_info("%s (%s, %u tasks, guess %.0f s) is %s after %.1f s, due %.0f s, runs seen %.0f s",
+    mm_info("job %s ended class=%s tasks=%u run_estimate_s=%.0f state=%s after_s=%.1f "
+            "deadline_s=%.0f observed_run_s=%.0f",
             job->spec.id.s, job->spec.job_class.s, job->spec.n_tasks, job->spec.run_estimate_s,
-            job->is_cancelled ? WIRE_CANCELLED : WIRE_DONE, mm_job_waiting_time_s(owner->node, job),
-            job->spec.deadline_s,
+            job->is_cancelled ? WIRE_CANCELLED : WIRE_DONE,
+            mm_job_waiting_time_s(scheduler->node, job), job->spec.deadline_s,
             job->n_observed_runs > 0 ? job->observed_run_s_sum / job->n_observed_runs : 0);
     written_job.terminal_record = mm_terminal_record_to_json(&(MmTerminalState){
-        job->is_cancelled, job->completed.n_completed, mm_node_wall_ms(owner->node) });
+        job->is_cancelled, job->completed.n_completed, mm_node_wall_ms(scheduler->node) });
     mm_transaction_put(transaction, MM_KEY_TERMINAL_RECORD, job->spec.id.s,
                        json_incref(written_job.terminal_record), 0);
     mm_transaction_delete(transaction, MM_KEY_JOB, job->spec.id.s);
   } else {
-    written_job.completed_text = completed_tasks_text(owner, job);
+    written_job.completed_text = completed_tasks_text(scheduler, job);
     mm_transaction_put(transaction, MM_KEY_JOB, job->spec.id.s,
                        mm_job_record_to_json(&job->spec, job->submitted_at_ms, job->is_cancelled,
                                              written_job.completed_text),
@@ -105,59 +138,77 @@
   }
   job->is_being_written = TRUE;
   job->unwritten_since.us = 0;
-  job->last_write_at = mm_node_now(owner->node);
+  job->last_write_at = mm_node_now(scheduler->node);
   g_array_append_val(write->jobs, written_job);
 }
 
-void
-mm_scheduler_write_jobs(MmScheduler *owner) {
-  MmNode *node = owner->node;
-  MmTime now = mm_node_now(node);
-  guint max_ops = mm_kv_client_max_operations(node->kv);
-  guint max_guards = 4 * max_ops;
-  MmTransaction transaction;
-  JobWrite *write;
+/* Whether the job's record must be written now. A write that can wait is taken from the budget. */
+static gboolean
+is_write_due(const MmScheduler *scheduler, const MmJob *job, gboolean is_terminal) {
+  MmKvClient *kv = scheduler->node->kv;
+  MmTime now = mm_node_now(scheduler->node);
 
-  if (owner->is_writing || mm_kv_client_is_refused(node->kv))
-    return;
-  transaction = mm_transaction_begin();
-  write = g_new(JobWrite, 1);
-  *write = (JobWrite){ owner, g_array_new(FALSE, TRUE, sizeof(WrittenJob)) };
-  g_array_set_clear_func(write->jobs, written_job_clear);
-  for (guint i = 0; i < node->job_table->by_submission->len; i++) {
-    MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
-    MmLedShard *held = job->tasks != NULL ? mm_scheduler_shard_of_job(owner, job) : NULL;
+  if (is_terminal) {
+    /* Dependents of a cancelled job show as cancelled without a terminal record: there may be
+     * thousands, and their records can wait for the write budget. */
+    if (mm_job_has_cancelled_dependency(job)
+        && !mm_kv_client_try_spend_writes(kv, OPERATIONS_PER_JOB))
+      return FALSE;
+    return mm_time_ms_since(now, job->last_write_at) > TERMINAL_WRITE_INTERVAL_MS;
+  }
+  return !job->is_cancelled && job->unwritten_since.us != 0
+         && mm_time_ms_since(now, job->unwritten_since) >= JOB_WRITE_DELAY_MS
+         && mm_time_ms_since(now, job->last_write_at) >= JOB_WRITE_INTERVAL_MS
+         && mm_kv_client_try_spend_writes(kv, 1);
+}
+
+/* Whether the transaction takes no further job. */
+static gboolean
+is_full(const MmScheduler *scheduler, const MmTransaction *transaction) {
+  guint max_operations = mm_kv_client_max_operations(scheduler->node->kv);
+  guint max_conditions = CONDITIONS_PER_OPERATION * max_operations;
+
+  return transaction->n_operations + OPERATIONS_PER_JOB > max_operations
+         || json_array_size(transaction->conditions) + CONDITIONS_PER_JOB > max_conditions
+         || (scheduler->single_job_writes > 0 && transaction->n_operations > 0);
+}
+
+static void
+add_due_writes(MmScheduler *scheduler, MmTransaction *transaction, JobWrite *write) {
+  const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
+
+  for (guint i = 0; i < by_submission->len; i++) {
+    MmJob *job = g_ptr_array_index(by_submission, i);
+    MmLedShard *shard = job->tasks != NULL ? mm_scheduler_shard_of_job(scheduler, job) : NULL;
     gboolean is_terminal;
 
-    if (held == NULL || job->is_being_written)
+    if (shard == NULL || job->is_being_written)
       continue;
-    is_terminal = needs_terminal_record(owner, job);
-    if (transaction.n_operations + 2 > max_ops
-        || json_array_size(transaction.conditions) + 2 > max_guards
-        || (owner->single_job_writes > 0 && transaction.n_operations > 0))
+    is_terminal = needs_terminal_record(scheduler, job);
+    if (is_full(scheduler, transaction))
       break;
-    /* Dependents of a cancelled job show as cancelled without a record that says so: there may be
-     * thousands, and their records can wait. */
-    if (is_terminal && mm_job_has_cancelled_dependency(job)
-        && !mm_kv_client_try_spend_writes(node->kv, 2))
-      continue;
-    if (is_terminal && mm_time_ms_since(now, job->last_write_at) > 100) {
-      add_to_write(owner, &transaction, write, held, job, TRUE);
-    } else if (!is_terminal && !job->is_cancelled && job->unwritten_since.us != 0
-               && mm_time_ms_since(now, job->unwritten_since) >= JOB_WRITE_DELAY_MS
-               && mm_time_ms_since(now, job->last_write_at) >= JOB_WRITE_INTERVAL_MS
-               && mm_kv_client_try_spend_writes(node->kv, 1)) {
-      add_to_write(owner, &transaction, write, held, job, FALSE);
-    }
+    if (is_write_due(scheduler, job, is_terminal))
+      add_to_write(scheduler, transaction, write, shard, job, is_terminal);
   }
+}
+
+void
+mm_scheduler_write_jobs(MmScheduler *scheduler) {
+  MmKvClient *kv = scheduler->node->kv;
+  MmTransaction transaction;
+  g_autoptr(JobWrite) write = NULL;
+
+  if (scheduler->is_writing || mm_kv_client_is_refused(kv))
+    return;
+  transaction = mm_transaction_begin();
+  write = job_write_new(scheduler);
+  add_due_writes(scheduler, &transaction, write);
   if (transaction.n_operations > 0) {
-    owner->is_writing = TRUE;
-    owner->single_job_writes -= owner->single_job_writes > 0;
-    mm_kv_client_commit(node->kv, &transaction, jobs_written, write);
+    scheduler->is_writing = TRUE;
+    scheduler->single_job_writes -= scheduler->single_job_writes > 0;
+    mm_kv_client_commit(kv, &transaction, jobs_written, g_steal_pointer(&write));
     return;
   }
   json_decref(transaction.conditions);
   json_decref(transaction.operations);
-  g_array_unref(write->jobs);
-  g_free(write);
 }
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -1,27 +1,11 @@
-/* Direct commands: stops, cancellations, and empty ones that spread the term. */
-#include "scheduler/scheduler.h"
+#include "scheduler/stop-commands.h"
 
 #include "dependencies/dependencies.h"
-
-#include "base/wire.h"
-#include "heartbeat/heartbeat-server.h"
-#include "machines/machine-health.h"
-#include "leases/node-lease.h"
-#include "leases/shard-ownership.h"
-#include "peers/peer-broadcast.h"
-#include "sharing/sharing.h"
-#include "kv/replica.h"
 #include "kv/kv-client.h"
+#include "placement/backlog.h"
+#include "scheduler/direct-commands.h"
+#include "scheduler/task-state.h"
 
-#define ACK_REQUEST_INTERVAL_MS 3000
-/* In a slow tick: each takes about half a millisecond. */
-#define ACK_REQUESTS_PER_CORE 40
-#define ACK_REQUESTS_MIN 2
-#define ACK_REQUESTS_MAX 64
-/* A worker shows a higher term half a second after it was told, if it does so before its next
- * report. */
-#define TERM_REPORTED_WITHIN_MS 1200
-#define RECENT_HEARTBEAT_PERIODS 0.6
 #define STOP_RESEND_MS 2000
 
 double
@@ -31,22 +15,23 @@
 }
 
 void
-mm_scheduler_stop_task(MmScheduler *owner, MmJob *job, guint number) {
+mm_scheduler_stop_task(MmScheduler *scheduler, MmJob *job, guint number) {
   MmTask *task = &job->tasks[number];
 
   if (task->machine == NULL || task->state == MM_TASK_PLACE_RESERVED)
     return;
   task->is_stopping = TRUE;
-  task->stop_sent_at = mm_node_now(owner->node);
-  mm_scheduler_send_stop(owner, task->machine, &job->spec.id, number, task->attempt,
+  task->stop_sent_at = mm_node_now(scheduler->node);
+  mm_scheduler_send_stop(scheduler, task->machine, &job->spec.id, number, task->attempt,
                          mm_scheduler_stop_grace_s(job));
 }
 
-/* Those of its tasks that show on machines which this node answers, and that no part held here has
- * placed there: perhaps no part's holder can be reached, or none is left. */
+/* Stops those of the job's tasks that show on machines whose heartbeats this node answers and that
+ * are not placed there by this node: the shard's leader may be out of reach, or the shard may have
+ * none. */
 static void
-stop_reported_tasks(MmScheduler *owner, const MmJob *job) {
-  const GPtrArray *machines = owner->node->machine_table->sorted_machines;
+stop_reported_tasks(MmScheduler *scheduler, const MmJob *job) {
+  const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
 
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
@@ -56,161 +41,48 @@
       if (reported->state != MM_REPORTED_ENDED && mm_name_equal(&reported->job, &job->spec.id)
           && (job->tasks == NULL || reported->number >= job->spec.n_tasks
               || job->tasks[reported->number].machine != machine))
-        mm_scheduler_send_stop(owner, machine, &reported->job, reported->number, reported->attempt,
-                               0);
+        mm_scheduler_send_stop(scheduler, machine, &reported->job, reported->number,
+                               reported->attempt, 0);
     }
   }
 }
 
 gboolean
-mm_scheduler_job_cancelled(MmScheduler *owner, const char *job_id) {
-  MmJob *job = mm_job_table_find(owner->node->job_table, job_id);
+mm_scheduler_job_cancelled(MmScheduler *scheduler, const char *job_id) {
+  MmJob *job = mm_job_table_find(scheduler->node->job_table, job_id);
 
   if (job == NULL)
-    return mm_job_table_is_over(owner->node->job_table, job_id);
+    return mm_job_table_is_over(scheduler->node->job_table, job_id);
   if (job->is_cancelled)
     return TRUE;
   job->is_cancelled = TRUE;
-  job->kv_served_us_at_cancel = owner->node->kv->available_us;
+  job->kv_served_us_at_cancel = scheduler->node->kv->available_us;
   for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++) {
     if (job->tasks[i].state == MM_TASK_PLACE_RESERVED)
-      mm_scheduler_unplace_task(owner, job, i);
+      mm_scheduler_unplace_task(scheduler, job, i);
     else if (mm_task_is_live(job->tasks[i].state))
-      mm_scheduler_stop_task(owner, job, i);
+      mm_scheduler_stop_task(scheduler, job, i);
   }
-  /* What depends on a cancelled job has never been started. */
+  /* Dependents of a cancelled job have never been started. */
   if (!mm_job_has_cancelled_dependency(job))
-    stop_reported_tasks(owner, job);
-  mm_placement_backlog_changed(owner->node->placement);
-  mm_dependencies_job_cancelled(owner->node->dependencies, job_id);
+    stop_reported_tasks(scheduler, job);
+  mm_placement_backlog_changed(scheduler->node->placement);
+  mm_dependencies_job_cancelled(scheduler->node->dependencies, job_id);
   return TRUE;
 }
 
-static void
-direct_command_answered(gpointer data, int status, json_t *body) {
-  MmScheduler *owner = data;
-  MmHeartbeat heartbeat;
-  const char *reason = NULL;
-
-  if (status != 200 && status != 409)
-    return;
-  if (mm_heartbeat_parse(&heartbeat, body, &reason)) {
-    MmMachine *machine = mm_machine_table_find(owner->node->machine_table, heartbeat.machine_id.s);
-    gboolean is_acknowledgement
-        = machine != NULL && heartbeat.fencing_token.v > machine->acknowledged_term.v;
-    heartbeat.is_direct_reply = TRUE;
-    if (machine != NULL)
-      machine = mm_machine_table_record_heartbeat(owner->node->machine_table, &heartbeat,
-                                                  mm_node_now(owner->node), MM_SERVING_NODE_NONE);
-    /* Other nodes may wait for the same acknowledgement. */
-    if (is_acknowledgement && machine != NULL)
-      mm_peer_broadcast_direct_reply(owner->node->peer_links, machine);
-  }
-  mm_heartbeat_clear(&heartbeat);
-}
-
-static void
-send_direct_commands(MmScheduler *owner, MmMachine *machine, json_t *commands) {
-  MmNode *node = owner->node;
-  g_autoptr(json_t) body = json_pack(
-      "{s:I, s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v, WIRE_SESSION,
-      (json_int_t)MAX(machine->latest_message_id.incarnation, 1), WIRE_COMMANDS, commands);
-
-  if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
-    return;
-  node->platform.request(node->platform.context, MM_TARGET_WORKER, machine->addr, "POST",
-                         WIRE_DIRECT_PATH, body, 2000, direct_command_answered, owner);
-}
-
 void
-mm_scheduler_send_stop(MmScheduler *owner, MmMachine *machine, const MmName *job, guint number,
+mm_scheduler_send_stop(MmScheduler *scheduler, MmMachine *machine, const MmName *job, guint number,
                        MmAttempt attempt, double grace_s) {
-  MmCommand command = { MM_OP_STOP, *job, number, attempt, grace_s };
-  json_t *commands = json_array();
-
-  json_array_append_new(commands, mm_command_to_json(&command));
-  send_direct_commands(owner, machine, commands);
-}
-
-/* The newest term that a team's holder waits for, wherever it is. */
-static MmTerm
-newest_shard_term(const MmNode *node) {
-  MmTerm newest = { 0 };
-
-  for (guint i = 0; i < node->shard_ownership->shard_names->len; i++) {
-    const char *name = g_ptr_array_index(node->shard_ownership->shard_names, i);
-    const MmShard *shard = mm_replica_shard(node->replica, name);
-    if (shard != NULL && !mm_shard_ownership_is_duty(name))
-      newest.v = MAX(newest.v, shard->term.v);
-  }
-  return newest;
-}
-
-static gboolean
-is_unacknowledged(const MmScheduler *owner, const MmMachine *machine) {
-  GHashTableIter iter;
-  gpointer value;
-
-  g_hash_table_iter_init(&iter, owner->led_shards);
-  while (g_hash_table_iter_next(&iter, NULL, &value))
-    if (g_hash_table_contains(((MmLedShard *)value)->unacknowledged_machines, machine->id.s))
-      return TRUE;
-  return mm_sharing_awaits_acknowledgement(owner->node->sharing, machine);
-}
-
-/* Of a machine that reports, the node that it reports to asks for all: one that will not report for
- * long yet, or that has been told of the term and may not show it before its next report is due. */
-static gboolean
-acknowledgement_would_be_late(const MmNode *node, const MmMachine *machine, MmTerm newest) {
-  MmTime now = mm_node_now(node);
-  gint64 reported_ms = mm_time_ms_since(now, machine->last_heartbeat_at);
-
-  if (machine->serving_node != MM_SERVING_NODE_SELF || !machine->has_reported
-      || !machine->is_in_registry
-      || machine->acknowledged_term.v
-             >= MAX(newest.v, mm_sharing_group_term(node->sharing, machine).v))
-    return FALSE;
-  if (machine->unacknowledged_since.us != 0)
-    return mm_time_ms_since(now, machine->unacknowledged_since) > TERM_REPORTED_WITHIN_MS;
-  return reported_ms
-         < (gint64)(node->settings->heartbeat_interval_s * 1000 * RECENT_HEARTBEAT_PERIODS);
-}
-
-/* An empty command spreads the term, and its answer is an acknowledgement. A few are asked at a
- * time, for a share of the processor: asking four hundred at once took all the time there was, and
- * claims ended over it. */
-void
-mm_scheduler_request_acknowledgements(MmScheduler *owner) {
-  MmNode *node = owner->node;
-  MmTime now = mm_node_now(node);
-  gint64 silent_ms = (gint64)(node->settings->heartbeat_interval_s * 1500);
-  MmTerm newest = newest_shard_term(node);
-  guint requests_left = (guint)CLAMP(node->settings->cpu_share * ACK_REQUESTS_PER_CORE,
-                                     ACK_REQUESTS_MIN, ACK_REQUESTS_MAX);
+  MmCommand command
+      = { .op = MM_OP_STOP, .job = *job, .number = number, .attempt = attempt, .grace_s = grace_s };
 
-  if (mm_heartbeat_server_is_settling(node->heartbeat_server))
-    return;
-  for (guint i = 0; i < node->machine_table->sorted_machines->len && requests_left > 0; i++) {
-    MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
-    gboolean is_deaf;
-
-    if (machine->lease_has_expired
-        || mm_time_ms_since(now, machine->acknowledgement_requested_at) < ACK_REQUEST_INTERVAL_MS)
-      continue;
-    is_deaf = mm_machine_health_ignores_responses(node->machine_table, machine);
-    if (!is_deaf && !acknowledgement_would_be_late(node, machine, newest)
-        && (mm_time_ms_since(now, machine->last_heartbeat_at) < silent_ms
-            || !is_unacknowledged(owner, machine)))
-      continue;
-    machine->acknowledgement_requested_at = now;
-    requests_left--;
-    send_direct_commands(owner, machine, json_array());
-  }
+  mm_scheduler_send_commands(scheduler, machine, &command, 1);
 }
 
 void
-mm_scheduler_resend_stops(MmScheduler *owner) {
-  MmNode *node = owner->node;
+mm_scheduler_resend_stops(MmScheduler *scheduler) {
+  MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
 
   for (guint i = 0; i < node->machine_table->sorted_machines->len; i++) {
@@ -220,7 +92,7 @@
       const MmTask *task = &placed->job->tasks[placed->number];
       if ((placed->job->is_cancelled || task->is_stopping) && task->state != MM_TASK_SAVING
           && mm_time_ms_since(now, task->stop_sent_at) > STOP_RESEND_MS)
-        mm_scheduler_stop_task(owner, placed->job, placed->number);
+        mm_scheduler_stop_task(scheduler, placed->job, placed->number);
     }
   }
 }
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -4,6 +4,7 @@
 #include <glib/gstdio.h>
 #include <signal.h>
 #include <stdio.h>
+#include <errno.h>
 #include <sys/wait.h>
 
 static const char *const zones[] = { "a", "b", "c" };
@@ -157,6 +158,16 @@
   *timer = g_timeout_add_full(G_PRIORITY_DEFAULT, ms, call, which, g_free);
 }
 
+/* A killed process keeps its ports until it has ended, and another started on them meanwhile would
+ * find them in use. The process is left for the child watch to reap. */
+static void
+wait_for_end(GPid pid) {
+  siginfo_t info;
+
+  while (waitid(P_PID, (id_t)pid, &info, WEXITED | WNOWAIT) < 0 && errno == EINTR)
+    continue;
+}
+
 void
 processes_kill(Processes *processes, guint index, guint down_ms) {
   GPid pid = processes->pids[index];
@@ -165,6 +176,7 @@
     return;
   processes->pids[index] = 0;
   kill(pid, SIGKILL);
+  wait_for_end(pid);
   later(processes, index, down_ms, start_again, &processes->restarts[index]);
 }
 
--- a/tests/test-scheduler-fixture.c
+++ b/tests/test-scheduler-fixture.c
@@ -2,6 +2,7 @@
 #include "test-scheduler.h"
 
 #include "base/wire.h"
+#include "scheduler/led-shards.h"
 
 SchedulerFixture
 scheduler_fixture(guint tasks) {
--- a/tests/test-scheduler-heartbeats.c
+++ b/tests/test-scheduler-heartbeats.c
@@ -3,6 +3,8 @@
 
 #include "base/wire.h"
 #include "kv/replica.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/start-rules.h"
 
 /* A heartbeat of a machine with one task of the fixture's job on it; attempt 0: without. */
 static MmHeartbeat
--- a/tests/test-scheduler-preemption.c
+++ b/tests/test-scheduler-preemption.c
@@ -2,30 +2,31 @@
 #include "test-scheduler.h"
 
 #include "base/wire.h"
+#include "scheduler/quota.h"
 
 /* Which jobs may preempt which others for a quota of four cores. */
 void
 test_quota_is_reclaimed_from_surplus_only(void) {
   SchedulerFixture f = scheduler_fixture(2);
   MmJob *job = f.job;
-  MmJob from = *job;
+  MmJob victim = *job;
 
   job->is_within_quota = TRUE;
-  from.team_index = 1;
-  from.is_within_quota = FALSE;
+  victim.team_index = 1;
+  victim.is_within_quota = FALSE;
   f.scheduler->team_used[1] = (MmResources){ 6, 0, 0 };
-  g_assert_true(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
+  g_assert_true(mm_scheduler_may_reclaim_quota(f.scheduler, job, &victim));
   f.scheduler->team_used[1].cores = 5; /* would fall below its own quota */
-  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &victim));
   f.scheduler->team_used[1].cores = 6;
-  from.is_within_quota = TRUE;
-  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
-  from.is_within_quota = FALSE;
-  from.effective_priority = MM_PRIORITY_URGENT;
-  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
-  from.effective_priority = job->effective_priority;
+  victim.is_within_quota = TRUE;
+  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &victim));
+  victim.is_within_quota = FALSE;
+  victim.effective_priority = MM_PRIORITY_URGENT;
+  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &victim));
+  victim.effective_priority = job->effective_priority;
   job->is_within_quota = FALSE;
-  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &from));
+  g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &victim));
   world_free(f.world);
 }
 
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -2,6 +2,9 @@
 #include "test-scheduler.h"
 
 #include "base/wire.h"
+#include "scheduler/admission.h"
+#include "scheduler/led-shards.h"
+#include "scheduler/quota.h"
 
 /* Requests a start for the machine with up to two candidates (-1: none). Returns the number of the
  * approved task; -1: refused. */
