--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -24,7 +24,7 @@
 static void
 run_under_load(World *world, guint seconds) {
   for (guint i = 0; i < seconds; i++) {
-    world_submit(world, world_random_job(world), world_uniform(world, 1, 6));
+    world_submit(world, world_random_job_body(world), world_uniform(world, 1, 6));
     world_run(world, 1);
     world_assert_invariants(world);
   }
@@ -40,10 +40,10 @@
   return status;
 }
 
-/* Whatever the key says that this program does not know or can't read: nobody writes, starts or
- * answers 200, and nobody ends; with the key set right all goes on as if nothing had been. */
+/* The key has a value that this program does not know or cannot read: no node writes, starts tasks
+ * or answers 200, and none ends; with the key set right all goes on as before. */
 static void
-nobody_knows(gconstpointer data) {
+test_unknown_value_fences_all_nodes(gconstpointer data) {
   World *world = format_world(41, 0);
   const WorldJob *first;
   guint64 writes;
@@ -51,7 +51,7 @@
 
   world_run(world, 3);
   run_under_load(world, 6);
-  first = g_ptr_array_index(world->jobs, 0);
+  first = world_job_at(world, 0);
   world_set_format(world, json_loads(data, 0, NULL));
   world_run(world, 3);
   writes = world->n_writes;
@@ -73,10 +73,10 @@
   world_finish_day(world);
 }
 
-/* Two nodes know the next format and one does not: it loses its shards to them, and its lease and
- * key are gone, however often it starts. */
+/* Two nodes know the next format and one does not: they acquire its shards, and its lease and key
+ * are gone, however often it starts. */
 static void
-test_one_is_old(void) {
+test_old_node_is_fenced(void) {
   World *world = format_world(42, 2);
 
   world_run(world, 3);
@@ -100,14 +100,14 @@
 
 /* Random days on which the format is set to and fro while one node knows only the first. */
 static void
-a_day(gconstpointer data) {
+test_random_day(gconstpointer data) {
   World *world = format_world(GPOINTER_TO_UINT(data), 2);
 
   world->duplicate_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
   world_run(world, 3);
   for (guint second = 0; second < 90; second++) {
     if (second % 3 == 0)
-      world_submit(world, world_random_job(world), world_uniform(world, 1, 12));
+      world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
     if (second > 5 && world_uniform(world, 0, 1) < 0.1)
       world_inject_random_fault(world);
     if (second % 17 == 9)
@@ -126,17 +126,15 @@
   static const char *const values[]
       = { "{\"f\":2}", "{\"f\":0}", "{\"f\":-1}", "{\"f\":\"1\"}", "{}", "[]" };
 
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   for (guint i = 0; i < G_N_ELEMENTS(values); i++) {
-    g_autofree char *path = g_strdup_printf("/format/nobody-knows-%u", i);
-    g_test_add_data_func(path, values[i], nobody_knows);
+    g_autofree char *path = g_strdup_printf("/format/unknown-value-%u-fences-all-nodes", i);
+    g_test_add_data_func(path, values[i], test_unknown_value_fences_all_nodes);
   }
-  g_test_add_func("/format/one-is-old", test_one_is_old);
+  g_test_add_func("/format/old-node-is-fenced", test_old_node_is_fenced);
   for (guint seed = 1; seed <= (g_test_slow() ? SLOW_DAYS : DAYS); seed++) {
-    g_autofree char *path = g_strdup_printf("/format/day-%u", seed);
-    g_test_add_data_func(path, GUINT_TO_POINTER(seed), a_day);
+    g_autofree char *path = g_strdup_printf("/format/random-day-%u", seed);
+    g_test_add_data_func(path, GUINT_TO_POINTER(seed), test_random_day);
   }
   return g_test_run();
 }
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -34,7 +34,7 @@
   return *rest != NULL;
 }
 
-/* A state service that holds what production left, and new nodes that begin on it. */
+/* A key-value store with the keys that production left, and new nodes that start on it. */
 static World *
 world_of(json_t *keys) {
   World *world = world_new(1);
@@ -96,9 +96,9 @@
       g_assert_true(json_equal(json_object_get(written, field), old));
 }
 
-/* New nodes begin on it: with the term that was reached, or a later one. */
+/* New nodes start on the state of production: with the term that was reached, or a later one. */
 static void
-test_begin(void) {
+test_nodes_start_on_production_state(void) {
   g_autoptr(json_t) golden = recorded();
   json_t *keys = json_object_get(golden, "keys");
   guint64 term = mm_json_count(json_object_get(keys, MM_KEY_TERM), "t", G_MAXUINT64);
@@ -134,13 +134,13 @@
     check_final(value);
     counts->finals++;
   }
-  /* Nothing tells what the nodes understand. */
+  /* No key says what the nodes understand. */
   g_assert_false(after_prefix(path, MM_KEY_NODE_VERSION, &rest));
 }
 
-/* Jobs, machines and final states are read as they were meant, and written as they were. */
+/* Jobs, machines and terminal states are read as they were meant, and written as they were. */
 static void
-test_stored(void) {
+test_production_records_round_trip(void) {
   g_autoptr(json_t) golden = recorded();
   World *world = world_new(2);
   Counts counts = { 0 };
@@ -174,7 +174,7 @@
 /* Frames of the version before unpack, and pack to the very bytes again: nothing of them is unknown
  * or lost. */
 static void
-test_frames(void) {
+test_production_frames_round_trip(void) {
   g_autoptr(json_t) golden = recorded();
   guint kinds = 0;
   size_t i;
@@ -294,7 +294,7 @@
 /* Each field of the production version's messages is there with its number, label and type, and no
  * reserved number is used again: it reads what is sent now. */
 static void
-test_messages(void) {
+test_production_message_fields_are_kept(void) {
   g_autofree char *before = golden_text("production.proto");
   g_autoptr(GHashTable) messages = parse_messages(before);
 
@@ -307,9 +307,10 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/golden/begin", test_begin);
-  g_test_add_func("/golden/stored", test_stored);
-  g_test_add_func("/golden/frames", test_frames);
-  g_test_add_func("/golden/messages", test_messages);
+  g_test_add_func("/golden/nodes-start-on-production-state", test_nodes_start_on_production_state);
+  g_test_add_func("/golden/production-records-round-trip", test_production_records_round_trip);
+  g_test_add_func("/golden/production-frames-round-trip", test_production_frames_round_trip);
+  g_test_add_func("/golden/production-message-fields-are-kept",
+                  test_production_message_fields_are_kept);
   return g_test_run();
 }
--- a/tests/test-job-spec.c
+++ b/tests/test-job-spec.c
@@ -20,7 +20,7 @@
 }
 
 static void
-test_good(void) {
+test_complete_spec_is_parsed(void) {
   g_autoptr(json_t) body = sample();
   g_autoptr(json_t) stored = NULL;
   const char *reason = NULL;
@@ -40,9 +40,24 @@
   mm_job_spec_clear(&again);
 }
 
-/* Every field that may not be null must be there and of its kind; each fault is told by name. */
+/* Takes the value; NULL: without the field. */
 static void
-test_bad(void) {
+assert_field_is_refused(const char *field, json_t *value) {
+  g_autoptr(json_t) body = sample();
+  const char *reason = NULL;
+  MmJobSpec spec;
+
+  if (value == NULL)
+    json_object_del(body, field);
+  else
+    json_object_set_new(body, field, value);
+  g_assert_false(mm_job_spec_parse(&spec, body, &reason));
+  g_assert_nonnull(strstr(reason, field));
+}
+
+/* Every field that may not be null must be there and of its kind; the error names the field. */
+static void
+test_malformed_fields_are_refused(void) {
   const struct {
     const char *field;
     json_t *value;
@@ -75,21 +90,12 @@
     { WIRE_DEADLINE, json_string("soon") },
   };
 
-  for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
-    g_autoptr(json_t) body = sample();
-    const char *reason = NULL;
-    MmJobSpec spec;
-    if (faults[i].value == NULL)
-      json_object_del(body, faults[i].field);
-    else
-      json_object_set_new(body, faults[i].field, faults[i].value);
-    g_assert_false(mm_job_spec_parse(&spec, body, &reason));
-    g_assert_nonnull(strstr(reason, faults[i].field));
-  }
+  for (guint i = 0; i < G_N_ELEMENTS(faults); i++)
+    assert_field_is_refused(faults[i].field, faults[i].value);
 }
 
 static void
-test_not_an_object(void) {
+test_non_objects_are_refused(void) {
   const char *const texts[] = { "3", "[]", "\"run-1\"", "null" };
   const char *reason = NULL;
   MmJobSpec spec;
@@ -102,7 +108,7 @@
 }
 
 static void
-test_report(void) {
+test_heartbeat_message_is_parsed(void) {
   g_autoptr(json_t) body = json_loads(
       "{\"burrow\":\"m-000231\",\"addr\":\"10.1.0.232:9000\",\"breed\":\"g8\",\"den\":\"a\","
       "\"strays\":true,\"tenure\":1,\"tick\":88,\"warrant\":41,\"warningS\":12.5,\"kits\":["
@@ -130,9 +136,9 @@
 int
 main(int argc, char **argv) {
   g_test_init(&argc, &argv, NULL);
-  g_test_add_func("/spec/good", test_good);
-  g_test_add_func("/spec/bad", test_bad);
-  g_test_add_func("/spec/not-an-object", test_not_an_object);
-  g_test_add_func("/spec/report", test_report);
+  g_test_add_func("/job-spec/complete-spec-is-parsed", test_complete_spec_is_parsed);
+  g_test_add_func("/job-spec/malformed-fields-are-refused", test_malformed_fields_are_refused);
+  g_test_add_func("/job-spec/non-objects-are-refused", test_non_objects_are_refused);
+  g_test_add_func("/heartbeat/message-is-parsed", test_heartbeat_message_is_parsed);
   return g_test_run();
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,5 +1,5 @@
-/* Upgrades: old and new nodes side by side and on each other's data, rolled a few at a time amid
- * seeded troubles, and limits of the state service that fall at a random moment. */
+/* Upgrades: old and new nodes side by side and on each other's data, restarted a few at a time
+ * beside random faults, and limits of the key-value store that fall at a random moment. */
 #include "base/wire.h"
 #include "jobs/job-table.h"
 #include "peers.pb-c.h"
@@ -19,8 +19,7 @@
   world->team_cores = 4 * MAX(machines, 6);
   for (guint i = 0; i < WORLD_NODES; i++)
     world->nodes[i].is_old_version = TRUE;
-  for (guint i = 0; i < machines; i++)
-    world_add_machine(world, "small", i % 3 == 0 ? "a" : i % 3 == 1 ? "b" : "c", FALSE, 0.1);
+  world_add_machines(world, machines, "small", 3);
   world_start(world);
   world_run(world, 4);
   return world;
@@ -36,10 +35,10 @@
   return n;
 }
 
-/* A job that depends on another gets 503 until every node has said that it is new, and is accepted
- * from then on, whoever ends. */
+/* A job that depends on another gets 503 until every node has announced the new version, and is
+ * accepted from then on, whichever node ends. */
 static void
-test_gate(void) {
+test_dependencies_wait_for_all_nodes(void) {
   World *world = old_world(1, 6);
   WorldJob *first = world_submit(world, json_object(), 2), *after;
 
@@ -55,7 +54,7 @@
   world_run(world, 12); /* a request to a node that has just ended waits for five */
   g_assert_cmpuint(nodes_knowing_all_new(world), ==, WORLD_NODES);
   g_assert_true(after->was_accepted);
-  /* What was said stays said while a node is away. */
+  /* Announcements stay while a node is down. */
   world_kill_node(world, 2, 60);
   world_run(world, 6);
   g_assert_cmpuint(nodes_knowing_all_new(world), ==, WORLD_NODES - 1);
@@ -99,10 +98,10 @@
   return most;
 }
 
-/* Packs of machines that were written under larger limits are taken apart before they change, and
- * machines that are lost leave them. */
+/* Registry packs that were written under larger limits are split before they change, and lost
+ * machines leave them. */
 static void
-test_large_packs(void) {
+test_large_packs_are_split(void) {
   World *world = world_of_services(2, 120);
   guint registered = 0;
 
@@ -118,7 +117,7 @@
   world_assert_invariants(world);
   g_assert_cmpuint(largest_pack(world), <=, WORLD_NEXT_VALUE_BYTES);
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
+    const WorldMachine *machine = world_machine_at(world, i);
     const MmMachine *seen = mm_machine_table_find(world->nodes[0].node->machine_table, machine->id);
     gboolean known = seen != NULL && seen->is_in_registry;
     if (machine->is_up)
@@ -146,14 +145,13 @@
 /* Limits that fall though nothing announced them: nodes that are refused write less at a time, and
  * nothing is sent twice as it was for long. */
 static void
-test_unannounced(void) {
+test_unannounced_limits_are_learned(void) {
   World *world = world_new(3);
   guint refused;
 
   world->has_unannounced_limits = TRUE;
   world->team_cores = 4 * 120;
-  for (guint i = 0; i < 120; i++)
-    world_add_machine(world, "small", i % 2 == 0 ? "a" : "b", FALSE, 0.1);
+  world_add_machines(world, 120, "small", 2);
   world_start(world);
   world_run(world, 4);
   for (guint i = 0; i < 8; i++)
@@ -162,7 +160,7 @@
   world_lower_limits(world);
   for (guint i = 0; i < world->machines->len; i += 10)
     world_kill_machine(world, g_ptr_array_index(world->machines, i));
-  /* One takes all shards at once. */
+  /* One node acquires all shards at once. */
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, i == 0 ? 0.5 : 30);
   world_run(world, 20);
@@ -183,10 +181,10 @@
   world_free(world);
 }
 
-/* The nodes' turns come at random moments; what is new is asked for once all have had theirs, and
- * the limits fall at some moment after that. */
+/* The nodes are upgraded at random moments; users use what is new once all are, and the limits fall
+ * at some moment after that. */
 static void
-a_roll(gconstpointer data) {
+test_rolling_upgrade(gconstpointer data) {
   World *world = old_world(GPOINTER_TO_UINT(data), 9);
   guint turns[WORLD_NODES], all_new = 0, fall;
 
@@ -210,11 +208,11 @@
     world_run(world, 1);
     world_assert_invariants(world);
   }
-  world->faults_ended_us = world->now_us + 45 * SECOND;
+  world->faults_ended_at_us = world->now_us + 45 * SECOND;
   world_run(world, 240);
   world_assert_invariants(world);
   g_test_message("%u requests over the rate", world->n_rate_limited);
-  world_assert_all_jobs_over(world);
+  world_assert_all_jobs_finished(world);
   world_free(world);
 }
 
@@ -222,18 +220,16 @@
 main(int argc, char **argv) {
   guint days = 6;
 
-  g_test_init(&argc, &argv, NULL);
-  if (g_getenv("LOG_LEVEL") != NULL)
-    mm_log_read_level();
+  world_test_init(&argc, &argv);
   /* More days than CI plays: MM_UPGRADE_DAYS=100 tests/test-upgrade */
   if (g_getenv("MM_UPGRADE_DAYS") != NULL)
     days = (guint)g_ascii_strtoull(g_getenv("MM_UPGRADE_DAYS"), NULL, 10);
-  g_test_add_func("/upgrade/gate", test_gate);
-  g_test_add_func("/upgrade/large-packs", test_large_packs);
-  g_test_add_func("/upgrade/unannounced", test_unannounced);
+  g_test_add_func("/upgrade/dependencies-wait-for-all-nodes", test_dependencies_wait_for_all_nodes);
+  g_test_add_func("/upgrade/large-packs-are-split", test_large_packs_are_split);
+  g_test_add_func("/upgrade/unannounced-limits-are-learned", test_unannounced_limits_are_learned);
   for (guint seed = 1; seed <= days; seed++) {
-    g_autofree char *name = g_strdup_printf("/upgrade/roll-%u", seed);
-    g_test_add_data_func(name, GUINT_TO_POINTER(seed), a_roll);
+    g_autofree char *name = g_strdup_printf("/upgrade/rolling-upgrade-%u", seed);
+    g_test_add_data_func(name, GUINT_TO_POINTER(seed), test_rolling_upgrade);
   }
   return g_test_run();
 }
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -3,9 +3,9 @@
  *
  *   world-digest [FIRST_SEED [SEEDS]]     seed 1 and 20 seeds unless said otherwise
  *
- * A digest covers every request to the state service and the cloud, every direct command and its
- * answer, every frame between nodes, every start and end of a task, what each user was told, and
- * the keys of the state service at the end. Every other seed shares machine groups out. */
+ * A digest covers every request to the key-value store and the cloud, every direct command and its
+ * answer, every frame between nodes, every start and end of a task, what each user was answered,
+ * and the keys of the key-value store at the end. Every other seed shares machine groups out. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -18,7 +18,7 @@
 #define GROUPS 16
 
 static GChecksum *digest;
-static gboolean day_is_over; /* what comes as the world is freed is no part of the day */
+static gboolean day_is_over; /* what comes as the world is freed is left out */
 
 static void
 add_bytes(const guint8 *bytes, gsize length) {
@@ -131,7 +131,7 @@
   World *world = world_new(seed);
 
   if (seed % 2 == 0) {
-    world->groups = GROUPS;
+    world->group_count = GROUPS;
     world->group_hold_s = 2;
   }
   world->duplicate_rate = 0.02;
@@ -149,13 +149,8 @@
   world_start(world);
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
-    if (second % 3 == 0)
-      world_submit(world, world_random_job(world), world_uniform(world, 1, 12));
-    if (second % 13 == 7)
-      world_cancel(world_any_job(world));
-    if (second > 10 && world_uniform(world, 0, 1) < 0.15)
-      world_inject_random_fault(world);
-    if (world->groups > 0)
+    world_start_random_second(world, second);
+    if (world->group_count > 0)
       world_random_move(world);
     world_run(world, 1);
   }
@@ -165,7 +160,7 @@
 add_end(World *world) {
   g_tree_foreach(world->keys, add_key, NULL);
   for (guint i = 0; i < world->jobs->len; i++) {
-    const WorldJob *job = g_ptr_array_index(world->jobs, i);
+    const WorldJob *job = world_job_at(world, i);
     add_text(job->id);
     add_number(job->user_view);
     add_number(job->n_done);
--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -1,5 +1,5 @@
-/* A stand-in for the cloud. */
-#include "world/world.h"
+/* The simulated cloud: instance types, launches, releases, the list of machines. */
+#include "world/internal.h"
 
 #include "base/wire.h"
 
@@ -10,19 +10,27 @@
 
 static const char *const zones[] = { "a", "b", "c" };
 
+double
+world_type_cores(const char *type) {
+  for (guint i = 0; i < G_N_ELEMENTS(machine_types); i++)
+    if (strcmp(machine_types[i].name, type) == 0)
+      return machine_types[i].cores;
+  g_assert_not_reached();
+}
+
 WorldMachine *
 world_add_machine(World *world, const char *type, const char *zone, gboolean spot, double boot_s) {
   WorldMachine *machine = g_new0(WorldMachine, 1);
 
   machine->world = world;
   g_snprintf(machine->id, sizeof machine->id, "m-%06u", ++world->next_machine);
-  g_snprintf(machine->addr, sizeof machine->addr, "10.1.%u.%u:9000", world->next_machine / 200,
-             world->next_machine % 200 + 1);
+  g_snprintf(machine->address, sizeof machine->address, "10.1.%u.%u:9000",
+             world->next_machine / 200, world->next_machine % 200 + 1);
   g_strlcpy(machine->type, type, sizeof machine->type);
   g_strlcpy(machine->zone, zone, sizeof machine->zone);
-  machine->spot = spot;
+  machine->is_spot = spot;
   machine->tasks = g_ptr_array_new();
-  machine->launched_us = world->now_us;
+  machine->launched_at_us = world->now_us;
   machine->failure_rate = world_uniform(world, 0, 1) < 0.05 ? 0.6 : 0.005;
   machine->boots_at_us = world->now_us + (gint64)(boot_s * G_USEC_PER_SEC);
   g_ptr_array_add(world->machines, machine);
@@ -32,11 +40,17 @@
   return machine;
 }
 
+void
+world_add_machines(World *world, guint n, const char *type, guint n_zones) {
+  for (guint i = 0; i < n; i++)
+    world_add_machine(world, type, zones[i % n_zones], FALSE, 0.1);
+}
+
 static void
 on_restart_due(gpointer data) {
   WorldMachine *machine = data;
 
-  if (!machine->has_failed && !machine->is_gone && !machine->is_up)
+  if (!machine->has_failed && !machine->is_terminated && !machine->is_up)
     world_machine_boot(machine);
 }
 
@@ -91,9 +105,9 @@
     if (strcmp(machine_types[i].name, type) == 0)
       boot_s = machine_types[i].boot_s;
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    n_existing += !machine->is_gone && strcmp(machine->type, type) == 0
-                  && strcmp(machine->zone, zone) == 0 && machine->spot == spot;
+    const WorldMachine *machine = world_machine_at(world, i);
+    n_existing += !machine->is_terminated && strcmp(machine->type, type) == 0
+                  && strcmp(machine->zone, zone) == 0 && machine->is_spot == spot;
   }
   if (n_existing >= world->capacity) {
     *response = mm_json_error("no capacity");
@@ -117,10 +131,10 @@
 
   json_array_foreach(json_object_get(body, WIRE_MACHINES), i, name) {
     for (guint k = 0; k < world->machines->len; k++) {
-      WorldMachine *machine = g_ptr_array_index(world->machines, k);
+      WorldMachine *machine = world_machine_at(world, k);
       if (strcmp(machine->id, json_string_value(name)) == 0) {
         world_kill_machine(world, machine);
-        machine->is_gone = TRUE;
+        machine->is_terminated = TRUE;
       }
     }
   }
@@ -133,19 +147,19 @@
   json_t *list = json_array();
 
   for (guint i = 0; i < world->machines->len; i++) {
-    const WorldMachine *machine = g_ptr_array_index(world->machines, i);
-    double age_s = (double)(world->now_us - machine->launched_us) / G_USEC_PER_SEC;
+    const WorldMachine *machine = world_machine_at(world, i);
+    double age_s = (double)(world->now_us - machine->launched_at_us) / G_USEC_PER_SEC;
     /* The list lags. */
-    if (machine->is_gone || age_s < 2)
+    if (machine->is_terminated || age_s < 2)
       continue;
-    json_array_append_new(list,
-                          json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", WIRE_JOB_ID, machine->id,
-                                    WIRE_ADDR, machine->addr, WIRE_TYPE, machine->type, WIRE_ZONE,
-                                    machine->zone, WIRE_SPOT, machine->spot, WIRE_STATE,
-                                    machine->has_failed ? WIRE_FAILED
-                                    : machine->is_up    ? WIRE_RUNNING
-                                                        : WIRE_BOOTING,
-                                    WIRE_AGE, age_s));
+    json_array_append_new(list, json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", WIRE_JOB_ID,
+                                          machine->id, WIRE_ADDR, machine->address, WIRE_TYPE,
+                                          machine->type, WIRE_ZONE, machine->zone, WIRE_SPOT,
+                                          machine->is_spot, WIRE_STATE,
+                                          machine->has_failed ? WIRE_FAILED
+                                          : machine->is_up    ? WIRE_RUNNING
+                                                              : WIRE_BOOTING,
+                                          WIRE_AGE, age_s));
   }
   return json_pack("{s:o, s:b}", WIRE_MACHINES, list, WIRE_MORE, FALSE);
 }
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -5,8 +5,8 @@
 #include "kv/kv-client.h"
 #include "upgrade/format.h"
 
-/* A watch whose answer is lost, or comes to a node that stands still, is opened anew after 3.7 s.
- */
+/* Within this time a node has seen a change: a watch whose answer is lost, or arrives while the
+ * node is suspended, is opened anew after 3.7 s. */
 #define SEEN_US (4 * G_USEC_PER_SEC)
 
 void
@@ -22,7 +22,7 @@
   world->format = value == NULL
                       ? MM_FORMAT_LOWEST
                       : (json_is_integer(number) ? (guint64)json_integer_value(number) : 0);
-  world->format_set_us = world->now_us;
+  world->format_set_at_us = world->now_us;
   json_decref(value);
 }
 
@@ -32,9 +32,10 @@
   guint64 highest
       = world_node->highest_format != 0 ? world_node->highest_format : MM_FORMAT_HIGHEST;
 
-  /* A node that is kept from reading can't know; what it writes meanwhile the guards decide on. */
+  /* A node that cannot read cannot know; the conditions of its transactions decide on what it
+   * writes meanwhile. */
   if ((world->format >= MM_FORMAT_LOWEST && world->format <= highest)
-      || world->now_us < world->format_set_us + SEEN_US || world->format_set_us == 0
+      || world->now_us < world->format_set_at_us + SEEN_US || world->format_set_at_us == 0
       || world->now_us < world_node->watches_lost_until_us + SEEN_US
       || world->now_us < world_node->cut_until_us + SEEN_US
       || world->now_us < world_node->kv_refuses_until_us + SEEN_US
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -1,25 +1,12 @@
-/* A stand-in for the state service: keys with revisions, transactions, leases, watches. */
-#include "world/world.h"
+/* The simulated key-value store: keys with versions, transactions, leases, watches. */
+#include "world/internal.h"
 
 #include <stdlib.h>
 
 #include "base/wire.h"
 
-typedef struct {
-  guint node;
-  char *prefix;
-  guint64 after_revision;
-  gint64 expires_us;
-  MmResponseCallback callback;
-  gpointer data;
-  gboolean is_over;
-} Watch;
-
-typedef struct {
-  guint64 version;
-  char *path;
-  json_t *event;
-} KeyChange;
+/* Small pages, so that nodes have to read several. */
+#define KEYS_A_PAGE 7
 
 static void
 key_free(gpointer data) {
@@ -27,19 +14,6 @@
   g_free(data);
 }
 
-static void
-change_free(gpointer data) {
-  json_decref(((KeyChange *)data)->event);
-  g_free(((KeyChange *)data)->path);
-  g_free(data);
-}
-
-static void
-watch_free(gpointer data) {
-  g_free(((Watch *)data)->prefix);
-  g_free(data);
-}
-
 static gint
 compare_paths(gconstpointer a, gconstpointer b, gpointer data) {
   return strcmp(a, b);
@@ -50,37 +24,22 @@
 void
 world_kv_init(World *world) {
   world->keys = g_tree_new_full(compare_paths, NULL, g_free, key_free);
-  world->changes = g_ptr_array_new_with_free_func(change_free);
   world->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-  world->watches = g_ptr_array_new_with_free_func(watch_free);
+  world_kv_watches_init(world);
   world_schedule(world, world->now_us, expire_leases, world);
 }
 
 void
 world_kv_free(World *world) {
-  for (guint i = 0; i < world->watches->len; i++) {
-    Watch *watch = g_ptr_array_index(world->watches, i);
-    watch->callback(watch->data, 0, NULL);
-  }
+  world_kv_watches_free(world);
   g_tree_unref(world->keys);
-  g_ptr_array_unref(world->changes);
   g_hash_table_unref(world->leases);
-  g_ptr_array_unref(world->watches);
-}
-
-static void
-record_change(World *world, const char *path, json_t *event) {
-  KeyChange *change = g_new(KeyChange, 1);
-
-  json_object_set_new(event, WIRE_VERSION, json_integer((json_int_t)world->revision));
-  *change = (KeyChange){ world->revision, g_strdup(path), event };
-  g_ptr_array_add(world->changes, change);
 }
 
 static void
 delete_key(World *world, const char *path) {
   if (g_tree_remove(world->keys, path))
-    record_change(world, path, json_pack("{s:s}", WIRE_DELETE, path));
+    world_kv_record_change(world, path, json_pack("{s:s}", WIRE_DELETE, path));
 }
 
 static void
@@ -89,77 +48,7 @@
 
   *key = (WorldKey){ json_incref(value), world->revision, lease_id };
   g_tree_replace(world->keys, g_strdup(path), key);
-  record_change(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
-}
-
-static void
-answer_watches(World *world) {
-  for (guint i = 0; i < world->watches->len; i++) {
-    Watch *watch = g_ptr_array_index(world->watches, i);
-    g_autoptr(json_t) response = NULL;
-    json_t *events;
-
-    if (watch->is_over || world->now_us < world->outage_until_us
-        || world->now_us < world->nodes[watch->node].kv_refuses_until_us)
-      continue;
-    events = json_array();
-    for (guint k = world->changes->len; k > 0; k--) {
-      const KeyChange *change = g_ptr_array_index(world->changes, k - 1);
-      if (change->version <= watch->after_revision)
-        break;
-      if (g_str_has_prefix(change->path, watch->prefix))
-        json_array_insert(events, 0, change->event);
-    }
-    if (json_array_size(events) == 0 && world->now_us < watch->expires_us) {
-      json_decref(events);
-      continue;
-    }
-    response
-        = json_pack("{s:I, s:o}", WIRE_REVISION, (json_int_t)world->revision, WIRE_EVENTS, events);
-    watch->is_over = TRUE;
-    watch->callback(watch->data, 200, response);
-  }
-  for (guint i = world->watches->len; i > 0; i--)
-    if (((Watch *)g_ptr_array_index(world->watches, i - 1))->is_over)
-      g_ptr_array_remove_index_fast(world->watches, i - 1);
-}
-
-static const char *
-find_query_value(const char *path, const char *name) {
-  g_autofree char *find = g_strconcat(name, "=", NULL);
-  const char *at = strchr(path, '?');
-
-  while (at != NULL) {
-    at++;
-    if (g_str_has_prefix(at, find))
-      return at + strlen(find);
-    at = strchr(at, '&');
-  }
-  return NULL;
-}
-
-static char *
-query_text(const char *path, const char *name) {
-  const char *value = find_query_value(path, name);
-
-  return value != NULL ? g_strndup(value, strcspn(value, "&")) : NULL;
-}
-
-void
-world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
-                   gpointer data) {
-  Watch *watch = g_new0(Watch, 1);
-
-  watch->node = node;
-  watch->prefix = query_text(path, WIRE_PREFIX);
-  watch->after_revision = g_ascii_strtoull(find_query_value(path, WIRE_AFTER), NULL, 10);
-  watch->expires_us
-      = world->now_us
-        + (gint64)g_ascii_strtoull(find_query_value(path, WIRE_WAIT), NULL, 10) * 1000;
-  watch->callback = callback;
-  watch->data = data;
-  g_ptr_array_add(world->watches, watch);
-  answer_watches(world);
+  world_kv_record_change(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
 }
 
 typedef struct {
@@ -199,11 +88,11 @@
   if (world->now_us >= world->outage_until_us) {
     g_hash_table_iter_init(&iter, world->leases);
     while (g_hash_table_iter_next(&iter, NULL, &value))
-      if (world->now_us >= ((WorldLease *)value)->expires_us)
+      if (world->now_us >= ((WorldLease *)value)->expires_at_us)
         g_array_append_val(ended, ((WorldLease *)value)->id);
     for (guint i = 0; i < ended->len; i++)
       end_lease(world, g_array_index(ended, guint64, i));
-    answer_watches(world);
+    world_kv_answer_watches(world);
   }
   world_schedule(world, world->now_us + 20000, expire_leases, world);
 }
@@ -217,17 +106,16 @@
   /* Every lease has its full time again. */
   g_hash_table_iter_init(&iter, world->leases);
   while (g_hash_table_iter_next(&iter, NULL, &value))
-    ((WorldLease *)value)->expires_us = world->now_us + ((WorldLease *)value)->ttl_us;
+    ((WorldLease *)value)->expires_at_us = world->now_us + ((WorldLease *)value)->ttl_us;
 }
 
 void
 world_kv_outage(World *world, double seconds) {
-  world->outage_from_us = world->now_us;
   world->outage_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
   world_schedule(world, world->outage_until_us, on_outage_over, world);
 }
 
-/* Whether the changes are within the rate, with one second's worth of burst. */
+/* Whether the writes are within the rate, with a burst of one second's worth. */
 static gboolean
 is_within_write_rate(World *world, gsize n_changes) {
   double max_rps = world->write_rps;
@@ -260,45 +148,40 @@
   return FALSE;
 }
 
-static int
-commit_transaction(World *world, const json_t *body, json_t **response) {
-  const json_t *guards = json_object_get(body, WIRE_IF),
-               *changes = json_object_get(body, WIRE_THEN);
-  json_t *failed;
+/* The keys whose versions are not as the conditions say. The caller's. */
+static json_t *
+failed_conditions(const World *world, const json_t *guards) {
+  json_t *failed = json_array();
   size_t i;
   json_t *item;
 
-  if (world->has_unannounced_limits && is_too_large(world, guards, changes)) {
-    world->n_too_large++;
-    *response = mm_json_error("too large");
-    return 400;
-  }
-  g_assert_false(is_too_large(world, guards, changes));
-  if (!is_within_write_rate(world, json_array_size(changes))) {
-    *response = mm_json_error("too many changes");
-    return 429;
-  }
-  failed = json_array();
   json_array_foreach(guards, i, item) {
     const char *path = mm_json_string(item, WIRE_KEY);
-    WorldKey *key = g_tree_lookup(world->keys, path);
+    const WorldKey *key = g_tree_lookup(world->keys, path);
     if ((key != NULL ? key->version : 0) != mm_json_count(item, WIRE_VERSION, 0))
       json_array_append_new(failed, json_string(path));
   }
-  if (json_array_size(failed) > 0) {
-    *response = json_pack("{s:o, s:I}", WIRE_CONFLICT, failed, WIRE_REVISION,
-                          (json_int_t)world->revision);
-    world->n_conflicts++;
-    return 409;
-  }
-  json_decref(failed);
+  return failed;
+}
+
+static gboolean
+all_leases_exist(const World *world, const json_t *changes) {
+  size_t i;
+  json_t *item;
+
   json_array_foreach(changes, i, item) {
     guint64 lease_id = mm_json_count(item, WIRE_LEASE, 0);
-    if (lease_id != 0 && g_hash_table_lookup(world->leases, &lease_id) == NULL) {
-      *response = mm_json_error("no such lease");
-      return 400;
-    }
+    if (lease_id != 0 && g_hash_table_lookup(world->leases, &lease_id) == NULL)
+      return FALSE;
   }
+  return TRUE;
+}
+
+static void
+apply_changes(World *world, const json_t *changes) {
+  size_t i;
+  json_t *item;
+
   if (json_array_size(changes) > 0)
     world->revision++;
   json_array_foreach(changes, i, item) {
@@ -309,8 +192,38 @@
     else
       delete_key(world, mm_json_string(item, WIRE_DELETE));
   }
+}
+
+static int
+commit_transaction(World *world, const json_t *body, json_t **response) {
+  const json_t *guards = json_object_get(body, WIRE_IF),
+               *changes = json_object_get(body, WIRE_THEN);
+  g_autoptr(json_t) failed = NULL;
+
+  if (world->has_unannounced_limits && is_too_large(world, guards, changes)) {
+    world->n_too_large++;
+    *response = mm_json_error("too large");
+    return 400;
+  }
+  g_assert_false(is_too_large(world, guards, changes));
+  if (!is_within_write_rate(world, json_array_size(changes))) {
+    *response = mm_json_error("too many changes");
+    return 429;
+  }
+  failed = failed_conditions(world, guards);
+  if (json_array_size(failed) > 0) {
+    *response = json_pack("{s:O, s:I}", WIRE_CONFLICT, failed, WIRE_REVISION,
+                          (json_int_t)world->revision);
+    world->n_conflicts++;
+    return 409;
+  }
+  if (!all_leases_exist(world, changes)) {
+    *response = mm_json_error("no such lease");
+    return 400;
+  }
+  apply_changes(world, changes);
   *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
-  answer_watches(world);
+  world_kv_answer_watches(world);
   return 200;
 }
 
@@ -339,48 +252,67 @@
   return FALSE;
 }
 
+static int
+list_keys(World *world, const char *path, json_t **response) {
+  g_autofree char *prefix = world_kv_query_text(path, WIRE_PREFIX);
+  g_autofree char *after = world_kv_query_text(path, WIRE_AFTER);
+  KeyPage page = { prefix, after, KEYS_A_PAGE, json_array(), FALSE };
+
+  g_tree_foreach(world->keys, append_key, &page);
+  *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.has_more,
+                        WIRE_REVISION, (json_int_t)world->revision);
+  return 200;
+}
+
+static int
+get_key(const World *world, const char *key_path, json_t **response) {
+  const WorldKey *key = g_tree_lookup(world->keys, key_path);
+
+  if (key == NULL) {
+    *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
+    return 404;
+  }
+  *response
+      = json_pack("{s:O, s:I}", WIRE_VALUE, key->value, WIRE_VERSION, (json_int_t)key->version);
+  return 200;
+}
+
+static int
+grant_lease(World *world, const json_t *body, json_t **response) {
+  WorldLease *lease = g_new(WorldLease, 1);
+
+  lease->id = ++world->next_lease;
+  lease->ttl_us = (gint64)mm_json_count(body, WIRE_TTL, 0) * 1000;
+  lease->expires_at_us = world->now_us + lease->ttl_us;
+  g_hash_table_insert(world->leases, &lease->id, lease);
+  *response = json_pack("{s:I}", WIRE_LEASE, (json_int_t)lease->id);
+  return 200;
+}
+
+static int
+renew_lease(World *world, guint64 id, json_t **response) {
+  WorldLease *lease = g_hash_table_lookup(world->leases, &id);
+
+  if (lease == NULL)
+    return 404;
+  lease->expires_at_us = world->now_us + lease->ttl_us;
+  *response = json_object();
+  return 200;
+}
+
 int
 world_kv_handle(World *world, const char *method, const char *path, const json_t *body,
                 json_t **response) {
   if (strcmp(path, WIRE_TXN_PATH) == 0)
     return commit_transaction(world, body, response);
-  if (g_str_has_prefix(path, WIRE_KEYS_PATH "?")) {
-    g_autofree char *prefix = query_text(path, WIRE_PREFIX);
-    g_autofree char *after = query_text(path, WIRE_AFTER);
-    /* Small pages, so that reading goes on over several. */
-    KeyPage page = { prefix, after, 7, json_array(), FALSE };
-    g_tree_foreach(world->keys, append_key, &page);
-    *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.has_more,
-                          WIRE_REVISION, (json_int_t)world->revision);
-    return 200;
-  }
-  if (g_str_has_prefix(path, WIRE_KEYS_PATH "/")) {
-    const WorldKey *key = g_tree_lookup(world->keys, path + strlen(WIRE_KEYS_PATH "/"));
-    if (key == NULL) {
-      *response = json_pack("{s:I}", WIRE_REVISION, (json_int_t)world->revision);
-      return 404;
-    }
-    *response
-        = json_pack("{s:O, s:I}", WIRE_VALUE, key->value, WIRE_VERSION, (json_int_t)key->version);
-    return 200;
-  }
-  if (strcmp(path, WIRE_LEASES_PATH) == 0) {
-    WorldLease *lease = g_new(WorldLease, 1);
-    *lease
-        = (WorldLease){ ++world->next_lease, (gint64)mm_json_count(body, WIRE_TTL, 0) * 1000, 0 };
-    lease->expires_us = world->now_us + lease->ttl_us;
-    g_hash_table_insert(world->leases, &lease->id, lease);
-    *response = json_pack("{s:I}", WIRE_LEASE, (json_int_t)lease->id);
-    return 200;
-  }
-  if (g_str_has_prefix(path, WIRE_LEASES_PATH "/")) {
-    guint64 id = g_ascii_strtoull(path + strlen(WIRE_LEASES_PATH "/"), NULL, 10);
-    WorldLease *lease = g_hash_table_lookup(world->leases, &id);
-    if (lease == NULL)
-      return 404;
-    lease->expires_us = world->now_us + lease->ttl_us;
-    *response = json_object();
-    return 200;
-  }
+  if (g_str_has_prefix(path, WIRE_KEYS_PATH "?"))
+    return list_keys(world, path, response);
+  if (g_str_has_prefix(path, WIRE_KEYS_PATH "/"))
+    return get_key(world, path + strlen(WIRE_KEYS_PATH "/"), response);
+  if (strcmp(path, WIRE_LEASES_PATH) == 0)
+    return grant_lease(world, body, response);
+  if (g_str_has_prefix(path, WIRE_LEASES_PATH "/"))
+    return renew_lease(world, g_ascii_strtoull(path + strlen(WIRE_LEASES_PATH "/"), NULL, 10),
+                       response);
   return 400;
 }
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -1,5 +1,6 @@
-/* Machine groups in the simulated world: what must hold of them, and moves by hand. */
-#include "world/world.h"
+/* Machine groups in the simulated world: what must hold of them, and moves that an administrator
+ * requests. */
+#include "world/internal.h"
 
 #include "base/wire.h"
 #include "sharing/admin.h"
@@ -8,13 +9,14 @@
 #include "kv/kv-client.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
-/* Troubles over: a lease, the patience with whoever should take a group, and two transactions. */
+/* After faults have ended: a node lease, the time after which any node may acquire a free group,
+ * and two transactions. */
 #define UNOWNED_MAX_US (8 * SECOND)
 
-/* The map as the state service has it. Free with mm_group_map_free. */
+/* The map as the key-value store has it. Free with mm_group_map_free. */
 static MmGroupMap *
 stored_group_map(const World *world) {
-  MmGroupMap *map = mm_group_map_new(world->groups);
+  MmGroupMap *map = mm_group_map_new(world->group_count);
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     g_autofree char *label = g_strdup_printf("n-%u", i);
@@ -26,10 +28,11 @@
   return map;
 }
 
-/* Whether a start that the node granted now could still be carried out. A node that is refused by
- * the state service, together with another, takes that for an outage in which leases don't end; cut
- * off from the third it grants on. But whoever owns the group by now grants only once the machine
- * has shown the later term, and from then on the worker drops what that node's grants travel in. */
+/* Whether a start that the node grants now could still be executed. A node that the key-value store
+ * refuses, together with another, has proof of an outage in which leases do not expire; cut off
+ * from the third it goes on granting. But whoever owns the group by now grants only once the
+ * machine has acknowledged the later term, and from then on the worker drops the answers that carry
+ * that node's grants. */
 static gboolean
 takes_effect(const MmGroupMap *map, guint node, const WorldMachine *machine) {
   MmGroupOwner owner = mm_group_map_owner(map, mm_group_of_machine(machine->id, map->n_groups));
@@ -89,17 +92,17 @@
   }
   if (world->unowned_since_us == 0)
     world->unowned_since_us = world->now_us;
-  if (world->faults_ended_us == 0 || world->now_us < world->faults_ended_us)
+  if (world->faults_ended_at_us == 0 || world->now_us < world->faults_ended_at_us)
     return;
-  since = world->now_us - MAX(world->unowned_since_us, world->faults_ended_us);
-  world->worst_unowned_us = MAX(world->worst_unowned_us, since);
+  since = world->now_us - MAX(world->unowned_since_us, world->faults_ended_at_us);
+  world->longest_unowned_us = MAX(world->longest_unowned_us, since);
   if (since > UNOWNED_MAX_US)
     world_report_violation(world, "a group has had no owner for %.1f s", (double)since / SECOND);
 }
 
 void
 world_check_sharing(World *world) {
-  if (world->groups == 0)
+  if (world->group_count == 0)
     return;
   for (guint i = 0; i < world->machines->len; i++)
     check_one_granter(world, g_ptr_array_index(world->machines, i));
@@ -117,7 +120,7 @@
 
 static double
 free_cores(World *world, const json_t *heartbeat) {
-  double cores = g_strcmp0(mm_json_string(heartbeat, WIRE_TYPE), "small") == 0 ? 4 : 16;
+  double cores = world_type_cores(mm_json_string(heartbeat, WIRE_TYPE));
   size_t i;
   json_t *task;
 
@@ -149,7 +152,8 @@
   char *key;
   double *granted;
 
-  if (world->groups == 0 || controller == NULL || !controller->sharing->is_active || cores == 0)
+  if (world->group_count == 0 || controller == NULL || !controller->sharing->is_active
+      || cores == 0)
     return;
   key = g_strdup_printf(
       "%s/%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT, mm_json_string(heartbeat, WIRE_MACHINE),
@@ -187,7 +191,7 @@
 void
 world_random_move(World *world) {
   world_move_group(world, (guint)g_rand_int_range(world->rand, 0, WORLD_NODES),
-                   (guint)g_rand_int_range(world->rand, 0, (gint32)world->groups),
+                   (guint)g_rand_int_range(world->rand, 0, (gint32)world->group_count),
                    (guint)g_rand_int_range(world->rand, 0, WORLD_NODES));
 }
 
@@ -202,5 +206,5 @@
 
 guint
 world_group_of_machine(const World *world, const WorldMachine *machine) {
-  return mm_group_of_machine(machine->id, world->groups);
+  return mm_group_of_machine(machine->id, world->group_count);
 }
