--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat/heartbeat-server.c
@@ -68,7 +68,7 @@
   if (peer != NO_PEER)
     mm_http_exchange_respond(
         exchange, 421,
-        json_pack("{s:s}", WIRE_REPORT_TO, server->node->peer_links->peers[peer].label.s), 0);
+        json_pack("{s:s}", WIRE_REDIRECT_TO, server->node->peer_links->peers[peer].label.s), 0);
   else
     mm_http_exchange_respond(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
--- a/src/heartbeat/heartbeat.c
+++ b/src/heartbeat/heartbeat.c
@@ -45,7 +45,7 @@
   memcpy(task->job.s, task_path, (gsize)(slash - task_path));
   task->number = (guint)g_ascii_strtoull(slash + 1, &number_end, 10);
   task->attempt.v = mm_json_count(json, WIRE_ATTEMPT, 0);
-  task->is_checkpointed = mm_json_flag(json, WIRE_SAVED);
+  task->is_checkpointed = mm_json_flag(json, WIRE_CHECKPOINTED);
   if (*number_end != '\0' || !parse_state(task, mm_json_string(json, WIRE_STATE)))
     return FALSE;
   parse_cause(task, mm_json_string(json, WIRE_CAUSE));
@@ -55,15 +55,15 @@
 gboolean
 mm_heartbeat_parse(MmHeartbeat *heartbeat, const json_t *body, const char **reason) {
   const json_t *tasks = mm_json_get(body, WIRE_TASKS);
-  const char *addr = mm_json_string(body, WIRE_ADDR);
+  const char *addr = mm_json_string(body, WIRE_ADDRESS);
   size_t i;
   json_t *item;
 
   memset(heartbeat, 0, sizeof *heartbeat);
   heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask));
   if (!json_is_object(body) || mm_json_string(body, WIRE_MACHINE) == NULL
-      || !json_is_integer(mm_json_get(body, WIRE_SESSION))
-      || !json_is_integer(mm_json_get(body, WIRE_SEQ))
+      || !json_is_integer(mm_json_get(body, WIRE_INCARNATION))
+      || !json_is_integer(mm_json_get(body, WIRE_SEQUENCE))
       || (tasks != NULL && (!json_is_array(tasks) || json_array_size(tasks) > REPORTED_TASKS_MAX))
       || strlen(mm_json_string(body, WIRE_MACHINE)) > MM_NAME_MAX) {
     *reason = "not a worker's report";
@@ -75,11 +75,11 @@
   heartbeat->type = mm_name(mm_json_string(body, WIRE_TYPE));
   heartbeat->zone = mm_name(mm_json_string(body, WIRE_ZONE));
   heartbeat->is_spot = mm_json_flag(body, WIRE_SPOT);
-  heartbeat->heartbeat_id.incarnation = mm_json_count(body, WIRE_SESSION, 0);
-  heartbeat->heartbeat_id.sequence = mm_json_count(body, WIRE_SEQ, 0);
-  heartbeat->fencing_token.v = mm_json_count(body, WIRE_TOKEN, 0);
-  heartbeat->has_termination_notice = mm_json_get(body, WIRE_NOTICE) != NULL;
-  heartbeat->termination_notice_s = mm_json_number(body, WIRE_NOTICE, 0);
+  heartbeat->heartbeat_id.incarnation = mm_json_count(body, WIRE_INCARNATION, 0);
+  heartbeat->heartbeat_id.sequence = mm_json_count(body, WIRE_SEQUENCE, 0);
+  heartbeat->fencing_token.v = mm_json_count(body, WIRE_FENCING_TOKEN, 0);
+  heartbeat->has_termination_notice = mm_json_get(body, WIRE_TERMINATION_NOTICE) != NULL;
+  heartbeat->termination_notice_s = mm_json_number(body, WIRE_TERMINATION_NOTICE, 0);
   json_array_foreach(tasks, i, item) {
     MmReportedTask task;
     if (!parse_task(&task, item)) {
@@ -100,8 +100,8 @@
 mm_command_to_json(const MmCommand *command) {
   static const char *const ops[] = { WIRE_START, WIRE_STOP, WIRE_FORGET };
   g_autofree char *task_path = g_strdup_printf("%s/%u", command->job.s, command->number);
-  json_t *json = json_pack("{s:s, s:s, s:I}", WIRE_OP, ops[command->op], WIRE_TASK, task_path,
-                           WIRE_ATTEMPT, (json_int_t)command->attempt.v);
+  json_t *json = json_pack("{s:s, s:s, s:I}", WIRE_COMMAND_KIND, ops[command->op], WIRE_TASK,
+                           task_path, WIRE_ATTEMPT, (json_int_t)command->attempt.v);
 
   if (command->op == MM_OP_STOP)
     json_object_set_new(json, WIRE_GRACE, json_real(command->grace_s));
@@ -114,5 +114,5 @@
 
   for (guint i = 0; i < commands->len; i++)
     json_array_append_new(list, mm_command_to_json(&g_array_index(commands, MmCommand, i)));
-  return json_pack("{s:I, s:o}", WIRE_TOKEN, (json_int_t)term.v, WIRE_COMMANDS, list);
+  return json_pack("{s:I, s:o}", WIRE_FENCING_TOKEN, (json_int_t)term.v, WIRE_COMMANDS, list);
 }
--- a/src/jobs/job-spec.c
+++ b/src/jobs/job-spec.c
@@ -81,7 +81,7 @@
 /* An id that is named twice counts once. */
 static gboolean
 read_dependencies(const json_t *json, MmJobSpec *spec) {
-  const json_t *list = mm_json_get(json, WIRE_NEEDS);
+  const json_t *list = mm_json_get(json, WIRE_DEPENDENCIES);
   g_autoptr(GHashTable) seen_ids = g_hash_table_new(g_str_hash, g_str_equal);
   size_t i;
   json_t *item;
@@ -181,14 +181,14 @@
 read_times_and_dependencies(const json_t *json, MmJobSpec *spec) {
   if (!read_amount(json, WIRE_ESTIMATE, &spec->run_estimate_s, REQUIRED))
     return WIRE_ESTIMATE " must be a number, 0 or more";
-  if (!read_amount(json, WIRE_CHECKPOINT, &spec->checkpoint_interval_s, REQUIRED))
-    return WIRE_CHECKPOINT " must be a number, 0 or more";
-  if (!read_amount(json, WIRE_SAVE, &spec->checkpoint_save_s, REQUIRED))
-    return WIRE_SAVE " must be a number, 0 or more";
+  if (!read_amount(json, WIRE_CHECKPOINT_INTERVAL, &spec->checkpoint_interval_s, REQUIRED))
+    return WIRE_CHECKPOINT_INTERVAL " must be a number, 0 or more";
+  if (!read_amount(json, WIRE_CHECKPOINT_DURATION, &spec->checkpoint_save_s, REQUIRED))
+    return WIRE_CHECKPOINT_DURATION " must be a number, 0 or more";
   if (!read_amount(json, WIRE_DEADLINE, &spec->deadline_s, MM_JOB_NO_DEADLINE))
     return WIRE_DEADLINE " must be null or a number, 0 or more";
   if (!read_dependencies(json, spec))
-    return WIRE_NEEDS " must be null or a list of job ids";
+    return WIRE_DEPENDENCIES " must be null or a list of job ids";
   return NULL;
 }
 
@@ -234,8 +234,8 @@
   json_object_set_new(json, WIRE_SPREAD, json_boolean(spec->spreads_over_zones));
   json_object_set_new(json, WIRE_SPOT, json_boolean(spec->allows_spot));
   json_object_set_new(json, WIRE_ESTIMATE, json_real(spec->run_estimate_s));
-  json_object_set_new(json, WIRE_CHECKPOINT, json_real(spec->checkpoint_interval_s));
-  json_object_set_new(json, WIRE_SAVE, json_real(spec->checkpoint_save_s));
+  json_object_set_new(json, WIRE_CHECKPOINT_INTERVAL, json_real(spec->checkpoint_interval_s));
+  json_object_set_new(json, WIRE_CHECKPOINT_DURATION, json_real(spec->checkpoint_save_s));
   if (mm_job_spec_has_deadline(spec))
     json_object_set_new(json, WIRE_DEADLINE, json_real(spec->deadline_s));
   return json;
--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -102,7 +102,7 @@
  * values. */
 static void
 learn_transaction_limits(MmKvClient *kv, const json_t *transaction, const json_t *response) {
-  const json_t *operations = json_object_get(transaction, WIRE_THEN);
+  const json_t *operations = json_object_get(transaction, WIRE_OPERATIONS);
   guint n_operations = (guint)json_array_size(operations);
 
   if (g_strcmp0(mm_json_string(response, "error"), LEASE_EXPIRED_ERROR) == 0)
@@ -214,8 +214,8 @@
 void
 mm_kv_client_commit(MmKvClient *kv, MmTransaction *transaction, MmResponseCallback on_response,
                     gpointer data) {
-  g_autoptr(json_t) body = json_pack("{s:o, s:o}", WIRE_IF, transaction->conditions, WIRE_THEN,
-                                     transaction->operations);
+  g_autoptr(json_t) body = json_pack("{s:o, s:o}", WIRE_CONDITIONS, transaction->conditions,
+                                     WIRE_OPERATIONS, transaction->operations);
 
   /* Asked here, whoever decided on the transaction: no module can write past the guard. */
   if (!mm_kv_client_may_write(kv)) {
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -196,7 +196,7 @@
   if (is_fenced(node) && strcmp(path, "/healthz") != 0) {
     mm_http_exchange_respond(
         exchange, 503, mm_json_error("this node does not know the active format"), FENCED_RETRY_S);
-  } else if (strcmp(path, WIRE_REPORT_PATH) == 0) {
+  } else if (strcmp(path, WIRE_HEARTBEAT_PATH) == 0) {
     if (strcmp(method, "POST") == 0)
       mm_heartbeat_server_receive(node->heartbeat_server, body, exchange);
     else
--- a/src/scheduler/direct-commands.c
+++ b/src/scheduler/direct-commands.c
@@ -43,7 +43,7 @@
   MmNode *node = scheduler->node;
   json_t *command_list = json_array();
   g_autoptr(json_t) body = json_pack(
-      "{s:I, s:I, s:o}", WIRE_TOKEN, (json_int_t)node->replica->term.v, WIRE_SESSION,
+      "{s:I, s:I, s:o}", WIRE_FENCING_TOKEN, (json_int_t)node->replica->term.v, WIRE_INCARNATION,
       (json_int_t)MAX(machine->latest_message_id.incarnation, 1), WIRE_COMMANDS, command_list);
 
   if (machine->addr[0] == '\0' || !mm_node_lease_may_answer_workers(node->node_lease))
--- a/tests/test-job-spec.c
+++ b/tests/test-job-spec.c
@@ -85,8 +85,8 @@
     { WIRE_SPREAD, NULL },
     { WIRE_SPOT, json_integer(1) },
     { WIRE_ESTIMATE, NULL },
-    { WIRE_CHECKPOINT, json_real(-2) },
-    { WIRE_SAVE, json_real(1e13) },
+    { WIRE_CHECKPOINT_INTERVAL, json_real(-2) },
+    { WIRE_CHECKPOINT_DURATION, json_real(1e13) },
     { WIRE_DEADLINE, json_string("soon") },
   };
 
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -56,7 +56,7 @@
     json_t *body = json_deep_copy(good->body);
     int status = -1;
     json_object_set_new(body, WIRE_JOB_ID, json_string("run-900001"));
-    json_object_set_new(body, WIRE_NEEDS, cases[i].needs);
+    json_object_set_new(body, WIRE_DEPENDENCIES, cases[i].needs);
     world_send_request(world, i % WORLD_NODES, NULL, "POST", WIRE_JOBS_PATH, body, 4 * SECOND,
                        world_record_status, &status);
     world_run(world, 3);
--- a/tests/test-scheduler-preemption.c
+++ b/tests/test-scheduler-preemption.c
@@ -44,7 +44,7 @@
   world_run(world, 5);
   world_submit(world,
                json_pack("{s:i, s:f, s:s, s:f, s:f}", WIRE_TASKS, 4, WIRE_CORES, 1.0, WIRE_PRIORITY,
-                         "low", WIRE_CHECKPOINT, 30.0, WIRE_SAVE, 3.0),
+                         "low", WIRE_CHECKPOINT_INTERVAL, 30.0, WIRE_CHECKPOINT_DURATION, 3.0),
                300);
   world_run(world, 6);
   job = world_submit(world,
--- a/tests/test-sharing-world-moves.c
+++ b/tests/test-sharing-world-moves.c
@@ -155,8 +155,8 @@
 static void
 key_is_malformed(Move *move) {
   g_autofree char *path = g_strdup_printf("mm/r/g/n-%u", move->target);
-  g_autoptr(json_t) body = json_pack("{s:[], s:[{s:s, s:{s:s}}]}", WIRE_IF, WIRE_THEN, WIRE_PUT,
-                                     path, WIRE_VALUE, "g", "nonsense");
+  g_autoptr(json_t) body = json_pack("{s:[], s:[{s:s, s:{s:s}}]}", WIRE_CONDITIONS, WIRE_OPERATIONS,
+                                     WIRE_PUT, path, WIRE_VALUE, "g", "nonsense");
   g_autoptr(json_t) answer = NULL;
 
   g_assert_cmpint(world_kv_handle(move->world, "POST", WIRE_TXN_PATH, body, &answer), ==, 200);
--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -153,7 +153,7 @@
     if (machine->is_terminated || age_s < 2)
       continue;
     json_array_append_new(list, json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", WIRE_JOB_ID,
-                                          machine->id, WIRE_ADDR, machine->address, WIRE_TYPE,
+                                          machine->id, WIRE_ADDRESS, machine->address, WIRE_TYPE,
                                           machine->type, WIRE_ZONE, machine->zone, WIRE_SPOT,
                                           machine->is_spot, WIRE_STATE,
                                           machine->has_failed ? WIRE_FAILED
--- a/tests/world/fault-injection.c
+++ b/tests/world/fault-injection.c
@@ -153,7 +153,7 @@
   send_odd_request(world, "POST", WIRE_JOBS_PATH, body, 422, NULL, "a job that fits no machine");
   json_object_foreach(template->body, field, value) {
     /* May be null, so absent too. */
-    if (strcmp(field, WIRE_ZONE) == 0 || strcmp(field, WIRE_NEEDS) == 0)
+    if (strcmp(field, WIRE_ZONE) == 0 || strcmp(field, WIRE_DEPENDENCIES) == 0)
       continue;
     body = fresh_body(world, template);
     json_object_del(body, field);
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -15,7 +15,7 @@
   json_t *change = value != NULL
                        ? json_pack("{s:s, s:O}", WIRE_PUT, MM_KEY_FORMAT, WIRE_VALUE, value)
                        : json_pack("{s:s}", WIRE_DELETE, MM_KEY_FORMAT);
-  g_autoptr(json_t) body = json_pack("{s:[], s:[o]}", WIRE_IF, WIRE_THEN, change);
+  g_autoptr(json_t) body = json_pack("{s:[], s:[o]}", WIRE_CONDITIONS, WIRE_OPERATIONS, change);
   g_autoptr(json_t) answer = NULL;
 
   g_assert_cmpint(world_kv_handle(world, "POST", WIRE_TXN_PATH, body, &answer), ==, 200);
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -196,8 +196,8 @@
 
 static int
 commit_transaction(World *world, const json_t *body, json_t **response) {
-  const json_t *guards = json_object_get(body, WIRE_IF),
-               *changes = json_object_get(body, WIRE_THEN);
+  const json_t *guards = json_object_get(body, WIRE_CONDITIONS),
+               *changes = json_object_get(body, WIRE_OPERATIONS);
   g_autoptr(json_t) failed = NULL;
 
   if (world->has_unannounced_limits && is_too_large(world, guards, changes)) {
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -11,7 +11,7 @@
 
   for (guint i = 0; i < n_dependencies; i++)
     json_array_append_new(list, json_string(dependencies[i]->id));
-  json_object_set_new(overrides, WIRE_NEEDS, list);
+  json_object_set_new(overrides, WIRE_DEPENDENCIES, list);
   job = world_submit(world, overrides, run_s);
   for (guint i = 0; i < n_dependencies; i++)
     g_ptr_array_add(job->dependencies, dependencies[i]);
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -163,7 +163,7 @@
 /* Whether it is a transaction that is to be applied late, by the world's parameters; may draw. */
 static gboolean
 is_delayed(World *world, const char *path, const json_t *body) {
-  const json_t *changes = mm_json_get(body, WIRE_THEN);
+  const json_t *changes = mm_json_get(body, WIRE_OPERATIONS);
   size_t i;
   json_t *item;
 
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -43,7 +43,7 @@
 
   g_assert_true(request->is_pending);
   request->is_pending = FALSE;
-  if (status == 200 && strcmp(base->path, WIRE_REPORT_PATH) == 0)
+  if (status == 200 && strcmp(base->path, WIRE_HEARTBEAT_PATH) == 0)
     world_check_heartbeat_response(world, base->node, base->body, body);
   base->status = world->nodes[base->node].generation == base->generation ? status : 0;
   base->response_body = body;
@@ -83,7 +83,7 @@
   request->is_pending = TRUE;
   if (request->duplicate_of != NULL)
     world->n_stale_incarnations
-        += mm_json_count(base->body, WIRE_SESSION, 0) < request->duplicate_of->incarnation;
+        += mm_json_count(base->body, WIRE_INCARNATION, 0) < request->duplicate_of->incarnation;
   mm_node_handle_request(world_node->node, base->method, base->path, base->body,
                          &request->exchange);
 }
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -138,7 +138,7 @@
   json_t *command;
 
   json_array_foreach(json_object_get(response, WIRE_COMMANDS), i, command) {
-    if (g_strcmp0(mm_json_string(command, WIRE_OP), WIRE_START) == 0)
+    if (g_strcmp0(mm_json_string(command, WIRE_COMMAND_KIND), WIRE_START) == 0)
       cores += task_cores(world, command);
   }
   return cores;
@@ -157,7 +157,7 @@
     return;
   key = g_strdup_printf(
       "%s/%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT, mm_json_string(heartbeat, WIRE_MACHINE),
-      mm_json_count(heartbeat, WIRE_SESSION, 0), mm_json_count(heartbeat, WIRE_SEQ, 0));
+      mm_json_count(heartbeat, WIRE_INCARNATION, 0), mm_json_count(heartbeat, WIRE_SEQUENCE, 0));
   granted = g_hash_table_lookup(world->cores_granted, key);
   if (granted == NULL) {
     granted = g_new0(double, 1);
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -7,7 +7,7 @@
 
 void
 world_downgrade_request(const World *world, guint node, json_t *request) {
-  json_t *changes = json_object_get(request, WIRE_THEN);
+  json_t *changes = json_object_get(request, WIRE_OPERATIONS);
   size_t i;
   json_t *item;
 
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -211,7 +211,7 @@
       WIRE_JOB_ID, job->id, WIRE_CLASS, "work", WIRE_TEAM, "team-0", WIRE_KIND, WIRE_KIND_ARRAY,
       WIRE_PRIORITY, "normal", WIRE_TASKS, 4, WIRE_CORES, 2.0, WIRE_ACCELERATORS, 0.0, WIRE_MEMORY,
       4.0, WIRE_IMAGE, "img-1", WIRE_IMAGE_GB, 1.0, WIRE_ONE_ZONE, 0, WIRE_SPREAD, 0, WIRE_SPOT, 1,
-      WIRE_ESTIMATE, run_s, WIRE_CHECKPOINT, 0.0, WIRE_SAVE, 0.0);
+      WIRE_ESTIMATE, run_s, WIRE_CHECKPOINT_INTERVAL, 0.0, WIRE_CHECKPOINT_DURATION, 0.0);
   json_object_update(job->body, overrides);
   json_decref(overrides);
   g_assert_true(mm_job_spec_parse(&job->spec, job->body, &reason));
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -51,14 +51,15 @@
       json_object_set_new(item, WIRE_CAUSE, json_string(world_task_cause_word(task)));
     json_array_append_new(tasks, item);
   }
-  heartbeat = json_pack("{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:o}", WIRE_MACHINE, machine->id,
-                        WIRE_ADDR, machine->address, WIRE_TYPE, machine->type, WIRE_ZONE,
-                        machine->zone, WIRE_SPOT, machine->is_spot, WIRE_SESSION,
-                        (json_int_t)machine->incarnation, WIRE_SEQ, (json_int_t)machine->sequence,
-                        WIRE_TOKEN, (json_int_t)machine->fencing_token, "kits", tasks);
+  heartbeat
+      = json_pack("{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:o}", WIRE_MACHINE, machine->id,
+                  WIRE_ADDRESS, machine->address, WIRE_TYPE, machine->type, WIRE_ZONE,
+                  machine->zone, WIRE_SPOT, machine->is_spot, WIRE_INCARNATION,
+                  (json_int_t)machine->incarnation, WIRE_SEQUENCE, (json_int_t)machine->sequence,
+                  WIRE_FENCING_TOKEN, (json_int_t)machine->fencing_token, "kits", tasks);
   if (machine->notice_at_us != 0)
     json_object_set_new(
-        heartbeat, WIRE_NOTICE,
+        heartbeat, WIRE_TERMINATION_NOTICE,
         json_real((double)(machine->reclaimed_at_us - world->now_us) / G_USEC_PER_SEC));
   return heartbeat;
 }
@@ -69,7 +70,8 @@
   json_t *item;
 
   json_array_foreach(commands, i, item) {
-    const char *op = mm_json_string(item, WIRE_OP), *text = mm_json_string(item, WIRE_TASK);
+    const char *op = mm_json_string(item, WIRE_COMMAND_KIND),
+               *text = mm_json_string(item, WIRE_TASK);
     const char *slash = strrchr(text, '/');
     g_autofree char *id = g_strndup(text, (gsize)(slash - text));
     guint number = (guint)atoi(slash + 1);
@@ -94,17 +96,17 @@
 
 int
 world_machine_handle_direct(WorldMachine *machine, const json_t *body, json_t **response) {
-  guint64 fencing_token = mm_json_count(body, WIRE_TOKEN, 0);
+  guint64 fencing_token = mm_json_count(body, WIRE_FENCING_TOKEN, 0);
   size_t i;
   json_t *item;
 
   /* Starts are never sent as direct commands: one could be executed minutes late. */
   json_array_foreach(json_object_get(body, WIRE_COMMANDS), i,
-                     item) if (g_strcmp0(mm_json_string(item, WIRE_OP), WIRE_START) == 0)
+                     item) if (g_strcmp0(mm_json_string(item, WIRE_COMMAND_KIND), WIRE_START) == 0)
       world_report_violation(machine->world, "a start was sent as a direct command to %s",
                              machine->id);
   if (fencing_token < machine->fencing_token
-      || mm_json_count(body, WIRE_SESSION, 0) != machine->incarnation) {
+      || mm_json_count(body, WIRE_INCARNATION, 0) != machine->incarnation) {
     *response = world_machine_heartbeat(machine);
     return 409;
   }
@@ -129,8 +131,8 @@
   HeartbeatRequest *request = data;
   WorldMachine *machine = request->machine;
   World *world = machine->world;
-  guint64 fencing_token = mm_json_count(body, WIRE_TOKEN, 0);
-  const char *redirect_label = mm_json_string(body, WIRE_REPORT_TO);
+  guint64 fencing_token = mm_json_count(body, WIRE_FENCING_TOKEN, 0);
+  const char *redirect_label = mm_json_string(body, WIRE_REDIRECT_TO);
 
   if (machine->is_up && machine->heartbeat_number == request->heartbeat_number) {
     machine->is_heartbeat_in_flight = FALSE;
@@ -174,7 +176,7 @@
   if (world->now_us < machine->outbound_lost_until_us)
     world_schedule(world, world->now_us + 500000, on_connect_failure, request);
   else
-    world_send_request(world, machine->serving_node, machine, "POST", WIRE_REPORT_PATH,
+    world_send_request(world, machine->serving_node, machine, "POST", WIRE_HEARTBEAT_PATH,
                        world_machine_heartbeat(machine), WORLD_HEARTBEAT_TIMEOUT_US,
                        on_heartbeat_response, request);
 }
