--- a/src/heartbeat/heartbeat-response.c
+++ b/src/heartbeat-server/heartbeat-response.c
@@ -1,4 +1,4 @@
-#include "heartbeat/heartbeat-response.h"
+#include "heartbeat-server/heartbeat-response.h"
 
 #include "base/wire.h"
 #include "heartbeat/heartbeat.h"
--- a/src/heartbeat/heartbeat-response.h
+++ b/src/heartbeat-server/heartbeat-response.h
@@ -1,7 +1,7 @@
 /* What a response to a heartbeat is made of: commands, and the message that carries them. */
 #pragma once
 
-#include "heartbeat/heartbeat-server.h"
+#include "heartbeat-server/heartbeat-server.h"
 
 /* Appends commands (MmCommand) for those of the tasks that must stop or be forgotten, whoever leads
  * their shards. `tasks`: MmReportedTask. */
--- a/src/heartbeat/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -1,8 +1,8 @@
-#include "heartbeat/heartbeat-server.h"
+#include "heartbeat-server/heartbeat-server.h"
 
 #include "base/wire.h"
-#include "heartbeat/heartbeat-response.h"
-#include "heartbeat/pending-response.h"
+#include "heartbeat-server/heartbeat-response.h"
+#include "heartbeat-server/pending-response.h"
 #include "machines/machine-health.h"
 #include "machines/machine-table.h"
 #include "leases/node-lease.h"
--- a/src/heartbeat/pending-response-grants.c
+++ b/src/heartbeat-server/pending-response-grants.c
@@ -1,5 +1,5 @@
 /* Grants of the machine's resources for the approved starts. */
-#include "heartbeat/pending-response-private.h"
+#include "heartbeat-server/pending-response-private.h"
 
 #include "peers/peer-links.h"
 
--- a/src/heartbeat/pending-response-private.h
+++ b/src/heartbeat-server/pending-response-private.h
@@ -2,7 +2,7 @@
  * and pending-response-grants.c. */
 #pragma once
 
-#include "heartbeat/pending-response.h"
+#include "heartbeat-server/pending-response.h"
 
 /* Answers the exchange with the queued commands and the approved starts that are still valid, or
  * 503 when this node may not answer any more. Frees the response. */
--- a/src/heartbeat/pending-response.c
+++ b/src/heartbeat-server/pending-response.c
@@ -1,7 +1,7 @@
-#include "heartbeat/pending-response-private.h"
+#include "heartbeat-server/pending-response-private.h"
 
 #include "base/wire.h"
-#include "heartbeat/heartbeat-response.h"
+#include "heartbeat-server/heartbeat-response.h"
 #include "kv/replica.h"
 #include "leases/node-lease.h"
 #include "peers/peer-links.h"
--- a/src/heartbeat/pending-response.h
+++ b/src/heartbeat-server/pending-response.h
@@ -10,7 +10,7 @@
  * peer it stands in MmHeartbeatServer.pending_responses, until its deadline. */
 #pragma once
 
-#include "heartbeat/heartbeat-server.h"
+#include "heartbeat-server/heartbeat-server.h"
 #include "machines/machine-table.h"
 #include "placement/candidates.h"
 #include "sharing/sharing.h"
--- a/src/jobs/job-api.c
+++ b/src/job-api/job-api.c
@@ -1,8 +1,8 @@
-#include "jobs/job-api.h"
+#include "job-api/job-api.h"
 
-#include "jobs/job-cancellation.h"
-#include "jobs/job-status.h"
-#include "jobs/user-request.h"
+#include "job-api/job-cancellation.h"
+#include "job-api/job-status.h"
+#include "job-api/user-request.h"
 
 MmJobApi *
 mm_job_api_new(MmNode *node) {
--- a/src/jobs/job-cancellation.c
+++ b/src/job-api/job-cancellation.c
@@ -1,8 +1,8 @@
-#include "jobs/job-cancellation.h"
+#include "job-api/job-cancellation.h"
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
-#include "jobs/job-status.h"
+#include "job-api/job-status.h"
 #include "kv/kv-client.h"
 #include "kv/replica.h"
 #include "leases/node-lease.h"
--- a/src/jobs/job-cancellation.h
+++ b/src/job-api/job-cancellation.h
@@ -4,8 +4,8 @@
  * From then on no response starts one of the job's tasks or lets one go on. */
 #pragma once
 
-#include "jobs/job-api.h"
-#include "jobs/user-request.h"
+#include "job-api/job-api.h"
+#include "job-api/user-request.h"
 
 /* Writes the cancellation into the job record that was read at this version, then goes on. */
 void mm_job_cancellation_write(MmUserRequest *request, MmKeyVersion version);
--- a/src/jobs/job-status.c
+++ b/src/job-api/job-status.c
@@ -1,8 +1,8 @@
-#include "jobs/job-status.h"
+#include "job-api/job-status.h"
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
-#include "jobs/job-cancellation.h"
+#include "job-api/job-cancellation.h"
 #include "kv/kv-client.h"
 #include "kv/replica.h"
 #include "machines/machine-table.h"
--- a/src/jobs/job-status.h
+++ b/src/job-api/job-status.h
@@ -5,8 +5,8 @@
  */
 #pragma once
 
-#include "jobs/job-api.h"
-#include "jobs/user-request.h"
+#include "job-api/job-api.h"
+#include "job-api/user-request.h"
 
 /* The body of a status response; `state` is one of the WIRE_ words. */
 json_t *mm_job_state_to_json(const char *job_id, const char *state, guint n_completed,
--- a/src/jobs/user-request.c
+++ b/src/job-api/user-request.c
@@ -1,6 +1,6 @@
-#include "jobs/user-request.h"
+#include "job-api/user-request.h"
 
-#include "jobs/job-api.h"
+#include "job-api/job-api.h"
 #include "kv/kv-client.h"
 
 /* For so long after a refusal the key-value store is taken to refuse. */
--- a/src/peers/peer-receiver.c
+++ b/src/node/peer-receiver.c
@@ -1,8 +1,8 @@
-#include "peers/peer-receiver.h"
+#include "node/peer-receiver.h"
 
 #include "dependencies/dependencies.h"
-#include "heartbeat/pending-response.h"
-#include "jobs/job-api.h"
+#include "heartbeat-server/pending-response.h"
+#include "job-api/job-api.h"
 #include "machines/machine-health.h"
 #include "peers/peer-broadcast.h"
 #include "placement/backlog.h"
--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -3,7 +3,7 @@
 #include "autoscaler/autoscaler.h"
 #include "autoscaler/instance-types.h"
 #include "dependencies/dependencies.h"
-#include "heartbeat/heartbeat-server.h"
+#include "heartbeat-server/heartbeat-server.h"
 #include "jobs/job-table.h"
 #include "kv/kv-client.h"
 #include "kv/replica.h"
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -1,6 +1,6 @@
 #include "peers/peer-links.h"
 
-#include "heartbeat/heartbeat-server.h"
+#include "heartbeat-server/heartbeat-server.h"
 #include "kv/kv-client.h"
 #include "kv/replica.h"
 #include "leases/node-lease.h"
--- a/src/scheduler/acknowledgements.c
+++ b/src/scheduler/acknowledgements.c
@@ -1,6 +1,6 @@
 #include "scheduler/acknowledgements.h"
 
-#include "heartbeat/heartbeat-server.h"
+#include "heartbeat-server/heartbeat-server.h"
 #include "kv/replica.h"
 #include "leases/shard-ownership.h"
 #include "machines/machine-health.h"
--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -8,7 +8,7 @@
 
 #include "peers.pb-c.h"
 #include "peers/peer-links.h"
-#include "peers/peer-receiver.h"
+#include "node/peer-receiver.h"
 
 #define FRAME_MAX_BYTES (1024 * 1024)
 /* The length that goes before each frame. */
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -2,7 +2,7 @@
  * and however late it is read. */
 #include "machines/registry.h"
 #include "peers/peer-links.h"
-#include "peers/peer-receiver.h"
+#include "node/peer-receiver.h"
 #include "kv/kv-client.h"
 #include "world/world.h"
 
--- a/tests/world/links.c
+++ b/tests/world/links.c
@@ -3,7 +3,7 @@
 
 #include "peers.pb-c.h"
 #include "peers/peer-links.h"
-#include "peers/peer-receiver.h"
+#include "node/peer-receiver.h"
 
 /* A frame under way, or, without bytes, the opening of a link. */
 typedef struct {
