--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -1,8 +1,8 @@
 #include "jobs/job-table.h"
 
 #include "base/wire.h"
+#include "base/log.h"
 #include "leases/shard-ownership.h"
-#include "node/node.h"
 
 /* How many jobs that ended are remembered. */
 #define TERMINAL_STATES_KEPT 4096
@@ -18,10 +18,10 @@
   }
 
 MmJobTable *
-mm_job_table_new(MmNode *node) {
+mm_job_table_new(const MmSettings *settings) {
   MmJobTable *job_table = g_new0(MmJobTable, 1);
 
-  job_table->settings = node->settings;
+  job_table->settings = settings;
   job_table->observers = g_array_new(FALSE, FALSE, sizeof(MmJobObserver));
   job_table->jobs
       = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, (GDestroyNotify)mm_job_free);
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -42,7 +42,8 @@
   GQueue *removed_ids_order;
 };
 
-MmJobTable *mm_job_table_new(MmNode *node);
+/* The settings must outlive the table. */
+MmJobTable *mm_job_table_new(const MmSettings *settings);
 void mm_job_table_free(MmJobTable *job_table);
 /* Copies the observer. */
 void mm_job_table_add_observer(MmJobTable *job_table, const MmJobObserver *observer);
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -1,7 +1,5 @@
 #include "jobs/job.h"
 
-#include "node/node.h"
-
 void
 mm_job_free(MmJob *job) {
   mm_job_spec_clear(&job->spec);
@@ -27,6 +25,6 @@
 }
 
 double
-mm_job_waiting_time_s(const MmNode *node, const MmJob *job) {
-  return MAX(0.0, (double)(mm_node_wall_ms(node) - job->waiting_since_ms) / 1000.0);
+mm_job_waiting_time_s(const MmJob *job, gint64 wall_ms) {
+  return MAX(0.0, (double)(wall_ms - job->waiting_since_ms) / 1000.0);
 }
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -10,7 +10,6 @@
 
 typedef struct MmLedShard MmLedShard;
 typedef struct MmMachine MmMachine;
-typedef struct MmNode MmNode;
 typedef struct MmVertex MmVertex;
 
 /* Where a task may be. Only the shard leader of its team knows. */
@@ -139,5 +138,5 @@
 void mm_job_add_failed_machine(MmJob *job, const MmName *machine);
 /* Whether the job has failed on MM_JOB_MAX_FAILED_MACHINES machines and succeeded on none. */
 gboolean mm_job_fails_everywhere(const MmJob *job);
-/* How long the job has waited for its first task, in seconds, never below 0. */
-double mm_job_waiting_time_s(const MmNode *node, const MmJob *job);
+/* How long the job has waited for its first task at this time of day, in seconds, never below 0. */
+double mm_job_waiting_time_s(const MmJob *job, gint64 wall_ms);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -47,7 +47,7 @@
       = mm_node_lease_new(&node->platform, settings, operators, node->kv, node->replica);
   node->shard_ownership = mm_shard_ownership_new(&node->platform, settings, operators, node->kv,
                                                  node->replica, node->node_lease);
-  node->job_table = mm_job_table_new(node);
+  node->job_table = mm_job_table_new(settings);
   node->job_api = mm_job_api_new(node);
   node->dependencies = mm_dependencies_new(node);
   node->versions = mm_versions_new(&node->platform, settings, operators, node->kv, node->replica);
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -90,7 +90,7 @@
   mm_debug("task %s/%u start approved machine=%s type=%s cached=%d waited_s=%.1f", job->spec.id.s,
            number, request->machine->id.s, request->machine->type_name.s,
            mm_machine_has_cached_image(request->machine, &job->spec.image),
-           mm_job_waiting_time_s(scheduler->node, job));
+           mm_job_waiting_time_s(job, mm_node_wall_ms(scheduler->node)));
 }
 
 static gboolean
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -122,7 +122,7 @@
             "deadline_s=%.0f observed_run_s=%.0f",
             job->spec.id.s, job->spec.job_class.s, job->spec.n_tasks, job->spec.run_estimate_s,
             job->is_cancelled ? WIRE_CANCELLED : WIRE_DONE,
-            mm_job_waiting_time_s(scheduler->node, job), job->spec.deadline_s,
+            mm_job_waiting_time_s(job, mm_node_wall_ms(scheduler->node)), job->spec.deadline_s,
             job->n_observed_runs > 0 ? job->observed_run_s_sum / job->n_observed_runs : 0);
     written_job.terminal_record = mm_terminal_record_to_json(&(MmTerminalState){
         job->is_cancelled, job->completed.n_completed, mm_node_wall_ms(scheduler->node) });
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -49,7 +49,8 @@
 /* A job that has hardly begun after a long wait keeps the few tasks it has. */
 static gboolean
 is_spared(const MmScheduler *scheduler, const MmJob *job) {
-  return mm_job_waiting_time_s(scheduler->node, job) > scheduler->node->operators->starved_after_s
+  return mm_job_waiting_time_s(job, mm_node_wall_ms(scheduler->node))
+             > scheduler->node->operators->starved_after_s
          && mm_machine_table_running_tasks(scheduler->node->machine_table, job->spec.id.s)
                 <= SPARED_TASKS_MAX;
 }
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -42,7 +42,7 @@
 is_starving(const MmScheduler *scheduler, const MmJob *job) {
   return job->n_maybe_on_machines == 0 && job->completed.n_completed == 0 && !job->is_cancelled
          && mm_job_dependencies_are_done(job)
-         && mm_job_waiting_time_s(scheduler->node, job)
+         && mm_job_waiting_time_s(job, mm_node_wall_ms(scheduler->node))
                 > scheduler->node->operators->starved_after_s;
 }
 
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -18,7 +18,7 @@
 gboolean
 mm_scheduler_has_precedence(const MmScheduler *scheduler, const MmJob *job) {
   return job->is_starving || job->effective_priority >= MM_PRIORITY_URGENT
-         || mm_job_waiting_time_s(scheduler->node, job)
+         || mm_job_waiting_time_s(job, mm_node_wall_ms(scheduler->node))
                 > (job->is_within_quota ? QUOTA_START_WITHIN_S
                                         : scheduler->node->operators->wait_bound_s);
 }
