--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -3,8 +3,6 @@
 
 #include "kv/replica.h"
 #include "machines/machine-health.h"
-#include "scheduler/heartbeats.h"
-#include "sharing/sharing.h"
 
 static gboolean
 heartbeat_shows_no_change(const MmMachine *machine, const MmHeartbeat *heartbeat,
@@ -149,13 +147,14 @@
   machine->last_heartbeat_at = mm_time_max(machine->last_heartbeat_at, received_at);
 }
 
-/* Passes a recorded heartbeat to the modules that decide on the machine's tasks and resources. */
 static void
 notify_heartbeat(const MmMachineTable *machine_table, MmMachine *machine,
                  const MmHeartbeat *heartbeat, gboolean changed) {
-  mm_scheduler_heartbeat_received(machine_table->node->scheduler, machine, heartbeat, changed);
-  mm_sharing_heartbeat_received(machine_table->node->sharing, machine, heartbeat->heartbeat_id,
-                                heartbeat->is_direct_reply);
+  for (guint i = 0; i < machine_table->observers->len; i++) {
+    const MmMachineObserver *observer
+        = &g_array_index(machine_table->observers, MmMachineObserver, i);
+    observer->heartbeat_recorded(observer->context, machine, heartbeat, changed);
+  }
 }
 
 /* Whether the message is the newest heartbeat that has reached a node; its response then counts. A
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -2,7 +2,6 @@
 
 #include "machines/machine-health.h"
 #include "machines/registry.h"
-#include "scheduler/heartbeats.h"
 #include "sharing/sharing.h"
 
 static void
@@ -22,6 +21,7 @@
   MmMachineTable *machine_table = g_new0(MmMachineTable, 1);
 
   machine_table->node = node;
+  machine_table->observers = g_array_new(FALSE, FALSE, sizeof(MmMachineObserver));
   machine_table->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
   machine_table->sorted_machines = g_ptr_array_new();
   machine_table->ended_incarnations
@@ -34,6 +34,7 @@
 
 void
 mm_machine_table_free(MmMachineTable *machine_table) {
+  g_array_unref(machine_table->observers);
   g_ptr_array_unref(machine_table->sorted_machines);
   g_hash_table_unref(machine_table->machines);
   g_hash_table_unref(machine_table->running_tasks_by_job);
@@ -42,6 +43,11 @@
   g_free(machine_table);
 }
 
+void
+mm_machine_table_add_observer(MmMachineTable *machine_table, const MmMachineObserver *observer) {
+  g_array_append_val(machine_table->observers, *observer);
+}
+
 MmMachine *
 mm_machine_table_find(const MmMachineTable *machine_table, const char *machine_id) {
   return g_hash_table_lookup(machine_table->machines, machine_id);
@@ -132,8 +138,11 @@
 
 void
 mm_machine_table_notify_machine_ended(const MmMachineTable *machine_table, MmMachine *machine) {
-  mm_scheduler_machine_gone(machine_table->node->scheduler, machine);
-  mm_sharing_machine_gone(machine_table->node->sharing, machine);
+  for (guint i = 0; i < machine_table->observers->len; i++) {
+    const MmMachineObserver *observer
+        = &g_array_index(machine_table->observers, MmMachineObserver, i);
+    observer->machine_ended(observer->context, machine);
+  }
 }
 
 void
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -13,8 +13,19 @@
 #include "machines/machine.h"
 #include "node/node.h"
 
+/* Is told what happens to machines. The machine and the heartbeat are lent. */
+typedef struct {
+  /* A heartbeat or direct reply was applied. `has_changes`: it shows more than a repetition. */
+  void (*heartbeat_recorded)(gpointer context, MmMachine *machine, const MmHeartbeat *heartbeat,
+                             gboolean has_changes);
+  /* Nothing runs on the machine any more, for certain: pointers to it end here. */
+  void (*machine_ended)(gpointer context, MmMachine *machine);
+  gpointer context;
+} MmMachineObserver;
+
 struct MmMachineTable {
   MmNode *node;
+  GArray *observers; /* MmMachineObserver, told in the order in which they were added */
   GHashTable *running_tasks_by_job; /* job id -> number of its tasks reported running */
   GHashTable *machines;             /* id -> MmMachine, owned */
   GPtrArray *sorted_machines;       /* MmMachine by id */
@@ -28,6 +39,9 @@
 MmMachineTable *mm_machine_table_new(MmNode *node);
 void mm_machine_table_free(MmMachineTable *machine_table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmMachineTable, mm_machine_table_free)
+/* Copies the observer. */
+void mm_machine_table_add_observer(MmMachineTable *machine_table,
+                                   const MmMachineObserver *observer);
 /* NULL when unknown. Lent. */
 MmMachine *mm_machine_table_find(const MmMachineTable *machine_table, const char *machine_id);
 
@@ -45,7 +59,7 @@
 MmMachine *mm_machine_table_add_unverified(MmMachineTable *machine_table,
                                            const MmHeartbeat *heartbeat);
 
-/* Applies a heartbeat or direct reply and notifies scheduler and sharing. NULL when it is older
+/* Applies a heartbeat or direct reply and notifies the observers. NULL when it is older
  * than what is known. `received_at`: the latest instant at which it was sent; `serving_node`: the
  * node that received it, a peer's index or MM_SERVING_NODE_... */
 MmMachine *mm_machine_table_record_heartbeat(MmMachineTable *machine_table,
--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -14,6 +14,7 @@
 #include "peers/peer-broadcast.h"
 #include "peers/peer-links.h"
 #include "placement/accelerator-reserve.h"
+#include "scheduler/heartbeats.h"
 #include "scheduler/led-shards.h"
 #include "scheduler/stop-commands.h"
 #include "sharing/sharing.h"
@@ -202,6 +203,42 @@
     mm_job_table_add_observer(node->job_table, &observers[i]);
 }
 
+/* ---- observers of machines ---- */
+
+static void
+scheduler_heartbeat_recorded(gpointer context, MmMachine *machine, const MmHeartbeat *heartbeat,
+                             gboolean has_changes) {
+  mm_scheduler_heartbeat_received(context, machine, heartbeat, has_changes);
+}
+
+static void
+scheduler_machine_ended(gpointer context, MmMachine *machine) {
+  mm_scheduler_machine_gone(context, machine);
+}
+
+static void
+sharing_heartbeat_recorded(gpointer context, MmMachine *machine, const MmHeartbeat *heartbeat,
+                           gboolean has_changes) {
+  mm_sharing_heartbeat_received(context, machine, heartbeat->heartbeat_id,
+                                heartbeat->is_direct_reply);
+}
+
+static void
+sharing_machine_ended(gpointer context, MmMachine *machine) {
+  mm_sharing_machine_gone(context, machine);
+}
+
+static void
+observe_machines(MmNode *node) {
+  const MmMachineObserver observers[] = {
+    { scheduler_heartbeat_recorded, scheduler_machine_ended, node->scheduler },
+    { sharing_heartbeat_recorded, sharing_machine_ended, node->sharing },
+  };
+
+  for (guint i = 0; i < G_N_ELEMENTS(observers); i++)
+    mm_machine_table_add_observer(node->machine_table, &observers[i]);
+}
+
 /* ---- callbacks of the dependencies and the autoscaler ---- */
 
 static void
@@ -287,6 +324,7 @@
   observe_replica_keys(node);
   listen_to_replica(node);
   observe_job_table(node);
+  observe_machines(node);
   set_event_callbacks(node);
   set_callbacks(node);
 }
