--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -1,25 +1,45 @@
 #include "processes.h"
 
+#include <errno.h>
 #include <gio/gio.h>
 #include <glib/gstdio.h>
 #include <signal.h>
 #include <stdio.h>
-#include <errno.h>
 #include <sys/wait.h>
+#include <unistd.h>
 
 static const char *const zones[] = { "a", "b", "c" };
 
-/* A free port of the loopback address, as it is now. */
-static guint
-free_port(void) {
+/* Below the ports that the system hands out for outgoing connections: such a connection, of this
+ * rig or of anything else on the machine, would else take a node's port while the node is down. */
+#define PORT_MIN 20000
+#define PORT_MAX 32000
+/* Rigs side by side begin apart from one another. */
+#define PORTS_PER_RIG 16
+
+static gboolean
+is_free(guint port) {
   g_autoptr(GSocket) socket
       = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
-  g_autoptr(GSocketAddress) any = g_inet_socket_address_new_from_string("127.0.0.1", 0);
-  g_autoptr(GSocketAddress) bound = NULL;
+  g_autoptr(GSocketAddress) address = g_inet_socket_address_new_from_string("127.0.0.1", port);
 
-  g_assert_true(g_socket_bind(socket, any, TRUE, NULL));
-  bound = g_socket_get_local_address(socket, NULL);
-  return g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(bound));
+  return g_socket_bind(socket, address, TRUE, NULL);
+}
+
+/* A port of the loopback address that is free as it is asked for; never the same twice in a rig. */
+static guint
+free_port(void) {
+  static guint next;
+
+  if (next == 0)
+    next = PORT_MIN + (guint)getpid() * PORTS_PER_RIG % (PORT_MAX - PORT_MIN);
+  for (guint tried = PORT_MIN; tried < PORT_MAX; tried++) {
+    guint port = next;
+    next = next + 1 < PORT_MAX ? next + 1 : PORT_MIN;
+    if (is_free(port))
+      return port;
+  }
+  g_error("no port of the loopback address is free");
 }
 
 Processes *
