--- a/src/heartbeat-server/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -19,7 +19,6 @@
 #define REDIRECT_INTERVAL_MS 400
 #define LOAD_DIFFERENCE_TO_REDIRECT 4 /* machines more than the peer has */
 #define COUNT_INTERVAL_MS 500
-#define NO_PEER (-1) /* in place of a peer's index */
 
 typedef struct {
   MmHeartbeat heartbeat; /* owned */
@@ -65,7 +64,7 @@
 
 static void
 redirect_worker(MmHeartbeatServer *server, MmHttpExchange *exchange, gint peer) {
-  if (peer != NO_PEER)
+  if (peer != MM_PEER_NONE)
     mm_http_exchange_respond(
         exchange, 421,
         json_pack("{s:s}", WIRE_REDIRECT_TO, server->node->peer_links->peers[peer].label.s), 0);
@@ -73,20 +72,20 @@
     mm_http_exchange_respond(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
 
-/* A peer that this machine should move to, or NO_PEER. Machines are balanced over the nodes one at
- * a time; the counts are adjusted until the peer's next pong. */
+/* A peer that this machine should move to, or MM_PEER_NONE. Machines are balanced over the nodes
+ * one at a time; the counts are adjusted until the peer's next pong. */
 static gint
 less_loaded_peer(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
   gint peer;
 
   if (mm_time_ms_since(now, server->last_redirect_at) < REDIRECT_INTERVAL_MS)
-    return NO_PEER;
+    return MM_PEER_NONE;
   peer = mm_peer_links_least_loaded(server->node->peer_links);
-  if (peer == NO_PEER
+  if (peer == MM_PEER_NONE
       || server->served_machines
              < server->node->peer_links->peers[peer].n_machines + LOAD_DIFFERENCE_TO_REDIRECT)
-    return NO_PEER;
+    return MM_PEER_NONE;
   server->last_redirect_at = now;
   server->served_machines--;
   server->node->peer_links->peers[peer].n_machines++;
@@ -187,7 +186,7 @@
   peer = node->sharing->is_active
              ? mm_sharing_redirect_target(node->sharing, heartbeat->machine_id.s)
              : less_loaded_peer(server);
-  if (peer != NO_PEER) {
+  if (peer != MM_PEER_NONE) {
     redirect_worker(server, exchange, peer);
     return TRUE;
   }
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -46,7 +46,7 @@
   for (guint i = 0; i < links->n_peers; i++)
     if (strcmp(links->peers[i].label.s, label) == 0)
       return (gint)i;
-  return -1;
+  return MM_PEER_NONE;
 }
 
 /* Also to a peer that has not been sent the initial state yet. */
@@ -161,7 +161,7 @@
 
 gint
 mm_peer_links_least_loaded(const MmPeerLinks *links) {
-  gint best = -1;
+  gint best = MM_PEER_NONE;
 
   for (guint i = 0; i < links->n_peers; i++) {
     const MmPeer *peer = &links->peers[i];
