--- a/tests/world/types.h
+++ b/tests/world/types.h
@@ -81,7 +81,7 @@
   guint number; /* of the task in its job */
   guint64 attempt;
   guint8 state; /* MmReportedState */
-  guint8 cause; /* MmCause of its end */
+  guint8 cause; /* MmEndCause of its end */
   gint64 next_change_at_us;
   double remaining_s;
 } WorldTask;
