--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -46,14 +46,21 @@
 processes_new(const char *program) {
   Processes *processes = g_new0(Processes, 1);
 
-  processes->program = g_strdup(program);
   processes->folder = g_dir_make_tmp("martenmount-XXXXXX", NULL);
   g_assert_nonnull(processes->folder);
-  for (guint i = 0; i < WORLD_NODES; i++)
+  for (guint i = 0; i < WORLD_NODES; i++) {
+    processes->programs[i] = g_strdup(program);
     processes->fronts[i] = g_strdup_printf("127.0.0.1:%u", free_port());
+  }
   return processes;
 }
 
+void
+processes_set_program(Processes *processes, guint index, const char *program) {
+  g_free(processes->programs[index]);
+  processes->programs[index] = g_strdup(program);
+}
+
 static void
 append_others(GString *text, char *const *links, guint self) {
   for (guint i = 0; i < WORLD_NODES; i++)
@@ -145,7 +152,7 @@
 void
 processes_start(Processes *processes, guint index) {
   char *arguments[]
-      = { processes->program, "--config", processes->settings[index], NULL, NULL, NULL };
+      = { processes->programs[index], "--config", processes->settings[index], NULL, NULL, NULL };
   Which *which = g_new(Which, 1);
   g_autoptr(GError) error = NULL;
 
@@ -253,6 +260,7 @@
       g_unlink(processes->settings[i]);
     g_free(processes->settings[i]);
     g_free(processes->fronts[i]);
+    g_free(processes->programs[i]);
   }
   if (processes->operators != NULL)
     g_unlink(processes->operators);
@@ -261,6 +269,5 @@
   g_rmdir(processes->folder);
   g_free(processes->operators);
   g_free(processes->folder);
-  g_free(processes->program);
   g_free(processes);
 }
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -4,9 +4,9 @@
 #include "world/world.h"
 
 typedef struct {
-  char *folder; /* of settings and logs */
-  char *program;
-  char *operators; /* their file; NULL: none */
+  char *folder;                /* of settings and logs */
+  char *programs[WORLD_NODES]; /* the binary that each node runs from its next start on */
+  char *operators;             /* their file; NULL: none */
   char *settings[WORLD_NODES];
   char *fronts[WORLD_NODES + 1];
   GPid pids[WORLD_NODES];      /* 0: it is down */
@@ -16,8 +16,10 @@
   guint alive;                 /* processes that have not been waited for */
 } Processes;
 
-/* Chooses ports and a folder. */
+/* Chooses ports and a folder; all nodes run the program. */
 Processes *processes_new(const char *program);
+/* From its next start on the node runs this program. */
+void processes_set_program(Processes *processes, guint index, const char *program);
 /* Writes the settings of nodes n-0, n-1, ... with this address of the key-value store and the
  * cloud. */
 void processes_write_settings(Processes *processes, World *world, const char *outside,
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -25,8 +25,10 @@
 #define SUBMIT_EVERY_MS 400
 #define RECORD_EVERY_MS 50
 #define CANCELLED_SHARE 0.1
+#define TAKEOVER_DOWN_MS 100
 
 typedef struct {
+  const char *program;
   World *world;
   StandIns *stand_ins;
   Processes *processes;
@@ -44,6 +46,8 @@
 static gint seed = 1;
 static gchar *record_path;
 static gboolean without_groups;
+static gchar *other_binary;
+static gboolean is_takeover;
 
 /* ---- the history ---- */
 
@@ -143,6 +147,19 @@
   return G_SOURCE_CONTINUE;
 }
 
+/* Kills all nodes, which ran the other binary, and starts the program on what they stored. */
+static gboolean
+take_over(gpointer data) {
+  Run *run = data;
+
+  processes_continue_all(run->processes);
+  for (guint i = 0; i < WORLD_NODES; i++) {
+    processes_set_program(run->processes, i, run->program);
+    processes_kill(run->processes, i, TAKEOVER_DOWN_MS);
+  }
+  return G_SOURCE_REMOVE;
+}
+
 static gboolean
 is_over(const World *world) {
   for (guint i = 0; i < world->jobs->len; i++)
@@ -188,7 +205,7 @@
 static void
 expect_status(Run *run, int expected, const char *arguments) {
   Program *program = g_new(Program, 1);
-  g_autofree char *line = g_strconcat(run->processes->program, " ", arguments, NULL);
+  g_autofree char *line = g_strconcat(run->program, " ", arguments, NULL);
   g_auto(GStrv) words = g_strsplit(line, " ", -1);
   g_autoptr(GError) error = NULL;
   GPid pid;
@@ -291,8 +308,13 @@
   }
   processes_write_settings(run->processes, world, stand_ins_address(run->stand_ins),
                            without_groups ? OPERATORS_WITHOUT : OPERATORS);
-  for (guint i = 0; i < WORLD_NODES; i++)
+  for (guint i = 0; i < WORLD_NODES; i++) {
+    if (other_binary != NULL && (i == 0 || is_takeover))
+      processes_set_program(run->processes, i, other_binary);
     processes_start(run->processes, i);
+  }
+  if (is_takeover)
+    g_timeout_add((guint)seconds * 1000 / 2, take_over, run);
   g_timeout_add(SUBMIT_EVERY_MS, submit, run);
   if (!without_groups)
     g_timeout_add(MOVE_EVERY_MS, move, run);
@@ -303,7 +325,8 @@
 static int
 play(const char *program) {
   g_autoptr(GError) error = NULL;
-  Run run = { .world = world_new((guint32)seed),
+  Run run = { .program = program,
+              .world = world_new((guint32)seed),
               .processes = processes_new(program),
               .history = g_array_new(FALSE, FALSE, sizeof(HistoryEvent)),
               .seen_views = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
@@ -342,6 +365,10 @@
     { "record", 'o', 0, G_OPTION_ARG_FILENAME, &record_path, "Write the history there", "FILE" },
     { "without-groups", 0, 0, G_OPTION_ARG_NONE, &without_groups,
       "Machines are not shared out, for comparison", NULL },
+    { "other-binary", 0, 0, G_OPTION_ARG_FILENAME, &other_binary,
+      "Node n-0 runs this build instead of PROGRAM", "FILE" },
+    { "take-over", 0, 0, G_OPTION_ARG_NONE, &is_takeover,
+      "All nodes run the other build for half of the time, then PROGRAM on the same store", NULL },
     { NULL },
   };
   g_autoptr(GOptionContext) context = g_option_context_new("PROGRAM - three nodes on loopback");
@@ -352,5 +379,9 @@
     fprintf(stderr, "loopback: %s\n", error != NULL ? error->message : "PROGRAM is required");
     return EXIT_USAGE;
   }
+  if (is_takeover && other_binary == NULL) {
+    fprintf(stderr, "loopback: --take-over wants --other-binary\n");
+    return EXIT_USAGE;
+  }
   return play(argv[1]);
 }
