--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -3,10 +3,12 @@
 #include "base/wire.h"
 #include "kv/kv-client.h"
 
-/* Reads of terminal records at a time, and their share of the requests to the key-value store. */
+/* Limits on reads of terminal records: how many may be pending at a time, and which fraction of the
+ * node's request rate to the key-value store (kv_requests_per_s) they may use. */
 #define MAX_CONCURRENT_LOOKUPS 4
 #define LOOKUP_REQUEST_SHARE 0.1
-#define LOOKUP_RETRY_PAUSE_MS 500
+/* Delay between the response to a read of a terminal record and the next read of the same one. */
+#define LOOKUP_RETRY_DELAY_MS 500
 
 MmDependencies *
 mm_dependencies_new(MmNode *node) {
@@ -29,8 +31,9 @@
   dependencies->callbacks = *callbacks;
 }
 
-/* ---- what follows from a change of the graph ---- */
+/* ---- Graph updates and callbacks ---- */
 
+/* Invokes the callbacks for the jobs that the change cancelled or made ready. */
 static void
 notify(MmDependencies *dependencies, const MmDependencyChange *change) {
   const MmDependenciesCallbacks *callbacks = &dependencies->callbacks;
@@ -56,7 +59,8 @@
     mm_dependency_graph_cancel_job(dependencies->graph, job->spec.id.s, change);
 }
 
-/* Adds what this node knows already of the jobs that the new one depends on. */
+/* Updates the graph with the terminal states and jobs that this node already knows among the
+ * dependencies of a new job. */
 static void
 add_known_dependencies(MmDependencies *dependencies, const MmJob *job, MmDependencyChange *change) {
   MmJobTable *job_table = dependencies->node->job_table;
@@ -110,8 +114,9 @@
 }
 
 gboolean
-mm_dependencies_is_undecided(MmDependencies *dependencies, const MmJob *job) {
-  return job->vertex != NULL && mm_dependency_graph_is_undecided(dependencies->graph, job->vertex);
+mm_dependencies_has_unknown_dependency(MmDependencies *dependencies, const MmJob *job) {
+  return job->vertex != NULL
+         && mm_dependency_graph_has_unknown_dependency(dependencies->graph, job->vertex);
 }
 
 gboolean
@@ -119,8 +124,9 @@
   return job->vertex != NULL && mm_vertex_has_cancelled_dependency(job->vertex);
 }
 
-/* ---- terminal records that the replica did not bring ---- */
+/* ---- Lookup of terminal records in the key-value store ---- */
 
+/* Context of a pending read; freed by its callback. */
 typedef struct {
   MmDependencies *dependencies;
   MmName job;
@@ -133,11 +139,12 @@
   MmNode *node = dependencies->node;
   MmVertex *vertex = mm_dependency_graph_find(dependencies->graph, lookup->job.s);
 
-  dependencies->n_lookups--;
+  dependencies->n_pending_lookups--;
   if (vertex != NULL) {
-    vertex->is_being_looked_up = FALSE;
-    /* 404: its job record is about to show in the replica, or has just ended. */
-    vertex->lookup_not_before = mm_time_add_ms(mm_node_now(node), LOOKUP_RETRY_PAUSE_MS);
+    vertex->is_lookup_pending = FALSE;
+    /* A 404 is temporary: either the job record exists but has not reached the replica yet, or the
+     * job ended after this read. */
+    vertex->lookup_not_before = mm_time_add_ms(mm_node_now(node), LOOKUP_RETRY_DELAY_MS);
   }
   if (status == 200)
     mm_job_table_add_terminal_record(node->job_table, lookup->job.s, mm_json_get(body, WIRE_VALUE));
@@ -149,8 +156,8 @@
   TerminalLookup *lookup = g_new(TerminalLookup, 1);
 
   *lookup = (TerminalLookup){ dependencies, vertex->job_id };
-  vertex->is_being_looked_up = TRUE;
-  dependencies->n_lookups++;
+  vertex->is_lookup_pending = TRUE;
+  dependencies->n_pending_lookups++;
   mm_kv_client_get(dependencies->node->kv, MM_KEY_TERMINAL_RECORD, vertex->job_id.s,
                    on_terminal_record_read, lookup);
 }
@@ -166,9 +173,10 @@
   if (unknown->len == 0 || mm_kv_client_is_refused(node->kv)
       || mm_time_before(now, dependencies->next_lookup_at))
     return;
-  for (guint i = 0; i < unknown->len && dependencies->n_lookups < MAX_CONCURRENT_LOOKUPS; i++) {
+  for (guint i = 0; i < unknown->len && dependencies->n_pending_lookups < MAX_CONCURRENT_LOOKUPS;
+       i++) {
     MmVertex *vertex = g_ptr_array_index(unknown, i);
-    if (vertex->is_being_looked_up || mm_time_before(now, vertex->lookup_not_before))
+    if (vertex->is_lookup_pending || mm_time_before(now, vertex->lookup_not_before))
       continue;
     look_up_terminal_record(dependencies, vertex);
     dependencies->next_lookup_at = mm_time_add_ms(now, lookup_interval_ms);
--- a/src/dependencies/dependency-graph.c
+++ b/src/dependencies/dependency-graph.c
@@ -69,7 +69,7 @@
   return vertex;
 }
 
-/* Frees the vertex if no unfinished job depends on it and its own record is gone. */
+/* Frees the vertex if its job record was deleted and no unfinished job depends on it. */
 static void
 free_if_unused(MmDependencyGraph *graph, MmVertex *vertex) {
   if (vertex->is_in_job_table || vertex->dependents->len > 0 || vertex->dependencies->len > 0)
@@ -84,10 +84,10 @@
   return vertex->state == MM_VERTEX_DONE || vertex->state == MM_VERTEX_CANCELLED;
 }
 
-/* Marks the vertex and all that depend on it, directly or not. The part of change->cancelled that
- * this call adds is its queue. */
+/* Marks the vertex and its direct and transitive dependents as cancelled. The elements that this
+ * call appends to change->cancelled also serve as the queue of the breadth-first traversal. */
 static void
-cancel_from(MmDependencyGraph *graph, MmVertex *start, MmDependencyChange *change) {
+cancel_with_dependents(MmDependencyGraph *graph, MmVertex *start, MmDependencyChange *change) {
   guint next = change->cancelled->len;
 
   if (has_ended(start))
@@ -141,7 +141,7 @@
   for (guint i = 0; i < n_dependencies; i++)
     connect_dependency(graph, vertex, &dependencies[i]);
   if (mm_vertex_has_cancelled_dependency(vertex))
-    cancel_from(graph, vertex, change);
+    cancel_with_dependents(graph, vertex, change);
   return vertex;
 }
 
@@ -151,7 +151,7 @@
   MmVertex *vertex = mm_dependency_graph_find(graph, job_id);
 
   if (vertex != NULL)
-    cancel_from(graph, vertex, change);
+    cancel_with_dependents(graph, vertex, change);
 }
 
 void
@@ -162,7 +162,7 @@
   if (vertex == NULL || has_ended(vertex))
     return;
   if (is_cancelled) {
-    cancel_from(graph, vertex, change);
+    cancel_with_dependents(graph, vertex, change);
     return;
   }
   set_state(graph, vertex, MM_VERTEX_DONE);
@@ -189,7 +189,8 @@
   }
   g_ptr_array_set_size(vertex->dependencies, 0);
   vertex->n_unmet = 0;
-  /* A cancellation that was seen stays true; how an unfinished job ended must be read. */
+  /* A known outcome is final. The outcome of a job that was last seen unfinished is unknown until
+   * its terminal record has been read. */
   if (vertex->state == MM_VERTEX_UNFINISHED)
     set_state(graph, vertex, MM_VERTEX_UNKNOWN);
   free_if_unused(graph, vertex);
@@ -211,26 +212,27 @@
 }
 
 gboolean
-mm_dependency_graph_is_undecided(MmDependencyGraph *graph, MmVertex *vertex) {
-  g_autoptr(GPtrArray) walk = NULL;
-  guint64 walk_number;
+mm_dependency_graph_has_unknown_dependency(MmDependencyGraph *graph, MmVertex *vertex) {
+  g_autoptr(GPtrArray) queue = NULL;
+  guint64 traversal_number;
 
   if (graph->unknown->len == 0 || has_ended(vertex))
     return FALSE;
-  walk_number = ++graph->n_walks;
-  walk = g_ptr_array_new();
-  g_ptr_array_add(walk, vertex);
-  vertex->last_walk = walk_number;
-  for (guint next = 0; next < walk->len; next++) {
-    const MmVertex *current = g_ptr_array_index(walk, next);
+  traversal_number = ++graph->n_traversals;
+  queue = g_ptr_array_new();
+  g_ptr_array_add(queue, vertex);
+  vertex->last_traversal = traversal_number;
+  for (guint next = 0; next < queue->len; next++) {
+    const MmVertex *current = g_ptr_array_index(queue, next);
     for (guint i = 0; i < current->dependencies->len; i++) {
       MmVertex *dependency = g_ptr_array_index(current->dependencies, i);
       if (dependency->state == MM_VERTEX_UNKNOWN)
         return TRUE;
-      if (dependency->state != MM_VERTEX_UNFINISHED || dependency->last_walk == walk_number)
+      if (dependency->state != MM_VERTEX_UNFINISHED
+          || dependency->last_traversal == traversal_number)
         continue;
-      dependency->last_walk = walk_number;
-      g_ptr_array_add(walk, dependency);
+      dependency->last_traversal = traversal_number;
+      g_ptr_array_add(queue, dependency);
     }
   }
   return FALSE;
--- a/src/dependencies/dependency-graph.h
+++ b/src/dependencies/dependency-graph.h
@@ -1,79 +1,84 @@
-/* The dependency graph of the unfinished jobs: which jobs each of them waits for, and what follows
- * from the end or the cancellation of a job.
+/* Dependency graph of the unfinished jobs. It records which jobs each job depends on, and
+ * determines which jobs become ready or cancelled when a job ends or is cancelled.
  *
- * The graph is a data structure without input or output. It owns its vertices. A vertex stands for
- * a job that is unfinished, or that an unfinished job depends on; it is freed when neither holds
- * any more. A job names only jobs accepted before it and no id is used twice, so the graph has no
- * cycle. No function recurses, however long a chain is. */
+ * The graph is a pure data structure that performs no I/O. It owns its vertices. A vertex
+ * represents an unfinished job that has dependencies, or a job that an unfinished job depends on;
+ * it is freed when neither is the case any longer. The graph has no cycles, because a job can
+ * depend only on jobs that were accepted before it, and ids are never reused. No function is
+ * recursive, so the length of a chain of dependencies does not affect the stack depth. */
 #pragma once
 
 #include "base/types.h"
 
 typedef enum {
-  MM_VERTEX_UNKNOWN,    /* neither its job record nor its terminal record has been seen */
-  MM_VERTEX_UNFINISHED, /* its job record was seen, and nothing says that it is cancelled */
-  MM_VERTEX_DONE,       /* its terminal record was seen, with the outcome done */
-  MM_VERTEX_CANCELLED   /* it, or a job that it depends on, directly or not, is cancelled */
+  MM_VERTEX_UNKNOWN,    /* no job record is present, and no terminal record has been seen */
+  MM_VERTEX_UNFINISHED, /* its job record is present, and it is not known to be cancelled */
+  MM_VERTEX_DONE,       /* its terminal record has been seen, with the outcome done */
+  MM_VERTEX_CANCELLED   /* the job or a direct or transitive dependency is cancelled */
 } MmVertexState;
 
 typedef struct MmVertex MmVertex;
 struct MmVertex {
   MmName job_id;
   MmVertexState state;
-  gint64 done_at_ms; /* time of day of its end, where it is done; 0: unknown */
+  gint64 done_at_ms; /* time of day at which the job was done; 0: not done, or unknown */
   gboolean is_in_job_table;
-  gboolean is_being_looked_up; /* its terminal record is being read */
-  MmTime lookup_not_before;
-  GPtrArray *dependencies; /* MmVertex: the jobs that it depends on */
-  GPtrArray *dependents;   /* MmVertex: the unfinished jobs that depend on it */
-  guint n_unmet;           /* dependencies that are not known to be done */
-  guint64 last_walk;       /* number of the last walk that visited it, see n_walks */
+  gboolean is_lookup_pending; /* a read of its terminal record is pending */
+  MmTime lookup_not_before;   /* earliest time of the next read of its terminal record */
+  GPtrArray *dependencies;    /* MmVertex: the jobs that this job depends on */
+  GPtrArray *dependents;      /* MmVertex: the unfinished jobs that depend on this job */
+  guint n_unmet;              /* number of dependencies that are not known to be done */
+  guint64 last_traversal;     /* number of the last traversal that visited it, see n_traversals */
 };
 
 typedef struct {
-  GHashTable *vertices; /* job id -> MmVertex */
-  GPtrArray *unknown;   /* MmVertex in MM_VERTEX_UNKNOWN */
-  guint64 n_walks;      /* walks through the graph so far */
+  GHashTable *vertices; /* job id -> MmVertex, owned */
+  GPtrArray *unknown;   /* MmVertex in state MM_VERTEX_UNKNOWN */
+  guint64 n_traversals; /* number of traversals so far, which is the number of the latest one */
 } MmDependencyGraph;
 
 MmDependencyGraph *mm_dependency_graph_new(void);
 void mm_dependency_graph_free(MmDependencyGraph *graph);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmDependencyGraph, mm_dependency_graph_free)
 
-/* The job's vertex, lent, or NULL: it depends on nothing and nothing unfinished depends on it. */
+/* Returns the vertex of the job, owned by the graph, or NULL if it has none: the job has no
+ * dependencies and no unfinished job depends on it. */
 MmVertex *mm_dependency_graph_find(const MmDependencyGraph *graph, const char *job_id);
 
-/* What a change of the graph brought about: vertices, lent until the next change. */
+/* Effects of one or more changes of the graph, appended by the functions below. The vertices are
+ * owned by the graph; mm_dependency_graph_remove_job may free them. */
 typedef struct {
-  GPtrArray *cancelled; /* MmVertex that are cancelled now and were not before */
-  GPtrArray *ready;     /* MmVertex whose last dependency is done now */
+  GPtrArray *cancelled; /* MmVertex that became cancelled */
+  GPtrArray *ready;     /* MmVertex whose last outstanding dependency became done */
 } MmDependencyChange;
 
 void mm_dependency_change_init(MmDependencyChange *change);
 void mm_dependency_change_clear(MmDependencyChange *change);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(MmDependencyChange, mm_dependency_change_clear)
 
-/* The job's record was seen, with these dependencies. Later calls for the same job change nothing.
- * Returns its vertex, or NULL when it needs none. */
+/* Records that the job record was seen, with these dependencies. Repeated calls for the same job
+ * have no effect. Returns the vertex of the job, owned by the graph, or NULL if it needs none. */
 MmVertex *mm_dependency_graph_add_job(MmDependencyGraph *graph, const char *job_id,
                                       const MmName *dependencies, guint n_dependencies,
                                       MmDependencyChange *change);
-/* The job is cancelled, and with it all that depend on it. */
+/* Marks the job and its direct and transitive dependents as cancelled. */
 void mm_dependency_graph_cancel_job(MmDependencyGraph *graph, const char *job_id,
                                     MmDependencyChange *change);
-/* The job's terminal record was seen. `done_at_ms` 0: unknown. */
+/* Records the outcome of the job, as its terminal record states it. `done_at_ms` is the time of day
+ * at which it was done; 0: unknown. */
 void mm_dependency_graph_end_job(MmDependencyGraph *graph, const char *job_id,
                                  gboolean is_cancelled, gint64 done_at_ms,
                                  MmDependencyChange *change);
-/* The job's record is gone. Its vertex stays while an unfinished job depends on it. */
+/* Records that the job record was deleted. The vertex remains while an unfinished job needs it. */
 void mm_dependency_graph_remove_job(MmDependencyGraph *graph, const char *job_id);
 
-/* Whether each of the job's dependencies is known to be done. */
+/* Returns whether all dependencies of the job are known to be done. */
 gboolean mm_vertex_dependencies_are_done(const MmVertex *vertex);
-/* Whether a job that it depends on is cancelled. */
+/* Returns whether a dependency of the job is cancelled. */
 gboolean mm_vertex_has_cancelled_dependency(const MmVertex *vertex);
-/* Time of day at which the last of its dependencies was done; 0: it has none, or unknown. */
+/* Returns the time of day, in milliseconds, at which the last of the job's dependencies was done.
+ * Returns 0 if the job has no dependencies or the time is unknown. */
 gint64 mm_vertex_dependencies_done_at_ms(const MmVertex *vertex);
-/* Whether the state of a job that this one depends on, directly or not, is unknown: it may be
- * cancelled without showing so here. */
-gboolean mm_dependency_graph_is_undecided(MmDependencyGraph *graph, MmVertex *vertex);
+/* Returns whether the state of a direct or transitive dependency is unknown. If so, the job may be
+ * cancelled although its vertex does not say so. */
+gboolean mm_dependency_graph_has_unknown_dependency(MmDependencyGraph *graph, MmVertex *vertex);
--- a/src/job-api/job-api.c
+++ b/src/job-api/job-api.c
@@ -35,22 +35,22 @@
 }
 
 static void
-resume_rate_limited(MmJobApi *job_api) {
+retry_rate_limited_requests(MmJobApi *job_api) {
   MmTime now = mm_node_now(job_api->node);
 
-  /* All wait equally long, so the first in the queue is due first. */
+  /* Every request waits for the same delay, so the queue is ordered by retry_at. */
   while (!g_queue_is_empty(job_api->rate_limited)) {
     MmUserRequest *request = g_queue_peek_head(job_api->rate_limited);
-    if (mm_time_before(now, request->resume_at))
+    if (mm_time_before(now, request->retry_at))
       return;
     g_queue_pop_head(job_api->rate_limited);
-    request->resume(request);
+    request->retry(request);
   }
 }
 
 void
 mm_job_api_tick(MmJobApi *job_api) {
-  resume_rate_limited(job_api);
+  retry_rate_limited_requests(job_api);
   mm_job_status_tick(job_api);
   mm_job_cancellation_tick(job_api);
 }
--- a/src/job-api/job-cancellation.c
+++ b/src/job-api/job-cancellation.c
@@ -10,31 +10,34 @@
 #include "peers/peer-links.h"
 #include "scheduler/stop-commands.h"
 
+/* Maximum number of attempts to write a cancellation while other writes of the record conflict. */
 #define CANCEL_MAX_TRIES 6
-/* How long a user's request waits until the other nodes have acknowledged a cancellation. */
+/* Maximum time that a user's request waits until the other nodes have acknowledged a cancellation,
+ * and the interval at which the cancellation is broadcast again meanwhile. */
 #define CANCEL_ACK_TIMEOUT_MS 1200
-#define CANCEL_ANNOUNCE_INTERVAL_MS 400
+#define CANCEL_BROADCAST_INTERVAL_MS 400
 
-/* Whether every node that may still answer a worker knows the cancellation. From then on no
- * response starts one of the job's tasks or lets one go on: each machine that gets a response stops
- * them, and each that gets none ends them when its worker lease expires.
+/* Returns whether every node that may still respond to a worker knows the cancellation. From then
+ * on no response starts a task of the job or lets one continue: a machine that gets a response
+ * stops the job's tasks, and a machine that gets none ends them when its worker lease expires.
  *
- * A node that may answer workers has a node lease, which shows in a replica as new as the
- * cancellation; a node that is granted one later reads the job record first. A peer that can't be
- * reached knows the cancellation all the same, or answers no worker any more, once the key-value
- * store has served this node for longer than a node may answer without reading what changed. */
+ * A node that may respond to workers holds a node lease, which is visible in any replica that is as
+ * new as the cancellation. A node that acquires a lease later reads the job record first. A peer
+ * that cannot be reached need not acknowledge the cancellation once the key-value store has served
+ * this node for longer than a node may respond to workers without reading changes: by then the peer
+ * has either read the cancellation or stopped responding to workers. */
 static gboolean
-cancel_is_known_everywhere(const MmUserRequest *request) {
+cancel_is_propagated(const MmUserRequest *request) {
   const MmNode *node = request->node;
   const MmJob *job = mm_job_table_find(node->job_table, request->job_id.s);
 
   if (!node->replica->is_loaded)
     return FALSE;
-  /* The record is gone: the job ended, and all its tasks with it. */
+  /* The job record was deleted: the job and all its tasks have ended. */
   if (job == NULL)
     return mm_job_table_is_over(node->job_table, request->job_id.s);
-  /* No task of it was ever started, and every node concludes from the dependency that it is
-   * cancelled. */
+  /* No task of the job was ever started, and every node derives the cancellation from that of the
+   * dependency. */
   if (mm_job_has_cancelled_dependency(job))
     return TRUE;
   if (job->cancel_record_version.v == 0 || node->replica->revision < job->cancel_record_version.v)
@@ -56,25 +59,26 @@
 }
 
 void
-mm_job_cancellation_answer(MmUserRequest *request) {
+mm_job_cancellation_respond(MmUserRequest *request) {
   MmTime now = mm_node_now(request->node);
 
-  if (cancel_is_known_everywhere(request)) {
+  if (cancel_is_propagated(request)) {
     respond_cancelled(request);
     return;
   }
   request->deadline = mm_time_add_ms(now, CANCEL_ACK_TIMEOUT_MS);
-  request->cancel_announced_at = now;
+  request->cancel_broadcast_at = now;
   g_queue_push_tail(request->node->job_api->awaiting_cancel_acks, request);
   mm_peer_broadcast_cancellation(request->node->peer_links, request->job_id.s);
 }
 
-/* Takes the request out of the queue if it can be answered. */
+/* Responds to the request and removes it from the queue if the cancellation is known to all nodes
+ * concerned. Returns whether it did. */
 static gboolean
-respond_if_cancel_known(MmJobApi *job_api, GList *link) {
+respond_if_propagated(MmJobApi *job_api, GList *link) {
   MmUserRequest *request = link->data;
 
-  if (!cancel_is_known_everywhere(request))
+  if (!cancel_is_propagated(request))
     return FALSE;
   g_queue_delete_link(job_api->awaiting_cancel_acks, link);
   respond_cancelled(request);
@@ -91,7 +95,7 @@
   for (GList *link = job_api->awaiting_cancel_acks->head; link != NULL; link = next) {
     next = link->next;
     if (strcmp(((MmUserRequest *)link->data)->job_id.s, job_id) == 0)
-      respond_if_cancel_known(job_api, link);
+      respond_if_propagated(job_api, link);
   }
 }
 
@@ -103,13 +107,14 @@
   for (GList *link = job_api->awaiting_cancel_acks->head; link != NULL; link = next) {
     MmUserRequest *request = link->data;
     next = link->next;
-    if (respond_if_cancel_known(job_api, link))
+    if (respond_if_propagated(job_api, link))
       continue;
     if (!mm_time_before(now, request->deadline)) {
       g_queue_delete_link(job_api->awaiting_cancel_acks, link);
       mm_user_request_respond_unavailable(request);
-    } else if (mm_time_ms_since(now, request->cancel_announced_at) >= CANCEL_ANNOUNCE_INTERVAL_MS) {
-      request->cancel_announced_at = now;
+    } else if (mm_time_ms_since(now, request->cancel_broadcast_at)
+               >= CANCEL_BROADCAST_INTERVAL_MS) {
+      request->cancel_broadcast_at = now;
       mm_peer_broadcast_cancellation(job_api->node->peer_links, request->job_id.s);
     }
   }
@@ -121,24 +126,25 @@
   guint64 revision;
 
   if (status == 409 && ++request->n_retries < CANCEL_MAX_TRIES) {
-    mm_job_status_answer_from_record(request);
+    mm_job_status_read_record(request);
     return;
   }
   if (status == 429) {
-    mm_user_request_wait_out_rate_limit(request, mm_job_status_answer_from_record);
+    mm_user_request_retry_after_rate_limit(request, mm_job_status_read_record);
     return;
   }
   if (status != 200) {
     mm_user_request_respond_unavailable(request);
     return;
   }
-  /* The replica's watch may lag behind this write, or break off before it. */
+  /* Updates the job table at once, because the replica's watch may deliver this write late, or be
+   * interrupted before it does. */
   revision = mm_json_count(body, WIRE_REVISION, 0);
   if (revision > request->node->replica->revision && request->node->replica->is_loaded)
     mm_job_table_put(request->node->job_table, request->job_id.s, request->record,
                      (MmKeyVersion){ revision });
   mm_scheduler_job_cancelled(request->node->scheduler, request->job_id.s);
-  mm_job_cancellation_answer(request);
+  mm_job_cancellation_respond(request);
 }
 
 void
@@ -146,8 +152,8 @@
   MmTransaction transaction = mm_transaction_begin();
 
   mm_job_record_set_cancelled(request->record);
-  /* The record may be from a time of larger values. Of a cancelled job nobody needs the completed
-   * tasks. */
+  /* The record may exceed the maximum size of a value if the maximum was larger when the record was
+   * written. The completed tasks of a cancelled job are not needed, so they can be dropped. */
   if (json_dumpb(request->record, NULL, 0, JSON_COMPACT)
       > mm_kv_client_max_value_bytes(request->node->kv))
     mm_job_record_clear_completed(request->record);
@@ -166,5 +172,5 @@
   }
   request = mm_user_request_new(node, exchange, job_id);
   request->is_cancellation = TRUE;
-  mm_job_status_answer_from_record(request);
+  mm_job_status_read_record(request);
 }
--- a/src/job-api/job-status.c
+++ b/src/job-api/job-status.c
@@ -7,7 +7,7 @@
 #include "kv/replica.h"
 #include "machines/machine-table.h"
 
-/* How long a status request waits until it is known how the job's dependencies ended. */
+/* Maximum time that a status request waits until the states of the job's dependencies are known. */
 #define DEPENDENCIES_TIMEOUT_MS 1200
 
 json_t *
@@ -16,16 +16,17 @@
                    (json_int_t)n_completed, WIRE_RUNNING, (json_int_t)n_running);
 }
 
-/* The counts are for display: they may be older than the state. */
+/* Responds with the status of a job that has not ended. The task counts are informational only:
+ * they may be older than the state. */
 static void
-answer_unfinished(MmUserRequest *request, gboolean is_cancelled) {
+respond_unfinished(MmUserRequest *request, gboolean is_cancelled) {
   MmJob *job = mm_job_table_find(request->node->job_table, request->job_id.s);
   guint n_running = mm_machine_table_running_tasks(request->node->machine_table, request->job_id.s);
   guint n_completed = 0;
   const char *state = WIRE_PENDING;
 
   if (is_cancelled) {
-    mm_job_cancellation_answer(request);
+    mm_job_cancellation_respond(request);
     return;
   }
   if (job != NULL)
@@ -62,8 +63,8 @@
   MmUserRequest *request = data;
 
   if (status == 404) {
-    /* A job that ends moves from this key to the other in one transaction, so reading them in this
-     * order misses none. */
+    /* One transaction replaces the job record by the terminal record when a job ends. Reading the
+     * job record first and the terminal record second therefore never misses an existing job. */
     mm_kv_client_get(request->node->kv, MM_KEY_TERMINAL_RECORD, request->job_id.s,
                      on_terminal_record_read, request);
     return;
@@ -78,20 +79,20 @@
     mm_job_cancellation_write(request, (MmKeyVersion){ mm_json_count(body, WIRE_VERSION, 0) });
   else if (!mm_job_record_is_cancelled(request->record)
            && mm_job_record_has_dependencies(request->record))
-    /* It is cancelled all the same if one of its dependencies is. */
-    mm_job_status_answer_from_replica(request);
+    /* Even if its record does not say so, the job is cancelled if a dependency is cancelled. */
+    mm_job_status_respond_from_replica(request);
   else
-    answer_unfinished(request, mm_job_record_is_cancelled(request->record));
+    respond_unfinished(request, mm_job_record_is_cancelled(request->record));
 }
 
 void
-mm_job_status_answer_from_record(MmUserRequest *request) {
+mm_job_status_read_record(MmUserRequest *request) {
   json_t *terminal_response
       = mm_job_table_terminal_response(request->node->job_table, request->job_id.s);
 
   if (terminal_response != NULL)
     mm_user_request_respond(request, 200, terminal_response, 0);
-  else if (request->n_retries == 0 && mm_user_request_kv_is_refusing(request->node))
+  else if (request->n_retries == 0 && mm_user_request_kv_is_unavailable(request->node))
     mm_user_request_respond_unavailable(request);
   else
     mm_kv_client_get(request->node->kv, MM_KEY_JOB, request->job_id.s, on_job_record_read, request);
@@ -106,8 +107,8 @@
   g_queue_push_tail(job_api->awaiting_dependencies, request);
 }
 
-/* The replica holds all that was written when the request came in, hence all that any node had
- * responded about the job by then. */
+/* If `is_current`, the replica contains everything that was written before the request arrived, and
+ * thus everything that any node had reported about the job by then. */
 static void
 on_replica_current(gpointer data, gboolean is_current) {
   MmUserRequest *request = data;
@@ -122,27 +123,29 @@
   else if (job == NULL)
     mm_kv_client_get(request->node->kv, MM_KEY_TERMINAL_RECORD, request->job_id.s,
                      on_terminal_record_read, request);
-  else if (!job->is_cancelled && mm_dependencies_is_undecided(request->node->dependencies, job))
+  else if (!job->is_cancelled
+           && mm_dependencies_has_unknown_dependency(request->node->dependencies, job))
     wait_for_dependencies(request);
   else
-    answer_unfinished(request, job->is_cancelled);
+    respond_unfinished(request, job->is_cancelled);
 }
 
 void
-mm_job_status_answer_from_replica(MmUserRequest *request) {
+mm_job_status_respond_from_replica(MmUserRequest *request) {
   mm_replica_when_current(request->node->replica, on_replica_current, request);
 }
 
-/* Takes the request out of the queue and answers it if the state of all dependencies is known. */
+/* Removes the request from the queue and responds to it if the states of all dependencies are
+ * known. Returns whether it did. */
 static gboolean
 respond_if_dependencies_known(MmJobApi *job_api, GList *link) {
   MmUserRequest *request = link->data;
   const MmJob *job = mm_job_table_find(job_api->node->job_table, request->job_id.s);
 
-  if (job != NULL && mm_dependencies_is_undecided(job_api->node->dependencies, job))
+  if (job != NULL && mm_dependencies_has_unknown_dependency(job_api->node->dependencies, job))
     return FALSE;
   g_queue_delete_link(job_api->awaiting_dependencies, link);
-  mm_job_status_answer_from_replica(request);
+  mm_job_status_respond_from_replica(request);
   return TRUE;
 }
 
@@ -169,8 +172,8 @@
     mm_http_exchange_respond(exchange, 200, terminal_response, 0);
   else if (!mm_job_id_is_valid(job_id))
     mm_http_exchange_respond(exchange, 404, mm_json_error("no such job"), 0);
-  else if (mm_user_request_kv_is_refusing(node))
+  else if (mm_user_request_kv_is_unavailable(node))
     mm_user_request_respond_unavailable(mm_user_request_new(node, exchange, job_id));
   else
-    mm_job_status_answer_from_replica(mm_user_request_new(node, exchange, job_id));
+    mm_job_status_respond_from_replica(mm_user_request_new(node, exchange, job_id));
 }
--- a/src/job-api/job-status.h
+++ b/src/job-api/job-status.h
@@ -1,20 +1,22 @@
-/* Status of a job for its user.
+/* Status of a job, as reported to its user.
  *
- * A status that may still change is read through the key-value store, so that no response is older
- * than one that any node has given before. A terminal state never changes and may come from memory.
- */
+ * A status that may still change is checked against the key-value store, so that no response is
+ * older than one that any node has sent before. A terminal state never changes and may come from
+ * memory. */
 #pragma once
 
 #include "job-api/job-api.h"
 #include "job-api/user-request.h"
 
-/* The body of a status response; `state` is one of the WIRE_ words. */
+/* Returns the body of a status response as a new reference. `state` is WIRE_PENDING, WIRE_RUNNING
+ * or WIRE_CANCELLED. */
 json_t *mm_job_state_to_json(const char *job_id, const char *state, guint n_completed,
                              guint n_running);
-/* Goes on with a status request or a cancellation by reading the job's record; responds in the
- * end. */
-void mm_job_status_answer_from_record(MmUserRequest *request);
-/* Responds with the status as the replica shows it, once that is as new as the request. */
-void mm_job_status_answer_from_replica(MmUserRequest *request);
-/* Responds to the requests that wait for dependencies, where these are known or time is up. */
+/* Reads the job record from the key-value store, then responds with the status of the job or, for a
+ * cancellation, writes the cancellation. */
+void mm_job_status_read_record(MmUserRequest *request);
+/* Responds with the status that the replica shows, once the replica is as new as the request. */
+void mm_job_status_respond_from_replica(MmUserRequest *request);
+/* Responds to the requests that wait for the states of dependencies: with the status if the states
+ * are known, with 503 if the timeout has expired. */
 void mm_job_status_tick(MmJobApi *job_api);
--- a/src/job-api/submission.c
+++ b/src/job-api/submission.c
@@ -1,5 +1,5 @@
-/* Submission of a job (mm_job_api_submit): validated, its dependencies looked up, written, and only
- * then answered. */
+/* Submission of a job (mm_job_api_submit): validates the spec, looks up the dependencies, writes
+ * the job record, and only then responds. */
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 #include "autoscaler/instance-types.h"
@@ -10,19 +10,21 @@
 #include "kv/kv-client.h"
 #include "upgrade/versions.h"
 
-/* Bytes of a job record kept free for the completed tasks and a cancellation, which are added
- * later; at most this share of a value. */
+/* Space in a new job record that is reserved for the completed tasks and a cancellation, which are
+ * added later: this many bytes, but at most the maximum size of a value divided by the divisor. */
 #define RECORD_RESERVE_BYTES 512
 #define RECORD_RESERVE_DIVISOR 4
-/* How long a submission may take to look up its dependencies. */
-#define FIND_DEPENDENCIES_TIMEOUT_MS 3500
+/* Maximum time that a submission may take to look up its dependencies. */
+#define DEPENDENCY_LOOKUP_TIMEOUT_MS 3500
+/* Retry-After while the machine types are not known yet. */
 #define TYPES_UNKNOWN_RETRY_S 1
-/* By then a node that is being upgraded is back. */
+/* Retry-After while a node does not support dependencies: a node that is being upgraded is
+ * expected to be back by then. */
 #define UPGRADE_RETRY_S 2
 
 static void write_job_record(MmUserRequest *request);
 
-/* Whether the job is cancelled from the start, since one of its dependencies is. */
+/* Returns whether the job is cancelled from the start, because one of its dependencies is. */
 static gboolean
 has_cancelled_dependency(const MmUserRequest *request) {
   const MmJobTable *job_table = request->node->job_table;
@@ -45,7 +47,7 @@
   MmUserRequest *request = data;
 
   if (status == 200) {
-    mm_info("accepted job=%s class=%s team=%s tasks=%u", request->job_id.s,
+    mm_info("job accepted job=%s class=%s team=%s tasks=%u", request->job_id.s,
             request->spec.job_class.s, request->spec.team.s, request->spec.n_tasks);
     mm_user_request_respond(
         request, 201,
@@ -53,9 +55,9 @@
                   has_cancelled_dependency(request) ? WIRE_CANCELLED : WIRE_PENDING),
         0);
   } else if (status == 409) {
-    mm_job_status_answer_from_record(request); /* submitted before: answered with its status */
+    mm_job_status_read_record(request); /* submitted before: responds with its status */
   } else if (status == 429) {
-    mm_user_request_wait_out_rate_limit(request, write_job_record);
+    mm_user_request_retry_after_rate_limit(request, write_job_record);
   } else {
     mm_user_request_respond_unavailable(request);
   }
@@ -82,17 +84,17 @@
   mm_kv_client_commit(node->kv, &transaction, on_job_record_written, request);
 }
 
-/* ---- the job's dependencies ---- */
+/* ---- Dependencies of the submitted job ---- */
 
 static void look_up_dependencies(MmUserRequest *request);
 
 static void
-refuse_dependencies(MmUserRequest *request, const char *reason) {
+reject_dependencies(MmUserRequest *request, const char *reason) {
   mm_user_request_respond(request, 422, mm_json_error(reason), 0);
 }
 
-/* Moves next_dependency on to the first one that this node does not know. FALSE when the request
- * was refused, and freed. */
+/* Advances next_dependency to the first dependency that this node does not know. Returns FALSE if
+ * the request was rejected and freed. */
 static gboolean
 skip_known_dependencies(MmUserRequest *request) {
   const MmJobTable *job_table = request->node->job_table;
@@ -103,7 +105,7 @@
     MmTerminalState terminal;
 
     if (dependency != NULL && dependency->spec.kind == MM_JOB_KIND_SERVICE) {
-      refuse_dependencies(request, "a job cannot depend on a service");
+      reject_dependencies(request, "a job cannot depend on a service");
       return FALSE;
     }
     if (dependency == NULL && !mm_job_table_get_terminal_state(job_table, dependency_id, &terminal))
@@ -117,9 +119,9 @@
   MmUserRequest *request = data;
 
   if (status == 404) {
-    /* A replica as new as the request does not show its job record, and each job record that goes
-     * leaves a terminal record. */
-    refuse_dependencies(request, "a job that it depends on was never accepted");
+    /* The replica is as new as the request and has no job record of the dependency. Every job
+     * record that is deleted leaves a terminal record, so the dependency has never existed. */
+    reject_dependencies(request, "a job that it depends on was never accepted");
     return;
   }
   if (status != 200 || !mm_time_before(mm_node_now(request->node), request->deadline)) {
@@ -133,8 +135,8 @@
   look_up_dependencies(request);
 }
 
-/* Reads the terminal records of the dependencies that the current replica does not show, one after
- * another, then writes the job. */
+/* Reads the terminal records of the dependencies that this node does not know, one after another,
+ * then writes the job record. The replica must be as new as the request. */
 static void
 look_up_dependencies(MmUserRequest *request) {
   if (!skip_known_dependencies(request))
@@ -157,15 +159,16 @@
     mm_user_request_respond_unavailable(request);
 }
 
+/* Rejects invalid dependencies, looks up the unknown ones, then writes the job record. */
 static void
-find_dependencies(MmUserRequest *request) {
+check_dependencies(MmUserRequest *request) {
   for (guint i = 0; i < request->spec.n_dependencies; i++) {
     if (mm_name_equal(&request->spec.dependencies[i], &request->job_id)) {
-      refuse_dependencies(request, "a job cannot depend on itself");
+      reject_dependencies(request, "a job cannot depend on itself");
       return;
     }
     if (!mm_job_id_is_valid(request->spec.dependencies[i].s)) {
-      refuse_dependencies(request, "a job that it depends on was never accepted");
+      reject_dependencies(request, "a job that it depends on was never accepted");
       return;
     }
   }
@@ -175,7 +178,7 @@
                             UPGRADE_RETRY_S);
     return;
   }
-  request->deadline = mm_time_add_ms(mm_node_now(request->node), FIND_DEPENDENCIES_TIMEOUT_MS);
+  request->deadline = mm_time_add_ms(mm_node_now(request->node), DEPENDENCY_LOOKUP_TIMEOUT_MS);
   if (!skip_known_dependencies(request))
     return;
   if (request->next_dependency == request->spec.n_dependencies)
@@ -184,18 +187,19 @@
     mm_replica_when_current(request->node->replica, on_replica_current, request);
 }
 
-/* Why no machine or limit could ever let the job run, for the user; NULL: it may run. */
+/* Returns the reason, as static text for the user, why the job could never run with the allowed
+ * machine types and the limit of its team, or NULL if it could run. */
 static const char *
-reason_it_never_runs(const MmNode *node, const MmJobSpec *spec) {
+infeasibility_reason(const MmNode *node, const MmJobSpec *spec) {
   const MmTeamSettings *team = mm_settings_team(node->settings, &spec->team);
-  double tasks_at_once = spec->kind == MM_JOB_KIND_ARRAY ? 1 : spec->n_tasks;
+  double n_concurrent_tasks = spec->kind == MM_JOB_KIND_ARRAY ? 1 : spec->n_tasks;
 
   if (team == NULL)
     return "unknown team";
   if ((team->limit.cores > 0
-       && spec->task_resources.cores * tasks_at_once > team->limit.cores + MM_RESOURCES_SLACK)
+       && spec->task_resources.cores * n_concurrent_tasks > team->limit.cores + MM_RESOURCES_SLACK)
       || (team->limit.accelerators > 0
-          && spec->task_resources.accelerators * tasks_at_once
+          && spec->task_resources.accelerators * n_concurrent_tasks
                  > team->limit.accelerators + MM_RESOURCES_SLACK))
     return "the job needs more than the team's limit";
   if (!mm_instance_types_any_fits(node->instance_types, spec))
@@ -224,19 +228,19 @@
                             TYPES_UNKNOWN_RETRY_S);
     return;
   }
-  reason = reason_it_never_runs(node, &request->spec);
+  reason = infeasibility_reason(node, &request->spec);
   if (reason != NULL) {
     mm_user_request_respond(request, 422, mm_json_error(reason), 0);
     return;
   }
-  if (mm_user_request_kv_is_refusing(node)) {
+  if (mm_user_request_kv_is_unavailable(node)) {
     mm_user_request_respond_unavailable(request);
     return;
   }
-  /* A repeated submission is answered with the job's status, whatever became of its dependencies.
-   */
+  /* The response to a repeated submission is the status of the job, whatever the states of its
+   * dependencies: the write conflicts with the existing record. */
   if (request->spec.n_dependencies == 0 || is_known_job(node, request->job_id.s))
     write_job_record(request);
   else
-    find_dependencies(request);
+    check_dependencies(request);
 }
--- a/src/job-api/user-request.c
+++ b/src/job-api/user-request.c
@@ -3,12 +3,13 @@
 #include "job-api/job-api.h"
 #include "kv/kv-client.h"
 
-/* For so long after a refusal the key-value store is taken to refuse. */
-#define KV_REFUSAL_MEMORY_MS 500
-/* After a write that the key-value store refused for its rate limit. */
-#define RATE_LIMIT_PAUSE_MS 250
+/* Time after a 503 response for which the key-value store is considered to refuse requests. */
+#define KV_REFUSAL_VALIDITY_MS 500
+/* Delay and maximum number of retries after the key-value store has rejected a write because of its
+ * rate limit (429). */
+#define RATE_LIMIT_RETRY_DELAY_MS 250
 #define RATE_LIMIT_MAX_RETRIES 3
-/* The Retry-After of a 503. */
+/* Retry-After of a 503 response: if the key-value store refuses requests, and otherwise. */
 #define REFUSED_RETRY_AFTER_S 2
 #define UNAVAILABLE_RETRY_AFTER_S 1
 
@@ -31,11 +32,11 @@
 }
 
 gboolean
-mm_user_request_kv_is_refusing(const MmNode *node) {
+mm_user_request_kv_is_unavailable(const MmNode *node) {
   return mm_kv_client_is_silent(node->kv)
          || (mm_kv_client_is_refused(node->kv)
              && mm_time_ms_since(mm_node_now(node), node->kv->last_refused_at)
-                    < KV_REFUSAL_MEMORY_MS);
+                    < KV_REFUSAL_VALIDITY_MS);
 }
 
 void
@@ -46,13 +47,13 @@
 }
 
 void
-mm_user_request_wait_out_rate_limit(MmUserRequest *request,
-                                    void (*resume)(MmUserRequest *request)) {
+mm_user_request_retry_after_rate_limit(MmUserRequest *request,
+                                       void (*retry)(MmUserRequest *request)) {
   if (++request->n_retries > RATE_LIMIT_MAX_RETRIES) {
     mm_user_request_respond_unavailable(request);
     return;
   }
-  request->resume = resume;
-  request->resume_at = mm_time_add_ms(mm_node_now(request->node), RATE_LIMIT_PAUSE_MS);
+  request->retry = retry;
+  request->retry_at = mm_time_add_ms(mm_node_now(request->node), RATE_LIMIT_RETRY_DELAY_MS);
   g_queue_push_tail(request->node->job_api->rate_limited, request);
 }
--- a/src/jobs/completed-tasks.c
+++ b/src/jobs/completed-tasks.c
@@ -51,10 +51,11 @@
   return x->first < y->first ? -1 : x->first > y->first;
 }
 
-/* Two numbers of ten digits, a dash, a separator and the end. */
+/* Buffer size for one range: two numbers of up to ten digits, a dash, a separator and the
+ * terminating NUL. */
 #define RANGE_TEXT_MAX 32
 
-/* Writes the range and a separator; returns their length. */
+/* Writes the range and a separator to the buffer, and returns the length of the text. */
 static gsize
 print_range(const TaskRange *range, char *buffer, gsize size) {
   if (range->first == range->last)
@@ -78,9 +79,9 @@
   return ranges;
 }
 
-/* Keeps the longest ranges whose texts, each with its separator, fit `max_bytes`. */
+/* Removes all but the longest ranges whose texts, each with its separator, fit into `max_bytes`. */
 static void
-keep_longest(GArray *ranges, gsize max_bytes) {
+keep_longest_ranges(GArray *ranges, gsize max_bytes) {
   char buffer[RANGE_TEXT_MAX];
   gsize length = 0;
   guint n_kept = 0;
@@ -100,7 +101,7 @@
   GString *text = g_string_new(NULL);
   char buffer[RANGE_TEXT_MAX];
 
-  keep_longest(ranges, max_bytes);
+  keep_longest_ranges(ranges, max_bytes);
   g_array_sort(ranges, compare_lowest_first);
   for (guint i = 0; i < ranges->len; i++) {
     print_range(&g_array_index(ranges, TaskRange, i), buffer, sizeof buffer);
@@ -111,7 +112,8 @@
   return g_string_free(text, FALSE);
 }
 
-/* Reads "7" or "7-9" and moves on behind it. */
+/* Parses a range such as "7" or "7-9" and advances `*text` past it. Returns FALSE if it is
+ * malformed. */
 static gboolean
 parse_range(const char **text, guint64 *first, guint64 *last) {
   char *end;
--- a/src/jobs/job-record.c
+++ b/src/jobs/job-record.c
@@ -2,14 +2,14 @@
 
 #include "base/wire.h"
 
-/* The job record. */
+/* Keys of the job record. */
 #define KEY_SPEC "s"
 #define KEY_SUBMITTED_AT_MS "at"
 #define KEY_DEPENDENCIES "w" /* text, see mm_job_spec_dependencies_to_text; absent: none */
 #define KEY_COMPLETED "d"    /* text, see mm_completed_tasks_to_text; absent: none */
 #define KEY_CANCELLED "c"    /* 1; absent: not cancelled */
 
-/* The terminal record. */
+/* Keys of the terminal record. */
 #define KEY_OUTCOME "m" /* WIRE_DONE or WIRE_CANCELLED */
 #define KEY_N_COMPLETED "n"
 #define KEY_COMPLETED_AT_MS "t"
--- a/src/jobs/job-record.h
+++ b/src/jobs/job-record.h
@@ -1,39 +1,40 @@
-/* The codec of the two records that the key-value store keeps of a job.
+/* Encoding and decoding of the two records that the key-value store holds for a job.
  *
- * The job record (MM_KEY_JOB) exists while the job is unfinished: its spec, and of its state only
- * what a failover must not lose, the completed tasks and a cancellation. The terminal record
- * (MM_KEY_TERMINAL_RECORD) takes its place in one transaction when the job ends. No other file
- * knows the records' keys. Functions never fail on unknown keys: another version may add some. */
+ * The job record (MM_KEY_JOB) exists while the job is unfinished. It contains the spec, the time of
+ * submission, and only the state that must survive a failover: the completed tasks and a
+ * cancellation. When the job ends, one transaction replaces it by the terminal record
+ * (MM_KEY_TERMINAL_RECORD). No other file depends on the keys within the records. Unknown keys are
+ * ignored, because other versions may add some. */
 #pragma once
 
 #include "jobs/job-spec.h"
 
-/* A new job record. `completed_text` (see mm_completed_tasks_to_text) may be NULL. */
+/* Returns a new job record. `completed_text` (see mm_completed_tasks_to_text) may be NULL. */
 json_t *mm_job_record_to_json(const MmJobSpec *spec, gint64 submitted_at_ms, gboolean is_cancelled,
                               const char *completed_text);
-/* Reads the spec with its dependencies; to be cleared by mm_job_spec_clear. FALSE, with a static
- * reason and nothing to clear, when the record is malformed. */
+/* Parses the spec including its dependencies; clear it with mm_job_spec_clear. Returns FALSE if the
+ * record is malformed; `*reason` is then static text, and there is nothing to clear. */
 gboolean mm_job_record_parse_spec(const json_t *record, MmJobSpec *spec, const char **reason);
-/* Time of day. */
+/* Returns the time of day of the submission, in milliseconds. */
 gint64 mm_job_record_submitted_at_ms(const json_t *record);
-/* The completed tasks as text, lent; NULL: none. */
+/* Returns the completed tasks as text, owned by the record, or NULL if it contains none. */
 const char *mm_job_record_completed_text(const json_t *record);
 gboolean mm_job_record_is_cancelled(const json_t *record);
 gboolean mm_job_record_has_dependencies(const json_t *record);
 void mm_job_record_set_cancelled(json_t *record);
-/* Drops the completed tasks, to make a record of a cancelled job shorter. */
+/* Removes the completed tasks, which shortens the record of a cancelled job. */
 void mm_job_record_clear_completed(json_t *record);
 
 /* How a job ended. */
 typedef struct {
   gboolean is_cancelled;
-  guint n_completed;      /* tasks */
+  guint n_completed;      /* number of completed tasks */
   gint64 completed_at_ms; /* time of day, or MM_TIME_OF_DAY_UNKNOWN */
 } MmTerminalState;
 
-/* The record was written by a version that did not store the time. */
+/* Value of completed_at_ms if the record was written by a version that did not store the time. */
 #define MM_TIME_OF_DAY_UNKNOWN 0
 
 json_t *mm_terminal_record_to_json(const MmTerminalState *terminal);
-/* FALSE, and `terminal` untouched, when it is no terminal record. */
+/* Returns FALSE and leaves `terminal` unchanged if `record` is not a terminal record. */
 gboolean mm_terminal_record_parse(const json_t *record, MmTerminalState *terminal);
--- a/src/jobs/job-spec.c
+++ b/src/jobs/job-spec.c
@@ -31,8 +31,9 @@
   return TRUE;
 }
 
-/* An amount that may not be absent: the fallback of read_amount. */
+/* Fallback for read_amount that makes the field mandatory. */
 #define REQUIRED NAN
+/* Exclusive upper bound of amounts. */
 #define AMOUNT_LIMIT 1e12
 
 static gboolean
@@ -78,7 +79,7 @@
   return TRUE;
 }
 
-/* An id that is named twice counts once. */
+/* Reads the ids of the dependencies; duplicates are ignored. */
 static gboolean
 read_dependencies(const json_t *json, MmJobSpec *spec) {
   const json_t *list = mm_json_get(json, WIRE_DEPENDENCIES);
@@ -119,8 +120,9 @@
 static const char *const kind_names[] = { WIRE_KIND_ARRAY, WIRE_KIND_GANG, WIRE_KIND_SERVICE };
 static const char *const priority_names[] = { "low", "normal", "urgent", "critical" };
 
-/* Each of these reads some of the fields, in the order in which users learn of errors. They
- * return the reason (static text) why a field is malformed, or NULL. */
+/* The following functions read one group of fields each, in the order in which errors are reported
+ * to users. They return the reason why a field is malformed (static text), or NULL if all are
+ * valid. */
 
 static const char *
 read_identity(const json_t *json, MmJobSpec *spec) {
@@ -241,7 +243,7 @@
   return json;
 }
 
-/* In a job record, dependencies are the numbers of their ids. */
+/* A job record stores dependencies as the numeric parts of their ids, joined by this separator. */
 #define DEPENDENCY_SEPARATOR ","
 
 char *
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -4,11 +4,11 @@
 #include "base/log.h"
 #include "leases/shard-ownership.h"
 
-/* How many jobs that ended are remembered. */
-#define TERMINAL_STATES_KEPT 4096
-#define REMOVED_IDS_KEPT 8192
+/* Maximum numbers of terminal states and of ids of removed jobs that are remembered. */
+#define MAX_TERMINAL_STATES 4096
+#define MAX_REMOVED_IDS 8192
 
-/* Calls a member of all observers that have it. */
+/* Calls the given callback of every observer that has set it. */
 #define NOTIFY(job_table, member, ...)                                                             \
   for (guint n_notified = 0; n_notified < (job_table)->observers->len; n_notified++) {             \
     const MmJobObserver *observer                                                                  \
@@ -65,14 +65,15 @@
   return strcmp(x->spec.id.s, y->spec.id.s);
 }
 
-/* The job of a record that is not in the table yet, or NULL when the record is malformed. */
+/* Adds a job that is not in the table yet. Returns the job, owned by the table, or NULL if the
+ * record is malformed. */
 static MmJob *
 add_job(MmJobTable *job_table, const char *id, const json_t *record) {
   MmJob *job = g_new0(MmJob, 1);
   const char *reason = NULL;
 
   if (!mm_job_record_parse_spec(record, &job->spec, &reason)) {
-    mm_error("ignored malformed job record job=%s: %s", id, reason);
+    mm_error("job record ignored because it is malformed job=%s: %s", id, reason);
     g_free(job);
     return NULL;
   }
@@ -103,7 +104,7 @@
     return;
   job->record_version = version;
   if (!mm_completed_tasks_add_text(&job->recorded_completed, mm_job_record_completed_text(record)))
-    mm_error("malformed completed tasks in job record job=%s", id);
+    mm_error("job record contains malformed completed tasks job=%s", id);
   if (mm_job_record_is_cancelled(record)) {
     if (job->cancel_record_version.v == 0)
       job->cancel_record_version = version;
@@ -112,8 +113,8 @@
   NOTIFY(job_table, changed, job);
 }
 
-/* Inserts into a table whose ids stand in `order`, oldest first; forgets the oldest beyond the
- * bound. */
+/* Inserts an entry into a table whose ids are listed in `order`, oldest first, then removes the
+ * oldest entries until at most `max_entries` are left. Takes ownership of `value`. */
 static void
 add_bounded(GHashTable *table, GQueue *order, guint max_entries, const char *id, gpointer value) {
   if (!g_hash_table_contains(table, id)) {
@@ -131,7 +132,7 @@
 mm_job_table_remove(MmJobTable *job_table, const char *id) {
   MmJob *job = mm_job_table_find(job_table, id);
 
-  add_bounded(job_table->removed_ids, job_table->removed_ids_order, REMOVED_IDS_KEPT, id, NULL);
+  add_bounded(job_table->removed_ids, job_table->removed_ids_order, MAX_REMOVED_IDS, id, NULL);
   if (job == NULL)
     return;
   NOTIFY(job_table, removing, job);
@@ -161,8 +162,8 @@
 
   if (!mm_terminal_record_parse(record, &terminal))
     return;
-  add_bounded(job_table->terminal_states, job_table->terminal_states_order, TERMINAL_STATES_KEPT,
-              id, g_memdup2(&terminal, sizeof terminal));
+  add_bounded(job_table->terminal_states, job_table->terminal_states_order, MAX_TERMINAL_STATES, id,
+              g_memdup2(&terminal, sizeof terminal));
   NOTIFY(job_table, ended, id, &terminal);
 }
 
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -1,9 +1,10 @@
-/* The jobs that this node knows, as the replica of the key-value store shows them.
+/* The jobs known to this node, as shown by its replica of the key-value store.
  *
- * The table owns the unfinished jobs, one MmJob for each job record, and remembers how the jobs
- * that ended lately did. The replica feeds it (put, remove, terminal records); modules above it
- * observe it. A MmJob is valid until its record goes; whoever keeps one over a callback looks it up
- * again by its id. */
+ * The table owns the unfinished jobs, one MmJob per job record, and remembers the terminal states
+ * of recently ended jobs. The replica calls put and remove; terminal records are added by the
+ * modules that read or write them. Modules of higher layers observe the table. A MmJob is valid
+ * until its record is removed; code that refers to a job across asynchronous callbacks must look it
+ * up again by its id. */
 #pragma once
 
 #include "config/settings.h"
@@ -12,34 +13,34 @@
 
 typedef struct MmJobTable MmJobTable;
 
-/* Whom the table notifies of its changes. Members may be NULL. Observers are called in the order in
- * which they were added, from within the call that changes the table. */
+/* Callbacks for changes of the table. Callbacks that are NULL are skipped. Observers are called in
+ * the order in which they were added, from within the call that changes the table. */
 typedef struct {
-  /* The job was added; `changed` follows. */
+  /* The job was added. A call of `changed` follows. */
   void (*added)(gpointer context, MmJob *job);
-  /* A version of the job record was taken over. */
+  /* A version of the job record was applied. */
   void (*changed)(gpointer context, MmJob *job);
-  /* A version of the job record says that the job is cancelled; `changed` follows. */
+  /* A version of the job record marks the job as cancelled. A call of `changed` follows. */
   void (*cancelled)(gpointer context, const char *job_id);
   /* The job is about to be removed and freed. */
   void (*removing)(gpointer context, MmJob *job);
-  /* The job has been removed. */
+  /* The job was removed and freed. */
   void (*removed)(gpointer context, const char *job_id);
-  /* A terminal record was read, of a job that the table may or may not have. */
+  /* A terminal record was added. The job may or may not be in the table. */
   void (*ended)(gpointer context, const char *job_id, const MmTerminalState *terminal);
-  gpointer context; /* the observer's own */
+  gpointer context; /* passed to the callbacks */
 } MmJobObserver;
 
 struct MmJobTable {
   const MmSettings *settings;
-  GArray *observers;           /* MmJobObserver */
-  GHashTable *jobs;            /* id -> MmJob, owned */
-  GPtrArray *by_submission;    /* MmJob, oldest submission first */
-  guint64 generation;          /* rises when a job is added or removed */
-  GHashTable *terminal_states; /* id -> MmTerminalState; bounded, oldest forgotten first */
-  GQueue *terminal_states_order;
-  GHashTable *removed_ids; /* ids of jobs whose records were removed; bounded likewise */
-  GQueue *removed_ids_order;
+  GArray *observers;             /* MmJobObserver */
+  GHashTable *jobs;              /* id -> MmJob, owned */
+  GPtrArray *by_submission;      /* MmJob, oldest submission first */
+  guint64 generation;            /* incremented when a job is added or removed */
+  GHashTable *terminal_states;   /* id -> MmTerminalState; bounded, the oldest are evicted first */
+  GQueue *terminal_states_order; /* ids, oldest first */
+  GHashTable *removed_ids;       /* ids of jobs whose records were removed; bounded likewise */
+  GQueue *removed_ids_order;     /* ids, oldest first */
 };
 
 /* The settings must outlive the table. */
@@ -48,24 +49,29 @@
 /* Copies the observer. */
 void mm_job_table_add_observer(MmJobTable *job_table, const MmJobObserver *observer);
 
-/* The unfinished job, lent, or NULL. */
+/* Returns the unfinished job, owned by the table, or NULL if it is not in the table. */
 MmJob *mm_job_table_find(const MmJobTable *job_table, const char *id);
-/* The job record has this content at this version. An older version than the one known is ignored;
- * a new record that is malformed is logged and ignored. */
+/* Applies a version of a job record; adds the job if it is not in the table. Ignores a version that
+ * is older than the one known. Logs and ignores a malformed record of a job that is not in the
+ * table. */
 void mm_job_table_put(MmJobTable *job_table, const char *id, const json_t *record,
                       MmKeyVersion version);
-/* The job record is gone. Frees the job, if it is known. */
+/* Records that the job record was deleted. Removes and frees the job if it is in the table. */
 void mm_job_table_remove(MmJobTable *job_table, const char *id);
-/* Appends `prefix` and the id of each job, oldest submission first; the strings are the caller's.
- */
+/* Appends one string per job to `keys`: `prefix` followed by the id, oldest submission first. The
+ * caller frees the strings. */
 void mm_job_table_list_keys(const MmJobTable *job_table, const char *prefix, GPtrArray *keys);
 
-/* Whether the job is known to have ended: its record is gone, or its terminal record was read. */
+/* Returns whether the job is known to have ended: its job record was deleted, or its terminal
+ * record was added. */
 gboolean mm_job_table_is_over(const MmJobTable *job_table, const char *id);
-/* Takes over a terminal record that was read from the key-value store. Ignores what is none. */
+/* Adds a terminal record that was read from or written to the key-value store. Ignores a value that
+ * is not a terminal record. */
 void mm_job_table_add_terminal_record(MmJobTable *job_table, const char *id, const json_t *record);
-/* FALSE, and `terminal` untouched, when the terminal record has not been read, or long ago. */
+/* Copies the terminal state of the job to `terminal`. Returns FALSE and leaves `terminal` unchanged
+ * if the terminal record was not added, or so long ago that it has been evicted. */
 gboolean mm_job_table_get_terminal_state(const MmJobTable *job_table, const char *id,
                                          MmTerminalState *terminal);
-/* The response to a user about a job that ended, or NULL when its terminal state is not known. */
+/* Returns the body of the status response for an ended job as a new reference, or NULL if its
+ * terminal state is not known. */
 json_t *mm_job_table_terminal_response(const MmJobTable *job_table, const char *id);
--- a/tests/test-dependency-graph.c
+++ b/tests/test-dependency-graph.c
@@ -106,13 +106,13 @@
   after = add(&f, 2, (guint[]){ 1 }, 1);
   last = add(&f, 3, (guint[]){ 2 }, 1);
   add(&f, 1, NULL, 0);
-  g_assert_false(mm_dependency_graph_is_undecided(f.graph, last));
+  g_assert_false(mm_dependency_graph_has_unknown_dependency(f.graph, last));
   mm_dependency_graph_remove_job(f.graph, "run-000001");
   g_assert_false(mm_vertex_dependencies_are_done(after));
-  g_assert_true(mm_dependency_graph_is_undecided(f.graph, last));
+  g_assert_true(mm_dependency_graph_has_unknown_dependency(f.graph, last));
   finish(&f, 1, FALSE, 5);
   g_assert_true(mm_vertex_dependencies_are_done(after));
-  g_assert_false(mm_dependency_graph_is_undecided(f.graph, last));
+  g_assert_false(mm_dependency_graph_has_unknown_dependency(f.graph, last));
   /* Nothing is kept for jobs that nobody needs any more. */
   mm_dependency_graph_remove_job(f.graph, "run-000003");
   mm_dependency_graph_remove_job(f.graph, "run-000002");
@@ -132,7 +132,7 @@
   add(&f, 0, NULL, 0);
   for (guint i = 1; i < LONG_CHAIN; i++)
     add(&f, i, (guint[]){ i - 1 }, 1);
-  g_assert_true(mm_dependency_graph_is_undecided(
+  g_assert_true(mm_dependency_graph_has_unknown_dependency(
       f.graph, mm_dependency_graph_find(f.graph, job_name(LONG_CHAIN - 1).s)));
   mm_dependency_graph_cancel_job(f.graph, "run-000000", &f.change);
   g_assert_cmpuint(f.change.cancelled->len, ==, LONG_CHAIN);
