--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -5,17 +5,19 @@
 #include "base/wire.h"
 
 #define REQUEST_TIMEOUT_MS 2000
-/* About two renewals of a lease. */
-#define SILENT_AFTER_MS 1500
-/* The share of the store's writes that one node may use for work that can wait. Rarely do all nodes
- * write at once, so the shares add up to more than one; the store's own 429 decides. Leases and
- * what users wait for are not limited by this budget. */
+/* About two lease renewal intervals. */
+#define UNRESPONSIVE_AFTER_MS 1500
+/* The fraction of the store's write rate that one node may use for deferrable writes. All nodes
+ * rarely write at the same time, so the fractions may add up to more than one; the store enforces
+ * the actual limit with 429 responses. Lease requests and writes that users wait for are not
+ * limited by this budget. */
 #define NODE_WRITE_SHARE 0.3
-/* How long after a 429 nothing that can wait is written. */
-#define RATE_LIMITED_PAUSE_S 0.25
+/* For how long deferrable writes pause after a 429 response. */
+#define RATE_LIMIT_BACKOFF_S 0.25
+/* Limits the time that one tick adds to available_us, see mm_kv_client_tick. */
 #define MAX_AVAILABLE_PER_TICK_MS (4 * MM_NODE_TICK_MS)
 
-/* A transaction that this node may not send, to be answered 503. */
+/* The callback of a transaction that this node may not send, to be called with status 503. */
 typedef struct {
   MmResponseCallback on_response;
   gpointer data;
@@ -53,7 +55,7 @@
 mm_kv_client_fail_unsent(MmKvClient *kv) {
   g_autoptr(GArray) unsent = kv->unsent_transactions;
 
-  /* A callback may commit again, and that transaction may be withheld in its turn. */
+  /* A callback may commit another transaction, which may be withheld and added to the new array. */
   kv->unsent_transactions = g_array_new(FALSE, FALSE, sizeof(UnsentTransaction));
   for (guint i = 0; i < unsent->len; i++) {
     const UnsentTransaction *transaction = &g_array_index(unsent, UnsentTransaction, i);
@@ -75,15 +77,17 @@
 typedef struct {
   MmKvClient *kv;
   MmTime sent_at;
-  json_t *transaction; /* NULL: no transaction */
+  json_t *transaction; /* owned; NULL for other requests */
   MmResponseCallback on_response;
   gpointer data;
 } Request;
 
-/* No learned limit goes below these, whatever is refused: a terminal state and its record take two
- * operations, and smaller values would only turn most jobs away. */
+/* Lower bounds of the learned limits, whatever the store refuses. Two operations are needed to end
+ * a job: one writes its terminal record, one deletes its record. A lower limit on values would only
+ * make the node reject most jobs. */
 #define MIN_LEARNED_OPERATIONS 2
 #define MIN_LEARNED_VALUE_BYTES 1024
+/* The error of a 400 response to a transaction that names an expired lease, whatever its size. */
 #define LEASE_EXPIRED_ERROR "no such lease"
 
 static guint
@@ -97,9 +101,10 @@
   return (guint)largest;
 }
 
-/* A transaction was refused as too large: the limits have fallen earlier than announced, or
- * further. Nothing is sent again as it was: first the number of operations is halved, then the
- * values. */
+/* Lowers the learned limits after the store refused a transaction as too large, which happens when
+ * the store's limits fall earlier or further than announced. A refused transaction must not be sent
+ * again unchanged. So the limit on operations becomes half of what the transaction had; if it had
+ * no more than MIN_LEARNED_OPERATIONS, the limit on values becomes half of its largest value. */
 static void
 learn_transaction_limits(MmKvClient *kv, const json_t *transaction, const json_t *response) {
   const json_t *operations = json_object_get(transaction, WIRE_OPERATIONS);
@@ -114,7 +119,8 @@
     kv->learned_max_value_bytes
         = MIN(kv->learned_max_value_bytes,
               MAX(largest_value_bytes(operations) / 2, MIN_LEARNED_VALUE_BYTES));
-  mm_info("key-value store refused a transaction operations=%u largest_value_bytes=%u",
+  mm_info("key-value store rejected transaction, presumably too large "
+          "operations=%u largest_value_bytes=%u",
           n_operations, largest_value_bytes(operations));
 }
 
@@ -133,11 +139,12 @@
   return kv->settings->kv_writes_per_s * NODE_WRITE_SHARE;
 }
 
-/* Leaves the rate to leases and to what users wait for. */
+/* Pauses deferrable writes, so that the store's write rate is left to lease requests and to writes
+ * that users wait for. */
 static void
 pause_deferrable_writes(MmKvClient *kv) {
-  mm_info("key-value store limits the rate status=429");
-  kv->write_budget = -RATE_LIMITED_PAUSE_S * write_budget_per_s(kv);
+  mm_info("deferrable writes paused: key-value store limits the request rate status=429");
+  kv->write_budget = -RATE_LIMIT_BACKOFF_S * write_budget_per_s(kv);
   kv->write_budget_at = mm_platform_now(kv->platform);
 }
 
@@ -145,8 +152,9 @@
 on_request_done(gpointer data, int status, json_t *body) {
   Request *request = data;
 
-  /* A refusal is as old as its request: the response may have been unread for as long as this node
-   * stood still, and a proof of an outage depends on its age. */
+  /* A refusal counts from when its request was sent: if this process was paused, the response may
+   * have been waiting unread for that long, and the proof of an outage depends on the refusal's age
+   * (see leases/node-lease.h). */
   if (status == 503) {
     if (!mm_kv_client_is_refused(request->kv))
       request->kv->refused_since = request->sent_at;
@@ -217,7 +225,8 @@
   g_autoptr(json_t) body = json_pack("{s:o, s:o}", WIRE_CONDITIONS, transaction->conditions,
                                      WIRE_OPERATIONS, transaction->operations);
 
-  /* Asked here, whoever decided on the transaction: no module can write past the guard. */
+  /* The guard is checked here, the only place where transactions are sent, so that no module can
+   * bypass it. */
   if (!mm_kv_client_may_write(kv)) {
     *transaction = (MmTransaction){ 0 };
     if (on_response != NULL) {
@@ -259,7 +268,8 @@
   MmTime last_response_at = mm_time_max(kv->last_served_at, kv->last_refused_at);
 
   return kv->last_unanswered_at.us > last_response_at.us
-         && mm_time_ms_since(mm_platform_now(kv->platform), last_response_at) > SILENT_AFTER_MS;
+         && mm_time_ms_since(mm_platform_now(kv->platform), last_response_at)
+                > UNRESPONSIVE_AFTER_MS;
 }
 
 gboolean
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -1,9 +1,10 @@
-/* The client of the key-value store: requests, transactions, the budget of writes that can wait,
- * the limits learned from refusals, and whether the store serves this node.
+/* The client of the key-value store: sends requests and transactions, limits the rate of deferrable
+ * writes, learns the store's size limits from refused transactions, and tracks whether the store
+ * serves this node.
  *
- * Times are those at which requests were sent, so a late response never counts as a newer one. A
- * transaction that this node may not send is not sent at all and answered 503 with the next tick.
- */
+ * A response is recorded under the time at which its request was sent, so a delayed response never
+ * counts as newer than it is. A transaction that this node may not send (see `may_write`) is not
+ * sent; its callback receives status 503 at the next tick. */
 #pragma once
 
 #include "config/settings.h"
@@ -11,71 +12,84 @@
 #include "kv/transaction.h"
 #include "platform/platform.h"
 
-/* Whether this node may write, asked before each transaction. */
+/* Returns whether this node may write at present. Called before each transaction is sent. */
 typedef gboolean (*MmMayWrite)(gconstpointer context);
 
+/* Value of a learned limit while no transaction has been refused for it. */
 #define MM_KV_NO_LIMIT G_MAXUINT
 
 typedef struct MmKvClient {
   const MmPlatform *platform;
   const MmSettings *settings;
-  MmMayWrite may_write; /* NULL: always */
+  MmMayWrite may_write; /* NULL: this node may always write */
   gconstpointer may_write_context;
-  MmTime last_refused_at;    /* last 503; 0: never, as with the times below */
-  MmTime refused_since;      /* first 503 since a request was served */
-  MmTime last_unanswered_at; /* last time that a request got no response */
-  MmTime last_served_at;     /* when the newest served request was sent */
-  double write_budget;       /* keys that work which can wait may still write; below 0: paused */
-  MmTime write_budget_at;
-  gint64 available_us; /* for how long the store has served this node, counted by ticks */
+  /* Times of requests by outcome; 0 if there was none. All but last_unanswered_at are the times at
+   * which the requests were sent. */
+  MmTime last_refused_at;    /* newest request that was refused (503) */
+  MmTime refused_since;      /* first request refused (503) since one was served */
+  MmTime last_unanswered_at; /* when a request last timed out */
+  MmTime last_served_at;     /* newest request that the store served */
+  double write_budget;       /* keys that deferrable work may write now; below 0 after a 429 */
+  MmTime write_budget_at;    /* when write_budget was last updated */
+  gint64 available_us;       /* total time, in microseconds, for which the store served this node */
   MmTime last_tick_at;
-  /* Limits learned from transactions that were refused as too large; MM_KV_NO_LIMIT: none yet. */
+  /* Limits learned from transactions that were refused as too large, or MM_KV_NO_LIMIT. */
   guint learned_max_value_bytes;
   guint learned_max_operations;
-  GArray *unsent_transactions; /* not sent, see may_write; to be answered 503 */
+  GArray *unsent_transactions; /* callbacks of transactions withheld by may_write */
 } MmKvClient;
 
-/* Platform and settings must outlive the client. */
+/* Creates a client. `platform` and `settings` must outlive it. */
 MmKvClient *mm_kv_client_new(const MmPlatform *platform, const MmSettings *settings);
 void mm_kv_client_free(MmKvClient *kv);
-/* From now on transactions are sent only while `may_write` says so. */
+/* Sets the guard of writes: transactions are sent only while `may_write` returns TRUE. */
 void mm_kv_client_set_write_guard(MmKvClient *kv, MmMayWrite may_write, gconstpointer context);
+/* Returns whether the guard permits writes; TRUE if there is none. */
 gboolean mm_kv_client_may_write(const MmKvClient *kv);
-/* Counts the time in which the store serves this node (of a node that stood still no more than a
- * few ticks, since it can't know more), and answers transactions that were not sent. */
+/* Adds the time since the last tick to `available_us` if the store serves this node, and fails the
+ * transactions that were not sent. After a pause of the process only a few ticks' time is added,
+ * since the process cannot know whether the store was available during the pause. */
 void mm_kv_client_tick(MmKvClient *kv);
 
-/* Answers the transactions that were not sent. Also to be called before their callers are freed. */
+/* Calls the callbacks of the transactions that were not sent, with status 503. Must also be called
+ * before the owners of these callbacks are freed. */
 void mm_kv_client_fail_unsent(MmKvClient *kv);
 
-/* Requests: `on_response` comes exactly once, never before the call returns, with the HTTP status
- * (0: no response in time) and the body, which is lent. */
+/* Sends a read of one key, `prefix` and `key` concatenated. Like all functions below that send a
+ * request, it calls `on_response` exactly once, never before it returns, with the HTTP status (0 if
+ * there was no response in time) and the body, which is valid only during the callback. */
 void mm_kv_client_get(MmKvClient *kv, const char *prefix, const char *key,
                       MmResponseCallback on_response, gpointer data);
-/* Keys with the prefix in order, from after `after_key` (NULL: from the first), at most `limit`. */
+/* Lists at most `limit` keys with the prefix, in key order, starting after `after_key` (NULL: with
+ * the first key). */
 void mm_kv_client_list(MmKvClient *kv, const char *prefix, const char *after_key, guint limit,
                        MmResponseCallback on_response, gpointer data);
-/* Changes after the revision; the store waits up to `wait_ms` for one. */
+/* Requests the changes of keys with the prefix after the revision. If there are none, the store
+ * waits up to `wait_ms` for one before it responds. */
 void mm_kv_client_watch(MmKvClient *kv, const char *prefix, guint64 after_revision, guint wait_ms,
                         MmResponseCallback on_response, gpointer data);
-/* Sends and takes the transaction. `on_response` may be NULL where the replica shows the outcome.
- */
+/* Sends the transaction and takes ownership of its arrays. `on_response` may be NULL if the caller
+ * learns the outcome from the replica. */
 void mm_kv_client_commit(MmKvClient *kv, MmTransaction *transaction, MmResponseCallback on_response,
                          gpointer data);
-/* The same, but without operations it is only cleared, and nobody is called back. */
+/* Commits the transaction if it has operations; otherwise clears it without calling back. */
 void mm_kv_client_commit_unless_empty(MmKvClient *kv, MmTransaction *transaction,
                                       MmResponseCallback on_response, gpointer data);
+/* Sends any other request; `body` stays the caller's and may be NULL. */
 void mm_kv_client_request(MmKvClient *kv, const char *method, const char *path, const json_t *body,
                           guint timeout_ms, MmResponseCallback on_response, gpointer data);
 
-/* Bounds of a value and of a transaction: those of the settings, and less where the store has
- * refused as much. */
+/* Returns the maximum size of a value: the limit in the settings or, if lower, the limit learned
+ * from refused transactions. */
 guint mm_kv_client_max_value_bytes(const MmKvClient *kv);
+/* Returns the maximum number of operations of a transaction, determined in the same way. */
 guint mm_kv_client_max_operations(const MmKvClient *kv);
-/* Whether work that can wait may write so many keys now; takes them from the budget if so. */
+/* Takes `n_operations` writes from the budget of deferrable writes. Returns FALSE and takes nothing
+ * if the budget does not suffice at present. */
 gboolean mm_kv_client_try_spend_writes(MmKvClient *kv, guint n_operations);
-/* Whether the store refuses this node at the moment (503). */
+/* Returns whether the store refuses this node's requests at present: the newest request that was
+ * refused (503) was sent after the newest one that was served. */
 gboolean mm_kv_client_is_refused(const MmKvClient *kv);
-/* Whether the store has not responded for a while: more likely this node is cut off than the store
- * is down. */
+/* Returns whether requests have timed out and the store has not responded for some time. That means
+ * more likely that this node is cut off from the network than that the store is down. */
 gboolean mm_kv_client_is_silent(const MmKvClient *kv);
--- a/src/kv/read-barrier.c
+++ b/src/kv/read-barrier.c
@@ -5,26 +5,28 @@
 #include "kv/kv-client.h"
 #include "kv/replica.h"
 
-/* The share of the key-value store's requests that one node's reads of the revision may take. */
+/* The fraction of the key-value store's request rate that one node may use to read the revision. */
 #define REVISION_READ_RATE_SHARE 0.05
-#define CURRENT_TIMEOUT_MS 1500
+#define WAIT_TIMEOUT_MS 1500
 #define MAX_WAITERS 512
 
+/* Value of Waiter.revision_read until a revision read is sent on behalf of the waiter. */
 #define NO_REVISION_READ 0
+/* Value of Waiter.required_revision until that read is answered. */
 #define REVISION_UNKNOWN 0
 
 typedef struct {
   MmCurrentCallback on_current;
   gpointer data;
   MmTime deadline;
-  guint64 revision_read;     /* the number of the revision read that serves it */
-  guint64 required_revision; /* what the replica must have reached */
+  guint64 revision_read;     /* serial number of the read that yields required_revision */
+  guint64 required_revision; /* the replica must reach it */
 } Waiter;
 
 struct MmReadBarrier {
   MmReplica *replica;
-  GQueue *waiters;          /* Waiter */
-  guint64 n_revision_reads; /* sent so far */
+  GQueue *waiters;          /* of Waiter, oldest first */
+  guint64 n_revision_reads; /* sent so far; the serial number of the latest */
   gboolean is_reading_revision;
   MmTime next_revision_read_at;
 };
@@ -91,7 +93,7 @@
     if (status == 404 && revision != 0)
       waiter->required_revision = revision;
     else if (status == 429)
-      waiter->revision_read = NO_REVISION_READ; /* one more try */
+      waiter->revision_read = NO_REVISION_READ; /* rate limited; retried with the next read */
     else
       finish_waiter(barrier, link, FALSE);
   }
@@ -119,7 +121,7 @@
   barrier->n_revision_reads++;
   barrier->is_reading_revision = TRUE;
   barrier->next_revision_read_at = mm_time_add_ms(now, interval_ms);
-  /* A key that is never written: the 404 carries the revision. */
+  /* Reads a key that is never written, since the 404 response carries the store's revision. */
   mm_kv_client_get(barrier->replica->kv, MM_KEY_NEVER_WRITTEN, "", on_revision_read, barrier);
 }
 
@@ -134,8 +136,7 @@
   waiter = g_new0(Waiter, 1);
   waiter->on_current = on_current;
   waiter->data = data;
-  waiter->deadline
-      = mm_time_add_ms(mm_platform_now(barrier->replica->platform), CURRENT_TIMEOUT_MS);
+  waiter->deadline = mm_time_add_ms(mm_platform_now(barrier->replica->platform), WAIT_TIMEOUT_MS);
   g_queue_push_tail(barrier->waiters, waiter);
   start_revision_read(barrier);
 }
--- a/src/kv/read-barrier.h
+++ b/src/kv/read-barrier.h
@@ -1,8 +1,9 @@
-/* Reads that must not be answered from a replica older than they are (linearizable reads).
+/* Linearizable reads: delays a read until the replica shows everything written before the read.
  *
  * A caller waits until the replica has reached the revision that the key-value store had after the
- * call. One read of the revision serves all who call within a short while, so polls of jobs need no
- * request each. Callers past their deadline, and those above the bound, get a refusal. */
+ * call. Callers that arrive within a short interval share one read of the store's revision, so
+ * polls of jobs don't need a request each. A caller is refused if its deadline passes or if too
+ * many callers are waiting already. */
 #pragma once
 
 #include "base/types.h"
@@ -10,17 +11,19 @@
 typedef struct MmReplica MmReplica;
 typedef struct MmReadBarrier MmReadBarrier;
 
-/* Called exactly once, possibly before mm_replica_when_current returns. `is_current`: the replica
- * shows everything that was written before the call; FALSE: that was not known in time. */
+/* Called exactly once, possibly before mm_replica_when_current returns. `is_current` is TRUE if the
+ * replica shows everything that was written before the call, FALSE if that could not be established
+ * in time. */
 typedef void (*MmCurrentCallback)(gpointer data, gboolean is_current);
 
-/* The replica must outlive the barrier. */
+/* Creates a barrier. The replica must outlive it. */
 MmReadBarrier *mm_read_barrier_new(MmReplica *replica);
-/* Calls back those who wait, with FALSE. */
+/* Frees the barrier, after calling back all waiting callers with FALSE. */
 void mm_read_barrier_free(MmReadBarrier *barrier);
-/* Calls back once the replica is current, see mm_replica_when_current. */
+/* Calls `on_current` once the replica is current, see mm_replica_when_current. */
 void mm_read_barrier_wait(MmReadBarrier *barrier, MmCurrentCallback on_current, gpointer data);
-/* Reads the revision where callers wait for one, and calls back those that are due. */
+/* Starts a read of the store's revision if callers wait for one, and calls back the callers whose
+ * revision is reached or whose deadline has passed. */
 void mm_read_barrier_tick(MmReadBarrier *barrier);
-/* To be called when the replica has advanced. */
+/* Calls back the callers that are due. Must be called after each advance of the replica. */
 void mm_read_barrier_replica_advanced(MmReadBarrier *barrier);
--- a/src/kv/records.c
+++ b/src/kv/records.c
@@ -2,14 +2,14 @@
 
 #include "base/json.h"
 
-/* Fields of a shard, of a live node's key and of the term. */
+/* Fields of the shard, live node and term records. */
 #define FIELD_LEADER "n"
 #define FIELD_LEASE "c"
 #define FIELD_TERM "t"
-/* Fields of a node's version. */
+/* Fields of a node's version record. */
 #define FIELD_VERSION "v"
 #define FIELD_GROUPS "g"
-/* The field of the active format. */
+/* Field of the format record. */
 #define FIELD_FORMAT "f"
 
 json_t *
--- a/src/kv/records.h
+++ b/src/kv/records.h
@@ -1,8 +1,9 @@
-/* Keys and small records of the key-value store, and their codecs.
+/* Keys of the key-value store, and the codecs of its small records.
  *
- * All keys under MM_KEY_ROOT are watched and stand in the replica (kv/replica.h). Records of jobs,
- * machines and machine groups have their codecs in the folders of these. Decoders take what is
- * missing or of another type as empty or 0; values are lent, encoders return a new reference. */
+ * All keys under MM_KEY_ROOT are watched and held in the replica (kv/replica.h). The codecs of job,
+ * machine and machine group records are in the folders of those modules. Decoders don't take
+ * ownership of the value, and read a field that is missing or has another type as empty or 0.
+ * Encoders return a new reference. */
 #pragma once
 
 #include <jansson.h>
@@ -10,52 +11,55 @@
 #include "base/types.h"
 
 #define MM_KEY_ROOT "mm/r/"
-/* First in order, so that nothing is read in a format that is not known. */
+/* First in key order, so that a node reads the format before any record in that format. */
 #define MM_KEY_FORMAT MM_KEY_ROOT "a-format"
-/* Second in order, so that machines which are read later find their types. */
+/* Second in key order, so that the machine types are known when machines are read. */
 #define MM_KEY_INSTANCE_TYPES MM_KEY_ROOT "a-types"
 #define MM_KEY_TERM MM_KEY_ROOT "term"
 #define MM_KEY_LIVE_NODE MM_KEY_ROOT "n/"
 #define MM_KEY_SHARD MM_KEY_ROOT "p/"
 #define MM_KEY_REGISTRY_PACK MM_KEY_ROOT "m/"
 #define MM_KEY_JOB MM_KEY_ROOT "j/"
-#define MM_KEY_NODE_VERSION MM_KEY_ROOT "v/"   /* which version each node supports */
-#define MM_KEY_MACHINE_GROUPS MM_KEY_ROOT "g/" /* which machine groups each node owns */
-#define MM_KEY_NEVER_WRITTEN "mm/none"
-#define MM_KEY_TERMINAL_RECORD "mm/f/" /* of jobs; not watched */
+#define MM_KEY_NODE_VERSION MM_KEY_ROOT "v/"   /* the version that each node supports */
+#define MM_KEY_MACHINE_GROUPS MM_KEY_ROOT "g/" /* the machine groups that each node owns */
+#define MM_KEY_NEVER_WRITTEN "mm/none"         /* read to learn the store's revision */
+#define MM_KEY_TERMINAL_RECORD "mm/f/"         /* of a job; not watched */
 
-/* A lease id that stands for no lease. */
+/* The lease id that stands for no lease. */
 #define MM_NO_LEASE 0
 
-/* A shard's record: who leads it, since which term. Its key is bound to the leader's lease. */
+/* A shard's record: the node that leads it, and the term in which that node acquired it. The key is
+ * bound to the leader's lease. */
 typedef struct {
   MmName leader;
   guint64 lease_id;
   MmTerm term;
-  MmKeyVersion version; /* of the key; not part of the value */
+  MmKeyVersion version; /* of the key; not part of the encoded value */
 } MmShard;
 
 json_t *mm_record_encode_shard(const MmShard *shard);
-/* Leaves the version 0. */
+/* Decodes all fields but `version`, which is set to 0. */
 MmShard mm_record_decode_shard(const json_t *value);
 
-/* The global term. */
+/* Codec of the global term, the value of MM_KEY_TERM. */
 json_t *mm_record_encode_term(MmTerm term);
 MmTerm mm_record_decode_term(const json_t *value);
 
-/* A live node's key: the node's lease, to which the key is bound. */
+/* Codec of a live node's record: the id of the node's lease, to which the key is bound. */
 json_t *mm_record_encode_live_node(guint64 lease_id);
 guint64 mm_record_decode_live_node(const json_t *value);
 
-/* What a node announces of itself, see upgrade/versions.h. */
+/* What a node announces about itself, see upgrade/versions.h. */
 typedef struct {
   guint version;
-  guint group_count; /* machine groups; 0: none */
+  guint group_count; /* machine groups in the node's settings; 0: none */
 } MmNodeVersionRecord;
 
-/* A group count of 0 is left out: the value is the same, to the byte, as that of older nodes. */
+/* Encodes the record. A group count of 0 is left out, so that the value is identical, byte for
+ * byte, to the one that older nodes write. */
 json_t *mm_record_encode_node_version(const MmNodeVersionRecord *record);
 MmNodeVersionRecord mm_record_decode_node_version(const json_t *value);
 
-/* The active format, see upgrade/format.h; 0: not readable. */
+/* Returns the active format (see upgrade/format.h), or 0 (MM_FORMAT_UNREADABLE) if the value is not
+ * readable. */
 guint64 mm_record_decode_format(const json_t *value);
--- a/src/kv/replica.c
+++ b/src/kv/replica.c
@@ -4,11 +4,12 @@
 #include "base/log.h"
 #include "base/wire.h"
 
-/* Short, so that a returning watch keeps proving that the replica is fresh. */
+/* Kept short, because every response, with or without changes, shows that the replica is current.
+ */
 #define WATCH_WAIT_MS 1500
 #define RETRY_AFTER_MS 200
 #define KEYS_PER_PAGE 400
-/* The share of the key-value store's requests that one node's watches may take. */
+/* The fraction of the key-value store's request rate that one node may use for watches. */
 #define WATCH_RATE_SHARE 0.1
 
 static void start_load(gpointer data);
@@ -75,7 +76,7 @@
 }
 
 static void
-note_node_gone(MmReplica *replica) {
+record_node_removal(MmReplica *replica) {
   replica->node_last_gone_at = mm_platform_now(replica->platform);
 }
 
@@ -88,7 +89,7 @@
   if (known != NULL && known->lease_id == lease_id)
     return;
   if (known != NULL)
-    note_node_gone(replica);
+    record_node_removal(replica);
   added = g_new0(MmLiveNode, 1);
   added->lease_id = lease_id;
   added->seen_since = mm_platform_now(replica->platform);
@@ -106,8 +107,8 @@
 remove_live_node(MmReplica *replica, const char *label) {
   if (!g_hash_table_remove(replica->live_nodes, label))
     return;
-  note_node_gone(replica);
-  mm_info("node left node=%s", label);
+  record_node_removal(replica);
+  mm_info("node left: its key was removed node=%s", label);
 }
 
 static const MmReplicaObserver *
@@ -184,9 +185,10 @@
   mm_platform_call_after(replica->platform, RETRY_AFTER_MS, start_load, replica);
 }
 
-/* After a reload: known keys that were not loaded have been deleted meanwhile. */
+/* Removes the keys that were known before a reload but not read by it: they have been deleted in
+ * the meantime. */
 static void
-delete_vanished_keys(MmReplica *replica) {
+remove_keys_missing_after_reload(MmReplica *replica) {
   g_autoptr(GPtrArray) known_keys = g_ptr_array_new_with_free_func(g_free);
   GHashTableIter iter;
   gpointer key;
@@ -207,8 +209,9 @@
       apply_delete(replica, g_ptr_array_index(known_keys, i));
 }
 
-/* Later pages may show a term that is newer than the shards of the first page: until the watch has
- * reached the newest version that was loaded, the replica does not count as loaded. */
+/* Marks the replica as loaded once the watch has reached the newest version that any page showed.
+ * Pages are read one after another, so a later page may show a term that is newer than the shards
+ * on an earlier one. */
 static void
 finish_load_if_caught_up(MmReplica *replica) {
   if (replica->is_loaded || replica->revision < replica->newest_loaded_version)
@@ -216,9 +219,10 @@
   replica->is_loaded = TRUE;
   replica->staleness_at = mm_platform_now(replica->platform);
   replica->staleness_us = replica->staleness_at.us - replica->load_started_at.us;
-  /* Leases may have expired unseen, with workers answered up to their expiry: a node that was cut
-   * off as it started would count machines as lost that another has just answered. */
-  note_node_gone(replica);
+  /* Other nodes' leases may have expired without this node seeing it, and those nodes may have
+   * answered workers until then. Without this record, a node that was cut off while it started
+   * would count machines as lost that another node answered a moment ago. */
+  record_node_removal(replica);
   if (replica->term_at_start.v == 0)
     replica->term_at_start = replica->term;
   mm_info("replica loaded revision=%" G_GUINT64_FORMAT " term=%" G_GUINT64_FORMAT,
@@ -254,7 +258,8 @@
     schedule_load(replica);
     return;
   }
-  /* The watch starts at the first page's revision and repeats what later pages may already show. */
+  /* The watch starts at the first page's revision, so it may repeat changes that later pages
+   * already contain. */
   if (replica->first_page_revision == 0)
     replica->first_page_revision = mm_json_count(body, WIRE_REVISION, 0);
   apply_page(replica, items);
@@ -264,7 +269,7 @@
                       on_page_loaded, replica);
     return;
   }
-  delete_vanished_keys(replica);
+  remove_keys_missing_after_reload(replica);
   replica->revision = replica->first_page_revision;
   finish_load_if_caught_up(replica);
   start_watch(replica);
@@ -304,8 +309,8 @@
   }
 }
 
-/* After events the next watch waits for a while, so that changes close together are fetched
- * together. */
+/* Starts the next watch. After a response with events it is delayed to limit the request rate, so
+ * that changes in quick succession arrive in one response. */
 static void
 start_next_watch(MmReplica *replica, MmTime sent_at, gboolean had_events) {
   double min_interval_ms = 1000 / (replica->settings->kv_requests_per_s * WATCH_RATE_SHARE);
@@ -327,7 +332,8 @@
 
   g_free(request);
   if (status == 410) {
-    mm_info("watch fell behind, replica reloads revision=%" G_GUINT64_FORMAT, replica->revision);
+    mm_info("replica reloading: watch revision no longer available revision=%" G_GUINT64_FORMAT,
+            replica->revision);
     start_load(replica);
     return;
   }
--- a/src/kv/replica.h
+++ b/src/kv/replica.h
@@ -1,9 +1,10 @@
-/* The replica of all keys under MM_KEY_ROOT: loaded in pages, then kept up to date by a watch.
+/* This node's replica of all keys under MM_KEY_ROOT, loaded in pages and then kept up to date by a
+ * watch.
  *
- * One watch covers the term, shards, live nodes, machines and unfinished jobs, and shows changes in
- * their order. So a node that sees a term here has seen every earlier change of the shards' leaders
- * too: that the term and the shards are adopted together, which fencing needs, follows from the
- * order of the watch. */
+ * One watch covers the term, shards, live nodes, machines and unfinished jobs, and delivers changes
+ * in the order in which they were made. So once the replica shows a term, it also shows every
+ * earlier change of a shard's leader. Fencing relies on this: a node must not adopt a term without
+ * the leaders that belong to it. */
 #pragma once
 
 #include "kv/read-barrier.h"
@@ -12,74 +13,83 @@
 #include "kv/kv-client.h"
 #include "platform/platform.h"
 
-/* Receives changes of keys as the replica shows them, in their order. `suffix` is the key
- * after the prefix; values are lent. Functions that are NULL are not called. */
+/* Receives the changes of the keys with a prefix, in order, as they enter the replica. `suffix` is
+ * the part of the key after the prefix. Values are valid only during the call. Functions may be
+ * NULL. */
 typedef struct {
-  const char *prefix; /* of keys, ending in '/'; or one whole key. Must outlive the replica */
+  const char *prefix; /* ends in '/', or is one whole key; must outlive the replica */
   void (*put)(gpointer context, const char *suffix, const json_t *value, MmKeyVersion version);
   void (*removed)(gpointer context, const char *suffix);
-  /* Adds the keys that the observer knows, as new strings: after a reload those that no longer
-   * exist are removed. Without it no key is removed by a reload. */
+  /* Adds all keys that the observer holds to `keys`, as newly allocated strings. After a reload,
+   * `removed` is called for those that no longer exist. If NULL, a reload removes no keys of this
+   * observer. */
   void (*list_keys)(gpointer context, const char *prefix, GPtrArray *keys);
-  void (*page_loaded)(gpointer context); /* a page of keys has been read in a load */
+  void (*page_loaded)(gpointer context); /* after each page of a load */
   gpointer context;
 } MmReplicaObserver;
 
-/* Called when the replica is loaded, and after each response of the watch with changes. */
+/* Called when a load is complete, and after each watch response that contains changes. */
 typedef void (*MmReplicaChanged)(gpointer context);
 
 typedef struct {
   guint64 lease_id;
-  MmTime seen_since; /* when this node first saw the lease */
+  MmTime seen_since; /* when this node first saw this lease */
 } MmLiveNode;
 
 struct MmReplica {
   const MmPlatform *platform;
   const MmSettings *settings;
   MmKvClient *kv;
-  GArray *observers;                                    /* MmReplicaObserver */
-  GArray *change_listeners;                             /* in the order in which they are called */
-  gboolean (*has_proved_outage)(gconstpointer context); /* NULL: never */
+  GArray *observers;        /* of MmReplicaObserver */
+  GArray *change_listeners; /* of ChangeListener, in the order of the calls */
+  gboolean (*has_proved_outage)(gconstpointer context); /* NULL: an outage is never proved */
   gconstpointer has_proved_outage_context;
   gboolean is_loaded;
-  guint64 revision;
-  MmTime fresh_until;  /* the replica shows all that was written before this instant */
-  gint64 staleness_us; /* its age at staleness_at, time in a proved outage left out */
+  guint64 revision;    /* of the store, up to which the replica shows all changes */
+  MmTime fresh_until;  /* the replica shows all that was written before this time */
+  gint64 staleness_us; /* staleness at staleness_at, not counting time in proved outages */
   MmTime staleness_at;
   MmTerm term;
-  MmTerm term_at_start; /* as first loaded by this process; 0: not yet */
+  MmTerm term_at_start; /* the term that this process loaded first; 0 until then */
   MmKeyVersion term_version;
-  GHashTable *shards;       /* name -> MmShard */
-  GHashTable *live_nodes;   /* label -> MmLiveNode */
-  MmTime node_last_gone_at; /* when a node's lease was last seen to be gone */
+  GHashTable *shards;     /* name -> MmShard */
+  GHashTable *live_nodes; /* label -> MmLiveNode */
+  /* When this node last saw that a node's lease was replaced or gone, or last completed a load,
+   * during which leases may have expired without this node seeing it. */
+  MmTime node_last_gone_at;
   MmTime load_started_at;
-  guint64 first_page_revision;   /* 0: the first page has not been read */
-  guint64 newest_loaded_version; /* the watch must reach it before the replica counts as loaded */
-  GHashTable *loaded_keys;       /* keys met while loading */
+  guint64 first_page_revision;   /* 0 until the first page of a load is read */
+  guint64 newest_loaded_version; /* the watch must reach it before is_loaded is set */
+  GHashTable *loaded_keys;       /* set of the keys read by the latest load */
   char *last_loaded_key;
   MmReadBarrier *read_barrier;
 };
 
-/* What is passed must outlive the replica. */
+/* Creates a replica. All arguments must outlive it. */
 MmReplica *mm_replica_new(const MmPlatform *platform, const MmSettings *settings, MmKvClient *kv);
-/* Calls back those who wait for a current replica. Only when no request can be answered any more.
- */
+/* Frees the replica, after calling back the callers that wait for a current replica. May be called
+ * only when no request of the replica can be answered any more. */
 void mm_replica_free(MmReplica *replica);
-/* Copies the observer. All observers and listeners are to be added before the start. */
+/* Adds an observer, which is copied. Must be called before mm_replica_start. */
 void mm_replica_add_observer(MmReplica *replica, const MmReplicaObserver *observer);
+/* Adds a listener; listeners are called in the order in which they were added. Must be called
+ * before mm_replica_start. */
 void mm_replica_add_change_listener(MmReplica *replica, MmReplicaChanged changed, gpointer context);
-/* How the replica learns whether an outage of the key-value store is proved at the moment. */
+/* Sets the function that returns whether an outage of the key-value store is proved at present. */
 void mm_replica_set_outage_proof(MmReplica *replica, gboolean (*has_proved_outage)(gconstpointer),
                                  gconstpointer context);
-/* Starts to load; loading, watching and retries go on until the node ends. */
+/* Starts the load. Loading, watching and retrying then continue until the process ends. */
 void mm_replica_start(MmReplica *replica);
+/* Updates the staleness, and calls back the callers of mm_replica_when_current that are due. */
 void mm_replica_tick(MmReplica *replica);
-/* Calls back once the replica shows all that was written up to now, see kv/read-barrier.h; at once
- * with FALSE while the replica is not loaded. */
+/* Calls `on_current` once the replica shows everything written before this call, see
+ * kv/read-barrier.h. If the replica is not loaded, calls it immediately with FALSE. */
 void mm_replica_when_current(MmReplica *replica, MmCurrentCallback on_current, gpointer data);
-/* The replica's age: for how long changes may be unread, in microseconds, proved outages aside. */
+/* Returns the replica's staleness in microseconds: for how long changes may have gone unread, not
+ * counting time in proved outages. */
 gint64 mm_replica_staleness_us(const MmReplica *replica);
-/* NULL: the shard has no leader. */
+/* Returns the shard's record, owned by the replica, or NULL if the shard has no leader. */
 const MmShard *mm_replica_shard(const MmReplica *replica, const char *name);
-/* The live nodes' labels in order, lent; free the container only. */
+/* Returns the labels of the live nodes, sorted. The caller frees the array but not the labels,
+ * which the replica owns. */
 GPtrArray *mm_replica_live_labels(const MmReplica *replica);
--- a/src/kv/transaction.h
+++ b/src/kv/transaction.h
@@ -1,8 +1,8 @@
-/* A transaction of the key-value store under construction: operations that are carried out
- * together if all conditions are met (compare-and-swap on the versions of keys).
+/* Builds transactions of the key-value store: operations that are carried out atomically if all
+ * conditions hold (compare-and-swap on the versions of keys).
  *
- * It owns its two arrays. mm_kv_client_commit takes them; what is not committed is to be cleared.
- */
+ * A transaction owns its two arrays. mm_kv_client_commit takes ownership of them; a transaction
+ * that is not committed must be cleared. */
 #pragma once
 
 #include <jansson.h>
@@ -15,12 +15,17 @@
   guint n_operations;
 } MmTransaction;
 
+/* Returns an empty transaction. */
 MmTransaction mm_transaction_begin(void);
+/* Frees the arrays. */
 void mm_transaction_clear(MmTransaction *transaction);
-/* The key, `prefix` and `key` put together, must have the version; 0: must be absent. */
+/* Adds the condition that the key, `prefix` and `key` concatenated, has the version; 0 means that
+ * the key must be absent. */
 void mm_transaction_require_version(MmTransaction *transaction, const char *prefix, const char *key,
                                     MmKeyVersion version);
-/* Takes the value. The key is deleted as the lease expires; MM_NO_LEASE: it stays. */
+/* Adds an operation that writes the key, and takes ownership of the value. The store deletes the
+ * key when the lease expires, or never if `lease_id` is MM_NO_LEASE. */
 void mm_transaction_put(MmTransaction *transaction, const char *prefix, const char *key,
                         json_t *value, guint64 lease_id);
+/* Adds an operation that deletes the key. */
 void mm_transaction_delete(MmTransaction *transaction, const char *prefix, const char *key);
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -4,16 +4,18 @@
 #include "base/log.h"
 #include "base/wire.h"
 
-/* Steady clocks diverge by at most 0.05%; twice that, against two clocks, and a little more. */
+/* A monotonic clock drifts by at most 0.05%. The constant is twice that, because two clocks are
+ * compared, plus a safety margin. */
 #define CLOCK_DRIFT 0.002
-/* Taken off the validity of a lease on top of the drift. */
+/* Deducted from the validity of a lease in addition to the drift. */
 #define VALIDITY_MARGIN_MS 20
 #define REQUEST_TIMEOUT_MS 1000
-/* After a lease that was not granted or announced. */
+/* Delay after an attempt to acquire the lease has failed. */
 #define ACQUIRE_RETRY_MS 150
-/* After a renewal that got no proper response; never more than half of the renewal interval. */
+/* Delay after a renewal that failed other than by expiry; at most half of the renewal interval. */
 #define RENEW_RETRY_MAX_MS 300
 #define OUTAGE_PROOF_MAX_AGE_MS 1000
+/* The limit on the replica's staleness, in lease times to live. */
 #define MAX_STALENESS_TTLS 2
 
 MmNodeLease *
@@ -127,14 +129,14 @@
   if (status == 200 && lease_id != MM_NO_LEASE) {
     MmTransaction transaction = mm_transaction_begin();
     request->lease_id = lease_id;
-    /* The condition keeps a late announcement, carried out after a newer one, from binding the key
-     * to the older lease: the key would go with that lease, and the other nodes would count this
-     * node as gone while it still answers. */
+    /* The condition prevents a delayed announcement, carried out after a newer one, from binding
+     * the key to the older lease. The key would be deleted when that lease expires, and the other
+     * nodes would consider this node gone while it still answers workers. */
     mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
                                    lease->node_key_version);
     mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
                        mm_record_encode_live_node(lease_id), lease_id);
-    /* `sent_at` stays that of the grant: the lease has been running since then. */
+    /* `sent_at` remains the time of the grant request, since the lease runs from the grant. */
     mm_kv_client_commit(lease->kv, &transaction, on_lease_announced, request);
     return;
   }
@@ -179,9 +181,10 @@
   g_free(request);
 }
 
-/* Two nodes that both were refused within the last second prove an outage, in which leases do not
- * expire and after which each has its full time again. The proof is as old as the older refusal;
- * the lease must not have expired before it. */
+/* Extends the lease if an outage of the key-value store is proved: this node and a peer have both
+ * been refused (503) within the last second. In an outage the store expires no leases, and after it
+ * each lease has its full time to live again. The proof has the time of the older of the two
+ * refusals; a lease that may have expired before that time is not extended. */
 static void
 extend_lease_in_outage(MmNodeLease *lease) {
   MmTime now = mm_platform_now(lease->platform);
@@ -192,8 +195,8 @@
   if (proved_at.us == 0 || mm_time_ms_since(now, proved_at) > OUTAGE_PROOF_MAX_AGE_MS
       || !mm_time_before(proved_at, lease->valid_until))
     return;
-  /* A node that is served meanwhile shows that the others are refused alone, and that their leases
-   * do expire. */
+  /* If the store has served any node meanwhile, there is no outage: it refuses only some nodes, and
+   * their leases do expire. */
   if (!mm_time_before(lease->kv->last_served_at, proved_at)
       || !mm_time_before(lease->peers.last_served_at(lease->peers.context),
                          lease->kv->refused_since))
@@ -202,8 +205,9 @@
   lease->valid_until = mm_time_max(lease->valid_until, lease_valid_until(lease, proved_at));
 }
 
-/* Whether the replica shows another lease than this node's in its key, or no key, although the node
- * has announced its lease: renewing an unseen lease would never entitle the node to anything. */
+/* Returns whether the replica is as new as the announcement of this node's lease, but the node's
+ * key is absent or names another lease. Renewing the lease would then be pointless, since a lease
+ * that the replica does not show entitles the node to nothing. */
 static gboolean
 node_key_is_overwritten(const MmNodeLease *lease) {
   const MmReplica *replica = lease->replica;
@@ -218,13 +222,14 @@
 renew_or_acquire_lease(MmNodeLease *lease) {
   MmTime now = mm_platform_now(lease->platform);
 
-  /* A node that may not write, since it does not support the active format, lets its lease expire.
-   */
+  /* A node that may not write, because it does not support the active format, lets its lease
+   * expire. */
   if (lease->is_request_pending || mm_time_before(now, lease->next_request_at)
       || !mm_kv_client_may_write(lease->kv))
     return;
   if (node_key_is_overwritten(lease)) {
-    mm_info("node lease dropped, its key is overwritten lease=%" G_GUINT64_FORMAT, lease->lease_id);
+    mm_info("node lease dropped: node key deleted or overwritten lease=%" G_GUINT64_FORMAT,
+            lease->lease_id);
     lease->lease_id = MM_NO_LEASE;
   }
   lease->is_request_pending = TRUE;
--- a/src/leases/node-lease.h
+++ b/src/leases/node-lease.h
@@ -1,10 +1,11 @@
-/* This node's lease in the key-value store: its grant, renewal and expiry, and until when it
- * entitles the node to answer workers.
+/* This node's lease in the key-value store: acquires and renews it, tracks its expiry, and decides
+ * whether it entitles the node to answer workers.
  *
- * The lease is announced by the node's own key, which is bound to it: the key goes as the lease
- * expires, which tells the other nodes. The lease counts from when its grant or renewal was
- * sent, by the steady clock and less its possible drift, so it is never believed for longer
- * than the store keeps it. */
+ * The node announces the lease in its own key, which is bound to the lease: when the lease expires,
+ * the store deletes the key, and so the other nodes learn of it. The validity of the lease is
+ * counted by the monotonic clock from when the request to grant or renew it was sent, less the
+ * possible clock drift. So this node never considers the lease valid for longer than the store
+ * keeps it. */
 #pragma once
 
 #include "config/operators.h"
@@ -13,7 +14,8 @@
 #include "kv/replica.h"
 #include "platform/platform.h"
 
-/* What the peers say of the key-value store, by this node's clock; 0: nothing yet. */
+/* When the key-value store last refused (503) or served any peer, as reported by the peers, by this
+ * node's clock; 0: not known. */
 typedef struct {
   MmTime (*last_refused_at)(gconstpointer context);
   MmTime (*last_served_at)(gconstpointer context);
@@ -27,34 +29,35 @@
   MmKvClient *kv;
   const MmReplica *replica;
   MmLeasePeers peers;
-  guint64 lease_id;               /* or MM_NO_LEASE */
-  MmTime valid_until;             /* the lease cannot have expired before this instant */
-  gboolean is_request_pending;    /* a request about the lease is under way */
-  MmTime next_request_at;         /* when to renew the lease, or to request a new one */
-  MmKeyVersion announced_version; /* of the key that announces the lease */
+  guint64 lease_id;               /* MM_NO_LEASE: the node has none */
+  MmTime valid_until;             /* the lease cannot expire before this time */
+  gboolean is_request_pending;    /* a request to read the key or about the lease is in flight */
+  MmTime next_request_at;         /* when to renew or acquire the lease */
+  MmKeyVersion announced_version; /* of the node's key as written with this lease */
   MmKeyVersion node_key_version;  /* of the node's key as read before the lease was requested */
-  MmTime outage_proved_at;        /* the newest proof of an outage; 0: none */
+  MmTime outage_proved_at;        /* time of the latest proof of an outage; 0: none */
 } MmNodeLease;
 
-/* What is passed must outlive the lease. */
+/* Creates the lease, which is not acquired yet. All arguments must outlive it. */
 MmNodeLease *mm_node_lease_new(const MmPlatform *platform, const MmSettings *settings,
                                const MmOperators *operators, MmKvClient *kv,
                                const MmReplica *replica);
-/* To be called before the first tick. */
+/* Sets the source of the peers' reports, which is copied. Must be called before the first tick. */
 void mm_node_lease_set_peers(MmNodeLease *lease, const MmLeasePeers *peers);
-/* Only when no request about the lease can be answered any more. The store lets the lease expire.
- */
+/* Frees the lease without revoking it; it expires in the store. May be called only when no request
+ * about the lease can be answered any more. */
 void mm_node_lease_free(MmNodeLease *lease);
-/* Requests a lease, renews it, or extends it by a proved outage, as is due. */
+/* Acquires or renews the lease when due, and extends it while an outage is proved. */
 void mm_node_lease_tick(MmNodeLease *lease);
 
-/* Whether the lease cannot have expired yet, by the steady clock, and this node may write. */
+/* Returns whether the lease cannot have expired yet by the monotonic clock, and this node may write
+ * to the key-value store. */
 gboolean mm_node_lease_is_valid(const MmNodeLease *lease);
-/* Whether this node may answer workers: the lease is valid, and a replica that is fresh enough
- * shows it. */
+/* Returns whether this node may answer workers: the lease is valid, and the replica shows it and is
+ * not older than mm_node_lease_max_staleness_us. */
 gboolean mm_node_lease_may_answer_workers(const MmNodeLease *lease);
-/* Whether an outage of the key-value store has been proved within the last second. */
+/* Returns whether an outage of the key-value store has been proved within the last second. */
 gboolean mm_node_lease_has_proved_outage(const MmNodeLease *lease);
-/* For how long, in microseconds and proved outages aside, a node may answer workers without having
- * read what has changed in the key-value store. */
+/* Returns for how long, in microseconds, a node may answer workers without having read the changes
+ * in the key-value store. Time in proved outages does not count. */
 gint64 mm_node_lease_max_staleness_us(const MmNodeLease *lease);
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -2,18 +2,18 @@
 
 #include "base/log.h"
 
-/* After this long without a leader any node may acquire a shard, not only the one that leads
+/* After this time without a leader, any node may acquire a shard, not only the node that leads the
  * fewest. */
-#define LEADERLESS_PATIENCE_MS 1500
-/* Time for the nodes that start together to be seen before the first distribution. */
-#define START_PATIENCE_MS 1000
-/* How long the shards must be spread unevenly before any is released. */
-#define UNEVEN_PATIENCE_MS 10000
+#define LEADERLESS_TIMEOUT_MS 1500
+/* For how long a node waits for the other nodes to join before the first assignment of shards. */
+#define STARTUP_WAIT_MS 1000
+/* For how long the shards must be unbalanced before any is released. */
+#define IMBALANCE_TIMEOUT_MS 10000
 #define CHECK_INTERVAL_MS 100
-/* After a transaction that failed. */
+/* Delay after a transaction that failed. */
 #define RETRY_AFTER_MS 200
-/* After a conflict, unless the replica advances earlier. */
-#define CONFLICT_PAUSE_MS 2000
+/* Delay after a conflict, unless the replica advances earlier. */
+#define CONFLICT_BACKOFF_MS 2000
 
 MmShardOwnership *
 mm_shard_ownership_new(const MmPlatform *platform, const MmSettings *settings,
@@ -70,10 +70,10 @@
          && mm_name_equal(&shard->leader, &ownership->settings->label);
 }
 
-/* Whether a live peer has not yet announced, by its link, the lease that the replica shows of it.
- */
+/* Returns whether the replica shows a lease of a live peer that the peer has not yet announced over
+ * its connection to this node. */
 static gboolean
-any_peer_lease_is_new(const MmShardOwnership *ownership) {
+any_peer_lease_is_unannounced(const MmShardOwnership *ownership) {
   const MmShardOwnershipCallbacks *callbacks = &ownership->callbacks;
   const GArray *peers = ownership->settings->peers;
 
@@ -98,7 +98,7 @@
     if (leader == NULL || leader->lease_id != shard->lease_id)
       return TRUE;
   }
-  return any_peer_lease_is_new(ownership);
+  return any_peer_lease_is_unannounced(ownership);
 }
 
 static void
@@ -109,16 +109,17 @@
   if (status != 200)
     ownership->next_check_at = mm_time_add_ms(mm_platform_now(ownership->platform), RETRY_AFTER_MS);
   if (status == 409) {
-    /* Each try costs writes that others need: first the watch must show what has changed. */
-    mm_debug("shard transaction conflicted revision=%" G_GUINT64_FORMAT,
+    /* Every attempt uses up part of the store's write rate, which other work needs. So the next one
+     * waits until the watch shows what has changed. */
+    mm_debug("shard transaction failed: version conflict revision=%" G_GUINT64_FORMAT,
              ownership->replica->revision);
     ownership->conflict_revision = ownership->replica->revision;
     ownership->next_check_at
-        = mm_time_add_ms(mm_platform_now(ownership->platform), CONFLICT_PAUSE_MS);
+        = mm_time_add_ms(mm_platform_now(ownership->platform), CONFLICT_BACKOFF_MS);
   }
 }
 
-/* Whether the shard has no leader, or an earlier incarnation of this node as its leader. */
+/* Returns whether the shard has no leader, or is led by this node under an earlier lease. */
 static gboolean
 may_be_acquired(const MmShardOwnership *ownership, const MmShard *shard) {
   return shard == NULL
@@ -126,8 +127,10 @@
              && shard->lease_id != ownership->node_lease->lease_id);
 }
 
+/* Records whether the shard has no leader at present. Returns for how long that has been so, in
+ * milliseconds, or 0 if the shard has a leader. */
 static gint64
-leaderless_for_ms(MmShardOwnership *ownership, const char *shard_name, gboolean is_leaderless) {
+update_leaderless_ms(MmShardOwnership *ownership, const char *shard_name, gboolean is_leaderless) {
   MmTime now = mm_platform_now(ownership->platform);
   MmTime *since = g_hash_table_lookup(ownership->leaderless_since, shard_name);
 
@@ -144,9 +147,9 @@
 }
 
 static void
-acquire_shards(MmShardOwnership *ownership, GPtrArray *wanted) {
+acquire_shards(MmShardOwnership *ownership, GPtrArray *shard_names) {
   const MmReplica *replica = ownership->replica;
-  guint n_acquired = MIN(wanted->len, mm_kv_client_max_operations(ownership->kv) - 1);
+  guint n_acquired = MIN(shard_names->len, mm_kv_client_max_operations(ownership->kv) - 1);
   MmShard acquired = { .leader = ownership->settings->label,
                        .lease_id = ownership->node_lease->lease_id,
                        .term = { replica->term.v + 1 } };
@@ -156,19 +159,20 @@
   mm_transaction_put(&transaction, MM_KEY_TERM, "", mm_record_encode_term(acquired.term),
                      MM_NO_LEASE);
   for (guint i = 0; i < n_acquired; i++) {
-    const char *name = g_ptr_array_index(wanted, i);
+    const char *name = g_ptr_array_index(shard_names, i);
     const MmShard *shard = mm_replica_shard(replica, name);
     mm_transaction_require_version(&transaction, MM_KEY_SHARD, name,
                                    shard != NULL ? shard->version : (MmKeyVersion){ 0 });
     mm_transaction_put(&transaction, MM_KEY_SHARD, name, mm_record_encode_shard(&acquired),
                        acquired.lease_id);
   }
-  mm_info("shards: acquiring n=%u term=%" G_GUINT64_FORMAT, n_acquired, acquired.term.v);
+  mm_info("shard acquisition started n=%u term=%" G_GUINT64_FORMAT, n_acquired, acquired.term.v);
   ownership->is_commit_pending = TRUE;
   mm_kv_client_commit(ownership->kv, &transaction, on_shards_committed, ownership);
 }
 
-/* Releases the surplus of shards in one transaction, since each move costs a new term. */
+/* Releases `surplus` shards, as far as the limit on operations permits, in a single transaction:
+ * released one by one, they would be acquired one by one, each with a new term. */
 static void
 release_shards(MmShardOwnership *ownership, guint surplus) {
   MmTransaction transaction = mm_transaction_begin();
@@ -184,18 +188,19 @@
       break;
     surplus--;
   }
-  mm_info("shards: releasing n=%u", transaction.n_operations);
+  mm_info("shard release started: assignment unbalanced n=%u", transaction.n_operations);
   ownership->is_commit_pending = TRUE;
   mm_kv_client_commit(ownership->kv, &transaction, on_shards_committed, ownership);
 }
 
-/* Which node leads how many shards, by the replica. */
+/* How many shards each live node leads, according to the replica. */
 typedef struct {
-  GPtrArray *live_labels; /* labels of the nodes that have a lease, in order */
-  guint *n_led;           /* how many shards each of them leads */
-  guint own_index;        /* this node's place among them, or NOT_LIVE */
+  GPtrArray *live_labels; /* labels of the nodes that have a lease, sorted */
+  guint *n_led;           /* for each of live_labels, the number of shards that it leads */
+  guint own_index;        /* this node's index in live_labels, or NOT_LIVE */
 } ShardDistribution;
 
+/* Value of own_index while the replica shows no lease of this node. */
 #define NOT_LIVE G_MAXUINT
 
 static void
@@ -233,34 +238,36 @@
   return fewest;
 }
 
-/* The leaderless shards that this node is to acquire: each goes to the node that leads fewest. */
+/* Returns the names of the shards that this node should acquire. Each leaderless shard is assigned
+ * to the node that leads the fewest. The caller frees the array but not the names. */
 static GPtrArray *
 shards_to_acquire(MmShardOwnership *ownership, ShardDistribution *distribution) {
-  GPtrArray *wanted = g_ptr_array_new();
+  GPtrArray *shard_names = g_ptr_array_new();
 
   for (guint i = 0; i < ownership->shard_names->len; i++) {
     const char *name = g_ptr_array_index(ownership->shard_names, i);
     const MmShard *shard = mm_replica_shard(ownership->replica, name);
     gboolean is_leaderless = may_be_acquired(ownership, shard);
-    gint64 leaderless_ms = leaderless_for_ms(ownership, name, is_leaderless);
+    gint64 leaderless_ms = update_leaderless_ms(ownership, name, is_leaderless);
     guint target_node;
 
     if (!is_leaderless)
       continue;
-    if (shard != NULL || leaderless_ms > LEADERLESS_PATIENCE_MS) {
-      g_ptr_array_add(wanted, (gpointer)name);
+    if (shard != NULL || leaderless_ms > LEADERLESS_TIMEOUT_MS) {
+      g_ptr_array_add(shard_names, (gpointer)name);
       continue;
     }
     target_node = node_with_fewest_shards(distribution);
     distribution->n_led[target_node]++;
     if (target_node == distribution->own_index)
-      g_ptr_array_add(wanted, (gpointer)name);
+      g_ptr_array_add(shard_names, (gpointer)name);
   }
-  return wanted;
+  return shard_names;
 }
 
-/* The next leader needs a heartbeat of every machine: while one is silent, a move would stop the
- * team's starts until that machine is proved lost. */
+/* Releases shards if this node has led too many for a while. It releases none while a machine is
+ * silent: the next leader needs a heartbeat of every machine before it starts tasks of the team, so
+ * no task would start until that machine is known to be lost. */
 static void
 rebalance_shards(MmShardOwnership *ownership, const ShardDistribution *distribution) {
   MmTime now = mm_platform_now(ownership->platform);
@@ -269,16 +276,17 @@
 
   if (n_led < n_fewest + 2
       || !ownership->callbacks.all_machines_seen_recently(ownership->callbacks.context)) {
-    ownership->uneven_since.us = 0;
-  } else if (ownership->uneven_since.us == 0) {
-    ownership->uneven_since = now;
-  } else if (mm_time_ms_since(now, ownership->uneven_since) > UNEVEN_PATIENCE_MS) {
-    ownership->uneven_since.us = 0;
+    ownership->imbalanced_since.us = 0;
+  } else if (ownership->imbalanced_since.us == 0) {
+    ownership->imbalanced_since = now;
+  } else if (mm_time_ms_since(now, ownership->imbalanced_since) > IMBALANCE_TIMEOUT_MS) {
+    ownership->imbalanced_since.us = 0;
     release_shards(ownership, (n_led - n_fewest) / 2);
   }
 }
 
-/* When all nodes start together, the others may be about to announce their leases. */
+/* Returns whether to wait because the whole cluster is starting, so that the other nodes may be
+ * about to announce their leases. */
 static gboolean
 waits_for_other_nodes(const MmShardOwnership *ownership, const ShardDistribution *distribution) {
   const MmReplica *replica = ownership->replica;
@@ -287,18 +295,18 @@
 
   return distribution->live_labels->len < ownership->settings->node_count && replica->term.v == 0
          && mm_time_ms_since(mm_platform_now(ownership->platform), own_node->seen_since)
-                < START_PATIENCE_MS;
+                < STARTUP_WAIT_MS;
 }
 
 static void
 acquire_or_rebalance(MmShardOwnership *ownership, ShardDistribution *distribution) {
-  g_autoptr(GPtrArray) wanted = NULL;
+  g_autoptr(GPtrArray) shard_names = NULL;
 
   if (distribution->own_index == NOT_LIVE || waits_for_other_nodes(ownership, distribution))
     return;
-  wanted = shards_to_acquire(ownership, distribution);
-  if (wanted->len > 0)
-    acquire_shards(ownership, wanted);
+  shard_names = shards_to_acquire(ownership, distribution);
+  if (shard_names->len > 0)
+    acquire_shards(ownership, shard_names);
   else
     rebalance_shards(ownership, distribution);
 }
@@ -306,11 +314,11 @@
 static gboolean
 check_is_due(const MmShardOwnership *ownership) {
   const MmReplica *replica = ownership->replica;
-  gboolean replica_moved_on
+  gboolean replica_advanced
       = ownership->conflict_revision != 0 && replica->revision > ownership->conflict_revision;
 
   return !ownership->is_commit_pending && !mm_kv_client_is_refused(ownership->kv)
-         && (replica_moved_on
+         && (replica_advanced
              || !mm_time_before(mm_platform_now(ownership->platform), ownership->next_check_at));
 }
 
--- a/src/leases/shard-ownership.h
+++ b/src/leases/shard-ownership.h
@@ -1,21 +1,25 @@
-/* Which shards this node leads: acquisition, release and rebalancing.
+/* The shards that this node leads: their acquisition, release and rebalancing.
  *
- * A shard is a team's tasks, or a duty that one node has. Its key names the node that leads it and
- * is bound to that node's lease, so the shards of a node whose lease expires have no leader. Every
- * acquisition raises the global term in the same transaction, guarded by the term's version, so two
- * nodes never build on the same map of shards. */
+ * A shard is either the tasks of one team or a singleton role, which at most one node holds at
+ * a time. The shard's key names the node that leads it and is bound to that node's lease, so the
+ * shards of a node whose lease expires have no leader. Every acquisition increments the global term
+ * in the same transaction, on condition that the term's version is unchanged. So of two nodes that
+ * start from the same assignment of shards, only one succeeds. */
 #pragma once
 
 #include "leases/node-lease.h"
 
-/* The duty of scaling out and in. */
+/* The role of adding and releasing machines. */
 #define MM_SHARD_AUTOSCALER "=fleet"
-/* The duty of balancing the owners of machine groups, where these are shared out. */
+/* The role of balancing machine groups among the nodes that own them. Exists only if the settings
+ * define machine groups. */
 #define MM_SHARD_SHARING "=sharing"
 
 typedef struct {
-  /* The lease id that the peer has announced by its link; `peer` is its place in the settings. */
+  /* Returns the lease id that the peer has announced over its connection to this node. `peer` is
+   * the peer's index in the settings. */
   guint64 (*lease_announced_by_peer)(gconstpointer context, guint peer);
+  /* Returns whether every registered machine was seen recently, see machines/machine-table.h. */
   gboolean (*all_machines_seen_recently)(gconstpointer context);
   gconstpointer context;
 } MmShardOwnershipCallbacks;
@@ -27,32 +31,33 @@
   const MmReplica *replica;
   const MmNodeLease *node_lease;
   MmShardOwnershipCallbacks callbacks;
-  gboolean is_commit_pending; /* a transaction about shards is under way */
-  MmTime next_check_at;       /* when to check the map of shards again */
-  guint64 conflict_revision;  /* the replica's when a transaction conflicted; 0: none has */
-  MmTime uneven_since;        /* since when the shards have been spread unevenly; 0: they are not */
-  GPtrArray *shard_names;     /* of all shards, in a fixed order */
+  gboolean is_commit_pending;   /* a transaction that changes shards is in flight */
+  MmTime next_check_at;         /* when to check the assignment of shards again */
+  guint64 conflict_revision;    /* the replica's revision at the last conflict; 0: none */
+  MmTime imbalanced_since;      /* since when the shards have been unbalanced; 0: balanced */
+  GPtrArray *shard_names;       /* of all shards, in an order that never changes */
   GHashTable *leaderless_since; /* shard name -> MmTime */
 } MmShardOwnership;
 
-/* What is passed must outlive it. */
+/* Creates the module's state. All arguments must outlive it. */
 MmShardOwnership *mm_shard_ownership_new(const MmPlatform *platform, const MmSettings *settings,
                                          const MmOperators *operators, MmKvClient *kv,
                                          const MmReplica *replica, const MmNodeLease *node_lease);
-/* To be called before the first tick. */
+/* Sets the callbacks, which are copied. Must be called before the first tick. */
 void mm_shard_ownership_set_callbacks(MmShardOwnership *ownership,
                                       const MmShardOwnershipCallbacks *callbacks);
-/* Only when no transaction about shards can be answered any more. */
+/* Frees the state. May be called only when no transaction about shards can be answered any more. */
 void mm_shard_ownership_free(MmShardOwnership *ownership);
-/* Acquires shards without a leader, and releases some where this node leads too many. */
+/* Acquires shards that have no leader, or releases some if this node leads too many. */
 void mm_shard_ownership_tick(MmShardOwnership *ownership);
 
-/* Whether the replica shows this incarnation of this node as leader of the shard. */
+/* Returns whether the replica shows this node, with its present lease, as the shard's leader. */
 gboolean mm_shard_ownership_leads(const MmShardOwnership *ownership, const char *shard_name);
-/* Whether shards are about to change leaders, as far as this node knows: a shard has no leader, or
- * the lease of its leader or of another node is new. */
+/* Returns whether this node expects changes of shard leaders: a shard has no leader, its leader's
+ * lease is gone or replaced, or a live peer has not yet announced its lease to this node. */
 gboolean mm_shard_ownership_is_unsettled(const MmShardOwnership *ownership);
-/* Whether the shard is a duty that one node has, rather than a team. */
+/* Returns whether the shard is a singleton role rather than a team. */
 gboolean mm_shard_ownership_is_duty(const char *shard_name);
-/* The name of the team's shard: the team's name in a form that a key may have. Free with g_free. */
+/* Returns the name of the team's shard: the team's name, escaped for use in a key. Free it with
+ * g_free. */
 char *mm_shard_ownership_shard_of_team(const MmName *team);
--- a/src/upgrade/format.c
+++ b/src/upgrade/format.c
@@ -26,11 +26,11 @@
 static void
 log_active_format(const MmFormat *format) {
   if (supports_active(format))
-    mm_info("format changed active=%" G_GUINT64_FORMAT, format->active);
+    mm_info("active format changed active=%" G_GUINT64_FORMAT, format->active);
   else if (format->active == MM_FORMAT_UNREADABLE)
-    mm_error("format key unreadable, node fenced");
+    mm_error("node fenced: format key unreadable");
   else
-    mm_error("format not supported, node fenced active=%" G_GUINT64_FORMAT
+    mm_error("node fenced: active format not supported active=%" G_GUINT64_FORMAT
              " lowest=%" G_GUINT64_FORMAT " highest=%" G_GUINT64_FORMAT,
              format->active, format->lowest_supported, format->highest_supported);
 }
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -1,5 +1,6 @@
 #include "upgrade/versions.h"
 
+/* Minimum interval between two writes of this node's key. */
 #define RETRY_AFTER_MS 500
 
 MmVersions *
@@ -75,11 +76,12 @@
 on_key_written(gpointer data, int status, json_t *body) {
   MmVersions *versions = data;
 
-  /* The outcome is taken from the replica. */
+  /* The response is not evaluated: the replica shows whether the key was written. */
   versions->is_writing = FALSE;
 }
 
-/* Whether this node's key is absent or announces less than it should. */
+/* Returns whether this node's key is absent or does not announce the current version and number of
+ * machine groups. */
 static gboolean
 own_key_is_outdated(const MmVersions *versions) {
   return version_of(versions, &versions->settings->label) < MM_VERSION_CURRENT
