--- a/src/scheduler/acknowledgements.c
+++ b/src/scheduler/acknowledgements.c
@@ -7,20 +7,23 @@
 #include "scheduler/direct-commands.h"
 #include "sharing/sharing.h"
 
+/* Minimum time between two requests to the same machine. */
 #define ACK_REQUEST_INTERVAL_MS 3000
-/* In a slow tick: each takes about half a millisecond. */
+/* Limits on the requests in one slow tick. Each request takes about half a millisecond. */
 #define ACK_REQUESTS_PER_CORE 40
 #define ACK_REQUESTS_MIN 2
 #define ACK_REQUESTS_MAX 64
-/* A machine shows a higher term half a second after it got it, if it does so before its next
- * regular heartbeat. */
+/* A machine that reports a higher term before its next regular heartbeat does so half a second
+ * after it has received the term. After this time it is expected to wait for that heartbeat. */
 #define TERM_REPORTED_WITHIN_MS 1200
-/* In heartbeat intervals: the next heartbeat is far off after one that is that recent. */
-#define RECENT_HEARTBEAT_PERIODS 0.6
-/* For each second of the heartbeat interval: silence for longer is more than a late heartbeat. */
+/* In heartbeat intervals: while the latest heartbeat is more recent than this, the next one is too
+ * far in the future to wait for. */
+#define RECENT_HEARTBEAT_INTERVALS 0.6
+/* Milliseconds for each second of the heartbeat interval: a machine that has been silent for longer
+ * has missed a heartbeat rather than sent it late. */
 #define SILENT_MS_PER_INTERVAL_S 1500
 
-/* The newest term of any team's shard, whichever node leads it. */
+/* Returns the highest term of all teams' shards, whichever nodes lead them. */
 static MmTerm
 newest_shard_term(const MmNode *node) {
   MmTerm newest = { 0 };
@@ -34,6 +37,8 @@
   return newest;
 }
 
+/* Returns whether a shard led by this node, or this node as owner of the machine's group, waits for
+ * the machine to acknowledge a term. */
 static gboolean
 is_unacknowledged(const MmScheduler *scheduler, const MmMachine *machine) {
   GHashTableIter iter;
@@ -46,8 +51,10 @@
   return mm_sharing_awaits_acknowledgement(scheduler->node->sharing, machine);
 }
 
-/* The node that answers a machine's heartbeats asks it on behalf of all: when its next heartbeat is
- * far off, or when it has got the term and may not show it before its next regular heartbeat. */
+/* Returns whether the machine's heartbeats alone would acknowledge the newest term late: its next
+ * heartbeat is far in the future, or it has received the term but may not report it before its next
+ * regular heartbeat. Only the node that answers the machine's heartbeats requests such an
+ * acknowledgement, on behalf of all nodes. */
 static gboolean
 acknowledgement_would_be_late(const MmNode *node, const MmMachine *machine, MmTerm newest) {
   MmTime now = mm_node_now(node);
@@ -61,12 +68,12 @@
   if (machine->unacknowledged_since.us != 0)
     return mm_time_ms_since(now, machine->unacknowledged_since) > TERM_REPORTED_WITHIN_MS;
   return reported_ms
-         < (gint64)(node->settings->heartbeat_interval_s * 1000 * RECENT_HEARTBEAT_PERIODS);
+         < (gint64)(node->settings->heartbeat_interval_s * 1000 * RECENT_HEARTBEAT_INTERVALS);
 }
 
-/* An empty command carries the term, and the reply to it is an acknowledgement. The number in a
- * tick is bounded by the share of the processor: asking hundreds of machines at once would take so
- * long that leases expire. */
+/* An empty command carries the term, and the reply to it acknowledges the term. The number of
+ * requests in a tick is limited in proportion to the node's processor share: requests to hundreds
+ * of machines at once would take so long that leases expire. */
 void
 mm_scheduler_request_acknowledgements(MmScheduler *scheduler) {
   MmNode *node = scheduler->node;
--- a/src/scheduler/acknowledgements.h
+++ b/src/scheduler/acknowledgements.h
@@ -1,9 +1,9 @@
-/* Requests for acknowledgements: empty direct commands that let machines acknowledge the newest
- * term, so that shards get ready soon after an acquisition (see scheduler.h). */
+/* Requests for acknowledgements: empty direct commands whose replies acknowledge the newest term,
+ * so that shards become ready soon after they are acquired (see scheduler.h). */
 #pragma once
 
 #include "scheduler/scheduler.h"
 
-/* Asks a bounded number of machines, where their heartbeats alone would acknowledge the term late
- * or not at all. */
+/* Sends an empty direct command to each machine whose heartbeats alone would acknowledge the term
+ * late or not at all, up to a maximum number of machines. */
 void mm_scheduler_request_acknowledgements(MmScheduler *scheduler);
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -14,26 +14,32 @@
 #include "scheduler/task-state.h"
 #include "scheduler/urgency.h"
 
+/* Maximum length of a machine's kept list: the tasks that are tried first at its next start
+ * requests. */
 #define KEPT_TASKS_MAX 64
-/* Tasks of one job tried for one request. */
+/* Maximum number of tasks of one job that are tried for one request. */
 #define JOB_TASKS_TRIED_MAX 8
+/* How long a pending task does not start on the machine on which it failed last, or from which it
+ * was moved. */
 #define AVOID_FAILED_MACHINE_MS 60000
+/* How long a task must have waited before a machine with accelerators is released to it. */
 #define RELEASE_MACHINE_AFTER_MS 800
-/* The part of an attempt below the term. */
+/* An attempt number has the term in its high bits and a sequence number in these low bits. */
 #define ATTEMPT_SEQUENCE_BITS 24
 #define ATTEMPT_SEQUENCE_MASK 0xffffff
 
 MmAttempt
 mm_scheduler_next_attempt(MmScheduler *scheduler, const MmLedShard *shard) {
-  /* Terms never come twice, and the sequence starts anew with the process, which acquires a new
-   * term before it approves anything: so no attempt is used twice, without a write for each start.
-   */
+  /* Terms are never reused. The sequence restarts with the process, but a new process acquires a
+   * new term before it approves any start. So no attempt number is used twice, and starts need not
+   * be recorded in the key-value store to ensure this. */
   return (MmAttempt){ shard->term.v << ATTEMPT_SEQUENCE_BITS
                       | (++scheduler->attempt_sequence & ATTEMPT_SEQUENCE_MASK) };
 }
 
-/* A machine with accelerators is released only to a task that has waited a little and that no other
- * machine could run, with preemption if need be. */
+/* Returns whether the reserve of machines with accelerators permits the start. Such a machine is
+ * released only to a task that has waited for RELEASE_MACHINE_AFTER_MS and that no machine could
+ * run otherwise, even with preemption. */
 static gboolean
 reserve_allows(MmScheduler *scheduler, MmJob *job, const MmTask *task,
                const MmStartRequest *request) {
@@ -52,7 +58,7 @@
   return estimate != NULL && !mm_scheduler_can_start(estimate->soonest_delay_s);
 }
 
-/* What holds for all tasks of the job alike. */
+/* Checks the conditions that are the same for all tasks of the job. */
 static gboolean
 job_may_start(MmScheduler *scheduler, const MmJob *job, const MmStartRequest *request) {
   return mm_resources_fits(job->spec.task_resources, request->free_resources)
@@ -104,7 +110,8 @@
   return TRUE;
 }
 
-/* The job's pending task with the lowest number, if it may start there. */
+/* Approves the first pending task of the job that may start on the machine, in the order of task
+ * numbers. Returns FALSE when none of the first JOB_TASKS_TRIED_MAX pending tasks may. */
 static gboolean
 try_start_any_task(MmScheduler *scheduler, MmJob *job, const MmStartRequest *request,
                    MmApproval *approval) {
@@ -124,7 +131,7 @@
   return FALSE;
 }
 
-/* Work that is offered any fitting machine first, most urgent first. */
+/* Tries the jobs that have precedence on every machine they fit on, most urgent first. */
 static gboolean
 try_precedence_jobs(MmScheduler *scheduler, const MmStartRequest *request, GPtrArray *jobs,
                     MmApproval *approval) {
@@ -148,7 +155,8 @@
     g_array_append_val(machine->kept_list, *task);
 }
 
-/* Takes the task off the machine's kept list and starts it on the request's machine if it may. */
+/* Removes the task from the kept list of `list_machine`, and approves it for the request's machine
+ * if it may start there. */
 static gboolean
 try_kept_task(MmScheduler *scheduler, const MmStartRequest *request, MmMachine *list_machine,
               guint position, MmApproval *approval) {
@@ -159,7 +167,8 @@
                         task.number, request, approval);
 }
 
-/* A random task of the longest kept list; without any, the most urgent pending task that fits. */
+/* Tries a random task of the longest kept list. If there is none or it may not start, tries the
+ * most urgent pending tasks that fit. */
 static gboolean
 try_pull(MmScheduler *scheduler, const MmStartRequest *request, GPtrArray *jobs,
          MmApproval *approval) {
@@ -183,8 +192,8 @@
   return FALSE;
 }
 
-/* Whether the request may be granted at all: this node's lease is valid, and the machine is usable,
- * has sent no newer message, and has not refused a start for lack of resources just now. */
+/* Returns whether the request may be granted at all: this node's lease is valid, and the machine is
+ * usable, has sent no newer message, and has not recently refused a start for lack of resources. */
 static gboolean
 is_admissible(const MmScheduler *scheduler, const MmStartRequest *request) {
   const MmNode *node = scheduler->node;
@@ -196,7 +205,8 @@
          && !mm_time_before(mm_node_now(node), machine->full_until);
 }
 
-/* The jobs of which a task fits into the free resources and the team's limit, most urgent first. */
+/* Returns the jobs of which a task fits into the free resources and the team's limit, most urgent
+ * first. The caller owns the array. */
 static GPtrArray *
 list_fitting_jobs(MmScheduler *scheduler, const MmStartRequest *request) {
   const GPtrArray *by_urgency = mm_scheduler_jobs_by_urgency(scheduler);
@@ -212,7 +222,8 @@
   return jobs;
 }
 
-/* Keeps the candidates from `first` on that are still pending for the machine's next requests. */
+/* Adds the candidates from index `first` on that are still pending to the machine's kept list. They
+ * are tried first at the machine's next requests. */
 static void
 keep_candidates(const MmScheduler *scheduler, const MmStartRequest *request, guint first) {
   for (guint i = first; i < request->n_tasks; i++) {
@@ -224,7 +235,7 @@
   }
 }
 
-/* The first of the candidates that may start; the others are kept. */
+/* Approves the first candidate that may start, and adds those after it to the kept list. */
 static gboolean
 try_candidates(MmScheduler *scheduler, const MmStartRequest *request, MmApproval *approval) {
   for (guint i = 0; i < request->n_tasks; i++) {
@@ -278,7 +289,7 @@
   return request;
 }
 
-/* The message lends the approval's strings. */
+/* Fills in the message. Its strings point into the approval, which must outlive it. */
 static void
 approval_to_message(MmApproval *approval, Mm__Approval *message) {
   message->job = approval->job.s;
--- a/src/scheduler/direct-commands.c
+++ b/src/scheduler/direct-commands.c
@@ -7,11 +7,13 @@
 #include "peers/peer-broadcast.h"
 
 #define DIRECT_COMMAND_TIMEOUT_MS 2000
-/* Carried out; or not, for a higher term or another incarnation. Both replies show a heartbeat. */
+/* OK: the commands were carried out. Conflict: they were not, because the machine has seen a higher
+ * term or has another incarnation. Both replies contain a heartbeat. */
 #define HTTP_OK 200
 #define HTTP_CONFLICT 409
 
-/* The reply to a direct command is a heartbeat in form, and shows the machine's term. */
+/* Records the reply to a direct command, which has the form of a heartbeat and shows the machine's
+ * term. Other replies are ignored. */
 static void
 direct_command_answered(gpointer data, int status, json_t *body) {
   MmScheduler *scheduler = data;
@@ -30,7 +32,7 @@
       machine
           = mm_machine_table_record_heartbeat(scheduler->node->machine_table, &heartbeat,
                                               mm_node_now(scheduler->node), MM_SERVING_NODE_NONE);
-    /* Other nodes may wait for the same acknowledgement. */
+    /* Other nodes may be waiting for the same acknowledgement. */
     if (is_acknowledgement && machine != NULL)
       mm_peer_broadcast_direct_reply(scheduler->node->peer_links, machine);
   }
--- a/src/scheduler/direct-commands.h
+++ b/src/scheduler/direct-commands.h
@@ -1,13 +1,14 @@
-/* Direct commands: sent to a machine at once rather than with the response to its next heartbeat.
- * Each carries the newest term, and the reply to it is a heartbeat in form: it shows the machine's
- * tasks, and acknowledges the term. A direct command may get lost; what it asks for is repeated
- * until a heartbeat shows it. */
+/* Direct commands: commands that are sent to a machine immediately instead of in the response to
+ * its next heartbeat. Each carries the newest term. The reply has the form of a heartbeat: it shows
+ * the machine's tasks and acknowledges the term. A direct command may be lost, so callers repeat it
+ * until a heartbeat shows its effect. */
 #pragma once
 
 #include "heartbeat/heartbeat.h"
 #include "scheduler/scheduler.h"
 
-/* Sends the machine the commands, or an empty list of them where `n_commands` is 0. Does nothing
- * while this node may not answer machines, or knows no address of this one. */
+/* Sends the commands to the machine. With `n_commands` 0, sends an empty list, which only requests
+ * a reply. Does nothing while this node may not answer machines, or when the machine's address is
+ * unknown. */
 void mm_scheduler_send_commands(MmScheduler *scheduler, MmMachine *machine,
                                 const MmCommand *commands, guint n_commands);
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -9,29 +9,34 @@
 #include "scheduler/task-state.h"
 #include "scheduler/urgency.h"
 
-/* In heartbeat intervals: within them every machine asks for work. */
-#define RESERVATION_PERIODS 3
+/* How long a place stays reserved, in heartbeat intervals. Every machine requests work within this
+ * time. */
+#define RESERVATION_HEARTBEAT_INTERVALS 3
+/* How long a machine is given no starts after it has not requested a reserved place in time. */
 #define UNUSED_RESERVATION_PAUSE_MS 10000
-/* For each second of the heartbeat interval: a machine that has been silent for longer gets no
- * place. */
+/* Milliseconds for each second of the heartbeat interval: no place is reserved on a machine whose
+ * latest heartbeat is older. */
 #define RECENT_MS_PER_INTERVAL_S 2500
-/* Other work yields to a gang for no longer than this, and to one that does not starve only while
- * so few accelerated jobs wait. */
+/* Other work does not yield to a gang that has waited for longer than YIELD_TO_GANG_MAX_MS. It
+ * yields to a gang that is not starving only while at most YIELD_TO_GANG_JOBS_MAX jobs with
+ * accelerators are waiting. */
 #define YIELD_TO_GANG_MAX_MS 240000
 #define YIELD_TO_GANG_JOBS_MAX 3
 
+/* A machine and the resources on it that are not yet chosen for a task of the gang. */
 typedef struct {
   MmMachine *machine;
   MmResources free_resources;
-} Place;
+} CandidatePlace;
 
-/* Gives back the reserved places, and stops the members that run. */
+/* Cancels the reservations of the gang and stops its tasks that are or may be on machines. */
 static void
 release_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++) {
     MmTask *task = &job->tasks[i];
     if (task->state == MM_TASK_PLACE_RESERVED) {
-      /* The machine did not ask in time, whatever the reason: not the same place again at once. */
+      /* The machine did not request work in time, for whatever reason: the same place must not be
+       * chosen again immediately. */
       task->machine->full_until
           = mm_time_add_ms(mm_node_now(scheduler->node), UNUSED_RESERVATION_PAUSE_MS);
       mm_scheduler_unplace_task(scheduler, job, i);
@@ -41,9 +46,10 @@
   }
 }
 
-/* Some members are known to be done, the others were lost with their machines before they could
- * show it. A member can't run alone, so the whole gang is started again. Results are kept: a member
- * whose result is there ends as done at once. */
+/* Makes all tasks of a gang pending again when some are done and the others were lost with their
+ * machines before they could report that they were done. A task of a gang cannot run alone, so the
+ * whole gang is started again. Results are kept: a task whose result exists ends as done
+ * immediately. */
 static void
 restart_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++)
@@ -51,18 +57,18 @@
       mm_scheduler_unplace_task(scheduler, job, i);
 }
 
-/* Machines, of one zone unless that is NULL, with resources for a task of the gang, as GArray of
- * Place. */
+/* Returns the machines with free resources for a task of the gang as an array of CandidatePlace,
+ * owned by the caller. `zone`: only machines of this zone; NULL: of all zones. */
 static GArray *
 free_places(MmScheduler *scheduler, const MmJob *job, const MmName *zone) {
   MmMachineTable *machine_table = scheduler->node->machine_table;
-  GArray *places = g_array_new(FALSE, FALSE, sizeof(Place));
+  GArray *places = g_array_new(FALSE, FALSE, sizeof(CandidatePlace));
   MmTime now = mm_node_now(scheduler->node);
   gint64 recent_ms
       = (gint64)(scheduler->node->settings->heartbeat_interval_s * RECENT_MS_PER_INTERVAL_S);
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
-    Place place = { g_ptr_array_index(machine_table->sorted_machines, i), { 0 } };
+    CandidatePlace place = { g_ptr_array_index(machine_table->sorted_machines, i), { 0 } };
     if (!mm_machine_is_usable(machine_table, place.machine)
         || !mm_placement_allows(job, place.machine)
         || mm_time_ms_since(now, place.machine->last_heartbeat_at) > recent_ms
@@ -76,7 +82,7 @@
   return places;
 }
 
-/* Whether one more task may go to the zone beside the chosen machines. */
+/* Returns whether one more task may be placed in the zone, given the machines already chosen. */
 static gboolean
 zone_allows_task(const MmJob *job, const GPtrArray *chosen, const MmName *zone) {
   guint n_in_zone = 0;
@@ -90,11 +96,11 @@
   return n_in_zone < mm_job_spec_max_tasks_per_zone(&job->spec);
 }
 
-/* Adds to `chosen` the machine of each task, until all tasks have one or the places are used up. */
+/* Adds a machine to `chosen` for each task, until all tasks have one or no place is left. */
 static void
 choose_places(const MmJob *job, GArray *places, gboolean needs_cached_image, GPtrArray *chosen) {
   for (guint i = 0; i < places->len; i++) {
-    Place *place = &g_array_index(places, Place, i);
+    CandidatePlace *place = &g_array_index(places, CandidatePlace, i);
     if (needs_cached_image && !mm_machine_has_cached_image(place->machine, &job->spec.image))
       continue;
     while (chosen->len < job->spec.n_tasks
@@ -106,7 +112,8 @@
   }
 }
 
-/* Reserves places for the whole gang; FALSE, with nothing reserved, when there are too few. */
+/* Reserves places for all tasks of the gang, in one zone unless `zone` is NULL. Returns FALSE, with
+ * nothing reserved, when there are too few places. */
 static gboolean
 reserve_gang(MmScheduler *scheduler, MmLedShard *shard, MmJob *job, const MmName *zone) {
   g_autoptr(GArray) places = free_places(scheduler, job, zone);
@@ -132,8 +139,9 @@
       || !mm_scheduler_limit_allows(scheduler, shard, job, job->spec.n_tasks))
     return;
   if (!job->spec.requires_one_zone) {
-    /* Only where nothing else takes the places as they get free one by one: accelerated machines
-     * are not lent while such a gang waits. */
+    /* Preempts only for gangs with accelerators. For others, the places become free one by one and
+     * other work would take them; machines with accelerators are not lent to other work while such
+     * a gang waits. */
     if (!reserve_gang(scheduler, shard, job, NULL) && job->spec.task_resources.accelerators > 0)
       mm_scheduler_preempt_for_gang(scheduler, job, job->spec.n_tasks);
     return;
@@ -160,12 +168,13 @@
   return jobs;
 }
 
-/* Reserves places for a gang that has none, and stops one of which some members are missing. */
+/* Reserves places for a gang that has none, stops an incomplete gang, and restarts one of which
+ * some tasks are done and the others are lost. */
 static void
 advance_gang(MmScheduler *scheduler, MmJob *job) {
   MmTime now = mm_node_now(scheduler->node);
-  gint64 reservation_ms
-      = (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000 * RESERVATION_PERIODS);
+  gint64 reservation_ms = (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000
+                                   * RESERVATION_HEARTBEAT_INTERVALS);
   MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
   guint n_started = 0;
   gboolean is_reservation_expired = FALSE, is_paused = FALSE;
@@ -178,7 +187,8 @@
                              || (task->state == MM_TASK_PLACE_RESERVED
                                  && mm_time_ms_since(now, task->state_since) > reservation_ms);
   }
-  /* Some members are gone while others live, or a place was not asked for in time: all or none. */
+  /* A gang runs either completely or not at all: it is stopped when some of its tasks are gone
+   * while others are on machines, or when a machine did not request a reserved place in time. */
   if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
     release_gang(scheduler, job);
   else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
@@ -203,8 +213,8 @@
     MmTask *task = &placed->job->tasks[placed->number];
     MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, placed->job);
     MmResources need = placed->job->spec.task_resources;
-    /* A local request has the reserved resources already subtracted: without adding them, no gang
-     * would start on a machine whose heartbeats are answered by the leader of its shard. */
+    /* A local request has the reserved resources already subtracted. If they were not added back,
+     * no gang would start on a machine whose heartbeats are answered by the leader of its shard. */
     MmResources free_resources = request->is_local ? mm_resources_add(request->free_resources, need)
                                                    : request->free_resources;
 
@@ -225,7 +235,7 @@
   return FALSE;
 }
 
-/* The accelerated job with these pending tasks, or NULL when it is none or no longer waits. */
+/* Returns the job with these pending tasks if it uses accelerators and still waits, else NULL. */
 static const MmJob *
 find_waiting_accelerated_job(const MmScheduler *scheduler, const MmPendingTasks *pending) {
   const MmJob *job = mm_job_table_find(scheduler->node->job_table, pending->job.s);
@@ -236,18 +246,20 @@
              : NULL;
 }
 
-/* Whether other work may have to leave its places to the job at all. */
+/* Returns whether other work may have to yield to the job: it is a gang that has waited for at
+ * least the operators' bound and at most YIELD_TO_GANG_MAX_MS. */
 static gboolean
-may_be_yielded_to(const MmScheduler *scheduler, const MmJob *job) {
+is_yield_candidate(const MmScheduler *scheduler, const MmJob *job) {
   gint64 waited_ms = mm_node_wall_ms(scheduler->node) - job->waiting_since_ms;
   gint64 wait_bound_ms = (gint64)(scheduler->node->operators->wait_bound_s * 1000);
 
   return mm_job_is_gang(job) && waited_ms >= wait_bound_ms && waited_ms <= YIELD_TO_GANG_MAX_MS;
 }
 
-/* A gang needs several places at once: while one waits, less urgent work does not take them one by
- * one. Places kept for a gang lie idle until it has all of them, so where much work waits only a
- * starving gang is given this; and none for ever, since it may find no place for another reason. */
+/* A gang needs several places at once, so while one waits, less urgent work does not take them one
+ * by one. Places that are held back for a gang stay idle until it has all of them, so while many
+ * jobs wait, other work yields only to a starving gang. It yields to no gang forever, since the
+ * gang may find no places for another reason. */
 void
 mm_scheduler_choose_gang_to_yield_to(MmScheduler *scheduler) {
   const MmPlacement *placement = scheduler->node->placement;
@@ -262,7 +274,7 @@
       if (job == NULL)
         continue;
       n_waiting_jobs++;
-      if (!may_be_yielded_to(scheduler, job))
+      if (!is_yield_candidate(scheduler, job))
         continue;
       best = job->is_starving ? &starving_gang : &waiting_gang;
       if (*best == NULL || mm_scheduler_compare_urgency(&job, best) < 0)
--- a/src/scheduler/gang.h
+++ b/src/scheduler/gang.h
@@ -1,6 +1,6 @@
-/* Gang scheduling: all tasks of a gang get places at once or none does. The places are reserved,
- * and each start is sent as its machine asks. A gang that does not get complete in time is stopped
- * and planned again. A gang of one task is an ordinary job here. */
+/* Gang scheduling: either all tasks of a gang are given places at once, or none is. The places are
+ * reserved, and each start is sent when its machine next requests work. A gang that is not complete
+ * in time is stopped and planned again. A gang of one task is treated as an ordinary job. */
 #pragma once
 
 #include "scheduler/admission.h"
@@ -8,8 +8,9 @@
 
 /* Reserves places for gangs, most urgent first, and stops those that are incomplete. */
 void mm_scheduler_plan_gangs(MmScheduler *scheduler);
-/* Sends the start of a place that is reserved on the request's machine. FALSE: there is none. */
+/* Approves the start of a task that has a reserved place on the request's machine, and sets
+ * `approval`. Returns FALSE when there is no such task or its resources are not free. */
 gboolean mm_scheduler_approve_reserved_start(MmScheduler *scheduler, const MmStartRequest *request,
                                              MmApproval *approval);
-/* Sets MmScheduler.yield_to_gang from the backlogs of all nodes. */
+/* Sets MmScheduler.yield_to_gang, based on the backlogs of all nodes. */
 void mm_scheduler_choose_gang_to_yield_to(MmScheduler *scheduler);
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -6,25 +6,28 @@
 #include "scheduler/stop-commands.h"
 #include "scheduler/task-state.h"
 
-/* Weight of what is known of a job class when one more of its tasks has ended. */
+/* Factor for the sums of a job class each time one more of its tasks has completed. */
 #define ESTIMATE_ERROR_DECAY 0.98
-/* Pause after a task's n-th error: doubled each time, and bounded. */
+/* Pause of a task after an error: doubled with each error, up to a maximum. Errors beyond
+ * TASK_ERRORS_MAX are not counted. */
 #define TASK_ERRORS_MAX 10
 #define TASK_RETRY_MIN_MS 500
 #define TASK_RETRY_MAX_MS 30000
-/* Pause of a whole job after so many errors without a success between. */
+/* Pause of a whole job after JOB_ERRORS_BEFORE_PAUSE errors with no success between them: doubled
+ * with each further error, up to a maximum. */
 #define JOB_ERRORS_BEFORE_PAUSE 4
 #define JOB_PAUSE_MIN_MS 2000
 #define JOB_PAUSE_MAX_MS 60000
 #define JOB_PAUSE_DOUBLINGS_MAX 5
+/* Pause of a task that its machine did not find. */
 #define MISSING_TASK_RETRY_MS 2000
-/* A stop is repeated with the response only when its direct command is that old. */
+/* A stop is repeated in a heartbeat response only when it was last sent longer ago than this. */
 #define STOP_REPEAT_MS 500
 
-/* Old errors weigh less and less: users' estimates may be too high on one day and too low on the
- * next. */
+/* Adds the run time of a completed task to the sums of its job class. Older tasks count less, since
+ * users' estimates may be too high on one day and too low on the next. */
 static void
-learn_estimate_error(MmScheduler *scheduler, const MmJob *job, double ran_s) {
+update_estimate_error(MmScheduler *scheduler, const MmJob *job, double ran_s) {
   MmEstimateError *estimate_error
       = g_hash_table_lookup(scheduler->estimate_errors, job->spec.job_class.s);
 
@@ -51,7 +54,7 @@
     double ran_s = (double)mm_time_ms_since(now, task->state_since) / 1000.0;
     job->observed_run_s_sum += ran_s;
     job->n_observed_runs++;
-    learn_estimate_error(scheduler, job, ran_s);
+    update_estimate_error(scheduler, job, ran_s);
   }
   if (task->machine != NULL)
     mm_scheduler_unplace_task(scheduler, job, number);
@@ -72,12 +75,13 @@
       = mm_time_add_ms(now, MIN(TASK_RETRY_MIN_MS << task->n_errors, TASK_RETRY_MAX_MS));
   if (++job->n_consecutive_errors < JOB_ERRORS_BEFORE_PAUSE)
     return;
-  /* A job that fails everywhere may not occupy all machines. */
+  /* A job that fails on every machine must not occupy all machines. */
   n_doublings = MIN(job->n_consecutive_errors - JOB_ERRORS_BEFORE_PAUSE, JOB_PAUSE_DOUBLINGS_MAX);
   job->paused_until = mm_time_add_ms(now, MIN(JOB_PAUSE_MIN_MS << n_doublings, JOB_PAUSE_MAX_MS));
 }
 
-/* The task has left the machine; what follows depends on the cause. */
+/* Makes a task pending that has ended on the machine without a result. How soon it may start again,
+ * and where, depends on the cause. */
 static void
 task_ended(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
   MmTask *task = &job->tasks[number];
@@ -89,14 +93,15 @@
     pause_after_error(job, task, machine, now);
     break;
   case MM_CAUSE_NO_RESOURCES:
-    /* What this node takes as free was wrong; the next heartbeat but one shows better. */
+    /* This node overestimated the machine's free resources. The heartbeat after the next one shows
+     * them correctly. */
     machine->full_until = mm_time_add_ms(now, mm_scheduler_heartbeat_interval_ms(scheduler));
     break;
   case MM_CAUSE_NO_SUCH_TASK:
-    /* The user has not uploaded the task yet, or never does. */
+    /* The user has not uploaded the task yet, or never will. */
     task->retry_not_before = mm_time_add_ms(now, MISSING_TASK_RETRY_MS);
     break;
-  case MM_CAUSE_OTHER_ATTEMPT: /* the other attempt shows in the same heartbeat */
+  case MM_CAUSE_OTHER_ATTEMPT: /* the same heartbeat reports the other attempt */
   case MM_CAUSE_GANG_INCOMPLETE:
   case MM_CAUSE_GANG_PEER_ENDED:
   case MM_CAUSE_STOPPED:
@@ -128,15 +133,15 @@
   if (is_same_attempt || !mm_task_is_live(task->state) || task->state == MM_TASK_PLACE_RESERVED
       || task->machine == machine) {
     if (task->state == MM_TASK_DONE)
-      return; /* to be stopped, see queue_commands */
+      return; /* queue_commands stops this attempt */
     if (is_same_attempt && task->state == MM_TASK_START_SENT)
       machine->consecutive_refused_starts = 0;
     mm_scheduler_place_task(scheduler, job, reported->number, machine,
                             state_of_reported(reported->state), reported->attempt);
     return;
   }
-  /* A newer attempt is only ever approved when the older is gone for certain: of two that show, the
-   * older comes from a late heartbeat. */
+  /* A newer attempt is approved only when the older one has certainly ended. So when two attempts
+   * are reported, the report of the older one comes from a late heartbeat. */
   if (reported->attempt.v > task->attempt.v) {
     mm_info("task %s/%u reported with newer attempt machine=%s replaced=%s", job->spec.id.s,
             reported->number, machine->id.s, task->machine->id.s);
@@ -144,7 +149,7 @@
                             state_of_reported(reported->state), reported->attempt);
     return;
   }
-  mm_info("task %s/%u reported with older attempt machine=%s placed=%s", job->spec.id.s,
+  mm_info("task %s/%u report of older attempt ignored machine=%s placed=%s", job->spec.id.s,
           reported->number, machine->id.s, task->machine->id.s);
 }
 
@@ -163,14 +168,15 @@
       apply_reported_task(scheduler, machine, job, reported);
     needs_review = needs_review || job->tasks[reported->number].machine != machine;
   }
-  /* A job's record may arrive after the heartbeat that shows its tasks, and a result counts only
-   * once another attempt has left its machine: then the same heartbeat must be applied again. */
+  /* The same heartbeat must be applied again when a job's record arrives after the heartbeat that
+   * reports its tasks, and when a result counts only after another attempt has left its machine. */
   machine->needs_task_review = needs_review;
 }
 
-/* Whether the heartbeat, which does not show the task, proves that its start was not carried out:
- * it is of a newer incarnation, or was sent after the one whose response carried the start. A
- * direct reply proves nothing, since the start may still be under way. */
+/* Returns whether the heartbeat, which does not report the task, proves that the task's start was
+ * not carried out: it is from a newer incarnation, or it was sent after the heartbeat whose
+ * response carried the start. A direct reply from the same incarnation proves nothing, since the
+ * start may still be in flight. */
 static gboolean
 is_start_refused(const MmTask *task, const MmHeartbeat *heartbeat) {
   return heartbeat->heartbeat_id.incarnation > task->start_heartbeat_id.incarnation
@@ -178,7 +184,8 @@
              && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
 }
 
-/* Tasks placed on the machine that the heartbeat does not show have left it. */
+/* Makes the tasks pending that are placed on the machine but that the heartbeat does not report,
+ * unless their starts may still be in flight. */
 static void
 unplace_missing_tasks(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   for (guint i = machine->placed_tasks->len; i > 0; i--) {
@@ -202,7 +209,8 @@
   }
 }
 
-/* The machine may forget the result only once the key-value store has it. */
+/* Returns whether the machine may discard its entry of the ended task. A result that still counts
+ * must be in the key-value store first. */
 static gboolean
 may_forget_ended_task(const MmJob *job, const MmReportedTask *reported) {
   return reported->cause != MM_CAUSE_DONE || job->spec.kind == MM_JOB_KIND_SERVICE
@@ -210,7 +218,8 @@
          || job->is_cancelled;
 }
 
-/* Whether a task that the heartbeat shows as live must be stopped with the response. */
+/* Returns whether the response must stop a task that the heartbeat reports and that has not ended.
+ */
 static gboolean
 must_stop_task(const MmScheduler *scheduler, const MmMachine *machine, const MmJob *job,
                const MmReportedTask *reported) {
@@ -223,7 +232,8 @@
              && reported->state != MM_REPORTED_CHECKPOINTING);
 }
 
-/* The command that follows from the reported task; FALSE: none. */
+/* Sets `command` to the command that follows from the reported task, and marks a task as stopping
+ * when it is stopped because of a termination notice. Returns FALSE when no command follows. */
 static gboolean
 command_for_reported_task(MmScheduler *scheduler, const MmMachine *machine,
                           const MmReportedTask *reported, MmCommand *command) {
@@ -245,15 +255,15 @@
   task = &job->tasks[reported->number];
   if (!machine->has_termination_notice || task->is_stopping || task->machine != machine)
     return FALSE;
-  /* The cloud is about to take the machine: save a checkpoint, or at least start sooner elsewhere.
-   */
+  /* The cloud is about to take the machine back. If the task is stopped now, it can save a
+   * checkpoint, or at least starts sooner on another machine. */
   task->is_stopping = TRUE;
   task->stop_sent_at = mm_node_now(scheduler->node);
   return TRUE;
 }
 
 /* Queues the commands that follow from the newest heartbeat for the next response to the machine,
- * here or at the node that answers its heartbeats. */
+ * on this node or on the peer that answers its heartbeats. */
 static void
 queue_commands(MmScheduler *scheduler, MmMachine *machine) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
@@ -275,9 +285,10 @@
                                 commands);
 }
 
-/* Whether the machine has acknowledged the shard's term, or shows a newer incarnation than the one
- * registered at the acquisition: the tasks of the old incarnation are gone, and starts for the new
- * one need a registry entry that only a node that has seen the shard's term can have read. */
+/* Returns whether the machine has acknowledged the shard's term, or shows a newer incarnation than
+ * the one that was registered when the shard was acquired. In the latter case, the tasks of the old
+ * incarnation are gone, and a start for the new one requires a registry entry that only a node that
+ * has seen the shard's term can have read. */
 static gboolean
 has_acknowledged_term(const MmLedShard *shard, const MmMachine *machine) {
   gpointer registered_incarnation;
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -5,27 +5,29 @@
 #include "kv/kv-client.h"
 #include "scheduler/led-shards.h"
 
-/* How long completed tasks wait for more of the same job, and how long a job's writes are apart. */
+/* How long a completed task waits to be written together with later ones of its job, and the
+ * minimum time between two writes of a job. */
 #define JOB_WRITE_DELAY_MS 300
 #define JOB_WRITE_INTERVAL_MS 1000
 #define TERMINAL_WRITE_INTERVAL_MS 100
-/* What a record takes beside its fields and the text of its completed tasks. */
+/* Size of a record beyond its fields and the text of its completed tasks. */
 #define RECORD_MARGIN_BYTES 64
-/* The key-value store allows so many conditions for each operation. */
+/* Maximum number of conditions in a transaction of the key-value store, as a multiple of its
+ * maximum number of operations. */
 #define CONDITIONS_PER_OPERATION 4
 #define HTTP_OK 200
 #define HTTP_CONFLICT 409
-/* Conditions and operations that one job may need. */
+/* Maximum number of operations and conditions that one job adds to a transaction. */
 #define OPERATIONS_PER_JOB 2
 #define CONDITIONS_PER_JOB 2
 
 typedef struct {
   MmName id;
-  char *completed_text;    /* as written; NULL with a terminal record */
-  json_t *terminal_record; /* NULL: the job goes on */
+  char *completed_text;    /* completed tasks as written; NULL with a terminal record */
+  json_t *terminal_record; /* NULL: the job has not ended */
 } WrittenJob;
 
-/* A transaction under way. */
+/* A transaction that is being built or is in flight. */
 typedef struct {
   MmScheduler *scheduler;
   GArray *jobs; /* WrittenJob */
@@ -53,7 +55,8 @@
 }
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(JobWrite, job_write_free)
 
-/* The transaction has been answered for this job. What was not written is due again at once. */
+/* Applies the outcome of the transaction to one of its jobs. After a failure, the job counts as
+ * unwritten from now on. */
 static void
 job_written(const MmNode *node, const WrittenJob *written_job, int status, guint64 revision) {
   MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
@@ -74,8 +77,9 @@
   }
 }
 
-/* After a conflict, the jobs are written one by one, so that one that was changed elsewhere does
- * not hold up the others. */
+/* Applies the outcome of the transaction. After a conflict, its jobs are written one per
+ * transaction, so that a job that was changed elsewhere does not prevent the others from being
+ * written. */
 static void
 jobs_written(gpointer data, int status, json_t *body) {
   g_autoptr(JobWrite) write = data;
@@ -98,7 +102,8 @@
   return job->spec.kind != MM_JOB_KIND_SERVICE && job->completed.n_completed == job->spec.n_tasks;
 }
 
-/* The longest text of completed tasks that fits beside the rest of the record. Free with g_free. */
+/* Returns the longest text of completed tasks that fits into the record with its other fields. Free
+ * with g_free. */
 static char *
 completed_tasks_text(const MmScheduler *scheduler, const MmJob *job) {
   g_autoptr(json_t) bare_record
@@ -142,15 +147,16 @@
   g_array_append_val(write->jobs, written_job);
 }
 
-/* Whether the job's record must be written now. A write that can wait is taken from the budget. */
+/* Returns whether the job's record must be written now. A write that can be delayed is due only
+ * when the write budget allows it, and is deducted from the budget. */
 static gboolean
 is_write_due(const MmScheduler *scheduler, const MmJob *job, gboolean is_terminal) {
   MmKvClient *kv = scheduler->node->kv;
   MmTime now = mm_node_now(scheduler->node);
 
   if (is_terminal) {
-    /* Dependents of a cancelled job show as cancelled without a terminal record: there may be
-     * thousands, and their records can wait for the write budget. */
+    /* Dependents of a cancelled job are reported as cancelled even without a terminal record. There
+     * may be thousands of them, so their records wait for the write budget. */
     if (mm_job_has_cancelled_dependency(job)
         && !mm_kv_client_try_spend_writes(kv, OPERATIONS_PER_JOB))
       return FALSE;
@@ -162,7 +168,7 @@
          && mm_kv_client_try_spend_writes(kv, 1);
 }
 
-/* Whether the transaction takes no further job. */
+/* Returns whether no further job may be added to the transaction. */
 static gboolean
 is_full(const MmScheduler *scheduler, const MmTransaction *transaction) {
   guint max_operations = mm_kv_client_max_operations(scheduler->node->kv);
--- a/src/scheduler/led-shards.c
+++ b/src/scheduler/led-shards.c
@@ -22,11 +22,12 @@
                                 : g_hash_table_lookup(scheduler->led_shards, job->shard);
 }
 
-/* ---- jobs ---- */
+/* Jobs */
 
-/* Forgets where the job's tasks are: another node leads its shard now, or the job is over. */
+/* Frees the job's tasks and removes them from their machines and from the resources used by the
+ * shard: this node no longer leads the shard, or the job has ended. */
 static void
-drop_job(MmScheduler *scheduler, MmJob *job) {
+discard_job_tasks(MmScheduler *scheduler, MmJob *job) {
   MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
 
   if (shard != NULL && shard->limit_reserved_for == job)
@@ -46,10 +47,10 @@
   mm_placement_backlog_changed(scheduler->node->placement);
 }
 
-/* Begins with all tasks pending but those whose results are recorded; heartbeats show the others.
- */
+/* Creates the job's tasks. Those whose results are recorded are done, all others are pending until
+ * heartbeats show that they are on machines. */
 static void
-adopt_job(MmScheduler *scheduler, MmLedShard *shard, MmJob *job) {
+init_job_tasks(MmScheduler *scheduler, MmLedShard *shard, MmJob *job) {
   MmTime now = mm_node_now(scheduler->node);
 
   job->led_shard = shard;
@@ -80,9 +81,9 @@
   mm_scheduler_update_urgency(scheduler, job);
 
   if (shard != NULL && job->tasks == NULL) {
-    adopt_job(scheduler, shard, job);
-    /* The watch shows changes in order: this job came after the shard was acquired, so no earlier
-     * leader can have started any of its tasks. */
+    init_job_tasks(scheduler, shard, job);
+    /* The watch delivers changes in order. A job whose record is newer than the shard's was
+     * submitted after the shard was acquired, so no earlier leader can have started its tasks. */
     job->submitted_after_acquire
         = job->record_version.v > shard->version.v && scheduler->node->replica->is_loaded;
   }
@@ -107,10 +108,10 @@
 mm_scheduler_job_removed(MmScheduler *scheduler, MmJob *job) {
   if (scheduler->yield_to_gang == job)
     scheduler->yield_to_gang = NULL;
-  drop_job(scheduler, job);
+  discard_job_tasks(scheduler, job);
 }
 
-/* ---- unacknowledged machines ---- */
+/* Unacknowledged machines */
 
 void
 mm_scheduler_check_shard_ready(MmScheduler *scheduler, MmLedShard *shard) {
@@ -124,7 +125,7 @@
 
 static void
 add_unacknowledged_kind(MmLedShard *shard, const MmMachine *machine) {
-  /* Of an unknown machine everything may be true. */
+  /* An unknown machine may have any properties. */
   MmMachineKind kind = machine != NULL
                            ? (MmMachineKind){ machine->type_name, machine->zone, machine->is_spot }
                            : (MmMachineKind){ 0 };
@@ -165,9 +166,10 @@
     mm_placement_backlog_changed(scheduler->node->placement);
 }
 
-/* Earlier leaders kept to the same constraints, and the kind of a machine never changes: a machine
- * that the job may not use has none of its tasks, acknowledged or not. So a service need not wait
- * for a spot machine that was taken back, nor a gang for a machine without accelerators. */
+/* Returns whether a task of the job may be on an unacknowledged machine. Earlier leaders observed
+ * the same constraints, and the kind of a machine never changes, so a machine that the job may not
+ * use has none of its tasks. So a service need not wait for a spot machine that the cloud took
+ * back, nor a gang for a machine without accelerators. */
 static gboolean
 may_be_on_unacknowledged(const MmLedShard *shard, const MmJob *job) {
   for (guint i = 0; i < shard->unacknowledged_kinds->len; i++) {
@@ -189,7 +191,7 @@
   return !may_be_on_unacknowledged(shard, job);
 }
 
-/* ---- acquired and released shards ---- */
+/* Acquired and released shards */
 
 static void
 stop_leading_shard(MmScheduler *scheduler, const char *name) {
@@ -198,9 +200,9 @@
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     if (strcmp(job->shard, name) == 0)
-      drop_job(scheduler, job);
+      discard_job_tasks(scheduler, job);
   }
-  mm_info("shard %s no longer led", name);
+  mm_info("shard %s leadership ended", name);
   g_hash_table_remove(scheduler->led_shards, name);
 }
 
@@ -219,12 +221,12 @@
   return shard;
 }
 
-/* Applies the heartbeats of the registered machines that have acknowledged the shard's term, and
- * notes the others. Machines registered after this term only ever get starts of this term or a
- * later one: a node that answers their heartbeats has seen their registration, and so the term, in
- * its replica. */
+/* Applies the newest messages of the registered machines that have acknowledged the shard's term,
+ * and adds the other registered machines to the unacknowledged ones. A machine that is registered
+ * after the shard was acquired can only receive starts of this term or a later one: a node that
+ * answers its heartbeats has seen its registration, and therefore the term, in its replica. */
 static void
-note_registered_machines(MmScheduler *scheduler, MmLedShard *shard) {
+classify_registered_machines(MmScheduler *scheduler, MmLedShard *shard) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
 
   for (guint i = 0; i < machines->len; i++) {
@@ -251,11 +253,11 @@
   for (guint i = 0; i < by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(by_submission, i);
     if (strcmp(job->shard, name) == 0)
-      adopt_job(scheduler, shard, job);
+      init_job_tasks(scheduler, shard, job);
   }
-  note_registered_machines(scheduler, shard);
-  mm_info("shard %s led term=%" G_GUINT64_FORMAT " unacknowledged_machines=%u", name, shard->term.v,
-          g_hash_table_size(shard->unacknowledged_machines));
+  classify_registered_machines(scheduler, shard);
+  mm_info("shard %s leadership acquired term=%" G_GUINT64_FORMAT " unacknowledged_machines=%u",
+          name, shard->term.v, g_hash_table_size(shard->unacknowledged_machines));
   mm_scheduler_check_shard_ready(scheduler, shard);
 }
 
--- a/src/scheduler/pending-tasks.c
+++ b/src/scheduler/pending-tasks.c
@@ -8,10 +8,10 @@
 
 #define BACKLOG_JOBS_MAX 64
 #define BACKLOG_TASKS_MAX 512
-#define BACKLOG_RANGES_MAX 16 /* of one job */
+#define BACKLOG_RANGES_MAX 16 /* for each job */
 
-/* Adds the task's number, which is above all in the ranges. FALSE when that would be a range too
- * many. */
+/* Adds a task number that is higher than all numbers in the ranges. `ranges` holds guint pairs:
+ * first number, length. Returns FALSE when that would exceed BACKLOG_RANGES_MAX. */
 static gboolean
 append_to_ranges(GArray *ranges, guint number) {
   guint new_range[2] = { number, 1 };
@@ -29,7 +29,8 @@
   return TRUE;
 }
 
-/* Adds the ranges of pending tasks that need not wait for a retry, up to `tasks_left`. */
+/* Adds to `list` the ranges of the job's pending tasks that need not wait for a retry, at most
+ * `tasks_left` tasks, and reduces `tasks_left`. */
 static void
 add_pending_tasks(MmScheduler *scheduler, MmJob *job, GPtrArray *list, guint *tasks_left) {
   MmTime now = mm_node_now(scheduler->node);
@@ -53,7 +54,8 @@
     g_ptr_array_add(list, g_steal_pointer(&pending));
 }
 
-/* Only gangs have reserved places, and these are few, while machines with tasks are thousands. */
+/* Adds the machines with reserved places. Looks at the gang's tasks rather than at all machines,
+ * since gangs have few reserved places while thousands of machines have tasks. */
 static void
 add_reserved_machines(const MmJob *job, GArray *machines) {
   for (guint i = 0; i < job->spec.n_tasks; i++)
@@ -71,7 +73,8 @@
     MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     if (job->tasks != NULL && mm_job_is_gang(job))
       add_reserved_machines(job, reserved_machines);
-    /* Tasks that the team's limit keeps from starting need no start requests and no machines. */
+    /* Tasks that the team's limit prevents from starting are left out, so that no node requests
+     * their starts or rents machines for them. */
     if (job->tasks != NULL && job->n_pending > 0 && mm_scheduler_job_is_schedulable(scheduler, job)
         && mm_scheduler_limit_allows(scheduler, job->led_shard, job,
                                      mm_job_is_gang(job) ? job->spec.n_tasks : 1))
--- a/src/scheduler/placement-estimate.c
+++ b/src/scheduler/placement-estimate.c
@@ -2,16 +2,19 @@
 
 #include "scheduler/preemption.h"
 
-/* MmPlacementEstimate: no machine was looked at; larger than any number of tasks. */
+/* Value of MmPlacementEstimate.fewest_colocated_tasks when the tasks of no machine were counted.
+ * Larger than any number of tasks. */
 #define COLOCATED_TASKS_UNKNOWN G_MAXUINT
+/* Below this age, an estimate is used without a new scan. */
 #define ESTIMATE_FRESH_MS 400
+/* Below this age, an estimate is used when no scan is left. */
 #define ESTIMATE_AGE_MAX_MS 2000
-/* A fetch this short is not worth waiting for another machine. */
+/* A task does not wait for another machine to avoid a fetch that is shorter than this. */
 #define SHORT_FETCH_S 0.5
 /* In heartbeat intervals: how long a pending task waits for a machine that has its image, and a
- * service's for a machine with fewer co-located tasks. */
-#define AVOID_FETCH_PERIODS 1.5
-#define SPREAD_SERVICE_PERIODS 0.7
+ * task of a service for a machine with fewer co-located tasks. */
+#define AVOID_FETCH_HEARTBEAT_INTERVALS 1.5
+#define SPREAD_SERVICE_HEARTBEAT_INTERVALS 0.7
 
 guint
 mm_scheduler_count_colocated_tasks(const MmScheduler *scheduler, const MmJob *job,
@@ -33,14 +36,14 @@
 }
 
 static gboolean
-is_younger(const MmPlacementEstimate *estimate, MmTime now, gint64 max_age_ms) {
+is_estimate_younger(const MmPlacementEstimate *estimate, MmTime now, gint64 max_age_ms) {
   return estimate->estimated_at.us != 0
          && mm_time_ms_since(now, estimate->estimated_at) < max_age_ms;
 }
 
-/* Takes a machine that could run a task of the job after this delay into the estimate. */
+/* Updates the estimate with a machine that could run a task of the job after `delay_s`. */
 static void
-add_machine(MmPlacementEstimate *estimate, const MmMachine *machine, double delay_s) {
+add_machine_to_estimate(MmPlacementEstimate *estimate, const MmMachine *machine, double delay_s) {
   if (!mm_scheduler_can_start(estimate->soonest_delay_s) || delay_s < estimate->soonest_delay_s) {
     estimate->next_soonest_delay_s = estimate->soonest_delay_s;
     estimate->soonest_delay_s = delay_s;
@@ -61,7 +64,7 @@
 
     if (!mm_scheduler_can_start(delay_s))
       continue;
-    add_machine(estimate, machine, delay_s);
+    add_machine_to_estimate(estimate, machine, delay_s);
     if (job->spec.kind == MM_JOB_KIND_SERVICE
         && delay_s <= job->spec.image_gb / machine->type->image_fetch_gb_per_s
                           + node->settings->heartbeat_interval_s)
@@ -76,10 +79,10 @@
   MmTime now = mm_node_now(scheduler->node);
   MmPlacementEstimate *estimate = &job->placement_estimate;
 
-  if (is_younger(estimate, now, ESTIMATE_FRESH_MS))
+  if (is_estimate_younger(estimate, now, ESTIMATE_FRESH_MS))
     return estimate;
   if (scheduler->machine_scans_left == 0)
-    return is_younger(estimate, now, ESTIMATE_AGE_MAX_MS) ? estimate : NULL;
+    return is_estimate_younger(estimate, now, ESTIMATE_AGE_MAX_MS) ? estimate : NULL;
   scheduler->machine_scans_left--;
   *estimate = (MmPlacementEstimate){ .estimated_at = now,
                                      .soonest_delay_s = MM_START_IMPOSSIBLE,
@@ -89,26 +92,28 @@
   return estimate;
 }
 
-/* Work in a hurry does not fetch its image where another machine could run it sooner, with
- * preemption if need be; it waits for that no longer than the fetch itself would take. Where a
- * service must fetch anyway it goes to the machine with the fewest co-located tasks: that spreads
- * its image for the next ones, leaves beside it work that can be preempted for them, and bounds
- * what the loss of a machine takes. */
+/* A task does not fetch its image on one machine if another machine could run it sooner, even after
+ * a preemption. It waits for the other machine no longer than the fetch itself would take. A task
+ * of a service that must fetch its image anyway goes to the machine with the fewest co-located
+ * tasks. This distributes the image for later tasks of the service, leaves work on the same machine
+ * that can be preempted for them, and limits how many tasks the loss of a machine affects. */
 gboolean
 mm_scheduler_starts_sooner_elsewhere(MmScheduler *scheduler, MmJob *job, const MmTask *task,
                                      const MmMachine *here) {
   MmNode *node = scheduler->node;
-  double period_s = node->settings->heartbeat_interval_s;
+  double heartbeat_interval_s = node->settings->heartbeat_interval_s;
   double fetch_s = mm_scheduler_image_fetch_s(job, here);
   double waited_s = (double)mm_time_ms_since(mm_node_now(node), task->state_since) / 1000.0;
-  gboolean spread_out
-      = job->spec.kind == MM_JOB_KIND_SERVICE && waited_s < period_s * SPREAD_SERVICE_PERIODS;
+  gboolean spread_out = job->spec.kind == MM_JOB_KIND_SERVICE
+                        && waited_s < heartbeat_interval_s * SPREAD_SERVICE_HEARTBEAT_INTERVALS;
   const MmPlacementEstimate *estimate;
   double elsewhere_s;
 
-  if (fetch_s < SHORT_FETCH_S || waited_s > MIN(fetch_s, period_s * AVOID_FETCH_PERIODS))
+  if (fetch_s < SHORT_FETCH_S
+      || waited_s > MIN(fetch_s, heartbeat_interval_s * AVOID_FETCH_HEARTBEAT_INTERVALS))
     return FALSE;
-  /* What was preempted here was preempted for this task: choosing again would only lose time. */
+  /* Work was preempted on this machine for this task, so choosing another machine would only lose
+   * time. */
   if (mm_time_before(mm_node_now(node), task->preempting_until)
       && mm_name_equal(&task->preempting_on, &here->id))
     return FALSE;
--- a/src/scheduler/placement-estimate.h
+++ b/src/scheduler/placement-estimate.h
@@ -1,16 +1,18 @@
-/* Estimates of how soon a task of a job could run, and where. An estimate costs a scan of all
- * machines, so it is kept for a moment, and only a few are made between two slow ticks. */
+/* Estimates how soon a task of a job could run, and on which machine. An estimate requires a scan
+ * of all machines, so it is cached for a short time, and only a few are made between two slow
+ * ticks. */
 #pragma once
 
 #include "scheduler/scheduler.h"
 
-/* The estimate, at most 400 ms old; where no scan is left, at most 2 s old, or NULL. Lent: the job
- * owns it. */
+/* Returns an estimate that is at most 400 ms old. When no scan is left until the next slow tick,
+ * returns one that is at most 2 s old, or NULL. The job owns the estimate. */
 const MmPlacementEstimate *mm_scheduler_estimate_placement(MmScheduler *scheduler, MmJob *job);
-/* Whether a pending task of the job had better wait for another machine than fetch its image here.
- */
+/* Returns whether a pending task of the job should wait for another machine instead of fetching its
+ * image on the machine `here`. */
 gboolean mm_scheduler_starts_sooner_elsewhere(MmScheduler *scheduler, MmJob *job,
                                               const MmTask *task, const MmMachine *here);
-/* Tasks on the machine of at least the job's priority: these cannot be preempted for it. */
+/* Returns the number of tasks on the machine whose priority is at least the job's, so that they
+ * cannot be preempted for it by priority. */
 guint mm_scheduler_count_colocated_tasks(const MmScheduler *scheduler, const MmJob *job,
                                          const MmMachine *machine);
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -10,29 +10,32 @@
 #include "scheduler/stop-commands.h"
 #include "scheduler/urgency.h"
 
-/* Of one round: pending tasks tried, and how many of the tries scan machines. */
+/* Limits of one preemption round: pending tasks tried, and tries that scan the machines. */
 #define TASKS_PER_ROUND 16
 #define PREEMPTIONS_PER_ROUND 6
-/* Of these, for work that is neither urgent nor within a quota. */
+/* The part of PREEMPTIONS_PER_ROUND for jobs that are neither urgent nor within a quota. */
 #define ORDINARY_PREEMPTIONS_PER_ROUND 2
-/* Added for each task that is stopped. */
+/* Added to the start delay for each task that must be stopped. */
 #define STOP_DELAY_PER_TASK_S 0.05
-/* How much longer a service would wait for a machine with one co-located task less. */
+/* How much longer a service would wait for a machine with one co-located task fewer. */
 #define COLOCATED_TASK_PENALTY_S 0.25
+/* How long a task of a job that is not urgent must have waited before work is preempted for it. */
 #define QUOTA_RECLAIM_AFTER_MS 2800
-/* More tasks than these are not preempted on one machine for another task. */
+/* Maximum number of tasks considered for preemption on one machine for one task. */
 #define VICTIMS_MAX 32
-/* Of a job that has hardly begun. */
-#define SPARED_TASKS_MAX 2
+/* A job that starts after a long wait keeps all its running tasks while it has at most this many.
+ */
+#define PROTECTED_TASKS_MAX 2
 
+/* A task that is or may be preempted. */
 typedef struct {
   const MmReportedTask *reported;
   const MmJob *job;
 } Victim;
 
-/* What it takes for a task to start on a machine. */
+/* How a task can be started on a machine. */
 typedef struct {
-  double delay_s; /* until the start, see mm_scheduler_start_delay_s */
+  double delay_s; /* time until the start, see mm_scheduler_start_delay_s */
   guint n_victims;
   Victim victims[VICTIMS_MAX]; /* tasks to stop */
 } StartPlan;
@@ -46,16 +49,18 @@
   return (int)y->reported->number - (int)x->reported->number;
 }
 
-/* A job that has hardly begun after a long wait keeps the few tasks it has. */
+/* Returns whether no task of the job may be preempted, because the job has waited for longer than
+ * the operators' bound for starvation and has only just begun to run. */
 static gboolean
-is_spared(const MmScheduler *scheduler, const MmJob *job) {
+is_protected_from_preemption(const MmScheduler *scheduler, const MmJob *job) {
   return mm_job_waiting_time_s(job, mm_node_wall_ms(scheduler->node))
              > scheduler->node->operators->starved_after_s
          && mm_machine_table_running_tasks(scheduler->node->machine_table, job->spec.id.s)
-                <= SPARED_TASKS_MAX;
+                <= PROTECTED_TASKS_MAX;
 }
 
-/* Whether the task may be preempted for the job. */
+/* Returns whether the reported task of the job `victim` may be preempted for `job`. `victim` may be
+ * NULL when its job is unknown. */
 static gboolean
 is_preemptible(const MmScheduler *scheduler, const MmJob *job, const MmReportedTask *reported,
                const MmJob *victim) {
@@ -63,11 +68,11 @@
          && victim != NULL
          && (victim->effective_priority < job->effective_priority
              || mm_scheduler_may_reclaim_quota(scheduler, job, victim))
-         && !is_spared(scheduler, victim);
+         && !is_protected_from_preemption(scheduler, victim);
 }
 
-/* Chooses the tasks to preempt on the machine so that a task of the job fits, none if it fits
- * already. FALSE when preemption does not help. */
+/* Chooses the tasks to preempt on the machine so that a task of the job fits; none if it fits
+ * already. Returns FALSE when it does not fit even with preemption. */
 static gboolean
 choose_victims(const MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
                MmResources free_resources, StartPlan *plan) {
@@ -97,18 +102,18 @@
   return job->spec.image_gb / machine->type->image_fetch_gb_per_s;
 }
 
-/* Plans the start of a task of the job on the machine, with preemption if need be. FALSE when it
- * cannot start there. */
+/* Plans the start of a task of the job on the machine, with preemption if necessary. Returns FALSE
+ * when the task cannot start there. */
 static gboolean
 plan_start(MmScheduler *scheduler, const MmJob *job, MmMachine *machine, StartPlan *plan) {
   MmNode *node = scheduler->node;
   MmTime now = mm_node_now(node);
-  gint64 period_ms = mm_scheduler_heartbeat_interval_ms(scheduler);
+  gint64 heartbeat_interval_ms = mm_scheduler_heartbeat_interval_ms(scheduler);
   gint64 silent_ms = mm_time_ms_since(now, machine->last_heartbeat_at);
   MmResources free_resources;
 
   scheduler->n_machines_scanned++;
-  if (silent_ms > 2 * period_ms || machine->addr[0] == '\0'
+  if (silent_ms > 2 * heartbeat_interval_ms || machine->addr[0] == '\0'
       || !mm_machine_is_usable(node->machine_table, machine)
       || mm_time_before(now, machine->full_until)
       || !mm_scheduler_constraints_will_allow(scheduler, job, machine))
@@ -121,9 +126,10 @@
     free_resources = mm_resources_sub(free_resources, machine->reserved_resources);
   if (!choose_victims(scheduler, job, machine, free_resources, plan))
     return FALSE;
-  /* Free resources are used with the next heartbeat; a stop makes the machine send one at once. */
+  /* Free resources can be used at the machine's next heartbeat. A stop makes the machine send a
+   * heartbeat immediately. */
   plan->delay_s = plan->n_victims == 0
-                      ? (double)MAX(period_ms - silent_ms, 0) / 1000.0
+                      ? (double)MAX(heartbeat_interval_ms - silent_ms, 0) / 1000.0
                       : MM_PREEMPTION_DELAY_S + STOP_DELAY_PER_TASK_S * plan->n_victims;
   plan->delay_s += mm_scheduler_image_fetch_s(job, machine);
   return TRUE;
@@ -136,9 +142,10 @@
   return plan_start(scheduler, job, machine, &plan) ? plan.delay_s : MM_START_IMPOSSIBLE;
 }
 
-/* Work of the lowest priority gets no time to save a checkpoint for work of the highest: it falls
- * back to its last checkpoint, which costs it less than the wait for the save would cost the other.
- */
+/* Returns the time in seconds that a task of `victim` is given to save a checkpoint before `job`
+ * takes its place. Work of the lowest priority gets no time if preempted for work of the highest
+ * priority: it restarts from its last checkpoint, which costs it less than waiting for the save
+ * would cost the other job. */
 static double
 victim_grace_s(const MmJob *job, const MmJob *victim) {
   if (job->effective_priority == MM_PRIORITY_CRITICAL
@@ -168,19 +175,19 @@
 mm_scheduler_reserve_resources(MmScheduler *scheduler, const MmJob *job, MmTask *task,
                                MmMachine *machine) {
   MmTime now = mm_node_now(scheduler->node);
-  gint64 period_ms = mm_scheduler_heartbeat_interval_ms(scheduler);
+  gint64 heartbeat_interval_ms = mm_scheduler_heartbeat_interval_ms(scheduler);
 
   if (!mm_time_before(now, machine->reserved_until))
     machine->reserved_resources = (MmResources){ 0 };
   machine->reserved_resources
       = mm_resources_add(machine->reserved_resources, job->spec.task_resources);
-  machine->reserved_until = mm_time_add_ms(now, 2 * period_ms);
-  task->preempting_until = mm_time_add_ms(now, period_ms);
+  machine->reserved_until = mm_time_add_ms(now, 2 * heartbeat_interval_ms);
+  task->preempting_until = mm_time_add_ms(now, heartbeat_interval_ms);
   task->preempting_on = machine->id;
 }
 
 void
-mm_scheduler_preempt_for_gang(MmScheduler *scheduler, MmJob *job, guint machines) {
+mm_scheduler_preempt_for_gang(MmScheduler *scheduler, MmJob *job, guint max_machines) {
   const GPtrArray *order = scheduler->node->machine_table->sorted_machines;
   MmTime now = mm_node_now(scheduler->node);
   MmTask *first_task = &job->tasks[0];
@@ -189,16 +196,17 @@
   if (mm_time_before(now, first_task->preempting_until))
     return;
   first_task->preempting_until = mm_time_add_ms(now, mm_scheduler_heartbeat_interval_ms(scheduler));
-  for (guint i = 0; i < order->len && machines > 0; i++) {
+  for (guint i = 0; i < order->len && max_machines > 0; i++) {
     MmMachine *machine = g_ptr_array_index(order, i);
     if (!plan_start(scheduler, job, machine, &plan) || plan.n_victims == 0)
       continue;
     stop_victims(scheduler, job, machine, &plan);
-    machines--;
+    max_machines--;
   }
 }
 
-/* The machine where a task of the job would start soonest, or NULL. */
+/* Returns the machine on which a task of the job would start soonest, lent, or NULL. For services,
+ * COLOCATED_TASK_PENALTY_S is added to the delay for each co-located task. */
 static MmMachine *
 find_soonest_machine(MmScheduler *scheduler, const MmJob *job) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
@@ -222,8 +230,8 @@
   return best;
 }
 
-/* Preempts on the machine where the task would start soonest, if that is needed, and reserves the
- * resources there. FALSE when there is no such machine. */
+/* Preempts, if necessary, on the machine on which the task would start soonest, and reserves the
+ * resources there. Returns FALSE when there is no such machine. */
 static gboolean
 preempt_for_task(MmScheduler *scheduler, const MmJob *job, MmTask *task) {
   MmMachine *machine = find_soonest_machine(scheduler, job);
@@ -236,9 +244,10 @@
   return TRUE;
 }
 
-/* Preempts for the job's pending tasks, for each once in a heartbeat interval. Reservations count
- * for the job's zones: preempting for one task at a time would make a wide service that has lost a
- * zone wait for each replica in turn. Returns how many tasks were tried. */
+/* Preempts for pending tasks of the job, for each task at most once in a heartbeat interval.
+ * Several tasks are handled in one call, since a large service that has lost a zone would otherwise
+ * wait for each replica in turn. This is possible because the job's zone constraints also count the
+ * machines with reserved resources. Returns the number of tasks tried. */
 static guint
 preempt_for_job(MmScheduler *scheduler, MmJob *job, guint max_tries) {
   MmNode *node = scheduler->node;
@@ -261,37 +270,38 @@
   return tries;
 }
 
-/* Whether any work of the lowest priority runs. Without it nothing can be preempted for work that
- * is only one priority higher, and scanning all machines for each such job would take all of the
- * node's time. */
+/* Returns whether any work of the lowest priority runs that may be preempted. Without such work,
+ * nothing can be preempted for jobs that are only one priority higher, and scanning all machines
+ * for each such job would take all of the node's time. */
 static gboolean
-low_priority_work_runs(const MmScheduler *scheduler) {
+is_low_priority_work_running(const MmScheduler *scheduler) {
   const MmJobTable *job_table = scheduler->node->job_table;
 
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     if (job->effective_priority == MM_PRIORITY_LOW
         && mm_machine_table_running_tasks(scheduler->node->machine_table, job->spec.id.s)
-               > SPARED_TASKS_MAX)
+               > PROTECTED_TASKS_MAX)
       return TRUE;
   }
   return FALSE;
 }
 
-/* Neither urgent nor within a quota: it may preempt work of the lowest priority only. */
+/* Returns whether the job is neither urgent nor within a quota. Such a job may preempt only work of
+ * the lowest priority. */
 static gboolean
 is_ordinary(const MmJob *job) {
   return job->effective_priority < MM_PRIORITY_URGENT && !job->is_within_quota;
 }
 
-/* Each try costs a scan of all machines, so a round tries few tasks, and the next round goes on
- * where it stopped. */
+/* Each try scans all machines, so a round tries only a few tasks. After a round that reached a
+ * limit, the next round continues with the job after the last one visited. */
 void
 mm_scheduler_preempt(MmScheduler *scheduler) {
   const GPtrArray *jobs = mm_scheduler_jobs_by_urgency(scheduler);
   guint tasks_left = TASKS_PER_ROUND, preemptions_left = PREEMPTIONS_PER_ROUND, n_jobs_visited = 0;
   guint ordinary_preemptions_left
-      = low_priority_work_runs(scheduler) ? ORDINARY_PREEMPTIONS_PER_ROUND : 0;
+      = is_low_priority_work_running(scheduler) ? ORDINARY_PREEMPTIONS_PER_ROUND : 0;
 
   for (; n_jobs_visited < jobs->len && tasks_left > 0 && preemptions_left > 0; n_jobs_visited++) {
     MmJob *job
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -6,11 +6,12 @@
 #include "scheduler/urgency.h"
 
 #define QUOTA_UPDATE_INTERVAL_MS 1000
-/* Of the limit, resources for so many tasks are reserved for the most urgent job. */
-#define RESERVED_QUOTA_TASKS 4
+/* Maximum number of tasks of the most urgent job for which a part of the limit is reserved, unless
+ * the job is a gang. */
+#define RESERVED_LIMIT_TASKS 4
 
-/* Whether a team whose older unfinished jobs and this one together need `team_sum` has all of it
- * within its quota. */
+/* Returns whether a job with this specification is within its team's quota. `team_sum`: the
+ * resources needed by the job and the team's older unfinished jobs together. */
 static gboolean
 fits_quota(const MmResources *quota, const MmResources *team_sum, const MmJobSpec *spec) {
   /* A quota of 0 guarantees nothing. */
@@ -30,9 +31,9 @@
   return FALSE;
 }
 
-/* The oldest unfinished jobs of a team lie within its quota, as far as it reaches. Where the
- * settings have an objective for such work, that gives it its urgency; otherwise it has precedence.
- */
+/* Updates which jobs are within their team's quota: the oldest unfinished jobs of the team, as far
+ * as the quota suffices. If the settings contain an objective for such jobs, their urgency follows
+ * from the objective; otherwise they have precedence over other jobs of the same priority. */
 static void
 update_jobs_within_quota(const MmScheduler *scheduler) {
   const MmNode *node = scheduler->node;
@@ -55,7 +56,7 @@
   }
 }
 
-/* Sums up what the teams use by the tasks that the machines' newest heartbeats show. */
+/* Computes what each team uses, from the tasks that the machines' newest messages report. */
 static void
 update_team_used(MmScheduler *scheduler) {
   const MmNode *node = scheduler->node;
@@ -104,19 +105,20 @@
          && team_use_after.accelerators >= team->quota.accelerators - MM_RESOURCES_SLACK;
 }
 
-/* A job that needs nothing of a limited resource is not bound by it, however much of it is used or
- * reserved. Otherwise accelerators reserved for a waiting gang would keep the team's arrays from
- * machines that lie idle. */
+/* Returns whether the limit of one resource allows the additional need. A job that does not need
+ * the resource is not restricted, however much of the limit is used or reserved. Otherwise,
+ * accelerators reserved for a waiting gang would prevent the team's arrays from using idle
+ * machines. */
 static gboolean
 is_within_limit(double limit, double used, double need) {
   return limit <= 0 || need <= 0 || used + need <= limit + MM_RESOURCES_SLACK;
 }
 
-/* What the team uses or might use: all that may be on a machine, stops under way included, and on
- * an unacknowledged machine whatever fits there. */
+/* Counts everything that the team uses or may be using: all tasks that may be on a machine,
+ * including tasks that are being stopped, and all resources of the unacknowledged machines. */
 gboolean
 mm_scheduler_limit_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
-                          guint tasks) {
+                          guint n_tasks) {
   MmResources limit = shard->team->limit;
   MmResources used;
 
@@ -126,25 +128,27 @@
   if (shard->has_unacknowledged_of_unknown_type)
     return FALSE;
   used = mm_resources_add(shard->used, shard->unacknowledged_resources);
-  /* Otherwise small jobs take what is left of the limit one by one: a large one never begins, and
-   * work of higher priority waits for lower. */
+  /* Without the reservation, small jobs would take the rest of the limit one by one, so that a
+   * large job would never start, and jobs of higher priority would wait for jobs of lower priority.
+   */
   if (shard->limit_reserved_for != NULL && shard->limit_reserved_for != job
       && mm_scheduler_compare_urgency(&shard->limit_reserved_for, &job) < 0)
     used = mm_resources_add(used, shard->reserved_of_limit);
-  return is_within_limit(limit.cores, used.cores, tasks * job->spec.task_resources.cores)
+  return is_within_limit(limit.cores, used.cores, n_tasks * job->spec.task_resources.cores)
          && is_within_limit(limit.accelerators, used.accelerators,
-                            tasks * job->spec.task_resources.accelerators);
+                            n_tasks * job->spec.task_resources.accelerators);
 }
 
-/* Reserves a part of its team's limit for the job if it is in a hurry and more urgent than the job
- * that has it now. */
+/* Reserves a part of the team's limit for the job if the job is starving or urgent, and more urgent
+ * than the job for which a part is reserved now. */
 static void
-reserve_quota(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job) {
-  gboolean is_in_hurry = job->is_starving || job->spec.priority >= MM_PRIORITY_URGENT;
+reserve_part_of_limit(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job) {
+  gboolean is_urgent_or_starving = job->is_starving || job->spec.priority >= MM_PRIORITY_URGENT;
   guint n_tasks
-      = mm_job_is_gang(job) ? job->spec.n_tasks : MIN(job->n_pending, RESERVED_QUOTA_TASKS);
+      = mm_job_is_gang(job) ? job->spec.n_tasks : MIN(job->n_pending, RESERVED_LIMIT_TASKS);
 
-  if (job->n_pending == 0 || !is_in_hurry || !mm_scheduler_job_is_schedulable(scheduler, job)
+  if (job->n_pending == 0 || !is_urgent_or_starving
+      || !mm_scheduler_job_is_schedulable(scheduler, job)
       || (shard->limit_reserved_for != NULL
           && mm_scheduler_compare_urgency(&job, &shard->limit_reserved_for) >= 0))
     return;
@@ -153,7 +157,8 @@
                                             n_tasks * job->spec.task_resources.accelerators, 0 };
 }
 
-/* The sums that task-state.c keeps drift, since amounts are fractions; they are taken anew here. */
+/* The sums that task-state.c maintains accumulate rounding errors, since the amounts are fractions.
+ * They are recomputed here. */
 void
 mm_scheduler_recount_resources(MmScheduler *scheduler) {
   const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
@@ -172,7 +177,7 @@
     MmLedShard *shard = job->tasks != NULL ? job->led_shard : NULL;
     if (shard == NULL)
       continue;
-    reserve_quota(scheduler, shard, job);
+    reserve_part_of_limit(scheduler, shard, job);
     if (job->n_maybe_on_machines == 0)
       continue;
     shard->used.cores += job->n_maybe_on_machines * job->spec.task_resources.cores;
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -1,21 +1,23 @@
-/* Teams' quotas (guaranteed resources) and limits (the most that they may use at once).
+/* Quotas of teams (guaranteed resources) and limits (the most that a team may use at once).
  *
- * Every node derives from its own replica and view of the machines which jobs lie within their
- * team's quota. This decides on order and preemption only. The limit is enforced by the leader of
- * the team's shard alone. */
+ * Each node derives which jobs are within their team's quota from its own replica and its own view
+ * of the machines. Quotas affect only the order of jobs and preemption. A team's limit is enforced
+ * only by the leader of the team's shard. */
 #pragma once
 
 #include "scheduler/scheduler.h"
 
-/* Once a second: which jobs lie within their team's quota, and how much each team uses. */
+/* Updates which jobs are within their team's quota and how much each team uses. Does nothing if
+ * called again within a second. */
 void mm_scheduler_update_quotas(MmScheduler *scheduler);
-/* Sums up again what each led shard uses of its limit, and what is reserved in it for the most
- * urgent job. */
+/* Recomputes, for each led shard, how much of the team's limit is used and how much is reserved for
+ * the most urgent job. */
 void mm_scheduler_recount_resources(MmScheduler *scheduler);
-/* Whether so many more tasks of the job stay within the limit of the team, whose shard it is. */
+/* Returns whether `n_tasks` more tasks of the job stay within the limit of its team. `shard` is the
+ * team's shard. */
 gboolean mm_scheduler_limit_allows(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job,
-                                   guint tasks);
-/* Whether a task of the victim, a job of another team, may be preempted so that the job gets what
- * its team's quota guarantees. */
+                                   guint n_tasks);
+/* Returns whether a task of `victim` may be preempted so that `job` gets the resources that the
+ * quota of its team guarantees. FALSE when both jobs are of the same team. */
 gboolean mm_scheduler_may_reclaim_quota(const MmScheduler *scheduler, const MmJob *job,
                                         const MmJob *victim);
--- a/src/scheduler/replica-move.c
+++ b/src/scheduler/replica-move.c
@@ -5,17 +5,21 @@
 #include "scheduler/start-rules.h"
 #include "scheduler/stop-commands.h"
 
+/* How long a task must have waited before a replica is moved for it. */
 #define REPLICA_MOVE_AFTER_MS 1500
+/* Minimum time between two attempts to move a replica, of all jobs together. */
 #define REPLICA_MOVE_INTERVAL_MS 1500
-/* Each costs a scan of all machines: without a bound, replicas that find no other place take 200 ms
- * of processor time a try. */
+/* Maximum number of replicas tried in one attempt. Each one costs a scan of all machines: without
+ * this limit, an attempt takes 200 ms of processor time when no replica can run elsewhere. */
 #define REPLICA_MOVE_SCANS_MAX 4
+/* Maximum time that the image fetch of a moved replica may take. */
 #define REPLICA_MOVE_FETCH_S 5
 
-/* Where a replica that runs on `current` could run again shortly, or NULL. */
+/* Returns another machine on which a replica that runs on `current` could start shortly, lent, or
+ * NULL. */
 static MmMachine *
-machine_for_replica(MmScheduler *scheduler, const MmJob *job, const MmMachine *current,
-                    double max_fetch_s) {
+find_machine_for_replica(MmScheduler *scheduler, const MmJob *job, const MmMachine *current,
+                         double max_fetch_s) {
   MmMachineTable *machine_table = scheduler->node->machine_table;
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
@@ -32,10 +36,11 @@
   return NULL;
 }
 
-/* Whether the machine could run a task of the job once a replica has left it. */
+/* Returns whether the machine could run a task of the job once a replica has left it, provided that
+ * the resources suffice. */
 static gboolean
-may_be_vacated(MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
-               MmResources free_resources) {
+could_host_task_after_move(MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
+                           MmResources free_resources) {
   MmNode *node = scheduler->node;
 
   return mm_machine_is_usable(node->machine_table, machine)
@@ -45,10 +50,10 @@
                 < MM_RESERVE_WOULD_SHRINK;
 }
 
-/* Whether the placed task is a running replica of another service, of no higher priority, whose
- * resources suffice for a task of the job. */
+/* Returns whether the placed task is a running replica of another service that has no higher
+ * priority, and whose resources together with the free ones suffice for a task of the job. */
 static gboolean
-may_give_way(const MmJob *job, const MmPlacedTask *placed, MmResources free_resources) {
+is_movable_replica(const MmJob *job, const MmPlacedTask *placed, MmResources free_resources) {
   const MmJob *other = placed->job;
   const MmTask *replica = &other->tasks[placed->number];
 
@@ -59,26 +64,27 @@
                               mm_resources_add(free_resources, other->spec.task_resources));
 }
 
-/* Moves a replica away from the machine if one could run elsewhere, and reserves its place for the
- * task. Each replica tried takes one of `scans_left`. */
+/* Stops a replica on the machine that could run elsewhere, and reserves its place for the task.
+ * Subtracts 1 from `scans_left` for each replica tried. Returns FALSE when no replica was stopped.
+ */
 static gboolean
-vacate_machine(MmScheduler *scheduler, const MmJob *job, MmTask *task, MmMachine *machine,
-               MmResources free_resources, double max_fetch_s, guint *scans_left) {
+move_replica_off_machine(MmScheduler *scheduler, const MmJob *job, MmTask *task, MmMachine *machine,
+                         MmResources free_resources, double max_fetch_s, guint *scans_left) {
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
     const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, i);
     MmJob *other = placed->job;
     const MmMachine *target;
 
-    if (!may_give_way(job, placed, free_resources))
+    if (!is_movable_replica(job, placed, free_resources))
       continue;
     if (*scans_left == 0)
       return FALSE;
     --*scans_left;
-    target = machine_for_replica(scheduler, other, machine, max_fetch_s);
+    target = find_machine_for_replica(scheduler, other, machine, max_fetch_s);
     if (target == NULL)
       continue;
-    mm_info("replica %s/%u moved from=%s to=%s for_job=%s", other->spec.id.s, placed->number,
-            machine->id.s, target->id.s, job->spec.id.s);
+    mm_info("replica %s/%u stopped for move from=%s to=%s for_job=%s", other->spec.id.s,
+            placed->number, machine->id.s, target->id.s, job->spec.id.s);
     mm_scheduler_reserve_resources(scheduler, job, task, machine);
     other->tasks[placed->number].last_failed_on = machine->id;
     mm_scheduler_stop_task(scheduler, other, placed->number);
@@ -93,7 +99,8 @@
   const GPtrArray *machines = node->machine_table->sorted_machines;
   MmTime now = mm_node_now(node);
   gint64 waited_ms = mm_time_ms_since(now, task->state_since);
-  /* A moved replica may fetch its image once the wait is longer than the fetch. */
+  /* A moved replica may fetch its image only once the task has waited for longer than the fetch may
+   * take. */
   double max_fetch_s = waited_ms > REPLICA_MOVE_FETCH_S * 1000 ? REPLICA_MOVE_FETCH_S : 0;
   guint scans_left = REPLICA_MOVE_SCANS_MAX, first_index;
 
@@ -107,8 +114,9 @@
     MmMachine *machine = g_ptr_array_index(machines, (first_index + i) % machines->len);
     MmResources free_resources = mm_machine_available_resources(node->machine_table, machine);
 
-    if (may_be_vacated(scheduler, job, machine, free_resources)
-        && vacate_machine(scheduler, job, task, machine, free_resources, max_fetch_s, &scans_left))
+    if (could_host_task_after_move(scheduler, job, machine, free_resources)
+        && move_replica_off_machine(scheduler, job, task, machine, free_resources, max_fetch_s,
+                                    &scans_left))
       return TRUE;
   }
   return FALSE;
--- a/src/scheduler/replica-move.h
+++ b/src/scheduler/replica-move.h
@@ -1,8 +1,10 @@
-/* The last resort for a service that no machine in its zones can take: a replica of another service
- * that could run elsewhere at once is stopped, and its place reserved. */
+/* Moves of service replicas, as a last resort for a service with a pending task that can start on
+ * no machine in its zones: a replica of another service that could start on another machine shortly
+ * is stopped, and its place is reserved for the task. */
 #pragma once
 
 #include "scheduler/scheduler.h"
 
-/* TRUE when a replica was stopped for the pending task. */
+/* Stops a replica of another service to make room for the pending task of the job. Returns FALSE
+ * when no replica was stopped. */
 gboolean mm_scheduler_move_replica(MmScheduler *scheduler, const MmJob *job, MmTask *task);
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -12,7 +12,7 @@
 #include "scheduler/urgency.h"
 
 #define SLOW_TICK_MS 100
-/* Machine scans for placement estimates between two slow ticks. */
+/* Maximum number of machine scans for placement estimates between two slow ticks. */
 #define MACHINE_SCANS_PER_TICK 8
 
 MmScheduler *
@@ -37,7 +37,8 @@
   g_free(scheduler);
 }
 
-/* Whether the job has waited for longer than the bound with no task started or done. */
+/* Returns whether the job has waited for longer than the operators' bound for starvation, with no
+ * task started or completed. */
 static gboolean
 is_starving(const MmScheduler *scheduler, const MmJob *job) {
   return job->n_maybe_on_machines == 0 && job->completed.n_completed == 0 && !job->is_cancelled
@@ -50,7 +51,8 @@
 update_urgency_of_jobs(MmScheduler *scheduler) {
   const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
 
-  /* The newest first: a job's dependents are submitted after it. */
+  /* Goes from the newest job to the oldest: a job inherits urgency from its dependents, which are
+   * submitted after it and must be updated before it. */
   for (guint i = by_submission->len; i > 0; i--) {
     MmJob *job = g_ptr_array_index(by_submission, i - 1);
     mm_scheduler_update_urgency(scheduler, job);
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,54 +1,59 @@
 /* The scheduler: places, starts and stops the tasks of the teams whose shards this node leads.
  *
- * A team's unfinished jobs are one shard. The leader of a shard rebuilds its view of where tasks
- * are from the machines' heartbeats. A machine is acknowledged for a shard once a heartbeat or
- * direct reply of it shows the shard's term: every start sent under an older term has then either
- * shown in that heartbeat or will be refused by the machine. No task is started that an
- * unacknowledged machine might have.
+ * The unfinished jobs of a team form one shard. The leader of a shard learns where tasks are from
+ * the machines' heartbeats. A machine counts as acknowledged for a shard once one of its heartbeats
+ * or direct replies shows the shard's term. From then on, every start that was sent under an older
+ * term is either reported in that message or will be refused by the machine. The scheduler does not
+ * start a task that an unacknowledged machine might already have.
  *
- * The scheduler owns MmScheduler, MmLedShard, the tasks of MmJob and, of MmMachine, the placed
- * tasks, the kept list and the reserved resources. Only this folder writes them. What must survive
- * the process is in the job records (job-writer.h); the rest is in memory and rebuilt after a
- * failover.
+ * The scheduler owns MmScheduler, MmLedShard, the tasks of MmJob and the placed tasks, the kept
+ * list and the reserved resources of MmMachine. Only this folder modifies them. State that must
+ * survive the process is stored in the job records (job-writer.h); all other state is in memory and
+ * is rebuilt after a failover.
  *
- * This header has the types and the life of the scheduler; each other header of the folder has one
- * module. All of them run on the node's main loop and none blocks. */
+ * This header declares the types of the scheduler and the functions that create, run and free it;
+ * each other header of this folder declares one module. All modules run on the node's main loop and
+ * none blocks. */
 #pragma once
 
 #include "jobs/job-table.h"
 #include "machines/machine-table.h"
 #include "node/node.h"
 
-/* What the constraints of a job look at in a machine. An empty type stands for an unknown machine.
- */
+/* The properties of a machine that job constraints refer to. An empty type stands for a machine of
+ * which nothing is known. */
 typedef struct {
   MmName type;
   MmName zone;
   gboolean is_spot;
 } MmMachineKind;
 
-/* A team's shard while this node leads it. */
+/* The shard of a team, while this node leads it. */
 struct MmLedShard {
   char *name;
-  MmTerm term;          /* of the acquisition */
-  MmKeyVersion version; /* of the shard's record; each write of a job requires it */
+  MmTerm term;          /* assigned when this node acquired the shard */
+  MmKeyVersion version; /* of the shard's record; every write of a job is conditional on it */
   MmTime acquired_at;
   const MmTeamSettings *team;
-  MmResources used;                /* by tasks that are or may be on machines */
-  const MmJob *limit_reserved_for; /* the most urgent job in a hurry that has pending tasks, */
-  MmResources reserved_of_limit;   /* and how much of the team's limit is kept for it */
+  MmResources used; /* sum over the tasks that are or may be on machines */
+  /* The most urgent job with pending tasks that is starving or whose own priority is at least
+   * MM_PRIORITY_URGENT, lent; NULL: none. */
+  const MmJob *limit_reserved_for;
+  MmResources reserved_of_limit; /* the part of the team's limit that is reserved for that job */
   /* Derived from `unacknowledged_machines` by mm_scheduler_update_unacknowledged: */
-  MmResources unacknowledged_resources;        /* all resources of these machines */
-  gboolean has_unacknowledged_of_unknown_type; /* so their resources have no known bound */
-  gboolean unacknowledged_changed;             /* the derived fields are stale */
-  GArray *unacknowledged_kinds;                /* MmMachineKind, each once */
-  GHashTable
-      *unacknowledged_machines; /* machine id -> incarnation registered at the acquisition, by
-                                   GSIZE_TO_POINTER; these may have tasks not known of here */
-  gboolean is_ready;            /* no machine is unacknowledged any more */
+  MmResources unacknowledged_resources; /* total resources of the machines whose type is known */
+  /* Some machine's type is unknown, so the total resources have no known upper bound. */
+  gboolean has_unacknowledged_of_unknown_type;
+  gboolean unacknowledged_changed; /* the derived fields are out of date */
+  GArray *unacknowledged_kinds;    /* MmMachineKind, without duplicates */
+  /* Machine id -> incarnation that was registered when the shard was acquired, stored with
+   * GSIZE_TO_POINTER. These machines may have tasks that this node does not know of. */
+  GHashTable *unacknowledged_machines;
+  gboolean is_ready; /* set once no machine is unacknowledged */
 };
 
-/* Decayed sums over the ended tasks of a job class. Their ratio corrects the users' estimates. */
+/* Decayed sums of the actual and the estimated run times of the completed tasks of a job class, in
+ * seconds. Their ratio corrects the users' estimates. */
 typedef struct {
   double actual_s;
   double estimated_s;
@@ -58,17 +63,18 @@
   MmNode *node;
   GHashTable *led_shards;      /* shard name -> MmLedShard */
   GHashTable *estimate_errors; /* job class -> MmEstimateError */
-  guint64 attempt_sequence;    /* of the latest attempt, see mm_scheduler_next_attempt */
-  gboolean is_writing;         /* a transaction of job-writer.c is under way */
-  guint single_job_writes;     /* how many of the next transactions carry one job only */
-  GPtrArray *jobs_by_urgency;  /* MmJob of the led shards without gangs, most urgent first */
+  guint64 attempt_sequence;    /* number of the latest attempt, see mm_scheduler_next_attempt */
+  gboolean is_writing;         /* a transaction of job-writer.c is in flight */
+  guint single_job_writes;     /* how many of the next transactions may carry only one job each */
+  GPtrArray *jobs_by_urgency;  /* MmJob of the led shards except gangs, most urgent first */
   gboolean is_urgency_order_stale;
-  MmResources *team_used; /* by index of team: on all machines, as of the latest quota update */
+  MmResources *team_used; /* by team index: used on all machines, as of the latest quota update */
   MmTime next_quota_update_at;
-  const MmJob *yield_to_gang; /* less urgent accelerated work leaves its places to it; or NULL */
-  guint64 n_machines_scanned; /* since the start, of all machine scans together */
-  guint machine_scans_left;   /* scans for placement estimates until the next slow tick */
-  guint next_preemption_job;  /* index in `jobs_by_urgency` where the next round goes on */
+  /* The gang for which less urgent jobs with accelerators hold back their starts; NULL: none. */
+  const MmJob *yield_to_gang;
+  guint64 n_machines_scanned; /* machines examined by all scans since the process started */
+  guint machine_scans_left;   /* scans left for placement estimates until the next slow tick */
+  guint next_preemption_job; /* index in `jobs_by_urgency` where the next preemption round starts */
   MmTime next_slow_tick_at;
   MmTime next_replica_move_at;
 };
@@ -78,11 +84,12 @@
   return (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000);
 }
 
-/* The node must outlive the scheduler. */
+/* Returns a new scheduler. Free it with mm_scheduler_free. The node must outlive it. */
 MmScheduler *mm_scheduler_new(MmNode *node);
-/* Only when no request of it can be answered any more. */
+/* Frees the scheduler. May be called only when no request that it sent can still be answered. */
 void mm_scheduler_free(MmScheduler *scheduler);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmScheduler, mm_scheduler_free)
-/* Writes what is due into job records; every 100 ms also updates urgency and quotas, asks for
- * acknowledgements, plans gangs and preempts. Does nothing while the node's lease is not valid. */
+/* Writes changes that are due to the job records. Every 100 ms (the slow tick), also updates
+ * urgency and quotas, requests acknowledgements, resends stops, plans gangs and preempts. Does
+ * nothing while the node's lease is not valid. */
 void mm_scheduler_tick(MmScheduler *scheduler);
--- a/src/scheduler/start-rules.c
+++ b/src/scheduler/start-rules.c
@@ -21,8 +21,8 @@
          && mm_scheduler_compare_urgency(&gang, &job) < 0;
 }
 
-/* `reservations_at`: the present, to count also machines with resources being freed for pending
- * tasks; 0: count only tasks that are or may be on machines. */
+/* `reservations_at`: the current time, to also count the machines on which resources are being
+ * freed for pending tasks; 0: count only tasks that are or may be on machines. */
 static gboolean
 constraints_allow(const MmMachineTable *machine_table, const MmJob *job, const MmMachine *machine,
                   MmTime reservations_at) {
--- a/src/scheduler/start-rules.h
+++ b/src/scheduler/start-rules.h
@@ -1,17 +1,20 @@
-/* The rules that decide whether a job's tasks may start, and on which machines. Quota has a module
- * of its own (quota.h). */
+/* The rules that decide whether the tasks of a job may start, and on which machines. Quotas and
+ * limits are in quota.h. */
 #pragma once
 
 #include "scheduler/scheduler.h"
 
-/* Whether the job's tasks may start at all now: this node leads its shard and knows all earlier
- * starts, its dependencies are done, and it is neither cancelled nor paused after errors. */
+/* Returns whether tasks of the job may start now at all: this node leads the job's shard and knows
+ * all starts by earlier leaders, the job's dependencies are done, and the job is neither cancelled
+ * nor paused after errors. */
 gboolean mm_scheduler_job_is_schedulable(MmScheduler *scheduler, const MmJob *job);
-/* Whether the job leaves accelerated machines to a more urgent gang. */
+/* Returns whether the job uses accelerators and must not start tasks now, so that a more urgent
+ * gang gets the machines. */
 gboolean mm_scheduler_must_yield_to_gang(const MmScheduler *scheduler, const MmJob *job);
-/* Whether the machine's type, zone and kind, and the zones of the job's other tasks, allow one more
- * task of the job there. */
+/* Returns whether the job's constraints allow one more of its tasks on the machine, given the
+ * machine's type and zone, whether it is a spot machine, and the zones of the job's other tasks. */
 gboolean mm_scheduler_constraints_allow(const MmJob *job, const MmMachine *machine);
-/* The same, counting also the machines on which resources are being freed for its pending tasks. */
+/* Like mm_scheduler_constraints_allow, but also counts the machines on which resources are being
+ * freed for the job's pending tasks. */
 gboolean mm_scheduler_constraints_will_allow(const MmScheduler *scheduler, const MmJob *job,
                                              const MmMachine *machine);
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -26,9 +26,9 @@
                          mm_scheduler_stop_grace_s(job));
 }
 
-/* Stops those of the job's tasks that show on machines whose heartbeats this node answers and that
- * are not placed there by this node: the shard's leader may be out of reach, or the shard may have
- * none. */
+/* Stops the job's tasks that are reported by machines whose heartbeats this node answers, except
+ * those that this node itself has placed there. The leader of the shard may be unreachable, or the
+ * shard may have no leader. */
 static void
 stop_reported_tasks(MmScheduler *scheduler, const MmJob *job) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
@@ -63,7 +63,7 @@
     else if (mm_task_is_live(job->tasks[i].state))
       mm_scheduler_stop_task(scheduler, job, i);
   }
-  /* Dependents of a cancelled job have never been started. */
+  /* No task of a job with a cancelled dependency has ever been started. */
   if (!mm_job_has_cancelled_dependency(job))
     stop_reported_tasks(scheduler, job);
   mm_placement_backlog_changed(scheduler->node->placement);
--- a/src/scheduler/task-state.h
+++ b/src/scheduler/task-state.h
@@ -1,22 +1,26 @@
-/* Where the tasks of the led shards are, and in which state. All changes go through here: they keep
- * the counters of the job, the resources used by its shard and the machine's list of placed tasks
- * in step with the tasks. */
+/* The states and machines of the tasks of the led shards. All changes go through these functions,
+ * which keep the counters of the job, the resources used by its shard and the machine's list of
+ * placed tasks consistent with the tasks. */
 #pragma once
 
 #include "scheduler/scheduler.h"
 
-/* Whether a task in this state (MmTaskState) is or may be on a machine. */
+/* Returns whether a task in this state (MmTaskState) is or may be on a machine, or has a reserved
+ * place there. */
 static inline gboolean
 mm_task_is_live(guint8 state) {
   return state != MM_TASK_PENDING && state != MM_TASK_DONE;
 }
 
-/* Leaves the machine as it is. */
+/* Sets the state of the task and leaves its machine unchanged. */
 void mm_scheduler_set_task_state(MmScheduler *scheduler, MmJob *job, guint number, guint8 state);
-/* The task is, or is about to be, on the machine; it leaves any other. */
+/* Places the task, which is or is about to be on the machine, and removes it from any other
+ * machine. */
 void mm_scheduler_place_task(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine,
                              MmTaskState state, MmAttempt attempt);
-/* The task is on no machine for certain and becomes pending. */
+/* Removes the task from its machine and makes it pending. May be called only when the task is
+ * certainly on no machine. */
 void mm_scheduler_unplace_task(MmScheduler *scheduler, MmJob *job, guint number);
-/* Takes the task off the machine's list of placed tasks only. The machine may be NULL. */
+/* Removes the task from the machine's list of placed tasks, and changes nothing in the task. The
+ * machine may be NULL. */
 void mm_scheduler_remove_from_machine(MmMachine *machine, const MmJob *job, guint number);
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -4,14 +4,14 @@
 
 #include "dependencies/dependencies.h"
 
-/* Work within its team's quota should start within this. */
+/* A job within its team's quota has precedence after it has waited for this long. */
 #define QUOTA_START_WITHIN_S 1
-/* From the end of a job's last task to the start of its dependents' tasks: heartbeats, the terminal
- * record, the fetch of an image. */
+/* Time from the end of a job's last task to the start of its dependents' tasks. It covers
+ * heartbeats, the write of the terminal record and the fetch of an image. */
 #define DEPENDENCY_STAGE_MS 3000
-/* For so long before an inherited deadline a job has the whole priority of its dependents. */
+/* A job has the full priority of its dependents from this long before its inherited deadline. */
 #define INHERITED_DEADLINE_MARGIN_MS 15000
-/* In place of the time by which an objective needs the start. */
+/* Start time of an objective that does not apply to the job. */
 #define DOES_NOT_APPLY_S (-1.0)
 #define NO_DUE_TIME_MS G_MAXINT64
 
@@ -23,8 +23,8 @@
                                         : scheduler->node->operators->wait_bound_s);
 }
 
-/* When the last task must have started to meet the objective, in seconds from the job's submission;
- * below 0: the objective does not apply. */
+/* Returns by when the last task must have started to meet the objective, in seconds from the time
+ * from which the objective counts; below 0: the objective does not apply or cannot be met. */
 static double
 objective_start_s(const MmJob *job, const MmObjective *objective, double run_s) {
   switch (objective->kind) {
@@ -41,8 +41,9 @@
   }
 }
 
-/* The run time observed of the job's own tasks, or else the user's estimate corrected by the error
- * of the class's estimates. */
+/* Returns the estimated run time of a task in seconds: the mean of the run times observed for tasks
+ * of the job or, while there are none, the user's estimate, corrected by the error of the estimates
+ * for the job class. */
 static double
 estimate_run_s(const MmScheduler *scheduler, const MmJob *job) {
   const MmEstimateError *estimate_error
@@ -56,7 +57,8 @@
   return job->spec.run_estimate_s * CLAMP(ratio, 0.25, 4);
 }
 
-/* In how many rounds the pending tasks run where the team's limit lets only so many run at once. */
+/* Returns in how many successive rounds the pending tasks must run because the team's limit
+ * restricts how many can run at once; at least 1. */
 static double
 estimate_rounds(const MmScheduler *scheduler, const MmJob *job) {
   const MmTeamSettings *team = mm_settings_team(scheduler->node->settings, &job->spec.team);
@@ -70,8 +72,8 @@
   return MAX(ceil((double)job->n_pending / MAX(n_parallel, 1)), 1);
 }
 
-/* By when the job must be given machines for the first of its own objectives that it can still
- * meet. */
+/* Returns the time of day by which the job must be given machines to meet the earliest of its own
+ * objectives that it can still meet. */
 static gint64
 own_due_ms(const MmScheduler *scheduler, const MmJob *job, double run_s) {
   const MmSettings *settings = scheduler->node->settings;
@@ -96,7 +98,7 @@
     if (start_s >= 0 && start_ms >= now_ms && start_ms < due_ms)
       due_ms = start_ms;
   }
-  /* Without any objective of its own, its deadline or its age counts. */
+  /* A job without an objective of its own is due by its deadline or, without one, by its age. */
   if (!has_own_objective && job->spec.deadline_s >= 0)
     due_ms = job->submitted_at_ms + (gint64)(MAX(job->spec.deadline_s - run_s, 0) * 1000);
   else if (!has_own_objective)
@@ -104,15 +106,17 @@
   return due_ms;
 }
 
-/* By when the dependent must be given machines for a deadline, its own or an inherited one. */
+/* Returns the time of day by which the dependent must be given machines to meet a deadline, its own
+ * or an inherited one; NO_DUE_TIME_MS: it has none. */
 static gint64
 deadline_due_ms(const MmJob *job) {
   return job->spec.deadline_s >= 0 ? MIN(job->due_at_ms, job->inherited_due_at_ms)
                                    : job->inherited_due_at_ms;
 }
 
-/* Inherits priority and deadlines from the unfinished jobs that depend on this one. Values of
- * dependents that are updated after this job are those of the last slow tick. */
+/* Sets the priority and the deadline that the job inherits from the unfinished jobs that depend on
+ * it. For dependents that are updated after this job, the values of the previous slow tick are
+ * used. */
 static void
 inherit_from_dependents(const MmScheduler *scheduler, MmJob *job, double run_s) {
   const MmJobTable *job_table = scheduler->node->job_table;
@@ -133,9 +137,10 @@
                                    mm_node_wall_ms(scheduler->node));
 }
 
-/* Well before an inherited deadline, the job goes in the order of what is due but preempts no
- * ordinary work of other teams or classes: that would cost the other work more than its dependents
- * gain, which are done long before their deadlines. */
+/* Returns the priority that applies to the job. Long before an inherited deadline, the inherited
+ * priority is capped: the job is ordered by its due time but does not preempt ordinary work of
+ * other teams or classes. Such a preemption would cost that work more than the dependents gain,
+ * which complete long before their deadlines anyway. */
 static MmPriority
 effective_priority(const MmScheduler *scheduler, const MmJob *job) {
   gint64 slack_ms = job->inherited_due_at_ms - mm_node_wall_ms(scheduler->node);
