--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -7,8 +7,8 @@
 #include "leases/node-lease.h"
 #include "leases/shard-ownership.h"
 
-#define PLAN_INTERVAL_MS 500
-#define LIST_PAGE_SIZE 500
+#define ROUND_INTERVAL_MS 500
+#define LIST_PAGE_SIZE 500 /* machines per page */
 #define LIST_TIMEOUT_MS 3000
 
 static void request_machine_list(MmAutoscaler *autoscaler, const char *after);
@@ -19,16 +19,16 @@
 
   autoscaler->node = node;
   autoscaler->cloud_machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-  autoscaler->zone_silences = g_array_new(FALSE, TRUE, sizeof(MmZoneSilence));
-  autoscaler->offers = g_array_new(FALSE, TRUE, sizeof(MmMachineOffer));
+  autoscaler->zone_machine_counts = g_array_new(FALSE, TRUE, sizeof(MmZoneMachineCounts));
+  autoscaler->capacity_pools = g_array_new(FALSE, TRUE, sizeof(MmCapacityPool));
   return autoscaler;
 }
 
 void
 mm_autoscaler_free(MmAutoscaler *autoscaler) {
   g_hash_table_unref(autoscaler->cloud_machines);
-  g_array_unref(autoscaler->offers);
-  g_array_unref(autoscaler->zone_silences);
+  g_array_unref(autoscaler->capacity_pools);
+  g_array_unref(autoscaler->zone_machine_counts);
   g_free(autoscaler);
 }
 
@@ -40,28 +40,27 @@
   autoscaler->on_machine_released_context = context;
 }
 
-/* ---- the list of machines ---- */
+MmCapacityPool *
+mm_autoscaler_find_or_add_pool(MmAutoscaler *autoscaler, const MmName *type, const MmName *zone,
+                               gboolean is_spot) {
+  MmCapacityPool new_pool = { .type = *type, .zone = *zone, .is_spot = is_spot };
 
-MmMachineOffer *
-mm_autoscaler_offer_for(MmAutoscaler *autoscaler, const MmName *type, const MmName *zone,
-                        gboolean is_spot) {
-  MmMachineOffer fresh = { .type = *type, .zone = *zone, .is_spot = is_spot };
-
-  for (guint i = 0; i < autoscaler->offers->len; i++) {
-    MmMachineOffer *known = &g_array_index(autoscaler->offers, MmMachineOffer, i);
-    if (mm_name_equal(&known->type, type) && mm_name_equal(&known->zone, zone)
-        && known->is_spot == is_spot)
-      return known;
+  for (guint i = 0; i < autoscaler->capacity_pools->len; i++) {
+    MmCapacityPool *pool = &g_array_index(autoscaler->capacity_pools, MmCapacityPool, i);
+    if (mm_name_equal(&pool->type, type) && mm_name_equal(&pool->zone, zone)
+        && pool->is_spot == is_spot)
+      return pool;
   }
-  g_array_append_val(autoscaler->offers, fresh);
-  return &g_array_index(autoscaler->offers, MmMachineOffer, autoscaler->offers->len - 1);
+  g_array_append_val(autoscaler->capacity_pools, new_pool);
+  return &g_array_index(autoscaler->capacity_pools, MmCapacityPool,
+                        autoscaler->capacity_pools->len - 1);
 }
 
 static MmCloudMachine *
 add_cloud_machine(MmAutoscaler *autoscaler, const MmListedMachine *listed) {
   MmCloudMachine *cloud_machine = g_new0(MmCloudMachine, 1);
-  MmMachineOffer *offer
-      = mm_autoscaler_offer_for(autoscaler, &listed->type, &listed->zone, listed->is_spot);
+  MmCapacityPool *pool
+      = mm_autoscaler_find_or_add_pool(autoscaler, &listed->type, &listed->zone, listed->is_spot);
 
   cloud_machine->id = listed->id;
   cloud_machine->type = listed->type;
@@ -69,8 +68,8 @@
   cloud_machine->is_spot = listed->is_spot;
   cloud_machine->first_listed_at = mm_node_now(autoscaler->node);
   g_hash_table_insert(autoscaler->cloud_machines, cloud_machine->id.s, cloud_machine);
-  if (offer->n_rented_unlisted > 0)
-    offer->n_rented_unlisted--;
+  if (pool->n_launched_unlisted > 0)
+    pool->n_launched_unlisted--;
   return cloud_machine;
 }
 
@@ -96,7 +95,7 @@
   autoscaler->next_list_at
       = mm_time_add_ms(mm_node_now(autoscaler->node), (gint64)(list_delay_s * 1000 / 2));
   if (status != 200 || !mm_machine_list_page_parse(&page, body)) {
-    mm_info("machines not listed by the cloud status=%d", status);
+    mm_info("cloud machine list request failed: error status or malformed body status=%d", status);
     return;
   }
   for (guint i = 0; i < page.machines->len; i++)
@@ -107,7 +106,8 @@
     autoscaler->has_machine_list = TRUE;
 }
 
-/* `after`: the id after which the page begins; NULL: the first page. */
+/* Requests the page of machines that follows the machine id `after`, or the first page if `after`
+ * is NULL. */
 static void
 request_machine_list(MmAutoscaler *autoscaler, const char *after) {
   const MmPlatform *platform = &autoscaler->node->platform;
@@ -129,19 +129,21 @@
     autoscaler->is_active = is_active;
     autoscaler->has_machine_list = FALSE;
     g_hash_table_remove_all(autoscaler->cloud_machines);
-    mm_info("autoscaler %s", is_active ? "active" : "inactive");
+    mm_info("autoscaler became %s: node lease or shard leadership changed",
+            is_active ? "active" : "inactive");
   }
   if (!is_active || !mm_instance_types_are_known(node->instance_types))
     return;
   if (!autoscaler->list_in_flight && !mm_time_before(now, autoscaler->next_list_at))
     request_machine_list(autoscaler, NULL);
-  if (mm_time_before(now, autoscaler->next_plan_at))
+  if (mm_time_before(now, autoscaler->next_round_at))
     return;
-  autoscaler->next_plan_at = mm_time_add_ms(now, PLAN_INTERVAL_MS);
-  mm_autoscaler_count_silent(autoscaler);
+  autoscaler->next_round_at = mm_time_add_ms(now, ROUND_INTERVAL_MS);
+  mm_autoscaler_count_silent_machines(autoscaler);
   mm_autoscaler_scale_in(autoscaler);
-  /* No machine that has ended stays in the registry: the next node to acquire a shard would have to
-   * prove once more that it is gone before it could start that machine's tasks, or any others. */
+  /* Machines that have ended must not stay in the registry: a node that acquires a shard later
+   * would have to prove again that they have ended, before it could restart their tasks or start
+   * any others. */
   mm_registry_remove_ended_machines(node->registry);
   mm_autoscaler_scale_out(autoscaler);
 }
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,19 +1,19 @@
-/* Scales the cluster: rents machines for pending tasks and releases those that are not needed or
- * gone.
+/* The cluster autoscaler: requests that the cloud launch machines for pending tasks, and releases
+ * (terminates) machines that are idle, failed or lost.
  *
- * Every node has an autoscaler; only the leader of MM_SHARD_AUTOSCALER is active, with a list of
- * the cloud's machines that it fetches anew after each time it became so. At most one request to
- * list, to rent and to release is under way at a time. */
+ * Every node has an autoscaler, and only that of the leader of MM_SHARD_AUTOSCALER is active. Each
+ * time it becomes active, it discards its list of the cloud's machines and fetches a new one. At
+ * most one list request, one launch request and one release request are in flight at a time. */
 #pragma once
 
 #include "autoscaler/cloud-codec.h"
 #include "machines/machine-table.h"
 #include "node/node.h"
 
-/* A machine that has not been listed for so long is gone. */
-#define MM_AUTOSCALER_UNLISTED_GONE_MS 60000
+/* A machine that has been missing from the cloud's list for longer is considered terminated. */
+#define MM_AUTOSCALER_UNLISTED_TIMEOUT_MS 60000
 
-/* A machine that the cloud lists. */
+/* A machine that the cloud's list contains, or contained until recently. */
 typedef struct {
   MmName id;
   MmName type;
@@ -21,70 +21,76 @@
   gboolean is_spot;
   gboolean is_running;
   gboolean has_failed;
-  double age_when_listed_s; /* as of last_listed_at */
+  double age_when_listed_s; /* age of the machine at last_listed_at */
   MmTime last_listed_at;
-  MmTime first_listed_at; /* on this node */
-  gboolean is_releasing;
+  MmTime first_listed_at; /* when this node first saw it in the list */
+  gboolean is_releasing;  /* a release request is in flight or has succeeded */
 } MmCloudMachine;
 
-/* A type of machine in a zone, at one of the two prices, and what became of requests for it. */
+/* A capacity pool: the machines of one type in one zone with one purchase option (spot or
+ * on-demand), and the outcome of the launch requests for them. */
 typedef struct {
   MmName type;
   MmName zone;
   gboolean is_spot;
-  MmTime refused_until; /* the cloud had none: no request before this */
-  guint n_refusals;     /* in a row */
-  guint n_rented_unlisted;
-  MmTime last_rented_at;
-  guint n_arriving; /* rented and not heard of yet, as of the latest plan */
-} MmMachineOffer;
+  MmTime backoff_until;         /* no launch request before this, as an earlier one failed */
+  guint n_consecutive_failures; /* launch requests that failed or got too few machines */
+  guint n_launched_unlisted;    /* launched and not in the cloud's list yet */
+  MmTime last_launched_at;
+  guint n_upcoming; /* launched and without a heartbeat so far, as of the latest round */
+} MmCapacityPool;
 
-/* How many of a zone's machines are silent (see silence.h). */
+/* The machines of a zone, and those counted as silent (see mm_autoscaler_count_silent_machines). */
 typedef struct {
   MmName zone;
   guint n_machines;
   guint n_silent;
-} MmZoneSilence;
+} MmZoneMachineCounts;
 
-/* Called when the cloud has released a machine, which proves that it and all tasks on it are gone.
- */
+/* Called when the cloud has confirmed the release of a machine, which proves that the machine and
+ * all tasks on it have ended. */
 typedef void (*MmMachineReleasedCallback)(gpointer context, const char *machine_id);
 
 struct MmAutoscaler {
   MmNode *node;
   gboolean is_active;
 
-  /* autoscaler.c: the cloud's list */
+  /* Written by autoscaler.c: the cloud's list of machines, and the capacity pools. */
   GHashTable *cloud_machines; /* id -> MmCloudMachine, owned */
-  GArray *offers;             /* MmMachineOffer */
+  GArray *capacity_pools;     /* MmCapacityPool */
   gboolean list_in_flight;
-  gboolean has_machine_list; /* the list has been read to its end since it became active */
+  gboolean has_machine_list; /* all pages have been read since the autoscaler became active */
   MmTime next_list_at;
-  MmTime next_plan_at;
+  MmTime next_round_at;
 
-  /* silence.c, as of the latest plan */
-  GArray *zone_silences; /* MmZoneSilence */
-  guint n_machines;      /* whose worker lease has not expired */
-  guint n_silent;        /* of these */
-  guint probes_left;     /* that may still be sent */
+  /* Written by silence.c: counts of the latest round. */
+  GArray *zone_machine_counts; /* MmZoneMachineCounts */
+  guint n_machines;            /* machines whose worker lease has not expired */
+  guint n_silent;              /* those of n_machines whose heartbeats are overdue */
+  guint probes_left;           /* how many more probes this round may send */
 
-  /* scale-in.c */
+  /* Written by scale-in.c. */
   gboolean release_in_flight;
   MmTime next_release_at;
   MmMachineReleasedCallback on_machine_released;
   gpointer on_machine_released_context;
 
-  /* scale-out.c */
-  gboolean rent_in_flight;
-  guint64 n_rent_requests;
+  /* Written by scale-out.c. */
+  gboolean launch_in_flight;
+  guint64 n_launch_requests; /* since the start of the process; makes request ids unique */
 };
 
+/* Returns a new, inactive autoscaler, owned by the caller. The node must outlive it. */
 MmAutoscaler *mm_autoscaler_new(MmNode *node);
 void mm_autoscaler_free(MmAutoscaler *autoscaler);
+/* Sets the callback for confirmed releases. Must be called before the first tick. */
 void mm_autoscaler_set_release_callback(MmAutoscaler *autoscaler,
                                         MmMachineReleasedCallback on_machine_released,
                                         gpointer context);
+/* Follows changes of leadership, updates the cloud's list and, at intervals, runs a round of
+ * scale-in and scale-out. To be called every MM_NODE_TICK_MS. */
 void mm_autoscaler_tick(MmAutoscaler *autoscaler);
-/* The offer, added where there is none; valid until another is added. */
-MmMachineOffer *mm_autoscaler_offer_for(MmAutoscaler *autoscaler, const MmName *type,
-                                        const MmName *zone, gboolean is_spot);
+/* Returns the capacity pool, which is added if it does not exist yet. The pointer is valid until
+ * the next pool is added. */
+MmCapacityPool *mm_autoscaler_find_or_add_pool(MmAutoscaler *autoscaler, const MmName *type,
+                                               const MmName *zone, gboolean is_spot);
--- a/src/autoscaler/cloud-codec.c
+++ b/src/autoscaler/cloud-codec.c
@@ -4,12 +4,13 @@
 
 #include "base/wire.h"
 
-/* For a type that the cloud describes incompletely. */
+/* Used for machine types whose description by the cloud lacks these fields. */
 #define DEFAULT_BOOT_S 60
 #define DEFAULT_FETCH_GB_PER_S 1
+/* Lower bound of the fetch rate, whatever the cloud reports. */
 #define MIN_FETCH_GB_PER_S 1e-3
 
-/* ---- the list of machines ---- */
+/* List of machines. */
 
 static gboolean
 parse_machine(MmListedMachine *machine, const json_t *json) {
@@ -64,7 +65,7 @@
                          page_size);
 }
 
-/* ---- machine types ---- */
+/* Machine types. */
 
 void
 mm_instance_type_free(MmInstanceType *type) {
@@ -129,17 +130,17 @@
   return json_pack("{s:O}", WIRE_TYPES, list);
 }
 
-/* ---- renting and releasing ---- */
+/* Launch and release requests. */
 
 json_t *
-mm_rent_request_to_json(const char *request_id, const MmName *type, const MmName *zone,
-                        gboolean is_spot, guint n_machines) {
+mm_launch_request_to_json(const char *request_id, const MmName *type, const MmName *zone,
+                          gboolean is_spot, guint n_machines) {
   return json_pack("{s:s, s:s, s:s, s:b, s:I}", WIRE_REQUEST, request_id, WIRE_TYPE, type->s,
                    WIRE_ZONE, zone->s, WIRE_SPOT, is_spot, WIRE_COUNT, (json_int_t)n_machines);
 }
 
 guint
-mm_rent_response_count(const json_t *body) {
+mm_launch_response_count(const json_t *body) {
   return (guint)json_array_size(mm_json_get(body, WIRE_MACHINES));
 }
 
--- a/src/autoscaler/instance-types.c
+++ b/src/autoscaler/instance-types.c
@@ -5,11 +5,12 @@
 #include "kv/kv-client.h"
 
 #define TYPES_REFRESH_MS 60000
-#define TYPES_RETRY_MS 1000
+#define TYPES_RETRY_MS 1000 /* after a failed fetch */
+/* Refresh interval while no stored record of the types is known. */
 #define UNSTORED_TYPES_REFRESH_MS 3000
 #define TYPES_TIMEOUT_MS 3000
-/* What the record takes beyond the text of the types. */
-#define RECORD_MARGIN_BYTES 512
+/* Allowance for the size of the record beyond the text of the types without prices. */
+#define RECORD_OVERHEAD_BYTES 512
 
 MmInstanceTypes *
 mm_instance_types_new(MmNode *node) {
@@ -62,6 +63,7 @@
   return FALSE;
 }
 
+/* Takes ownership of `parsed`. */
 static void
 add_or_update(MmInstanceTypes *instance_types, MmInstanceType *parsed) {
   MmInstanceType *known = (MmInstanceType *)mm_instance_types_find(instance_types, &parsed->name);
@@ -70,7 +72,7 @@
     g_ptr_array_add(instance_types->types, parsed);
     return;
   }
-  /* In place: others keep pointers to it. */
+  /* Updates the type in place, because other modules keep pointers to it. */
   g_array_unref(known->zones);
   *known = *parsed;
   g_free(parsed);
@@ -98,13 +100,15 @@
   g_free(instance_types->stored_text);
   instance_types->stored_text = mm_instance_type_list_to_text_without_prices(list);
   instance_types->stored_version = version;
-  /* What the cloud itself has answered is newer. */
+  /* Types that the cloud has returned to this node are newer than the stored ones. */
   if (mm_instance_types_are_known(instance_types))
     return;
   load_types(instance_types, list);
 }
 
-/* Stores the types as the cloud sent them, if they differ from the stored ones. */
+/* Stores the list as the cloud sent it, if it differs from the stored one in more than prices. Does
+ * nothing while this node may not answer workers, when the record would exceed the maximum size of
+ * a value, or when the write budget is used up. */
 static void
 write_types_record(MmInstanceTypes *instance_types, const json_t *list) {
   MmNode *node = instance_types->node;
@@ -113,16 +117,16 @@
 
   if (g_strcmp0(text, instance_types->stored_text) == 0
       || !mm_node_lease_may_answer_workers(node->node_lease)
-      || strlen(text) + RECORD_MARGIN_BYTES > node->settings->kv_max_value_bytes
+      || strlen(text) + RECORD_OVERHEAD_BYTES > node->settings->kv_max_value_bytes
       || !mm_kv_client_try_spend_writes(node->kv, 1))
     return;
   transaction = mm_transaction_begin();
-  /* A write that is carried out late must not bring back what the cloud has changed since. */
+  /* The condition on the version prevents a delayed write from replacing a newer record. */
   mm_transaction_require_version(&transaction, MM_KEY_INSTANCE_TYPES, "",
                                  instance_types->stored_version);
   mm_transaction_put(&transaction, MM_KEY_INSTANCE_TYPES, "", mm_instance_type_record_to_json(list),
                      0);
-  /* Should it fail, the cloud's next response is stored. */
+  /* A failed write needs no handling: the next response from the cloud triggers another. */
   mm_kv_client_commit(node->kv, &transaction, NULL, NULL);
 }
 
@@ -135,11 +139,12 @@
   instance_types->fetch_in_flight = FALSE;
   instance_types->next_fetch_at = mm_time_add_ms(now, TYPES_RETRY_MS);
   if (status != 200 || list == NULL) {
-    mm_info("machine types not fetched from the cloud status=%d", status);
+    mm_info("cloud machine types request failed: error status or malformed body status=%d", status);
     return;
   }
   load_types(instance_types, list);
-  /* Soon again until they are stored: there may have been no node lease yet to write them under. */
+  /* Fetches again sooner until the types are stored: this write may be skipped, for example because
+   * the node has no lease yet. */
   instance_types->next_fetch_at = mm_time_add_ms(
       now, instance_types->stored_text != NULL ? TYPES_REFRESH_MS : UNSTORED_TYPES_REFRESH_MS);
   write_types_record(instance_types, list);
--- a/src/autoscaler/instance-types.h
+++ b/src/autoscaler/instance-types.h
@@ -1,9 +1,10 @@
-/* The cloud's machine types, which every node needs to validate submissions and to know a machine's
- * resources.
+/* The cloud's machine types (instance types). Every node needs them to validate submitted jobs and
+ * to look up the resources of machines.
  *
- * Every node fetches them now and then. They are also stored in the key-value store, so that a node
- * which starts while the cloud is down knows those that another node saw. Types are added and
- * changed in place, never freed while the node lives: pointers to them may be kept. */
+ * Every node fetches the types from the cloud periodically. They are also stored in the key-value
+ * store, so that a node that starts while the cloud is unavailable can use the types that another
+ * node fetched. Types are added and updated in place and are not freed before the node is: pointers
+ * to them may be kept. */
 #pragma once
 
 #include "autoscaler/cloud-codec.h"
@@ -15,22 +16,28 @@
   GPtrArray *types; /* MmInstanceType, owned */
   gboolean fetch_in_flight;
   MmTime next_fetch_at;
-  char *stored_text; /* the types of the stored record, prices aside; NULL: no record was seen */
-  MmKeyVersion stored_version; /* of that record */
+  char *stored_text; /* the types of the stored record as JSON text without prices; NULL: no record
+                        has been loaded */
+  MmKeyVersion stored_version; /* version of that record */
 };
 
+/* Returns an object without any types, owned by the caller. The node must outlive it. */
 MmInstanceTypes *mm_instance_types_new(MmNode *node);
 void mm_instance_types_free(MmInstanceTypes *instance_types);
-/* Fetches the types when it is time. */
+/* Fetches the types from the cloud if a fetch is due and none is in flight. To be called every
+ * MM_NODE_TICK_MS. */
 void mm_instance_types_tick(MmInstanceTypes *instance_types);
-/* The stored record has this content at this version. Its types count until the cloud answers. */
+/* Records the content and the version of the stored record. Its types are used if none are known
+ * yet, until the cloud returns newer ones. */
 void mm_instance_types_load_stored(MmInstanceTypes *instance_types, const json_t *json,
                                    MmKeyVersion version);
-/* Whether any type is known yet. */
+/* Returns whether any type is known yet. */
 gboolean mm_instance_types_are_known(const MmInstanceTypes *instance_types);
-/* The type, lent, or NULL. */
+/* Returns the type with this name, borrowed, or NULL if it is unknown. */
 const MmInstanceType *mm_instance_types_find(const MmInstanceTypes *instance_types,
                                              const MmName *name);
-/* Whether a machine of some type could run one of the job's tasks. */
+/* Returns whether an empty machine of any type could run one of the job's tasks, with regard to the
+ * types and the zone that the job allows. */
 gboolean mm_instance_types_any_fits(const MmInstanceTypes *instance_types, const MmJobSpec *spec);
+/* Returns whether the type is available in the zone. */
 gboolean mm_instance_type_is_in_zone(const MmInstanceType *type, const MmName *zone);
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -8,18 +8,20 @@
 #define MAX_RELEASES_PER_REQUEST 100
 #define RELEASE_TIMEOUT_MS 5000
 #define RELEASE_RETRY_MS 1500
-/* A machine may take this long to boot, or longer by its type; where that is unknown, this long. */
-#define BOOT_PATIENCE_MIN_S 30
-#define UNKNOWN_TYPE_BOOT_PATIENCE_S 600
-/* How many worker leases a machine must have been lost (or running without a heartbeat) before it
- * is released; longer in a zone that is cut off. */
-#define RELEASE_LOST_AFTER_LEASES 2
-#define RELEASE_MUTE_AFTER_LEASES 4
-#define RELEASE_CUT_OFF_AFTER_LEASES 20
+/* The boot timeout is derived from the machine's type. It is at least BOOT_TIMEOUT_MIN_S, and
+ * UNKNOWN_TYPE_BOOT_TIMEOUT_S where the type is unknown. */
+#define BOOT_TIMEOUT_MIN_S 30
+#define UNKNOWN_TYPE_BOOT_TIMEOUT_S 600
+/* Release timeouts in worker leases: of a machine whose lease has expired, from its last message
+ * on, and of a running machine that has never sent a heartbeat, from its first listing on. The
+ * third one replaces both in an unreachable zone, whose machines are expected to come back. */
+#define EXPIRED_RELEASE_AFTER_LEASES 2
+#define UNREPORTED_RELEASE_AFTER_LEASES 4
+#define UNREACHABLE_ZONE_RELEASE_AFTER_LEASES 20
 
 typedef struct {
   MmAutoscaler *autoscaler;
-  GPtrArray *machine_ids; /* strings */
+  GPtrArray *machine_ids; /* owned strings */
 } ReleaseRequest;
 
 static ReleaseRequest *
@@ -42,20 +44,18 @@
   return request->machine_ids->len >= MAX_RELEASES_PER_REQUEST;
 }
 
-/* ---- the cloud's response ---- */
-
-/* Its place can be rented anew at once. */
+/* Ends the backoff of the machine's capacity pool: the release frees capacity there. */
 static void
-forget_refusals(MmAutoscaler *autoscaler, const MmCloudMachine *cloud_machine) {
-  MmMachineOffer *offer = mm_autoscaler_offer_for(autoscaler, &cloud_machine->type,
-                                                  &cloud_machine->zone, cloud_machine->is_spot);
+reset_backoff(MmAutoscaler *autoscaler, const MmCloudMachine *cloud_machine) {
+  MmCapacityPool *pool = mm_autoscaler_find_or_add_pool(
+      autoscaler, &cloud_machine->type, &cloud_machine->zone, cloud_machine->is_spot);
 
-  offer->refused_until.us = 0;
-  offer->n_refusals = 0;
+  pool->backoff_until.us = 0;
+  pool->n_consecutive_failures = 0;
 }
 
 static void
-on_machine_release_response(MmAutoscaler *autoscaler, const char *id, gboolean is_released) {
+record_release_result(MmAutoscaler *autoscaler, const char *id, gboolean is_released) {
   MmNode *node = autoscaler->node;
   MmCloudMachine *cloud_machine = g_hash_table_lookup(autoscaler->cloud_machines, id);
   MmMachine *machine = mm_machine_table_find(node->machine_table, id);
@@ -63,14 +63,14 @@
   if (cloud_machine != NULL)
     cloud_machine->is_releasing = is_released;
   if (cloud_machine != NULL && is_released)
-    forget_refusals(autoscaler, cloud_machine);
+    reset_backoff(autoscaler, cloud_machine);
   if (machine == NULL)
     return;
   machine->is_being_terminated = is_released;
   if (!is_released)
     return;
-  /* The response proves that the machine and all tasks on it are gone. */
-  mm_info("released machine=%s", id);
+  /* The response proves that the machine and all tasks on it have ended. */
+  mm_info("machine release confirmed by the cloud machine=%s", id);
   mm_machine_table_record_termination(node->machine_table, id);
   autoscaler->on_machine_released(autoscaler->on_machine_released_context, id);
   if (!machine->is_in_registry)
@@ -86,16 +86,13 @@
   if (status != 200)
     autoscaler->next_release_at = mm_time_add_ms(mm_node_now(autoscaler->node), RELEASE_RETRY_MS);
   for (guint i = 0; i < request->machine_ids->len; i++)
-    on_machine_release_response(autoscaler, g_ptr_array_index(request->machine_ids, i),
-                                status == 200);
+    record_release_result(autoscaler, g_ptr_array_index(request->machine_ids, i), status == 200);
 }
 
-/* ---- what is released ---- */
-
 typedef enum {
-  KEEP,
-  RELEASE_FAILED,         /* the cloud says so */
-  RELEASE_NEVER_REPORTED, /* it never came up, or is up and sends no heartbeat */
+  RELEASE_NONE,
+  RELEASE_FAILED,         /* the cloud reports that the machine has failed */
+  RELEASE_NEVER_REPORTED, /* it did not boot in time, or runs and sends no heartbeat */
   RELEASE_LEASE_EXPIRED,
   RELEASE_SILENT,
   RELEASE_IDLE
@@ -109,23 +106,25 @@
   [RELEASE_IDLE] = "idle",
 };
 
-/* So many worker leases, or those of a zone that is cut off. */
+/* Returns the duration of `n_leases` worker leases, or of UNREACHABLE_ZONE_RELEASE_AFTER_LEASES if
+ * the zone is unreachable. */
 static gint64
-patience_in_leases_ms(MmAutoscaler *autoscaler, const MmName *zone, guint n_leases) {
+release_after_ms(MmAutoscaler *autoscaler, const MmName *zone, guint n_leases) {
   gint64 lease_ms = 1000 * (gint64)autoscaler->node->settings->worker_lease_s;
 
   return lease_ms
-         * (mm_autoscaler_zone_is_cut_off(autoscaler, zone) ? RELEASE_CUT_OFF_AFTER_LEASES
-                                                            : n_leases);
+         * (mm_autoscaler_zone_is_unreachable(autoscaler, zone)
+                ? UNREACHABLE_ZONE_RELEASE_AFTER_LEASES
+                : n_leases);
 }
 
 static double
-boot_patience_s(const MmNode *node, const MmName *type_name) {
+boot_timeout_s(const MmNode *node, const MmName *type_name) {
   const MmInstanceType *type = mm_instance_types_find(node->instance_types, type_name);
 
   if (type == NULL)
-    return UNKNOWN_TYPE_BOOT_PATIENCE_S;
-  return MAX(type->boot_s * node->operators->boot_timeout_factor, BOOT_PATIENCE_MIN_S);
+    return UNKNOWN_TYPE_BOOT_TIMEOUT_S;
+  return MAX(type->boot_s * node->operators->boot_timeout_factor, BOOT_TIMEOUT_MIN_S);
 }
 
 static gboolean
@@ -133,11 +132,11 @@
   const MmNode *node = autoscaler->node;
   gint64 listed_for_ms = mm_time_ms_since(mm_node_now(node), cloud_machine->first_listed_at);
 
-  if (cloud_machine->age_when_listed_s <= boot_patience_s(node, &cloud_machine->type))
+  if (cloud_machine->age_when_listed_s <= boot_timeout_s(node, &cloud_machine->type))
     return FALSE;
   return !cloud_machine->is_running
-         || listed_for_ms > patience_in_leases_ms(autoscaler, &cloud_machine->zone,
-                                                  RELEASE_MUTE_AFTER_LEASES);
+         || listed_for_ms > release_after_ms(autoscaler, &cloud_machine->zone,
+                                             UNREPORTED_RELEASE_AFTER_LEASES);
 }
 
 static gboolean
@@ -158,29 +157,29 @@
 }
 
 static ReleaseReason
-reason_to_release(MmAutoscaler *autoscaler, const MmCloudMachine *cloud_machine,
-                  MmMachine *machine) {
+find_release_reason(MmAutoscaler *autoscaler, const MmCloudMachine *cloud_machine,
+                    MmMachine *machine) {
   const MmNode *node = autoscaler->node;
 
   if (cloud_machine->has_failed)
     return RELEASE_FAILED;
   if (machine == NULL || (!machine->has_reported && !machine->is_in_registry))
-    return is_overdue_to_report(autoscaler, cloud_machine) ? RELEASE_NEVER_REPORTED : KEEP;
+    return is_overdue_to_report(autoscaler, cloud_machine) ? RELEASE_NEVER_REPORTED : RELEASE_NONE;
   if (machine->lease_has_expired)
     return mm_time_ms_since(mm_node_now(node), machine->last_seen_at)
-                   > patience_in_leases_ms(autoscaler, &machine->zone, RELEASE_LOST_AFTER_LEASES)
+                   > release_after_ms(autoscaler, &machine->zone, EXPIRED_RELEASE_AFTER_LEASES)
                ? RELEASE_LEASE_EXPIRED
-               : KEEP;
+               : RELEASE_NONE;
   if (mm_autoscaler_machine_is_silent(autoscaler, machine))
     return RELEASE_SILENT;
-  return is_idle_and_unneeded(node, machine) ? RELEASE_IDLE : KEEP;
+  return is_idle_and_unneeded(node, machine) ? RELEASE_IDLE : RELEASE_NONE;
 }
 
-/* Registered machines that are silent and that the cloud doesn't list were taken away: asked to
- * release one, the cloud proves at once that it is gone. To wait until its worker lease expires
- * would keep newly acquired shards from starting anything for all that time. */
+/* Adds the registered machines that are silent and not in the cloud's list. The cloud has taken
+ * them back, and its response to the release request proves this at once. Without this proof, newly
+ * acquired shards could not start any tasks until the worker leases of these machines expire. */
 static void
-add_silent_unlisted(MmAutoscaler *autoscaler, ReleaseRequest *request) {
+add_silent_unlisted_machines(MmAutoscaler *autoscaler, ReleaseRequest *request) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
 
   for (guint i = 0; i < machines->len && !is_full(request); i++) {
@@ -190,33 +189,35 @@
         || g_hash_table_contains(autoscaler->cloud_machines, machine->id.s)
         || !mm_autoscaler_machine_is_silent(autoscaler, machine))
       continue;
-    mm_info("releasing machine=%s reason=silent-and-not-listed", machine->id.s);
+    mm_info("machine release requested machine=%s reason=silent-and-not-listed", machine->id.s);
     machine->is_being_terminated = TRUE;
     g_ptr_array_add(request->machine_ids, g_strdup(machine->id.s));
   }
 }
 
 static void
-add_if_unneeded(MmAutoscaler *autoscaler, ReleaseRequest *request, MmCloudMachine *cloud_machine,
-                MmMachine *machine) {
+add_if_releasable(MmAutoscaler *autoscaler, ReleaseRequest *request, MmCloudMachine *cloud_machine,
+                  MmMachine *machine) {
   ReleaseReason reason;
 
   if (cloud_machine->is_releasing || is_full(request))
     return;
-  reason = reason_to_release(autoscaler, cloud_machine, machine);
-  if (reason == KEEP)
+  reason = find_release_reason(autoscaler, cloud_machine, machine);
+  if (reason == RELEASE_NONE)
     return;
-  mm_info("releasing machine=%s reason=%s age_s=%.0f", cloud_machine->id.s, reason_names[reason],
-          cloud_machine->age_when_listed_s);
+  mm_info("machine release requested machine=%s reason=%s age_s=%.0f", cloud_machine->id.s,
+          reason_names[reason], cloud_machine->age_when_listed_s);
   cloud_machine->is_releasing = TRUE;
   if (machine != NULL)
     machine->is_being_terminated = TRUE;
   g_ptr_array_add(request->machine_ids, g_strdup(cloud_machine->id.s));
 }
 
-/* Adds the listed machines that should go; forgets those that the cloud lists no more. */
+/* Adds the listed machines that are to be released, and drops the records of machines that the
+ * cloud no longer lists. Keeps the record of one that is in the machine table with an unexpired
+ * lease, unless its release has been requested. */
 static void
-add_listed(MmAutoscaler *autoscaler, ReleaseRequest *request) {
+add_listed_machines(MmAutoscaler *autoscaler, ReleaseRequest *request) {
   MmNode *node = autoscaler->node;
   MmTime now = mm_node_now(node);
   GHashTableIter iter;
@@ -226,10 +227,10 @@
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
     MmCloudMachine *cloud_machine = value;
     MmMachine *machine = mm_machine_table_find(node->machine_table, cloud_machine->id.s);
-    gboolean is_gone
-        = mm_time_ms_since(now, cloud_machine->last_listed_at) > MM_AUTOSCALER_UNLISTED_GONE_MS;
-    if (!is_gone)
-      add_if_unneeded(autoscaler, request, cloud_machine, machine);
+    gboolean is_unlisted
+        = mm_time_ms_since(now, cloud_machine->last_listed_at) > MM_AUTOSCALER_UNLISTED_TIMEOUT_MS;
+    if (!is_unlisted)
+      add_if_releasable(autoscaler, request, cloud_machine, machine);
     else if (machine == NULL || machine->lease_has_expired || cloud_machine->is_releasing)
       g_hash_table_iter_remove(&iter);
   }
@@ -245,8 +246,8 @@
       || mm_time_before(mm_node_now(autoscaler->node), autoscaler->next_release_at))
     return;
   request = release_request_new(autoscaler);
-  add_silent_unlisted(autoscaler, request);
-  add_listed(autoscaler, request);
+  add_silent_unlisted_machines(autoscaler, request);
+  add_listed_machines(autoscaler, request);
   if (request->machine_ids->len == 0)
     return;
   body = mm_release_request_to_json(request->machine_ids);
--- a/src/autoscaler/scale-in.h
+++ b/src/autoscaler/scale-in.h
@@ -1,8 +1,10 @@
-/* Scale in: releases machines that never came up, failed, went silent or are idle. */
+/* Scale-in: releases machines that never started to report, have failed, have lost their worker
+ * lease, are silent or are idle. */
 #pragma once
 
 #include "autoscaler/autoscaler.h"
 
-/* Asks the cloud to release what should go, unless such a request is under way. To be called after
- * mm_autoscaler_count_silent. */
+/* Requests the release of all machines that are due for it, up to a maximum per request, unless a
+ * release request is in flight or the retry interval after a failed one has not passed. To be
+ * called after mm_autoscaler_count_silent_machines. */
 void mm_autoscaler_scale_in(MmAutoscaler *autoscaler);
--- a/src/autoscaler/silence.c
+++ b/src/autoscaler/silence.c
@@ -2,26 +2,28 @@
 
 #include "base/wire.h"
 
-/* A heartbeat is overdue after this, */
+/* A heartbeat is overdue after this many heartbeat intervals, and not before
+ * HEARTBEAT_OVERDUE_MIN_S. */
 #define HEARTBEAT_OVERDUE_PERIODS 1.25
 #define HEARTBEAT_OVERDUE_MIN_S 1.75
-/* and then probes must stay unanswered for as long again, but no longer than this, which is time
- * for all of them however rare heartbeats are. */
+/* Once its heartbeat is overdue, a machine is probed for as long again, but at most for this long.
+ * It is enough for UNANSWERED_PROBES_MIN probes, however long the heartbeat interval is. */
 #define PROBING_MAX_S 2.5
 #define UNANSWERED_PROBES_MIN 3
 #define PROBE_INTERVAL_MS 900
 #define PROBE_TIMEOUT_MS 1500
-/* A round is half a second. Each probe is a connection, and those to silent machines stay open
- * until they time out. */
+/* Bounds the number of connections. A round takes place every half second, each probe opens a
+ * connection, and those to silent machines stay open until PROBE_TIMEOUT_MS. */
 #define MAX_PROBES_PER_ROUND 16
-/* More silent machines than this, and than this share of all, fell silent together. */
-#define SILENT_TOGETHER_MIN 2
-#define SILENT_TOGETHER_DIVISOR 8
-#define ZONE_CUT_OFF_MIN_SILENT 4
-/* After the end of a termination notice. */
-#define PREEMPTED_SILENCE_MS 1500
-
-/* ---- probes ---- */
+/* While more machines are silent than MASS_SILENCE_MIN, and more than 1/MASS_SILENCE_DIVISOR of all
+ * machines, none is released for its silence. */
+#define MASS_SILENCE_MIN 2
+#define MASS_SILENCE_DIVISOR 8
+/* Zones with fewer silent machines are never considered unreachable. */
+#define UNREACHABLE_ZONE_MIN_SILENT 4
+/* How long ago the announced termination and the last message must be for a machine to be
+ * considered terminated. */
+#define TERMINATED_SILENCE_MS 1500
 
 static void
 on_probe_response(gpointer data, int status, json_t *body) {
@@ -38,7 +40,8 @@
     machine->unanswered_probes = 0;
 }
 
-/* Asks the machine directly for a sign of life, within the budget. */
+/* Sends the machine a status request, at most every PROBE_INTERVAL_MS and while this round may send
+ * more probes. */
 static void
 probe_machine(MmAutoscaler *autoscaler, MmMachine *machine) {
   MmNode *node = autoscaler->node;
@@ -55,6 +58,8 @@
                          WIRE_STATUS_PATH, NULL, PROBE_TIMEOUT_MS, on_probe_response, autoscaler);
 }
 
+/* Returns how long after its last message a machine's heartbeat is overdue. This is half of
+ * silent_release_s where the operators have set it; the other half is for probing. */
 static gint64
 heartbeat_overdue_ms(const MmAutoscaler *autoscaler) {
   const MmNode *node = autoscaler->node;
@@ -67,9 +72,9 @@
                                HEARTBEAT_OVERDUE_MIN_S)));
 }
 
-/* After so long without a sign of life a machine that answers no probe is silent. */
+/* Returns how long after its last message a machine is silent if it has answered no probe. */
 static gint64
-silence_patience_ms(const MmAutoscaler *autoscaler) {
+silence_timeout_ms(const MmAutoscaler *autoscaler) {
   gint64 overdue_limit_ms = heartbeat_overdue_ms(autoscaler);
   gint64 probing_ms = (gint64)(1000 * PROBING_MAX_S);
 
@@ -78,19 +83,19 @@
                                                               : MIN(overdue_limit_ms, probing_ms));
 }
 
-/* Whether any worker has reached this node, or answered it, since its last probe of the machine. A
- * node that is cut off from the workers gets no answer from any, and must not release healthy
- * machines whose heartbeats reach only its peers. */
+/* Returns whether this node has received a heartbeat or a response from any worker since it last
+ * probed the machine. A node without a connection to the workers gets no responses, and must not
+ * release healthy machines whose heartbeats reach only its peers. */
 static gboolean
-reaches_workers(const MmAutoscaler *autoscaler, const MmMachine *machine) {
+has_worker_contact_since_probe(const MmAutoscaler *autoscaler, const MmMachine *machine) {
   return mm_time_before(machine->last_probed_at,
                         autoscaler->node->machine_table->last_worker_contact_at);
 }
 
-/* Where few machines report to this node, reaches_workers may be false for long: it probes the one
- * that was last seen by any node. */
+/* Probes the machine that was seen most recently by any node. If few machines report to this node,
+ * has_worker_contact_since_probe() may otherwise return FALSE for a long time. */
 static void
-probe_last_seen_machine(MmAutoscaler *autoscaler) {
+probe_most_recently_seen_machine(MmAutoscaler *autoscaler) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
   MmMachine *last_seen = NULL;
 
@@ -103,21 +108,23 @@
     probe_machine(autoscaler, last_seen);
 }
 
-/* The termination notice has run out and the machine is gone; the cloud can prove it at once. */
+/* Returns whether the machine has been terminated as its termination notice announced. It needs no
+ * probing, as the cloud can confirm the termination at once. */
 static gboolean
 was_terminated_as_announced(const MmMachine *machine, MmTime now) {
   return machine->has_termination_notice
-         && mm_time_ms_since(now, machine->termination_at) > PREEMPTED_SILENCE_MS
-         && mm_time_ms_since(now, machine->last_seen_at) > PREEMPTED_SILENCE_MS;
+         && mm_time_ms_since(now, machine->termination_at) > TERMINATED_SILENCE_MS
+         && mm_time_ms_since(now, machine->last_seen_at) > TERMINATED_SILENCE_MS;
 }
 
 gboolean
 mm_autoscaler_machine_is_silent(MmAutoscaler *autoscaler, MmMachine *machine) {
   MmTime now = mm_node_now(autoscaler->node);
 
-  /* A registered machine may have been sent starts, whatever it last reported. Until it is heard of
-   * or proved gone, newly acquired shards can't start anything there: an idle one that is gone
-   * would cost each of them a whole worker lease. */
+  /* A registered machine may have been sent starts, whatever it last reported. Newly acquired
+   * shards cannot start tasks until they have heard from it or it is proved to have ended. So an
+   * idle machine that has ended counts too: otherwise each of these shards would wait for a whole
+   * worker lease. */
   if (!machine->is_in_registry && (!machine->has_reported || machine->reported_tasks->len == 0))
     return FALSE;
   if (was_terminated_as_announced(machine, now))
@@ -126,47 +133,46 @@
     machine->unanswered_probes = 0;
     return FALSE;
   }
-  if (autoscaler->n_silent
-      > MAX(SILENT_TOGETHER_MIN, autoscaler->n_machines / SILENT_TOGETHER_DIVISOR))
+  if (autoscaler->n_silent > MAX(MASS_SILENCE_MIN, autoscaler->n_machines / MASS_SILENCE_DIVISOR))
     return FALSE;
-  if (mm_time_ms_since(now, machine->last_seen_at) >= silence_patience_ms(autoscaler)
+  if (mm_time_ms_since(now, machine->last_seen_at) >= silence_timeout_ms(autoscaler)
       && machine->unanswered_probes >= UNANSWERED_PROBES_MIN) {
-    if (reaches_workers(autoscaler, machine))
+    if (has_worker_contact_since_probe(autoscaler, machine))
       return TRUE;
-    probe_last_seen_machine(autoscaler);
+    probe_most_recently_seen_machine(autoscaler);
   }
-  /* The node it reported to may have crashed and it may be about to report to another: then it
-   * answers a probe. */
+  /* The node that the machine reported to may have crashed, and the machine may be about to report
+   * to another node. In this case it answers the probe. */
   probe_machine(autoscaler, machine);
   return FALSE;
 }
 
-/* ---- counting ---- */
-
-static MmZoneSilence *
-find_or_add_zone(MmAutoscaler *autoscaler, const MmName *zone) {
-  MmZoneSilence fresh = { .zone = *zone };
-
-  for (guint i = 0; i < autoscaler->zone_silences->len; i++)
-    if (mm_name_equal(&g_array_index(autoscaler->zone_silences, MmZoneSilence, i).zone, zone))
-      return &g_array_index(autoscaler->zone_silences, MmZoneSilence, i);
-  g_array_append_val(autoscaler->zone_silences, fresh);
-  return &g_array_index(autoscaler->zone_silences, MmZoneSilence,
-                        autoscaler->zone_silences->len - 1);
+static MmZoneMachineCounts *
+find_or_add_zone_counts(MmAutoscaler *autoscaler, const MmName *zone) {
+  MmZoneMachineCounts new_counts = { .zone = *zone };
+
+  for (guint i = 0; i < autoscaler->zone_machine_counts->len; i++)
+    if (mm_name_equal(&g_array_index(autoscaler->zone_machine_counts, MmZoneMachineCounts, i).zone,
+                      zone))
+      return &g_array_index(autoscaler->zone_machine_counts, MmZoneMachineCounts, i);
+  g_array_append_val(autoscaler->zone_machine_counts, new_counts);
+  return &g_array_index(autoscaler->zone_machine_counts, MmZoneMachineCounts,
+                        autoscaler->zone_machine_counts->len - 1);
 }
 
 static void
 count_machine(MmAutoscaler *autoscaler, const MmMachine *machine, gboolean is_silent) {
-  MmZoneSilence *zone = find_or_add_zone(autoscaler, &machine->zone);
+  MmZoneMachineCounts *counts = find_or_add_zone_counts(autoscaler, &machine->zone);
 
-  zone->n_machines++;
-  zone->n_silent += is_silent;
+  counts->n_machines++;
+  counts->n_silent += is_silent;
   autoscaler->n_machines += !machine->lease_has_expired;
   autoscaler->n_silent += !machine->lease_has_expired && is_silent;
 }
 
-/* Machines that the cloud lists as running and that this node doesn't know: lost ones are removed
- * from the machine table once they are off the registry. */
+/* Counts as silent the machines that the cloud lists as running and that this node does not know.
+ * Lost machines are among them: they are removed from the machine table once they are removed from
+ * the registry. */
 static void
 count_unknown_machines(MmAutoscaler *autoscaler) {
   GHashTableIter iter;
@@ -177,25 +183,25 @@
     const MmCloudMachine *cloud_machine = value;
     const MmMachine *machine
         = mm_machine_table_find(autoscaler->node->machine_table, cloud_machine->id.s);
-    MmZoneSilence *zone;
+    MmZoneMachineCounts *counts;
     if (!cloud_machine->is_running || cloud_machine->is_releasing
         || (machine != NULL && (machine->has_reported || machine->is_in_registry)))
       continue;
-    zone = find_or_add_zone(autoscaler, &cloud_machine->zone);
-    zone->n_machines++;
-    zone->n_silent++;
+    counts = find_or_add_zone_counts(autoscaler, &cloud_machine->zone);
+    counts->n_machines++;
+    counts->n_silent++;
   }
 }
 
 void
-mm_autoscaler_count_silent(MmAutoscaler *autoscaler) {
+mm_autoscaler_count_silent_machines(MmAutoscaler *autoscaler) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
   MmTime now = mm_node_now(autoscaler->node);
-  /* Long before the patience ends: when it ends for the first of many that fell silent together,
-   * the others must be counted already. */
+  /* Counts machines from when their heartbeats are overdue, long before silence_timeout_ms(). When
+   * many machines become silent together, all must be counted before the timeout of the first. */
   gint64 overdue_ms = heartbeat_overdue_ms(autoscaler);
 
-  g_array_set_size(autoscaler->zone_silences, 0);
+  g_array_set_size(autoscaler->zone_machine_counts, 0);
   autoscaler->n_machines = autoscaler->n_silent = 0;
   autoscaler->probes_left = MAX_PROBES_PER_ROUND;
   for (guint i = 0; i < machines->len; i++) {
@@ -207,12 +213,13 @@
   count_unknown_machines(autoscaler);
 }
 
-/* A zone most of whose machines are silent is cut off, rather than that all of them have ended:
- * they will be back, and renting as many anew takes longer than most such cuts last. */
 gboolean
-mm_autoscaler_zone_is_cut_off(MmAutoscaler *autoscaler, const MmName *zone_name) {
-  const MmZoneSilence *silence = find_or_add_zone(autoscaler, zone_name);
-
-  return silence->n_silent >= ZONE_CUT_OFF_MIN_SILENT
-         && 2 * silence->n_silent > silence->n_machines;
+mm_autoscaler_zone_is_unreachable(MmAutoscaler *autoscaler, const MmName *zone_name) {
+  const MmZoneMachineCounts *counts = find_or_add_zone_counts(autoscaler, zone_name);
+
+  /* A network partition is more likely than that most machines of the zone have ended. The machines
+   * will be reachable again, and to launch as many new ones takes longer than most partitions
+   * last. */
+  return counts->n_silent >= UNREACHABLE_ZONE_MIN_SILENT
+         && 2 * counts->n_silent > counts->n_machines;
 }
--- a/src/autoscaler/silence.h
+++ b/src/autoscaler/silence.h
@@ -1,17 +1,20 @@
-/* Silent machines: whose heartbeats are overdue and who answer no probe either.
+/* Detects silent machines: their heartbeats are overdue, and they do not answer probes either. A
+ * probe is a status request that a node sends to a worker.
  *
- * A worker lease proves a machine's tasks gone only when it expires; a release by the cloud proves
- * it at once. So a machine that is silent while the others are not is released. When many fall
- * silent together the cause is hardly the machines, and none is. */
+ * A machine that is silent while the others are not is released: the cloud's confirmation proves at
+ * once that the machine's tasks have ended, whereas its worker lease proves it only when it
+ * expires. When many machines become silent at the same time, the cause is unlikely to be the
+ * machines themselves, and none is released. */
 #pragma once
 
 #include "autoscaler/autoscaler.h"
 
-/* Counts the silent machines, in all and by zone, and renews the budget of probes. To be called
- * once a round, before scale in and scale out. */
-void mm_autoscaler_count_silent(MmAutoscaler *autoscaler);
-/* Whether the machine is silent and may be released for it. Probes it when its heartbeat is
- * overdue. */
+/* Counts the machines and, as silent, those whose heartbeats are overdue, in total and per zone.
+ * Resets the number of probes that may be sent. To be called once per round, before scale-in and
+ * scale-out. */
+void mm_autoscaler_count_silent_machines(MmAutoscaler *autoscaler);
+/* Returns whether the machine is silent and may be released for this reason. Probes the machine if
+ * its heartbeat is overdue. */
 gboolean mm_autoscaler_machine_is_silent(MmAutoscaler *autoscaler, MmMachine *machine);
-/* Whether most of the zone's machines are silent: the zone is taken to be cut off. */
-gboolean mm_autoscaler_zone_is_cut_off(MmAutoscaler *autoscaler, const MmName *zone_name);
+/* Returns whether the zone is considered unreachable, because most of its machines are silent. */
+gboolean mm_autoscaler_zone_is_unreachable(MmAutoscaler *autoscaler, const MmName *zone_name);
--- a/src/placement/accelerator-reserve.c
+++ b/src/placement/accelerator-reserve.c
@@ -2,16 +2,18 @@
 
 #include "placement/backlog.h"
 
-#define RELEASE_CHECK_INTERVAL_MS 100
-/* After the start of a node: for so long the absence of accelerated work proves nothing. */
+#define UNRESERVE_CHECK_INTERVAL_MS 100
+/* For this long after the start of a node, it does not conclude from the absence of accelerated
+ * jobs that there are none. */
 #define ACCELERATED_DEMAND_UNKNOWN_MS 20000
 #define LENDING_UPDATE_INTERVAL_MS 200
-/* Of all accelerated machines a sixth, and four at least, stay free while others are lent. */
+/* A sixth of all accelerated machines, and at least four, are kept idle while others are lent. */
 #define IDLE_RESERVE_DIVISOR 6
 #define IDLE_RESERVE_MIN 4
-/* Of so many machines and more, a third may be released, and one at least. */
-#define RELEASE_MACHINES_MIN 2
-#define RELEASED_SHARE_DIVISOR 3
+/* With at least UNRESERVE_MIN_MACHINES accelerated machines, a third of them may be unreserved, and
+ * at least one. */
+#define UNRESERVE_MIN_MACHINES 2
+#define UNRESERVED_SHARE_DIVISOR 3
 
 void
 mm_placement_note_accelerated_job(MmPlacement *placement, const MmJobSpec *spec) {
@@ -26,25 +28,25 @@
       = MAX(placement->largest_accelerated_need.memory_gb, spec->task_resources.memory_gb);
 }
 
-/* The job of a reported task that has not ended, or NULL when there is none or it is not known. */
+/* Returns the job of a reported task, or NULL if the task has ended or the job is unknown. */
 static const MmJob *
-job_of_live_task(const MmPlacement *placement, const MmReportedTask *reported) {
+find_job_of_live_task(const MmPlacement *placement, const MmReportedTask *reported) {
   return reported->state != MM_REPORTED_ENDED
              ? mm_job_table_find(placement->node->job_table, reported->job.s)
              : NULL;
 }
 
-/* Whether accelerated work may use the machine. */
 static gboolean
-is_for_accelerated_work(const MmPlacement *placement, const MmMachine *machine) {
+may_run_accelerated_work(const MmPlacement *placement, const MmMachine *machine) {
   return mm_machine_is_usable(placement->node->machine_table, machine)
          && machine->type->resources.accelerators > 0
          && (!machine->is_spot || placement->accelerated_may_use_spot);
 }
 
-/* What work without accelerators takes of the machine: all that is taken, less the accelerated
- * tasks. Counting reported tasks alone would let one response fill such a machine with services for
- * good. */
+/* Returns the resources of the machine that jobs other than accelerated ones use: all that are in
+ * use less those of the accelerated tasks. Summing up the reported tasks instead would miss starts
+ * that are under way, and a single response to a heartbeat could fill the machine with services,
+ * which run indefinitely. */
 static MmResources
 taken_by_other_work(const MmPlacement *placement, const MmMachine *machine,
                     MmResources free_resources) {
@@ -52,31 +54,36 @@
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *job = job_of_live_task(placement, reported);
+    const MmJob *job = find_job_of_live_task(placement, reported);
     if (job != NULL && job->spec.task_resources.accelerators > 0)
       taken = mm_resources_sub(taken, job->spec.task_resources);
   }
   return taken;
 }
 
+/* Returns whether the job is not accelerated and its priority is too high for accelerated jobs to
+ * preempt it. Until this node has seen an accelerated job, these are assumed to be urgent. */
 static gboolean
 is_unpreemptible(const MmPlacement *placement, const MmJob *job) {
-  MmPriority outranked_priority = placement->has_seen_accelerated_work
-                                      ? placement->max_accelerated_priority
-                                      : MM_PRIORITY_URGENT;
+  MmPriority max_accelerated_priority = placement->has_seen_accelerated_work
+                                            ? placement->max_accelerated_priority
+                                            : MM_PRIORITY_URGENT;
 
-  return job->spec.task_resources.accelerators <= 0 && job->effective_priority > outranked_priority;
+  return job->spec.task_resources.accelerators <= 0
+         && job->effective_priority > max_accelerated_priority;
 }
 
-/* What is taken by work that accelerated work could not preempt. Counting arrays as well would
- * release every such machine at the start of a day, and services would join there for good. */
+/* Returns the resources of the machine that are used by jobs which accelerated jobs could not
+ * preempt. Preemptible arrays do not count: otherwise every accelerated machine would become
+ * unreserved at the start of a day, when arrays fill it, and services would start there and run
+ * indefinitely. */
 static MmResources
 taken_by_unpreemptible_work(const MmPlacement *placement, const MmMachine *machine) {
   MmResources taken = { 0 };
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *job = job_of_live_task(placement, reported);
+    const MmJob *job = find_job_of_live_task(placement, reported);
     if (job != NULL && is_unpreemptible(placement, job))
       taken = mm_resources_add(taken, job->spec.task_resources);
   }
@@ -89,8 +96,8 @@
   return taken;
 }
 
-/* Soon after the start of a node accelerated work may come at any moment, so nothing follows from
- * its absence. */
+/* Returns whether this node has not been running long enough to conclude from the absence of
+ * accelerated jobs that there are none. */
 static gboolean
 is_demand_unknown(const MmPlacement *placement) {
   return !placement->has_seen_accelerated_work
@@ -98,11 +105,13 @@
                 < ACCELERATED_DEMAND_UNKNOWN_MS;
 }
 
-/* Until this node has seen accelerated work since its start, a machine with any other work on it
- * counts as taken: otherwise a second machine would be released after a restart of all nodes, since
- * none of them would know of the first. */
+/* Returns whether the largest accelerated task would fit on the machine if `taken` of its resources
+ * are in use. Before this node has seen an accelerated job since its start, this is FALSE for a
+ * machine with any other task. Otherwise, after a restart of all nodes, a second machine would be
+ * unreserved, because no node would know that the first one is already. */
 static gboolean
-fits_largest_task(const MmPlacement *placement, const MmMachine *machine, MmResources taken) {
+fits_largest_accelerated_task(const MmPlacement *placement, const MmMachine *machine,
+                              MmResources taken) {
   MmResources capacity = machine->type->resources;
 
   if (!placement->has_seen_accelerated_work)
@@ -114,7 +123,7 @@
 }
 
 static gboolean
-accelerated_work_waits(const MmPlacement *placement) {
+has_pending_accelerated_work(const MmPlacement *placement) {
   for (guint v = 0; v < placement->n_views; v++)
     for (guint i = 0; i < placement->views[v].pending->len; i++) {
       const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
@@ -129,47 +138,50 @@
 runs_accelerated_work(const MmPlacement *placement, const MmMachine *machine) {
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
-    const MmJob *job = job_of_live_task(placement, reported);
+    const MmJob *job = find_job_of_live_task(placement, reported);
     if (job != NULL && job->spec.task_resources.accelerators > 0)
       return TRUE;
   }
   return FALSE;
 }
 
-/* Machines that accelerated work could have at once, or after preempting the work that they are
- * lent to. Free with g_ptr_array_unref; `n_all` counts all that accelerated work may use. */
+/* Returns the machines that accelerated jobs could use at once, or after preempting the jobs that
+ * the machines are lent to. Free with g_ptr_array_unref. Sets `n_all` to the number of all machines
+ * that accelerated jobs may use. */
 static GPtrArray *
-list_idle_accelerated(const MmPlacement *placement, guint *n_all) {
+list_idle_accelerated_machines(const MmPlacement *placement, guint *n_all) {
   const GPtrArray *machines = placement->node->machine_table->sorted_machines;
   GPtrArray *idle = g_ptr_array_new();
 
   *n_all = 0;
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    if (!is_for_accelerated_work(placement, machine))
+    if (!may_run_accelerated_work(placement, machine))
       continue;
     ++*n_all;
     if (!runs_accelerated_work(placement, machine) && !mm_placement_is_reserved(placement, machine)
-        && fits_largest_task(placement, machine, taken_by_unpreemptible_work(placement, machine)))
+        && fits_largest_accelerated_task(placement, machine,
+                                         taken_by_unpreemptible_work(placement, machine)))
       g_ptr_array_add(idle, machine);
   }
   return idle;
 }
 
-/* The first idle machines by name are kept, so that all nodes lend the same ones. */
+/* Determines the machines to be lent, at most every LENDING_UPDATE_INTERVAL_MS. The idle machines
+ * that come first by id are kept, so that all nodes lend the same ones. */
 static void
-choose_lent_machines(MmPlacement *placement) {
+update_lent_machines(MmPlacement *placement) {
   MmTime now = mm_node_now(placement->node);
   g_autoptr(GPtrArray) idle = NULL;
   guint n_all;
 
-  if (mm_time_ms_since(now, placement->lent_chosen_at) < LENDING_UPDATE_INTERVAL_MS)
+  if (mm_time_ms_since(now, placement->lent_updated_at) < LENDING_UPDATE_INTERVAL_MS)
     return;
-  placement->lent_chosen_at = now;
+  placement->lent_updated_at = now;
   g_hash_table_remove_all(placement->lent_machines);
-  if (!placement->has_seen_accelerated_work || accelerated_work_waits(placement))
+  if (!placement->has_seen_accelerated_work || has_pending_accelerated_work(placement))
     return;
-  idle = list_idle_accelerated(placement, &n_all);
+  idle = list_idle_accelerated_machines(placement, &n_all);
   for (guint i = MAX(IDLE_RESERVE_MIN, n_all / IDLE_RESERVE_DIVISOR); i < idle->len; i++)
     g_hash_table_add(placement->lent_machines,
                      g_strdup(((MmMachine *)g_ptr_array_index(idle, i))->id.s));
@@ -178,7 +190,7 @@
 MmReserveVerdict
 mm_placement_check_reserve(MmPlacement *placement, const MmJob *job, const MmMachine *machine,
                            MmResources free_resources) {
-  gboolean is_released;
+  gboolean is_unreserved;
   MmResources taken;
 
   if (machine->type == NULL || machine->type->resources.accelerators <= 0
@@ -192,48 +204,51 @@
   if (is_demand_unknown(placement))
     return MM_RESERVE_WOULD_SHRINK;
   taken = taken_by_other_work(placement, machine, free_resources);
-  if (fits_largest_task(placement, machine, mm_resources_add(taken, job->spec.task_resources)))
+  if (fits_largest_accelerated_task(placement, machine,
+                                    mm_resources_add(taken, job->spec.task_resources)))
     return MM_RESERVE_KEPT;
-  is_released
-      = !fits_largest_task(placement, machine, taken_by_unpreemptible_work(placement, machine));
-  /* Beside services that keep accelerated work away, preemptible work takes nothing from it.
-   * Forbidding it there would leave a large part of the machines idle while arrays wait. */
+  is_unreserved = !fits_largest_accelerated_task(placement, machine,
+                                                 taken_by_unpreemptible_work(placement, machine));
+  /* On an unreserved machine, services leave too little for accelerated jobs anyway, so preemptible
+   * jobs take nothing from them. Forbidding preemptible jobs there would leave a large part of the
+   * machines idle while arrays wait. */
   if (job->effective_priority <= placement->max_accelerated_priority) {
     if (job->effective_priority == placement->max_accelerated_priority)
       return MM_RESERVE_FORBIDDEN;
-    choose_lent_machines(placement);
-    return is_released || g_hash_table_contains(placement->lent_machines, machine->id.s)
+    update_lent_machines(placement);
+    return is_unreserved || g_hash_table_contains(placement->lent_machines, machine->id.s)
                ? MM_RESERVE_RELEASED
                : MM_RESERVE_FORBIDDEN;
   }
-  return is_released ? MM_RESERVE_RELEASED : MM_RESERVE_WOULD_SHRINK;
+  return is_unreserved ? MM_RESERVE_RELEASED : MM_RESERVE_WOULD_SHRINK;
 }
 
 gboolean
 mm_placement_may_release_machine(MmPlacement *placement, const MmMachine *machine) {
   const MmMachineTable *machine_table = placement->node->machine_table;
   const MmMachine *next = NULL;
-  guint n_accelerated = 0, n_released = 0;
+  guint n_accelerated = 0, n_unreserved = 0;
   MmTime now = mm_node_now(placement->node);
 
-  if (mm_time_ms_since(now, placement->release_checked_at) < RELEASE_CHECK_INTERVAL_MS)
-    return machine == placement->next_released_machine;
+  if (mm_time_ms_since(now, placement->unreserve_checked_at) < UNRESERVE_CHECK_INTERVAL_MS)
+    return machine == placement->next_unreserved_machine;
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     const MmMachine *other = g_ptr_array_index(machine_table->sorted_machines, i);
-    if (!is_for_accelerated_work(placement, other))
+    if (!may_run_accelerated_work(placement, other))
       continue;
     n_accelerated++;
-    if (!fits_largest_task(placement, other, taken_by_unpreemptible_work(placement, other)))
-      n_released++;
+    if (!fits_largest_accelerated_task(placement, other,
+                                       taken_by_unpreemptible_work(placement, other)))
+      n_unreserved++;
     else if (next == NULL)
       next = other;
   }
-  placement->release_checked_at = now;
-  placement->next_released_machine
-      = !is_demand_unknown(placement) && n_accelerated >= RELEASE_MACHINES_MIN
-                && n_released < MAX(n_accelerated / RELEASED_SHARE_DIVISOR, 1)
+  placement->unreserve_checked_at = now;
+  placement->next_unreserved_machine
+      = !is_demand_unknown(placement) && n_accelerated >= UNRESERVE_MIN_MACHINES
+                && n_unreserved < MAX(n_accelerated / UNRESERVED_SHARE_DIVISOR, 1)
             ? next
             : NULL;
-  return next != NULL && machine == placement->next_released_machine;
+  return next != NULL && machine == placement->next_unreserved_machine;
 }
--- a/src/placement/accelerator-reserve.h
+++ b/src/placement/accelerator-reserve.h
@@ -1,28 +1,34 @@
-/* The reserve of machines with accelerators.
+/* The reserve of machines with accelerators ("accelerated machines").
  *
- * Such machines are kept for the work that needs accelerators: other work may take only what is
- * left beside the largest accelerated task seen, unless accelerated work may not run there anyway.
- * Two exceptions use them better. A machine may be released to work of higher priority that finds
- * no other place, one at a time and a third of all at most; once it is, more such work may join
- * there, and work that accelerated work may preempt. And idle machines are lent to work that
- * accelerated work may preempt while no accelerated work is pending. */
+ * Accelerated machines are reserved for accelerated jobs, whose tasks request accelerators. Other
+ * jobs may use only the resources that the largest accelerated task seen so far leaves free, except
+ * on machines where accelerated jobs may not run anyway. Two exceptions improve utilization:
+ *
+ * - Unreserved machines: a machine may be taken out of the reserve for a job of higher priority
+ *   that can start on no other machine. This is done for one machine at a time, and for at most a
+ *   third of all accelerated machines, but at least one. Afterwards the machine is also open to
+ *   more jobs of higher priority, and to jobs that accelerated jobs may preempt.
+ * - Lent machines: while no accelerated job is pending, idle machines are open to jobs that
+ *   accelerated jobs may preempt. */
 #pragma once
 
 #include "placement/placement.h"
 
-/* What placing a task would mean for the reserve, from harmless to forbidden. */
+/* The effect that placing a task on a machine would have on the reserve. The order counts: callers
+ * compare values with `<`. */
 typedef enum {
-  MM_RESERVE_KEPT,         /* leaves enough, or the machine is in no reserve */
-  MM_RESERVE_RELEASED,     /* does not, but the machine is released already, or lent */
-  MM_RESERVE_WOULD_SHRINK, /* would make the machine useless for accelerated work */
-  MM_RESERVE_FORBIDDEN     /* the same, and the job's priority is too low for that */
+  MM_RESERVE_KEPT,         /* none: enough stays free, or the reserve does not apply */
+  MM_RESERVE_RELEASED,     /* none: the machine is unreserved or lent already */
+  MM_RESERVE_WOULD_SHRINK, /* too little would stay free for accelerated jobs */
+  MM_RESERVE_FORBIDDEN     /* the same, and the job's priority is too low to unreserve it */
 } MmReserveVerdict;
 
-/* `free_resources`: what is free on the machine, with starts under way already subtracted. */
+/* Returns the effect of placing a task of the job on the machine. `free_resources` are the
+ * machine's free resources, less those of starts that are under way. */
 MmReserveVerdict mm_placement_check_reserve(MmPlacement *placement, const MmJob *job,
                                             const MmMachine *machine, MmResources free_resources);
-/* Whether one more machine may be released, and this is the one: shard leaders that decide at the
- * same time must choose the same machine. */
+/* Returns whether one more machine may be unreserved and `machine` is that one. Shard leaders that
+ * decide at the same time must choose the same machine. */
 gboolean mm_placement_may_release_machine(MmPlacement *placement, const MmMachine *machine);
-/* A job has been submitted: remembers what accelerated work needs. */
+/* Records the requirements of a submitted job if it is an accelerated one. */
 void mm_placement_note_accelerated_job(MmPlacement *placement, const MmJobSpec *spec);
--- a/src/placement/backlog.c
+++ b/src/placement/backlog.c
@@ -3,7 +3,7 @@
 #include "peers/peer-links.h"
 #include "scheduler/pending-tasks.h"
 
-/* A changed backlog is announced at most this often, an unchanged one this often anyway. */
+/* The shortest interval between announcements, and the interval without a change. */
 #define BACKLOG_SEND_INTERVAL_MS 50
 #define BACKLOG_RESEND_INTERVAL_MS 1000
 
@@ -60,7 +60,8 @@
   MmTime now = mm_node_now(placement->node);
   gint64 announced_ms_ago = mm_time_ms_since(now, placement->announced_at);
 
-  /* Precedence follows from waiting times, so the backlog is also announced without a change. */
+  /* The precedence of jobs depends on how long they have waited, so it may have changed even if the
+   * backlog is not marked as changed. */
   if (!(placement->is_backlog_changed && announced_ms_ago >= BACKLOG_SEND_INTERVAL_MS)
       && announced_ms_ago < BACKLOG_RESEND_INTERVAL_MS)
     return;
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -5,7 +5,8 @@
 #include "placement/modulo-priority.h"
 #include "scheduler/urgency.h"
 
-/* Bounds the work for one machine: of longer backlogs the most urgent tasks are ranked. */
+/* Bounds the cost of a choice: of longer backlogs only this many tasks are ranked, taken view by
+ * view and most urgent first within a view. */
 #define RANKED_TASKS_MAX 512
 
 typedef struct {
@@ -14,15 +15,15 @@
   MmTaskRef task;
 } RankedTask;
 
-/* The ranking of the announced tasks for one machine, under construction. */
+/* The state of ranking the announced tasks for one machine. */
 typedef struct {
-  const GArray *requested; /* MmTaskRef that are left out */
-  guint n_tasks;           /* of all backlogs */
-  guint n_tasks_before;    /* of these, those already counted */
-  guint machine_index;
+  const GArray *requested; /* MmTaskRef to be left out */
+  guint n_tasks;           /* in all views */
+  guint n_tasks_before;    /* those of n_tasks already processed */
+  guint machine_index;     /* MmMachine.sorted_index */
   guint n_machines;
   guint n_controllers;
-  GArray *tasks; /* RankedTask; lent */
+  GArray *tasks; /* RankedTask; borrowed */
 } Ranking;
 
 gboolean
@@ -31,7 +32,7 @@
                                     machine->is_spot);
 }
 
-/* The highest priority first. */
+/* Sorts by priority, highest first. */
 static gint
 compare_ranked_tasks(gconstpointer a, gconstpointer b) {
   const RankedTask *x = a, *y = b;
@@ -49,11 +50,12 @@
   return FALSE;
 }
 
-/* The job, if a task of it may be requested for the machine, or NULL. Gangs are in the backlog for
- * the autoscaler; the leader of their shard chooses their places. */
+/* Returns the job if its tasks may be requested for the machine, else NULL. Tasks of gangs are
+ * never requested: they are in the backlog for the autoscaler only, and the leader of their shard
+ * chooses their machines. */
 static const MmJob *
-fitting_job(MmPlacement *placement, const MmPendingTasks *pending, const MmMachine *machine,
-            MmResources free_resources) {
+find_startable_job(MmPlacement *placement, const MmPendingTasks *pending, const MmMachine *machine,
+                   MmResources free_resources) {
   const MmJob *job = mm_job_table_find(placement->node->job_table, pending->job.s);
 
   return job != NULL && !job->is_cancelled && !mm_job_is_gang(job) && pending->ranges->len > 0
@@ -65,7 +67,7 @@
              : NULL;
 }
 
-/* The most urgent task that has precedence. */
+/* Chooses a task of the most urgent job that has precedence. Returns FALSE if there is none. */
 static gboolean
 choose_precedence(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
                   const GArray *requested, guint exhausted_views, MmPlacementChoice *choice) {
@@ -75,7 +77,7 @@
     for (guint i = 0; i < placement->views[v].pending->len && !(exhausted_views >> v & 1); i++) {
       const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
       const MmJob *job = pending->has_precedence
-                             ? fitting_job(placement, pending, machine, free_resources)
+                             ? find_startable_job(placement, pending, machine, free_resources)
                              : NULL;
       guint number;
       if (job == NULL)
@@ -106,8 +108,9 @@
   return n_tasks;
 }
 
-/* Ranks the job's pending tasks that were not requested yet, if the machine may run them and has
- * their image; counts them all. */
+/* Adds the job's pending tasks that were not requested yet to the ranking, if `is_cached`: the
+ * machine may run them and has their image. Counts all pending tasks of the job in
+ * `n_tasks_before`. */
 static void
 rank_pending_tasks(Ranking *ranking, guint view, const MmPendingTasks *pending,
                    gboolean is_cached) {
@@ -127,7 +130,7 @@
   }
 }
 
-/* The best task and the next ones of the same view, as many as may be requested at once. */
+/* Chooses the first task of the ranking and the next ones of the same view, up to `max_tasks`. */
 static void
 take_candidates(const GArray *ranked, guint max_tasks, MmPlacementChoice *choice) {
   choice->view = (gint)g_array_index(ranked, RankedTask, 0).view;
@@ -138,7 +141,8 @@
   }
 }
 
-/* The ordinary case: tasks whose image the machine has cached, in the machine's own order. */
+/* Chooses tasks whose image the machine has cached, in the order of mm_modulo_priority for this
+ * machine. This is the common case. Returns FALSE if there are none. */
 static gboolean
 choose_cached(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
               const GArray *requested, MmPlacementChoice *choice) {
@@ -154,7 +158,7 @@
   for (guint v = 0; v < placement->n_views; v++)
     for (guint i = 0; i < placement->views[v].pending->len; i++) {
       const MmPendingTasks *pending = g_ptr_array_index(placement->views[v].pending, i);
-      const MmJob *job = fitting_job(placement, pending, machine, free_resources);
+      const MmJob *job = find_startable_job(placement, pending, machine, free_resources);
       gboolean is_cached = job != NULL && mm_machine_has_cached_image(machine, &job->spec.image);
       rank_pending_tasks(&ranking, v, pending, is_cached);
     }
@@ -167,7 +171,8 @@
   return TRUE;
 }
 
-/* A pull: a node drawn in proportion to its pending tasks. */
+/* Chooses a node to pull any task from, at random and weighted by the number of pending tasks.
+ * Returns FALSE if no node has a job that fits. */
 static gboolean
 choose_pull(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
             guint exhausted_views, MmPlacementChoice *choice) {
@@ -179,9 +184,10 @@
     for (guint i = 0;
          i < placement->views[v].pending->len && !has_fitting_job && !(exhausted_views >> v & 1);
          i++)
-      has_fitting_job = fitting_job(placement, g_ptr_array_index(placement->views[v].pending, i),
-                                    machine, free_resources)
-                        != NULL;
+      has_fitting_job
+          = find_startable_job(placement, g_ptr_array_index(placement->views[v].pending, i),
+                               machine, free_resources)
+            != NULL;
     weights[v] = has_fitting_job ? MAX(placement->views[v].n_pending_tasks, 1) : 0;
     total += weights[v];
   }
@@ -195,8 +201,9 @@
   return TRUE;
 }
 
-/* A place reserved for a gang is requested whatever else is pending: otherwise a machine with
- * nothing else to request would never get the start that is reserved for it. */
+/* Chooses the node that has reserved resources of the machine for a task of a gang. This request
+ * does not depend on other pending tasks: otherwise a machine for which nothing else can be
+ * requested would never get the start that is reserved for it. */
 static gboolean
 choose_reserved(MmPlacement *placement, const MmMachine *machine, guint exhausted_views,
                 MmPlacementChoice *choice) {
@@ -236,12 +243,12 @@
     for (guint k = 0; k + 1 < pending->ranges->len; k += 2) {
       guint first = g_array_index(pending->ranges, guint, k);
       guint length = g_array_index(pending->ranges, guint, k + 1);
-      guint rest[2] = { number + 1, first + length - number - 1 };
+      guint tail[2] = { number + 1, first + length - number - 1 };
       if (number < first || number >= first + length)
         continue;
       g_array_index(pending->ranges, guint, k + 1) = number - first;
-      if (rest[1] > 0)
-        g_array_insert_vals(pending->ranges, k + 2, rest, 2);
+      if (tail[1] > 0)
+        g_array_insert_vals(pending->ranges, k + 2, tail, 2);
       if (number == first)
         g_array_remove_range(pending->ranges, k, 2);
       break;
--- a/src/placement/candidates.h
+++ b/src/placement/candidates.h
@@ -1,6 +1,6 @@
-/* Which task a machine should get next, as the node that answers the machine's heartbeat sees it:
- * from the backlogs that shard leaders announce, the machine's free resources and its cached
- * images. */
+/* Chooses the tasks to request for a machine, on the node that answers the machine's heartbeat. The
+ * choice depends on the backlogs that shard leaders announce, on the machine's free resources and
+ * on its cached images. */
 #pragma once
 
 #include "placement/placement.h"
@@ -8,21 +8,22 @@
 #define MM_PLACEMENT_CANDIDATES_MAX 16
 #define MM_PLACEMENT_VIEW_NONE (-1)
 
-/* What to request, and of whom. */
+/* The start request to make next: from which node, and for which tasks. */
 typedef struct {
-  gint view;        /* index of the backlog view whose node is asked, or MM_PLACEMENT_VIEW_NONE */
-  gboolean is_pull; /* any task will do */
-  guint n_tasks;
-  MmTaskRef tasks[MM_PLACEMENT_CANDIDATES_MAX]; /* the preferred ones first */
+  gint view;        /* backlog view of the node to ask, or MM_PLACEMENT_VIEW_NONE: no request */
+  gboolean is_pull; /* the request names no tasks; the node chooses any that fits */
+  guint n_tasks;    /* 0 for a pull, and for resources reserved for a gang */
+  MmTaskRef tasks[MM_PLACEMENT_CANDIDATES_MAX]; /* in order of preference */
 } MmPlacementChoice;
 
-/* `requested`: MmTaskRef that were already requested for this response; `exhausted_views`: a bit
- * for each view whose node had nothing to start. */
+/* Chooses the next request for the machine. `requested` holds the MmTaskRef of the tasks that were
+ * already requested for this response to a heartbeat. In `exhausted_views`, bit v is set if the
+ * node of view v had nothing to start or could not be asked. */
 MmPlacementChoice mm_placement_choose(MmPlacement *placement, const MmMachine *machine,
                                       MmResources free_resources, const GArray *requested,
                                       guint exhausted_views);
-/* Whether the job's own constraints allow the machine. */
+/* Returns whether the constraints in the job's specification allow the machine. */
 gboolean mm_placement_allows(const MmJob *job, const MmMachine *machine);
-/* Removes a task from a view: it has been started or refused. */
+/* Removes a task from a view after it was started or its start was refused. */
 void mm_placement_remove_candidate(MmPlacement *placement, guint view, const char *job,
                                    guint number);
--- a/src/placement/modulo-priority.c
+++ b/src/placement/modulo-priority.c
@@ -1,10 +1,14 @@
 #include "placement/modulo-priority.h"
 
-/* prio(z) = b * ((y + n - i) % n) + (x + b - i % m) % b, with x = ceil(z / n),
- * y = (z - 1) % n + 1 and b = ceil(f / n). As z runs over n consecutive tasks, y takes each
- * value once, so machines start at different places of the order; x and i % m shift the start
- * within a block, which spreads the requests over controllers. i % m may exceed x + b when m > b:
- * the remainder is taken as non-negative, where C would give a negative one. */
+/* Equation 1: prio(z) = b * ((y + n - i) % n) + (x + b - i % m) % b, with x = ceil(z / n),
+ * y = (z - 1) % n + 1 and b = ceil(f / n). Here z is the task, f the number of tasks, i the
+ * machine, n the number of machines and m the number of controllers; x is `round_number`, y is
+ * `slot` and b is `n_rounds`.
+ *
+ * Over n consecutive tasks z, y takes each of its values once, so that machines start at different
+ * positions of the order. x and i % m shift the start within a block, which spreads the requests
+ * over the controllers. If m > b, i % m may exceed x + b. The remainder is then taken as
+ * non-negative, where C would yield a negative one. */
 gint64
 mm_modulo_priority(guint task, guint n_tasks, guint machine, guint n_machines,
                    guint n_controllers) {
