--- a/src/heartbeat-server/heartbeat-response.c
+++ b/src/heartbeat-server/heartbeat-response.c
@@ -5,6 +5,7 @@
 #include "jobs/job-table.h"
 #include "kv/kv-client.h"
 
+/* Maximum number of terminal records that are read at the same time. */
 #define CONFIRMATIONS_MAX 16
 
 typedef struct {
@@ -37,10 +38,11 @@
                    confirmation);
 }
 
-/* Tasks of cancelled jobs are stopped without their shard leader: a response that leaves them alone
- * renews their lease, and while the leader alone is refused by the key-value store and nobody can
- * acquire its shards, they would run on. A job without a record is over unless the replica lags, so
- * its tasks are removed only once its terminal record has been read. */
+/* Tasks of cancelled jobs are stopped without involving the leader of their shard. Every heartbeat
+ * response renews the worker's lease, so a response without stop commands would let these tasks
+ * continue if the key-value store refuses only the leader and no other node can acquire its shards.
+ * A job without a record has ended unless the replica is out of date, so its tasks are removed only
+ * after its terminal record has been read. */
 void
 mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
                                            GArray *commands) {
--- a/src/heartbeat-server/heartbeat-response.h
+++ b/src/heartbeat-server/heartbeat-response.h
@@ -1,11 +1,12 @@
-/* What a response to a heartbeat is made of: commands, and the message that carries them. */
+/* Heartbeat responses: the cleanup commands they contain, and sending them. */
 #pragma once
 
 #include "heartbeat-server/heartbeat-server.h"
 
-/* Appends commands (MmCommand) for those of the tasks that must stop or be forgotten, whoever leads
- * their shards. `tasks`: MmReportedTask. */
+/* Appends a stop or discard command (MmCommand) for each of the tasks (elements: MmReportedTask)
+ * that must stop or whose result is no longer needed, regardless of which node leads their
+ * shards. */
 void mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
                                                 GArray *commands);
-/* Answers 200 with the term as fencing token. `commands`: MmCommand. */
+/* Sends status 200 with the term as fencing token and the commands (elements: MmCommand). */
 void mm_heartbeat_response_send(MmHttpExchange *exchange, MmTerm term, const GArray *commands);
--- a/src/heartbeat-server/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -13,12 +13,17 @@
 #include "kv/replica.h"
 #include "upgrade/versions.h"
 
-/* The worker waits meanwhile; its lease has to outlast this. */
+/* Maximum time for which a heartbeat is deferred. The worker waits for its response during that
+ * time, so the worker's lease must be longer. */
 #define DEFER_MAX_MS 800
+/* Minimum capacity of the queue of deferred heartbeats; see defer_heartbeat(). */
 #define DEFERRED_HEARTBEATS_MIN 256
+/* Minimum time between two redirects for load balancing. */
 #define REDIRECT_INTERVAL_MS 400
-#define LOAD_DIFFERENCE_TO_REDIRECT 4 /* machines more than the peer has */
-#define COUNT_INTERVAL_MS 500
+/* A machine is redirected only if this node serves at least this many machines more than the
+ * peer. */
+#define LOAD_DIFFERENCE_TO_REDIRECT 4
+#define MACHINE_COUNT_INTERVAL_MS 500
 
 typedef struct {
   MmHeartbeat heartbeat; /* owned */
@@ -60,7 +65,7 @@
   g_free(server);
 }
 
-/* ---- redirects ---- */
+/* Redirects to other nodes */
 
 static void
 redirect_worker(MmHeartbeatServer *server, MmHttpExchange *exchange, gint peer) {
@@ -72,8 +77,9 @@
     mm_http_exchange_respond(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
 
-/* A peer that this machine should move to, or MM_PEER_NONE. Machines are balanced over the nodes
- * one at a time; the counts are adjusted until the peer's next pong. */
+/* Returns the peer to which this machine should move for load balancing, or MM_PEER_NONE. One
+ * machine is moved at a time. The locally known machine counts are adjusted at once and corrected
+ * by the peer's next pong. */
 static gint
 less_loaded_peer(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
@@ -92,8 +98,9 @@
   return peer;
 }
 
-/* FALSE when the heartbeat has waited as long as it may, or too many wait. Each machine has one
- * heartbeat under way, so the number of machines bounds them. */
+/* Queues the heartbeat to be processed again later. Returns FALSE if it has been deferred for
+ * DEFER_MAX_MS or the queue is full. Each machine has at most one heartbeat in flight, so the limit
+ * grows with the number of machines. */
 static gboolean
 defer_heartbeat(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmHttpExchange *exchange,
                 MmTime received_at) {
@@ -111,27 +118,28 @@
 }
 
 static gboolean
-ownership_was_unsettled(const MmHeartbeatServer *server) {
-  return server->ownership_unsettled_since.us != 0;
+leadership_was_in_transition(const MmHeartbeatServer *server) {
+  return server->leadership_transition_since.us != 0;
 }
 
-/* While shards change leaders, terms follow one another within a second. A worker acknowledges the
- * first one it gets at once, but the next only with a later heartbeat, so new leaders would wait
- * two heartbeat intervals for their acknowledgements. So heartbeats wait a moment for the last of
- * the terms; not longer, since a shard may stay without a leader. */
+/* While shards change leaders, the term is raised several times within a second. A worker
+ * acknowledges the first of these terms at once, but the next one only with its following
+ * heartbeat, so new leaders would wait two heartbeat intervals for their acknowledgements.
+ * Heartbeats are therefore deferred until the last of the terms is known, but for no longer than
+ * DEFER_MAX_MS, because a shard may stay without a leader. */
 gboolean
 mm_heartbeat_server_is_settling(const MmHeartbeatServer *server) {
-  return ownership_was_unsettled(server)
-         && mm_time_ms_since(mm_node_now(server->node), server->ownership_unsettled_since)
+  return leadership_was_in_transition(server)
+         && mm_time_ms_since(mm_node_now(server->node), server->leadership_transition_since)
                 < DEFER_MAX_MS;
 }
 
 static void
-track_ownership_changes(MmHeartbeatServer *server) {
+track_leadership_transition(MmHeartbeatServer *server) {
   if (!mm_shard_ownership_is_unsettled(server->node->shard_ownership))
-    server->ownership_unsettled_since.us = 0;
-  else if (!ownership_was_unsettled(server))
-    server->ownership_unsettled_since = mm_node_now(server->node);
+    server->leadership_transition_since.us = 0;
+  else if (!leadership_was_in_transition(server))
+    server->leadership_transition_since = mm_node_now(server->node);
 }
 
 static void
@@ -139,8 +147,10 @@
   mm_http_exchange_respond(exchange, 503, mm_json_error(reason), 0);
 }
 
-/* The machine gets the term to acknowledge, and stop commands, which are always safe; not without
- * end if it acknowledges nothing. */
+/* Answers an unverified heartbeat with the current term, so that the machine can acknowledge it,
+ * and with stop commands, which are always safe. If the machine acknowledges none of several
+ * responses, the heartbeat is refused with status 503, because each status 200 renews the machine's
+ * lease. */
 static void
 respond_unverified(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                    MmHttpExchange *exchange) {
@@ -160,8 +170,8 @@
   mm_heartbeat_response_send(exchange, node->replica->term, commands);
 }
 
-/* Handles heartbeats that this node may not answer, or not yet. TRUE when the exchange is answered
- * or deferred. */
+/* Handles heartbeats that this node may not answer, or not yet. Returns TRUE if the exchange has
+ * been answered or deferred. */
 static gboolean
 reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmHttpExchange *exchange,
                 MmTime received_at) {
@@ -174,8 +184,9 @@
     return TRUE;
   }
   if (heartbeat->fencing_token.v > node->replica->term.v) {
-    /* The worker would drop a 200 with our older term and stay at this node: the replica must show
-     * the newer term, with its shard leaders, first. */
+    /* A worker ignores a status 200 that contains a lower term than its own and keeps sending its
+     * heartbeats to this node. Such a heartbeat must wait until the replica contains the newer term
+     * and the shard leaders that belong to it. */
     if (!defer_heartbeat(server, heartbeat, exchange, received_at))
       refuse_heartbeat(exchange, "the term is not known here yet");
     return TRUE;
@@ -201,7 +212,8 @@
   return FALSE;
 }
 
-/* Records the heartbeat and broadcasts it to the peers, before it is answered. */
+/* Records the heartbeat and broadcasts it to the peers. Must be called before the heartbeat is
+ * answered. */
 static MmMachine *
 record_and_broadcast(MmHeartbeatServer *server, const MmHeartbeat *heartbeat) {
   MmNode *node = server->node;
@@ -212,17 +224,18 @@
     mm_peer_broadcast_heartbeat(node->peer_links, machine, !heartbeat->is_unanswered);
     return machine;
   }
-  /* A direct reply has overtaken it. The response renews the lease if the worker still waits for
-   * it, so the peers must know of it, whatever heartbeat id they know. */
+  /* A direct reply with a newer heartbeat id was recorded before this heartbeat. The response still
+   * renews the lease if the worker is waiting for it, so the peers must be told about the response
+   * whatever heartbeat id they have recorded. */
   machine = mm_machine_table_find(node->machine_table, heartbeat->machine_id.s);
   if (!heartbeat->is_unanswered)
     mm_peer_broadcast_unverified(node->peer_links, &machine->id);
   return machine;
 }
 
-/* A machine that ignores responses gets 503. If it were answered with 200, its lease would never
- * provably expire, and leaders that acquired shards meanwhile would wait for its acknowledgement
- * without end. */
+/* Answers the heartbeat. A machine that ignores responses gets status 503: with status 200 its
+ * lease would never provably expire, and leaders that have acquired shards since would wait
+ * indefinitely for its acknowledgement. */
 static void
 respond_to_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmHttpExchange *exchange) {
   MmMachineTable *machine_table = server->node->machine_table;
@@ -271,7 +284,7 @@
 mm_heartbeat_server_replica_changed(MmHeartbeatServer *server) {
   guint n_deferred = g_queue_get_length(server->deferred_heartbeats);
 
-  track_ownership_changes(server);
+  track_leadership_transition(server);
   while (n_deferred-- > 0)
     retry_oldest_deferred(server);
 }
@@ -287,7 +300,7 @@
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->heartbeat_interval_s * 3000);
 
-  if (mm_time_ms_since(now, server->machines_counted_at) < COUNT_INTERVAL_MS)
+  if (mm_time_ms_since(now, server->machines_counted_at) < MACHINE_COUNT_INTERVAL_MS)
     return;
   server->machines_counted_at = now;
   server->served_machines = 0;
@@ -304,7 +317,7 @@
   MmTime now = mm_node_now(server->node);
 
   count_served_machines(server);
-  if (ownership_was_unsettled(server)
+  if (leadership_was_in_transition(server)
       && !mm_shard_ownership_is_unsettled(server->node->shard_ownership))
     mm_heartbeat_server_replica_changed(server);
   while (!g_queue_is_empty(server->deferred_heartbeats)) {
--- a/src/heartbeat-server/heartbeat-server.h
+++ b/src/heartbeat-server/heartbeat-server.h
@@ -1,8 +1,9 @@
-/* Heartbeats over HTTP: whether this node may answer one, now or later, and who else should.
+/* Handles heartbeats received over HTTP: decides whether this node answers a heartbeat at once,
+ * later or not at all, and to which node a worker is redirected.
  *
- * A heartbeat is answered only while the node lease allows it and with a term that is not older
- * than the worker's; it is recorded and broadcast to the peers before it is answered, since the
- * response renews the machine's lease. Every exchange is answered exactly once.
+ * A heartbeat is answered only while the node lease permits it and only with a term that is not
+ * lower than the worker's. It is recorded and broadcast to the peers before it is answered, because
+ * the response renews the machine's lease. Every exchange is answered exactly once.
  *
  * Owns the deferred heartbeats and the table of pending responses (pending-response.h). */
 #pragma once
@@ -11,30 +12,36 @@
 
 struct MmHeartbeatServer {
   MmNode *node;
-  GHashTable *pending_responses; /* request id -> MmPendingResponse; keys lie in the values */
-  guint64 last_request_id;       /* of requests to peers */
-  /* Heartbeats with a newer term than the replica's, or received while shards change leaders: */
+  /* Request id -> MmPendingResponse. The keys are stored in the values. */
+  GHashTable *pending_responses;
+  guint64 last_request_id; /* id of the last request sent to a peer */
+  /* Heartbeats whose term is newer than the replica's, or that arrived during a leadership
+   * transition. */
   GQueue *deferred_heartbeats;
-  /* Since when shards are about to change leaders; 0: they are not. */
-  MmTime ownership_unsettled_since;
+  /* Start of the current leadership transition, during which shards change leaders. 0: none. */
+  MmTime leadership_transition_since;
   MmTime last_redirect_at;
   MmTime machines_counted_at;
   guint served_machines;
   GHashTable *jobs_being_confirmed; /* ids of jobs whose terminal record is being read */
 };
 
-/* The node must outlive the server. */
+/* Creates the server. `node` must outlive it. */
 MmHeartbeatServer *mm_heartbeat_server_new(MmNode *node);
-/* Answers everything that is deferred or pending with 503. */
+/* Frees the server after answering all deferred and pending heartbeats with status 503. */
 void mm_heartbeat_server_free(MmHeartbeatServer *server);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmHeartbeatServer, mm_heartbeat_server_free)
+/* Updates the count of served machines, processes deferred heartbeats that are due and ends pending
+ * responses whose deadline has passed. */
 void mm_heartbeat_server_tick(MmHeartbeatServer *server);
-/* A heartbeat came in. `body` is lent; the exchange is answered once, now or later. */
+/* Handles a received heartbeat. `body` is borrowed. The exchange is answered exactly once, during
+ * the call or later. */
 void mm_heartbeat_server_receive(MmHeartbeatServer *server, const json_t *body,
                                  MmHttpExchange *exchange);
-/* The replica shows a newer state: deferred heartbeats are tried again. */
+/* Processes the deferred heartbeats again. Called after the replica has changed. */
 void mm_heartbeat_server_replica_changed(MmHeartbeatServer *server);
-/* Whether shards are changing leaders: a term sent to workers now would soon be outdated. */
+/* Returns whether heartbeats are being deferred because shards are changing leaders. A term sent to
+ * workers now would soon be outdated. */
 gboolean mm_heartbeat_server_is_settling(const MmHeartbeatServer *server);
-/* How many machines send their heartbeats to this node. */
+/* Returns the number of machines that send their heartbeats to this node. */
 guint mm_heartbeat_server_served_machines(const MmHeartbeatServer *server);
--- a/src/heartbeat-server/pending-response-grants.c
+++ b/src/heartbeat-server/pending-response-grants.c
@@ -1,4 +1,4 @@
-/* Grants of the machine's resources for the approved starts. */
+/* Requests the machine's resources for approved starts from the owner of the machine's group. */
 #include "heartbeat-server/pending-response-private.h"
 
 #include "peers/peer-links.h"
@@ -9,8 +9,8 @@
   guint n_starts = response->approved_starts->len;
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__GrantRequest request = MM__GRANT_REQUEST__INIT;
-  g_autofree Mm__GrantStart *items = g_new(Mm__GrantStart, n_starts);
-  g_autofree Mm__GrantStart **list = g_new(Mm__GrantStart *, n_starts);
+  g_autofree Mm__GrantStart *grant_starts = g_new(Mm__GrantStart, n_starts);
+  g_autofree Mm__GrantStart **start_pointers = g_new(Mm__GrantStart *, n_starts);
 
   response->awaits_grants = TRUE;
   response->request_id = ++server->last_request_id;
@@ -19,18 +19,18 @@
   g_hash_table_insert(server->pending_responses, &response->request_id, response);
   for (guint i = 0; i < n_starts; i++) {
     MmApprovedStart *start = &g_array_index(response->approved_starts, MmApprovedStart, i);
-    mm__grant_start__init(&items[i]);
-    items[i].job = start->command.job.s;
-    items[i].number = start->command.number;
-    items[i].attempt = start->command.attempt.v;
-    list[i] = &items[i];
+    mm__grant_start__init(&grant_starts[i]);
+    grant_starts[i].job = start->command.job.s;
+    grant_starts[i].number = start->command.number;
+    grant_starts[i].attempt = start->command.attempt.v;
+    start_pointers[i] = &grant_starts[i];
   }
   request.id = response->request_id;
   request.machine = response->machine_id.s;
   request.incarnation = response->heartbeat_id.incarnation;
   request.sequence = response->heartbeat_id.sequence;
   request.term = response->grant_term.v;
-  request.starts = list;
+  request.starts = start_pointers;
   request.n_starts = n_starts;
   frame.body_case = MM__FRAME__BODY_GRANT_REQUEST;
   frame.grant_request = &request;
@@ -53,7 +53,8 @@
   }
 }
 
-/* The owner of the machine's group must grant the resources of the approved starts. */
+/* While sharing is active, an approved start is sent only if the owner of the machine's group
+ * grants its resources. */
 void
 mm_pending_response_obtain_grants(MmPendingResponse *response) {
   if (response->approved_starts->len > 0 && response->grant_source == MM_GRANTS_AT_PEER) {
--- a/src/heartbeat-server/pending-response-private.h
+++ b/src/heartbeat-server/pending-response-private.h
@@ -1,11 +1,12 @@
-/* What the sources of pending responses share: pending-response.c (start requests, the response)
- * and pending-response-grants.c. */
+/* Functions shared by pending-response.c (start requests, sending the response) and
+ * pending-response-grants.c. */
 #pragma once
 
 #include "heartbeat-server/pending-response.h"
 
 /* Answers the exchange with the queued commands and the approved starts that are still valid, or
- * 503 when this node may not answer any more. Frees the response. */
+ * with status 503 if this node may no longer answer workers. Frees the response. */
 void mm_pending_response_send(MmPendingResponse *response);
-/* Has the approved starts granted, here or by a peer, and sends the response after that. */
+/* Obtains the grants for the approved starts, from this node or from a peer, then sends the
+ * response. Frees the response, possibly during the call. */
 void mm_pending_response_obtain_grants(MmPendingResponse *response);
--- a/src/heartbeat-server/pending-response.c
+++ b/src/heartbeat-server/pending-response.c
@@ -7,8 +7,10 @@
 #include "peers/peer-links.h"
 #include "scheduler/admission.h"
 
+/* Maximum number of unsuccessful start requests for one response. */
 #define FAILED_REQUESTS_MAX 4
-/* The placement view of this node; below it: no choice; above it: VIEW_OF_FIRST_PEER + peer. */
+/* Indexes of placement views. A negative index means that no view was chosen. The view of peer k
+ * has index VIEW_OF_FIRST_PEER + k. */
 #define VIEW_OF_THIS_NODE 0
 #define VIEW_OF_FIRST_PEER 1
 
@@ -25,7 +27,8 @@
   const MmShard *shard = mm_replica_shard(server->node->replica, start->shard.s);
   const MmJob *job = mm_job_table_find(server->node->job_table, start->command.job.s);
 
-  /* A newer term invalidates the approvals and grants of earlier leaders and owners. */
+  /* A newer term invalidates the approvals of earlier shard leaders and the grants of earlier group
+   * owners. */
   return mm_sharing_grant_is_current(server->node->sharing, response->machine_id.s,
                                      response->grant_term)
          && shard != NULL && shard->term.v == start->shard_term.v
@@ -40,7 +43,8 @@
   MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
   g_autoptr(GArray) commands = NULL;
 
-  /* Without the machine's entry it is unknown what must stop there. */
+  /* Without the machine's table entry, this node does not know which tasks must be stopped
+   * there. */
   if (!mm_node_lease_may_answer_workers(node->node_lease) || machine == NULL) {
     mm_http_exchange_respond(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
     pending_response_free(response);
@@ -60,7 +64,7 @@
   pending_response_free(response);
 }
 
-/* ---- start requests ---- */
+/* Start requests */
 
 static guint
 chosen_peer(const MmPendingResponse *response) {
@@ -123,7 +127,8 @@
   mm_peer_links_send(server->node->peer_links, chosen_peer(response), &frame);
 }
 
-/* Sends the chosen start request to the peer it is for. FALSE when the peer is down. */
+/* Sends the chosen start request to the peer that owns the chosen view. Returns FALSE if the link
+ * to the peer is down. */
 static gboolean
 request_start_from_peer(MmPendingResponse *response) {
   const MmPeerLinks *links = response->server->node->peer_links;
@@ -163,7 +168,8 @@
          && mm_time_before(mm_node_now(node), response->deadline);
 }
 
-/* Whether the response would still be the machine's newest, and the machine may get work. */
+/* Returns whether the response answers the machine's newest message and the machine may be given
+ * work. */
 static gboolean
 machine_may_start_tasks(const MmPendingResponse *response, const MmMachine *machine) {
   return machine != NULL
@@ -171,7 +177,8 @@
          && mm_machine_is_usable(response->server->node->machine_table, machine);
 }
 
-/* Sends one start request after another until nothing more fits or the deadline has passed. */
+/* Sends one start request after another until no task fits, a limit is reached or the deadline has
+ * passed. Then obtains the grants. */
 static void
 request_next_start(MmPendingResponse *response) {
   MmNode *node = response->server->node;
@@ -199,8 +206,8 @@
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
-  /* Too late: the response has gone out without the start, and the machine's next heartbeat denies
-   * it. */
+  /* The reply is too late. The response was sent without the start, and the machine's next
+   * heartbeat will show that the task was not started. */
   if (response == NULL || response->awaits_grants || response->choice.view < VIEW_OF_FIRST_PEER
       || chosen_peer(response) != peer)
     return;
@@ -218,7 +225,7 @@
   request_next_start(response);
 }
 
-/* ---- begin and end ---- */
+/* Creation, expiry and shutdown */
 
 static MmPendingResponse *
 pending_response_new(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmMachine *machine,
@@ -245,7 +252,8 @@
                           MmMachine *machine, MmHttpExchange *exchange) {
   MmPendingResponse *response = pending_response_new(server, heartbeat, machine, exchange);
 
-  /* Where nobody can grant resources no start is requested: its grant would only be denied. */
+  /* If no node can grant resources now, a start request would be useless: the start could not be
+   * granted. */
   if (response->grant_source == MM_GRANTS_NOWHERE)
     mm_pending_response_send(response);
   else
--- a/src/heartbeat-server/pending-response.h
+++ b/src/heartbeat-server/pending-response.h
@@ -1,13 +1,14 @@
-/* Responses to heartbeats under construction: the starts that shard leaders approve for the
- * machine, one start request after another, the grants of the machine's resources by the owner of
- * its group, and the commands that go with them.
+/* Heartbeat responses under construction. A response collects the starts that shard leaders approve
+ * for the machine, one start request after another, the grants of the machine's resources by the
+ * owner of its group, and further commands.
  *
- * Starts travel only in responses to heartbeats, never in direct commands: a response is never
- * carried out late, while a direct command may be. An approval is valid for the one response it was
- * requested for.
+ * Starts are sent only in heartbeat responses, never as direct commands: a worker never executes a
+ * heartbeat response late, but it may execute a direct command late. An approval is valid only for
+ * the response for which it was requested.
  *
- * A pending response frees itself as it answers its exchange, exactly once. While it waits for a
- * peer it stands in MmHeartbeatServer.pending_responses, until its deadline. */
+ * A pending response frees itself when it answers its exchange, which happens exactly once. While
+ * it waits for a peer it is listed in MmHeartbeatServer.pending_responses, until its deadline at
+ * the latest. */
 #pragma once
 
 #include "heartbeat-server/heartbeat-server.h"
@@ -15,15 +16,15 @@
 #include "placement/candidates.h"
 #include "sharing/sharing.h"
 
-/* Messages of peers.proto. */
+/* Messages defined in peers.proto. */
 typedef struct Mm__StartResponse Mm__StartResponse;
 typedef struct Mm__GrantResponse Mm__GrantResponse;
 
-/* A start that the shard's leader has approved. */
+/* A start approved by the leader of the task's shard. */
 typedef struct {
   MmCommand command;
   MmName shard;
-  MmTerm shard_term; /* the leader's, as it approved */
+  MmTerm shard_term; /* term of the shard's leader at approval */
 } MmApprovedStart;
 
 typedef struct {
@@ -31,30 +32,35 @@
   MmHttpExchange *exchange;
   MmName machine_id;
   MmHeartbeatId heartbeat_id;
-  MmResources available;    /* what is left of the machine's resources */
-  GArray *approved_starts;  /* MmApprovedStart */
-  GArray *tried_tasks;      /* MmTaskRef: requested without success */
-  MmPlacementChoice choice; /* the start request under way */
-  guint exhausted_views;    /* bit set of placement views that have nothing more to offer */
+  MmResources available;    /* resources of the machine that are not yet used */
+  GArray *approved_starts;  /* elements: MmApprovedStart */
+  GArray *tried_tasks;      /* elements: MmTaskRef; tasks requested without success */
+  MmPlacementChoice choice; /* current start request */
+  guint exhausted_views;    /* bit set of placement views without further tasks */
   guint failed_requests;
-  guint64 request_id; /* of the request to a peer under way */
+  guint64 request_id; /* id of the current request to a peer */
   MmTime deadline;
-  MmGrantSource grant_source; /* who grants the machine's resources, */
-  guint grant_peer;           /* which peer that is, */
-  MmTerm grant_term;          /* and under which term it owns the machine's group */
-  gboolean awaits_grants;     /* the request under way is a grant request */
+  MmGrantSource grant_source; /* which node grants the machine's resources */
+  guint grant_peer;           /* index of the granting peer; see mm_sharing_grant_source() */
+  MmTerm grant_term;          /* term under which that node owns the machine's group */
+  gboolean awaits_grants;     /* the current request is a grant request */
 } MmPendingResponse;
 
-/* Begins the response to a recorded heartbeat; the exchange is answered once, now or later. */
+/* Begins the response to a recorded heartbeat. The exchange is answered exactly once, during the
+ * call or later. */
 void mm_pending_response_begin(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                                MmMachine *machine, MmHttpExchange *exchange);
-/* A peer's response to a start request. */
+/* Handles a peer's response to a start request. Responses that are no longer expected are
+ * ignored. */
 void mm_pending_response_handle_start_response(MmHeartbeatServer *server, guint peer,
                                                const Mm__StartResponse *reply);
-/* The group's owner has answered which of the approved starts may have their resources. */
+/* Handles the response of the group's owner, which says which approved starts are granted
+ * resources. Responses that are no longer expected are ignored. */
 void mm_pending_response_handle_grant_response(MmHeartbeatServer *server, guint peer,
                                                const Mm__GrantResponse *reply);
-/* Sends what has been approved and granted so far in each response whose deadline has passed. */
+/* Ends the wait of each pending response whose deadline has passed. A response that waits for an
+ * approval continues with the starts approved so far; one that waits for grants is sent without
+ * starts. */
 void mm_pending_responses_expire(MmHeartbeatServer *server);
-/* Answers all with 503: the node ends. */
+/* Answers all pending responses with status 503, when the node shuts down. */
 void mm_pending_responses_refuse_all(MmHeartbeatServer *server);
--- a/src/heartbeat/heartbeat.c
+++ b/src/heartbeat/heartbeat.c
@@ -4,12 +4,13 @@
 
 #include "base/wire.h"
 
+/* Maximum number of tasks in one heartbeat; a heartbeat with more is rejected. */
 #define REPORTED_TASKS_MAX 4096
 
-/* By MmReportedState. */
+/* Wire names of the task states, indexed by MmReportedState. */
 static const char *const wire_states[]
     = { "fetching", "gathering", "running", "flushing", "ended" };
-/* By MmEndCause. */
+/* Wire names of the end causes, indexed by MmEndCause. */
 static const char *const wire_causes[]
     = { "", "done", "halted", "peers", "alone", "error", "no_room", "busy", "no_such" };
 
@@ -24,7 +25,8 @@
   return FALSE;
 }
 
-/* An unknown cause of ending counts as a stop: the task has left the machine. */
+/* Sets the end cause. An unknown cause of an ended task is read as MM_CAUSE_STOPPED, because the
+ * task no longer runs on the machine. */
 static void
 parse_cause(MmReportedTask *task, const char *word) {
   task->cause = task->state == MM_REPORTED_ENDED ? MM_CAUSE_STOPPED : MM_CAUSE_NONE;
--- a/src/heartbeat/heartbeat.h
+++ b/src/heartbeat/heartbeat.h
@@ -1,10 +1,10 @@
-/* Heartbeats of workers and the commands sent to them, and their codec: the only place that knows
- * how they look on the wire. */
+/* Heartbeats of workers, the commands sent to workers, and the codec for both. No other module
+ * depends on their wire format. */
 #pragma once
 
 #include "base/json.h"
 
-/* A task's state, as reported. */
+/* State of a task as reported by the worker. */
 typedef enum {
   MM_REPORTED_FETCHING,
   MM_REPORTED_WAITING_FOR_GANG,
@@ -12,9 +12,9 @@
   MM_REPORTED_CHECKPOINTING,
   MM_REPORTED_ENDED
 } MmReportedState;
-/* Why a task has ended, as reported. */
+/* Reason why a task ended, as reported by the worker. */
 typedef enum {
-  MM_CAUSE_NONE, /* it has not */
+  MM_CAUSE_NONE, /* the task has not ended */
   MM_CAUSE_DONE,
   MM_CAUSE_STOPPED,
   MM_CAUSE_GANG_PEER_ENDED,
@@ -34,7 +34,7 @@
   gboolean is_checkpointed;
 } MmReportedTask;
 
-/* A heartbeat or a direct reply, read from HTTP or from a peer. */
+/* A heartbeat or a direct reply, received over HTTP or forwarded by a peer. */
 typedef struct {
   MmName machine_id;
   char addr[64];
@@ -42,32 +42,37 @@
   MmName zone;
   gboolean is_spot;
   MmHeartbeatId heartbeat_id;
-  MmTerm fencing_token; /* the highest term that the worker has seen */
+  MmTerm fencing_token; /* highest term that the worker has seen */
   gboolean has_termination_notice;
-  double termination_notice_s; /* until the cloud may take the machine, in seconds */
-  gboolean is_direct_reply;    /* to a direct command: says nothing about starts under way */
-  gboolean is_unanswered;      /* the node that received it does not answer it 200 */
-  GArray *tasks;               /* MmReportedTask */
+  /* Time until the cloud may reclaim the machine, in seconds. */
+  double termination_notice_s;
+  /* The message replies to a direct command. It does not show whether starts in a pending heartbeat
+   * response were executed. */
+  gboolean is_direct_reply;
+  /* The node that received the heartbeat does not answer it with status 200. */
+  gboolean is_unanswered;
+  GArray *tasks; /* elements: MmReportedTask */
 } MmHeartbeat;
 
-/* A command for a worker. MM_OP_FORGET: drop the result of a task that has ended. */
+/* A command for a worker. MM_OP_FORGET makes the worker discard the result of an ended task. */
 typedef enum { MM_OP_START, MM_OP_STOP, MM_OP_FORGET } MmCommandOp;
 typedef struct {
   MmCommandOp op;
   MmName job;
   guint number;
   MmAttempt attempt;
-  double grace_s; /* MM_OP_STOP: time to save a checkpoint, in seconds */
+  double grace_s; /* MM_OP_STOP: time allowed for saving a checkpoint, in seconds */
 } MmCommand;
 
-/* Reads a heartbeat from a request's body, which is lent. FALSE with a static reason when it is
- * none. The heartbeat is to be cleared in either case. */
+/* Parses a heartbeat from the body of a request. `body` is borrowed. Returns FALSE and sets
+ * `reason` to a static string if the body is not a valid heartbeat. The caller clears the heartbeat
+ * in both cases. */
 gboolean mm_heartbeat_parse(MmHeartbeat *heartbeat, const json_t *body, const char **reason);
-/* Drops the tasks. The heartbeat itself is the caller's. */
+/* Frees the heartbeat's tasks. The MmHeartbeat itself stays owned by the caller. */
 void mm_heartbeat_clear(MmHeartbeat *heartbeat);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(MmHeartbeat, mm_heartbeat_clear)
-/* A new reference. */
+/* Returns the command as JSON, as a new reference. */
 json_t *mm_command_to_json(const MmCommand *command);
-/* The body of a response to a heartbeat: the term as fencing token and MmCommand in their order. A
- * new reference. */
+/* Returns the body of a heartbeat response as a new reference. It contains the term as fencing
+ * token and the commands (elements: MmCommand) in the given order. */
 json_t *mm_heartbeat_response_to_json(MmTerm term, const GArray *commands);
--- a/src/machines/machine-health.c
+++ b/src/machines/machine-health.c
@@ -3,21 +3,23 @@
 #include "jobs/job-table.h"
 #include "kv/replica.h"
 
-/* Errors of so many different jobs, with no success between them, count as the machine's fault. */
+/* Consecutive failed jobs, without a successful task between them, after which a machine is
+ * quarantined. Errors of this many different jobs are attributed to the machine. */
 #define FAILED_JOBS_TO_QUARANTINE 2
 #define FAILED_JOBS_QUARANTINE_MS 60000
 #define REFUSED_STARTS_TO_QUARANTINE 3
 #define LOST_LEASES_TO_QUARANTINE 2
-/* The first quarantine for anything but errors; each next one is twice as long, up to the maximum.
- */
+/* Quarantine for reasons other than failed jobs: QUARANTINE_FIRST_MS, doubled with each repetition
+ * at most QUARANTINE_DOUBLINGS_MAX times, up to QUARANTINE_MAX_MS. */
 #define QUARANTINE_FIRST_MS 5000
 #define QUARANTINE_MAX_MS 60000
 #define QUARANTINE_DOUBLINGS_MAX 4
-/* A machine ignores responses after so many unacknowledged ones, over so long a time: the longer of
- * the milliseconds and the heartbeat intervals. */
+/* A machine is considered to ignore responses after IGNORED_RESPONSES_MIN unacknowledged responses
+ * over more than the longer of IGNORED_RESPONSES_MIN_MS and IGNORED_RESPONSES_MIN_INTERVALS
+ * heartbeat intervals. */
 #define IGNORED_RESPONSES_MIN 4
 #define IGNORED_RESPONSES_MIN_MS 4000
-#define IGNORED_RESPONSES_MIN_PERIODS 3
+#define IGNORED_RESPONSES_MIN_INTERVALS 3
 
 static void
 quarantine(const MmMachineTable *machine_table, MmMachine *machine, gint64 duration_ms,
@@ -33,7 +35,7 @@
              QUARANTINE_MAX_MS);
 }
 
-/* ---- errors ---- */
+/* Task errors */
 
 static gboolean
 had_already_ended(const MmMachine *machine, const MmReportedTask *task) {
@@ -43,8 +45,8 @@
   return previous != NULL && previous->state == MM_REPORTED_ENDED;
 }
 
-/* Whether the job failed wherever it was tried and succeeded nowhere: that says nothing about
- * machines. */
+/* Returns whether the job failed on every machine where it was tried and succeeded on none, which
+ * says nothing about the machines. */
 static gboolean
 job_is_faulty(const MmMachineTable *machine_table, const MmName *job_id) {
   const MmJob *job = mm_job_table_find(machine_table->node->job_table, job_id->s);
@@ -52,8 +54,9 @@
   return job != NULL && mm_job_fails_everywhere(job);
 }
 
-/* A faulty job fails on every machine and is not counted: two such jobs would otherwise quarantine
- * each healthy machine that had tried both. The last counted job may prove faulty later. */
+/* Counts a failed job against the machine. A faulty job fails on every machine and is not counted;
+ * otherwise two such jobs would quarantine every healthy machine that tried both. The job counted
+ * last is no longer counted once it proves to be faulty. */
 static void
 count_failed_job(MmMachineTable *machine_table, MmMachine *machine, const MmName *job_id) {
   if (machine->consecutive_failed_jobs > 0
@@ -65,7 +68,8 @@
   machine->last_failed_job = *job_id;
   if (++machine->consecutive_failed_jobs < FAILED_JOBS_TO_QUARANTINE)
     return;
-  quarantine(machine_table, machine, FAILED_JOBS_QUARANTINE_MS, "tasks of several jobs fail there");
+  quarantine(machine_table, machine, FAILED_JOBS_QUARANTINE_MS,
+             "tasks of several jobs failed on the machine");
 }
 
 void
@@ -89,7 +93,7 @@
   }
 }
 
-/* ---- starts and incarnations ---- */
+/* Refused starts and incarnations */
 
 void
 mm_machine_health_record_refused_start(const MmMachineTable *machine_table, MmMachine *machine) {
@@ -98,7 +102,7 @@
   quarantine(
       machine_table, machine,
       repeated_quarantine_ms(machine->consecutive_refused_starts - REFUSED_STARTS_TO_QUARANTINE),
-      "it carries out no start");
+      "several starts in a row were not executed");
 }
 
 static gint64
@@ -116,11 +120,11 @@
       = mm_time_max(machine->last_possible_response_at, responded_at);
 }
 
-/* An incarnation that is seen for the first time began no later than that, and lives for a lease
- * even if nobody answers it. Its lease must not count from the last response to the previous
- * incarnation: a machine that is back after an outage would be lost at once and removed from the
- * registry, its tasks would run elsewhere as well, and its heartbeats would count as late copies
- * for good. */
+/* A new incarnation began no later than it was first seen, and it keeps its lease for a full lease
+ * period even if no node answers it. Its lease must not be counted from the last response to the
+ * previous incarnation. Otherwise a machine that returns after an outage would be considered lost
+ * at once and removed from the registry, its tasks would run a second time elsewhere, and its
+ * heartbeats would be treated as stale from then on. */
 void
 mm_machine_health_begin_incarnation(MmMachine *machine, MmTime first_seen_at) {
   machine->last_possible_response_at
@@ -128,9 +132,10 @@
   machine->steady_responses_since = first_seen_at;
 }
 
-/* A worker that is answered steadily keeps its incarnation. One whose node has ended finds another
- * late, and may lose its lease just as the first response arrives: that is not the machine's fault,
- * so only losses after a whole lease of steady responses count. */
+/* A worker that is answered regularly keeps its incarnation. When the node that serves a worker
+ * fails, the worker may find another node so late that its lease expires just as the first response
+ * arrives. That is not the machine's fault, so a lost lease is counted only after a full lease
+ * period of regular responses. */
 void
 mm_machine_health_record_incarnation(const MmMachineTable *machine_table, MmMachine *machine) {
   MmTime now = mm_node_now(machine_table->node);
@@ -139,14 +144,14 @@
       && mm_time_ms_since(now, machine->steady_responses_since) >= lease_ms(machine_table)) {
     if (++machine->consecutive_lost_leases >= LOST_LEASES_TO_QUARANTINE)
       quarantine(machine_table, machine, repeated_quarantine_ms(machine->consecutive_lost_leases),
-                 "it loses its leases though answered");
+                 "leases expired although heartbeats were answered regularly");
   } else {
     machine->consecutive_lost_leases = 0;
   }
   machine->responses_in_incarnation = 0;
 }
 
-/* ---- machines that ignore responses ---- */
+/* Machines that ignore responses */
 
 static gboolean
 has_unacknowledged_response(const MmMachine *machine) {
@@ -161,9 +166,9 @@
 
 gboolean
 mm_machine_health_ignores_responses(const MmMachineTable *machine_table, const MmMachine *machine) {
-  gint64 periods_ms = (gint64)(machine_table->node->settings->heartbeat_interval_s * 1000
-                               * IGNORED_RESPONSES_MIN_PERIODS);
-  gint64 min_duration_ms = MAX(IGNORED_RESPONSES_MIN_MS, periods_ms);
+  gint64 intervals_ms = (gint64)(machine_table->node->settings->heartbeat_interval_s * 1000
+                                 * IGNORED_RESPONSES_MIN_INTERVALS);
+  gint64 min_duration_ms = MAX(IGNORED_RESPONSES_MIN_MS, intervals_ms);
 
   return has_unacknowledged_response(machine)
          && machine->unacknowledged_responses >= IGNORED_RESPONSES_MIN
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -1,4 +1,4 @@
-/* How heartbeats and direct replies change the machine table. */
+/* Updates of the machine table by heartbeats and direct replies. */
 #include "machines/machine-table-private.h"
 
 #include "kv/replica.h"
@@ -92,8 +92,8 @@
   if (heartbeat->heartbeat_id.incarnation > mm_machine_newest_incarnation(machine))
     mm_machine_health_begin_incarnation(machine, received_at);
   if (machine->lease_has_expired)
-    mm_info("machine %s is back incarnation=%" G_GUINT64_FORMAT, machine->id.s,
-            heartbeat->heartbeat_id.incarnation);
+    mm_info("machine %s returned after its lease had expired incarnation=%" G_GUINT64_FORMAT,
+            machine->id.s, heartbeat->heartbeat_id.incarnation);
   machine->has_reported = TRUE;
   machine->lease_has_expired = FALSE;
 }
@@ -101,7 +101,8 @@
 static void
 update_message_ids(MmMachine *machine, const MmHeartbeat *heartbeat, MmTime received_at,
                    gint serving_node) {
-  /* A direct reply shows that commands reach the machine; a higher term, that a response did. */
+  /* A direct reply proves that commands reach the machine; a higher fencing token proves that a
+   * response did. */
   if (heartbeat->is_direct_reply || heartbeat->fencing_token.v > machine->acknowledged_term.v)
     mm_machine_health_record_acknowledgement(machine);
   machine->latest_message_id = heartbeat->heartbeat_id;
@@ -138,7 +139,8 @@
   }
 }
 
-/* A direct reply has overtaken the heartbeat, whose response the worker may still wait for. */
+/* Records a heartbeat that arrived after a direct reply with a newer heartbeat id. The worker may
+ * still be waiting for the response to this heartbeat. */
 static void
 record_overtaken_heartbeat(MmMachine *machine, MmTime received_at, gint serving_node) {
   machine->has_unsent_changes
@@ -157,9 +159,9 @@
   }
 }
 
-/* Whether the message is the newest heartbeat that has reached a node; its response then counts. A
- * heartbeat that is not newer than the newest one is a copy: a response to it reaches nobody, and
- * must not renew the lease again. */
+/* Returns whether the message is the newest heartbeat that has reached any node; if so, its
+ * response is recorded. Any other heartbeat is a late copy: no worker receives the response to it,
+ * so it must not renew the lease again. */
 static gboolean
 record_newest_heartbeat(const MmMachineTable *machine_table, MmMachine *machine,
                         const MmHeartbeat *heartbeat, MmTime received_at) {
@@ -172,7 +174,7 @@
   return TRUE;
 }
 
-/* Replaces what is known of the machine by what its newest message shows. */
+/* Replaces the state of the machine by that in its newest message. */
 static void
 apply_message(MmMachineTable *machine_table, MmMachine *machine, const MmHeartbeat *heartbeat,
               MmTime received_at, gint serving_node) {
@@ -219,7 +221,8 @@
                                  MmTime responded_at) {
   MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
-  /* A machine unknown here counts as just answered should it come back. */
+  /* For an unknown machine nothing needs to be recorded: a machine that is added later is assumed
+   * to have been answered at that time. */
   if (machine != NULL)
     mm_machine_health_record_response(machine_table, machine, responded_at);
 }
--- a/src/machines/machine-table-leases.c
+++ b/src/machines/machine-table-leases.c
@@ -1,20 +1,22 @@
-/* Where a machine's lease expires, and what is remembered of incarnations that are over. */
+/* Expiry of machine leases, and the record of ended incarnations. */
 #include "machines/machine-table-private.h"
 
 #include "kv/replica.h"
 #include "peers/peer-links.h"
 
-/* Each scan visits every machine. */
+/* Interval between scans for expired leases. Each scan visits every machine. */
 #define MACHINE_SCAN_INTERVAL_MS 150
-#define CLOCK_DRIFT 0.002 /* between a worker's clock and this node's, as a fraction */
+/* Maximum drift between a worker's clock and this node's, as a fraction. */
+#define CLOCK_DRIFT 0.002
 #define LEASE_EXPIRY_MARGIN_MS 250
-/* Bound on the ended incarnations remembered: so many per known machine, and at least a minimum. */
+/* Maximum number of ended incarnations remembered: this many per known machine, but at least
+ * ENDED_INCARNATIONS_MIN. */
 #define ENDED_INCARNATIONS_PER_MACHINE 2
 #define ENDED_INCARNATIONS_MIN 4096
-/* As newest ended incarnation: the machine is terminated and never comes back. */
+/* Stored as the newest ended incarnation of a terminated machine, which never returns. */
 #define EVERY_INCARNATION G_MAXUINT64
 
-/* ---- ended incarnations ---- */
+/* Ended incarnations */
 
 gboolean
 mm_machine_table_incarnation_has_ended(const MmMachineTable *machine_table, const char *machine_id,
@@ -24,7 +26,8 @@
   return newest_ended != NULL && incarnation <= *newest_ended;
 }
 
-/* A late copy of a heartbeat would otherwise bring the machine back once its entry here is gone. */
+/* Without this record, a late copy of a heartbeat would add the machine again after its table entry
+ * has been removed. */
 void
 mm_machine_table_remember_ended_incarnation(MmMachineTable *machine_table,
                                             const MmMachine *machine) {
@@ -43,7 +46,7 @@
   }
 }
 
-/* ---- expiry ---- */
+/* Lease expiry */
 
 static void
 end_lease(MmMachineTable *machine_table, MmMachine *machine) {
@@ -64,8 +67,10 @@
   end_lease(machine_table, machine);
 }
 
-/* A lease has certainly expired when no node can have answered the machine 200 for a whole lease:
- * counted up to the instant until which this node knows of all responses of all nodes. */
+/* Ends the leases that have certainly expired. A lease has expired if no node can have answered the
+ * machine with status 200 for a full lease period, up to the time until which this node knows all
+ * responses of all nodes. A node whose own lease has ended may have answered the machine until
+ * then, so the period starts no earlier than that. */
 static void
 expire_leases(MmMachineTable *machine_table) {
   MmNode *node = machine_table->node;
@@ -80,7 +85,7 @@
     if (machine->lease_has_expired
         || mm_time_ms_since(responses_known_until, last_possible_response_at) < lease_ms)
       continue;
-    mm_info("machine %s is lost: its lease has expired", machine->id.s);
+    mm_info("machine %s is considered lost: its lease has expired", machine->id.s);
     end_lease(machine_table, machine);
   }
 }
--- a/src/machines/machine-table-private.h
+++ b/src/machines/machine-table-private.h
@@ -1,19 +1,24 @@
-/* What the sources of the machine table share: machine-table.c (entries and registration),
- * machine-table-heartbeats.c, and machine-table-leases.c (expiry, ended incarnations). */
+/* Functions shared by machine-table.c (entries and registration), machine-table-heartbeats.c, and
+ * machine-table-leases.c (lease expiry, ended incarnations). */
 #pragma once
 
 #include "machines/machine-table.h"
 
-/* Lent. A new entry counts as just answered. */
+/* Returns the machine, borrowed, and adds it if it is unknown. An added machine is assumed to have
+ * been answered just now. */
 MmMachine *mm_machine_table_find_or_add(MmMachineTable *machine_table, const char *machine_id);
-/* Replaces the machine's reported tasks. `tasks`: MmReportedTask, copied; NULL: none. */
+/* Replaces the machine's reported tasks by a copy of `tasks` (elements: MmReportedTask; NULL:
+ * none). */
 void mm_machine_table_set_reported_tasks(MmMachineTable *machine_table, MmMachine *machine,
                                          const GArray *tasks);
-/* Tells scheduler and sharing that nothing of the machine's incarnation runs any more. */
+/* Notifies the observers that nothing started in the machine's incarnation is still running. */
 void mm_machine_table_notify_machine_ended(const MmMachineTable *machine_table, MmMachine *machine);
 
-/* Whether the incarnation is known to be over; holds also after the machine's entry is freed. */
+/* Returns whether the incarnation is known to have ended. Remains valid after the machine's table
+ * entry has been freed. */
 gboolean mm_machine_table_incarnation_has_ended(const MmMachineTable *machine_table,
                                                 const char *machine_id, guint64 incarnation);
+/* Records that the machine's newest incarnation has ended, or that all have if the machine is
+ * terminated. */
 void mm_machine_table_remember_ended_incarnation(MmMachineTable *machine_table,
                                                  const MmMachine *machine);
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -59,7 +59,8 @@
     ((MmMachine *)g_ptr_array_index(machine_table->sorted_machines, i))->sorted_index = i;
 }
 
-/* Sorted by id, which the cloud gives out in ascending order: new machines mostly come last. */
+/* Inserts the machine in the order of ids. The cloud assigns ids in ascending order, so new
+ * machines are mostly inserted at the end. */
 static void
 insert_sorted(MmMachineTable *machine_table, MmMachine *machine) {
   guint position = machine_table->sorted_machines->len;
@@ -75,7 +76,7 @@
   renumber_from(machine_table, position);
 }
 
-/* ---- reported tasks ---- */
+/* Reported tasks */
 
 static void
 adjust_running_tasks(MmMachineTable *machine_table, const MmMachine *machine, gint delta) {
@@ -110,7 +111,7 @@
   return GPOINTER_TO_UINT(g_hash_table_lookup(machine_table->running_tasks_by_job, job_id));
 }
 
-/* ---- entries ---- */
+/* Table entries */
 
 MmMachine *
 mm_machine_table_find_or_add(MmMachineTable *machine_table, const char *machine_id) {
@@ -127,7 +128,7 @@
   machine->placed_tasks = g_ptr_array_new_with_free_func(g_free);
   machine->serving_node = MM_SERVING_NODE_NONE;
   machine->group = mm_group_of_machine(machine_id, machine_table->node->sharing->n_groups);
-  /* Its past is unknown: it may have been answered a moment ago. */
+  /* The machine's history is unknown, and it may have been answered just now. */
   machine->last_possible_response_at = mm_node_now(machine_table->node);
   machine->idle_since = machine->last_seen_at = machine->last_possible_response_at;
   machine->steady_responses_since = machine->last_possible_response_at;
@@ -162,8 +163,8 @@
 mm_machine_table_record_registration(MmMachineTable *machine_table, const MmRegistryEntry *entry) {
   MmMachine *machine = mm_machine_table_find_or_add(machine_table, entry->machine_id.s);
 
-  /* Another node has seen a newer incarnation than is known here: it may run tasks, also if the
-   * lease of the previous one has expired. */
+  /* Another node has seen an incarnation newer than any known here. That incarnation may run tasks
+   * even if the lease of the previous one has expired. */
   if (!machine->is_terminated && entry->incarnation > mm_machine_newest_incarnation(machine)) {
     machine->lease_has_expired = FALSE;
     mm_machine_health_begin_incarnation(machine, mm_node_now(machine_table->node));
@@ -188,8 +189,9 @@
   machine->is_in_registry = FALSE;
   if (machine->has_reported && !machine->is_terminated
       && machine->latest_message_id.incarnation > machine->registered_incarnation)
-    /* It is back with a new incarnation, in which nothing has been started: that would need a
-     * registration of its own. What was placed on it belongs to the old incarnation. */
+    /* The machine has reported a new incarnation. Nothing has been started in it, because that
+     * requires the new incarnation to be registered. All tasks placed on the machine belong to the
+     * old incarnation. */
     mm_machine_table_notify_machine_ended(machine_table, machine);
   else
     mm_machine_table_remove(machine_table, machine);
--- a/src/machines/machine.c
+++ b/src/machines/machine.c
@@ -3,9 +3,10 @@
 #include "machines/machine-health.h"
 #include "machines/machine-table.h"
 
+/* Maximum number of commands queued for a machine; further ones are dropped. */
 #define QUEUED_COMMANDS_MAX 256
 
-/* ---- image cache ---- */
+/* Image cache */
 
 void
 mm_machine_record_image(MmMachine *machine, MmTime now, const MmName *image, double image_gb) {
@@ -68,8 +69,8 @@
              machine->registered_incarnation);
 }
 
-/* An incarnation whose lease has certainly expired is over: such a message was delayed on its way,
- * and the tasks it shows have stopped. */
+/* If the incarnation's lease has certainly expired, the message was delayed in transit and the
+ * tasks that it reports have stopped. */
 gboolean
 mm_machine_lease_has_ended(const MmMachine *machine, MmHeartbeatId heartbeat_id) {
   return machine->is_terminated
--- a/src/machines/machine.h
+++ b/src/machines/machine.h
@@ -1,11 +1,12 @@
-/* One machine as its newest heartbeats, the registry and this node's own decisions show it.
+/* State of one machine, derived from its newest heartbeats, the registry and the decisions of this
+ * node.
  *
- * Every node keeps an MmMachine for every machine, whichever node its heartbeats reach. The machine
- * table (machine-table.h) owns them; the pointers that others keep end with
- * mm_scheduler_machine_gone() and mm_sharing_machine_gone().
+ * Every node keeps an MmMachine for every machine, regardless of which node receives the machine's
+ * heartbeats. The machine table (machine-table.h) owns them. Other modules must drop their pointers
+ * to a machine in mm_scheduler_machine_gone() and mm_sharing_machine_gone().
  *
- * Invariants: `latest_heartbeat_id` and `latest_message_id` never go back; while
- * `lease_has_expired` or `is_terminated` is set, the machine shows no task. */
+ * Invariants: `latest_heartbeat_id` and `latest_message_id` never decrease. While
+ * `lease_has_expired` or `is_terminated` is set, the machine has no reported tasks. */
 #pragma once
 
 #include "heartbeat/heartbeat.h"
@@ -24,113 +25,119 @@
   guint number;
 } MmTaskRef;
 
-/* A task of a job whose shard this node leads, on a machine where it runs or may run. */
+/* A task of a job whose shard this node leads, placed on a machine where it runs or may run. */
 typedef struct {
-  MmJob *job; /* lent */
+  MmJob *job; /* borrowed */
   guint number;
 } MmPlacedTask;
 
-/* As MmMachine.available_generation: the available resources are to be computed anew. */
+/* Value of MmMachine.available_generation that forces the available resources to be recomputed. */
 #define MM_GENERATION_NONE 0
 
-/* The node that serves a machine: the index of a peer, or one of these. */
+/* Values of MmMachine.serving_node other than the index of a peer. */
 enum {
-  MM_SERVING_NODE_NONE = -2, /* no heartbeat to any node is known, at most direct replies */
+  MM_SERVING_NODE_NONE = -2, /* no heartbeat to any node is known, only direct replies */
   MM_SERVING_NODE_SELF = -1,
 };
 
 struct MmMachine {
-  /* Identity. Written by the machine table. */
+  /* Identity; written by the machine table */
   MmName id;
   char addr[64];
   MmName type_name;
-  const MmInstanceType *type; /* lent; NULL while the cloud's types are not known */
+  const MmInstanceType *type; /* borrowed; NULL while the cloud's instance types are unknown */
   MmName zone;
   gboolean is_spot;
-  guint sorted_index; /* position in MmMachineTable.sorted_machines */
-  guint group;        /* the machine group that it belongs to for good */
+  guint sorted_index; /* index in MmMachineTable.sorted_machines */
+  guint group;        /* the machine group, which never changes */
 
-  /* Its heartbeats and the registry. Written by the machine table; the autoscaler also writes
-   * `last_seen_at`, at a reply to its probe. */
-  gboolean has_reported;             /* else it is known from the registry only, or unverified */
+  /* Heartbeats and registration; written by the machine table. The autoscaler also writes
+   * `last_seen_at` when the machine replies to a probe. */
+  gboolean has_reported; /* otherwise known only from the registry or an unverified heartbeat */
   MmHeartbeatId latest_message_id;   /* of the newest heartbeat or direct reply */
-  MmHeartbeatId latest_heartbeat_id; /* of the newest heartbeat that reached a node */
-  MmTerm acknowledged_term;          /* the fencing token in the newest message */
-  gint serving_node;                 /* that received the newest heartbeat: see above */
-  MmTime last_seen_at;               /* newest message of any kind */
-  MmTime last_heartbeat_at;          /* newest heartbeat that reached a node */
-  gboolean has_termination_notice;   /* the cloud has announced that it takes the machine back */
-  MmTime termination_at;             /* when it may do so; set with the notice */
-  gboolean is_in_registry;           /* as the replica shows */
-  guint64 registered_incarnation;    /* starts need a registration of the incarnation itself */
-  gboolean lease_has_expired;        /* for certain: its tasks may run elsewhere */
-  gboolean is_terminated;            /* the cloud has said so; final */
-  GArray *reported_tasks;            /* MmReportedTask of the newest message */
-  gboolean has_live_task;            /* a reported task has not ended */
-  MmTime idle_since;           /* when it last showed a live task, else when it was first known */
+  MmHeartbeatId latest_heartbeat_id; /* of the newest heartbeat that reached any node */
+  MmTerm acknowledged_term;          /* fencing token of the newest message */
+  gint serving_node;                 /* node that received the newest heartbeat */
+  MmTime last_seen_at;               /* time of the newest message of any kind */
+  MmTime last_heartbeat_at;          /* time of the newest heartbeat that reached any node */
+  gboolean has_termination_notice;   /* the cloud has announced that it will reclaim the machine */
+  MmTime termination_at;             /* earliest time of that; valid with has_termination_notice */
+  gboolean is_in_registry;           /* according to the replica */
+  guint64 registered_incarnation;    /* starts require that the current incarnation is registered */
+  gboolean lease_has_expired;  /* certainly expired: the machine's tasks may be started elsewhere */
+  gboolean is_terminated;      /* reported by the cloud; final */
+  GArray *reported_tasks;      /* elements: MmReportedTask of the newest message */
+  gboolean has_live_task;      /* some reported task has not ended */
+  MmTime idle_since;           /* when it last had a live task, or when it was first known */
   gboolean has_unsent_changes; /* not yet sent to the peers; cleared by peer-broadcast */
 
-  /* Derived by machine.c. The scheduler resets `available_generation` as it moves tasks. */
-  GArray *cached_images;           /* MmCachedImage; inferred from tasks, a hint only */
-  MmResources available_resources; /* as last computed, */
-  guint64 available_generation;    /* at this generation of the job table, or MM_GENERATION_NONE */
+  /* Derived by machine.c. The scheduler resets `available_generation` when it moves tasks. */
+  GArray *cached_images;           /* elements: MmCachedImage; inferred from tasks, only a hint */
+  MmResources available_resources; /* cached result of mm_machine_available_resources() */
+  guint64 available_generation;    /* job table generation of that result, or MM_GENERATION_NONE */
 
-  /* Health. Written by machine-health; the machine table sets both response times of a new entry,
-   * the scheduler resets `consecutive_refused_starts` as a start is carried out. */
-  MmTime unacknowledged_since;      /* first response whose term is unacknowledged; 0: none */
-  guint unacknowledged_responses;   /* how many such responses */
-  MmTime last_possible_response_at; /* latest instant at which a node may have answered it 200, as
-                                       far as this node knows: its lease counts from here */
-  MmTime steady_responses_since;    /* since then a response at least every half lease */
-  MmTime last_own_response_at;      /* newest response by this node */
-  guint responses_in_incarnation;   /* how many since the incarnation began */
-  guint consecutive_refused_starts; /* starts sent to it and not carried out */
-  guint consecutive_lost_leases;    /* each lost while its heartbeats were being answered */
-  guint consecutive_failed_jobs;    /* jobs with errors here, with no success between them */
+  /* Health; written by machine-health. The machine table sets `last_possible_response_at` and
+   * `steady_responses_since` of a new entry. The scheduler resets `consecutive_refused_starts` when
+   * a start is executed. */
+  MmTime unacknowledged_since; /* time of the first response with an unacknowledged term; 0: none */
+  guint unacknowledged_responses; /* number of responses with an unacknowledged term */
+  /* Latest time at which a node may have answered the machine with status 200, as far as this node
+   * knows. The machine's lease is counted from here. */
+  MmTime last_possible_response_at;
+  /* Since this time, the machine has been answered at least once every half lease period. */
+  MmTime steady_responses_since;
+  MmTime last_own_response_at;      /* time of the newest response by this node */
+  guint responses_in_incarnation;   /* number of responses since the incarnation began */
+  guint consecutive_refused_starts; /* starts sent to the machine but not executed */
+  guint consecutive_lost_leases;    /* leases lost although heartbeats were being answered */
+  guint consecutive_failed_jobs;    /* jobs with errors here, without a success between them */
   MmName last_failed_job;
-  MmTime quarantined_until; /* it gets no work before */
+  MmTime quarantined_until; /* the machine gets no work before this time */
 
-  /* Written by the scheduler, about jobs of the shards this node leads. */
-  gboolean needs_task_review;          /* the same reported tasks must be applied again */
-  GPtrArray *placed_tasks;             /* MmPlacedTask, owned: tasks that are or may be on it */
-  GArray *kept_list;                   /* MmTaskRef: tasks to try first at its next start request */
-  MmResources reserved_resources;      /* free or being freed, reserved for urgent work */
-  MmTime reserved_until;               /* when the reservation ends */
-  MmTime acknowledgement_requested_at; /* newest direct command that asks for the term */
-  MmTime full_until;                   /* it refused a start for lack of resources */
+  /* Written by the scheduler; about jobs of the shards that this node leads */
+  gboolean needs_task_review; /* apply the reported tasks again even if unchanged */
+  GPtrArray *placed_tasks;    /* elements: MmPlacedTask, owned; tasks that run or may run on it */
+  GArray *kept_list;          /* elements: MmTaskRef; tasks tried first at the next start request */
+  MmResources reserved_resources;      /* free or being freed; reserved for urgent work */
+  MmTime reserved_until;               /* end of the reservation */
+  MmTime acknowledgement_requested_at; /* when a direct command last asked for the term */
+  MmTime full_until; /* no starts before this time: it refused one for lack of resources */
 
-  /* Written by the autoscaler. */
+  /* Written by the autoscaler */
   gboolean is_being_terminated;
-  MmTime last_probed_at;   /* newest direct request for a sign of life, */
-  guint unanswered_probes; /* and how many since the last reply */
+  MmTime last_probed_at;   /* when a direct request last asked the machine for a reply */
+  guint unanswered_probes; /* number of such requests since the last reply */
 
-  /* Written by sharing. */
-  MmTime last_redirected_at; /* when its worker was last sent to its group's owner */
+  /* Written by sharing */
+  MmTime last_redirected_at; /* when the worker was last redirected to the owner of its group */
 
-  /* Appended to by mm_machine_queue_command(), emptied by pending-response. */
-  GArray *queued_commands;    /* MmCommand for the next response, */
-  guint64 queued_incarnation; /* for this incarnation only */
+  /* Filled by mm_machine_queue_command(), emptied by pending-response */
+  GArray *queued_commands;    /* elements: MmCommand for the next heartbeat response */
+  guint64 queued_incarnation; /* incarnation for which the commands are valid */
 };
 
-/* Resources free beside everything reported and everything placed by the shards led here. Zero
- * while the type is unknown, or a task on it belongs to a job that is unknown here. Cached by the
- * job table's generation. */
+/* Returns the resources that are used neither by reported tasks nor by tasks that this node has
+ * placed as shard leader. Returns zero while the machine's type is unknown or a reported task
+ * belongs to an unknown job. The result is cached for the current generation of the job table. */
 MmResources mm_machine_available_resources(const MmMachineTable *machine_table, MmMachine *machine);
-/* The task as the newest message shows it, or NULL. Lent until the next message. */
+/* Returns the task as reported in the newest message, or NULL. Borrowed; valid until the next
+ * message is applied. */
 const MmReportedTask *mm_machine_find_reported_task(const MmMachine *machine, const MmName *job_id,
                                                     guint number, MmAttempt attempt);
-/* The machine has this image now; the least recently used ones make space for it. */
+/* Records that the machine has this image now. If the cache exceeds the size of its machine type,
+ * the least recently used images are removed. */
 void mm_machine_record_image(MmMachine *machine, MmTime now, const MmName *image, double image_gb);
 gboolean mm_machine_has_cached_image(const MmMachine *machine, const MmName *image);
-/* Whether its incarnation is in the registry: only then it may be given starts. */
+/* Returns whether the machine's incarnation is in the registry. Only then may the machine be given
+ * starts. */
 gboolean mm_machine_has_registered_incarnation(const MmMachine *machine);
-/* The newest incarnation that is known from a message or the registry. */
+/* Returns the newest incarnation known from a message or the registry. */
 guint64 mm_machine_newest_incarnation(const MmMachine *machine);
-/* Whether the message is of an incarnation whose lease has certainly expired, or of a terminated
- * machine. */
+/* Returns whether the message belongs to an incarnation whose lease has certainly expired, or to a
+ * terminated machine. */
 gboolean mm_machine_lease_has_ended(const MmMachine *machine, MmHeartbeatId heartbeat_id);
-/* Whether the machine may be given work at all. */
+/* Returns whether the machine may be given work at all. */
 gboolean mm_machine_is_usable(const MmMachineTable *machine_table, const MmMachine *machine);
-/* Adds a command to the next response to a heartbeat of this incarnation, in place of an earlier
- * one of the same kind for the same attempt. Commands of other incarnations are dropped. */
+/* Queues a command for the next response to a heartbeat of this incarnation. Replaces a queued
+ * command of the same kind for the same attempt. Drops queued commands of other incarnations. */
 void mm_machine_queue_command(MmMachine *machine, guint64 incarnation, const MmCommand *command);
--- a/src/machines/registry-entering.c
+++ b/src/machines/registry-entering.c
@@ -1,4 +1,4 @@
-/* Enters machines in the registry. */
+/* Registers machines in the registry. */
 #include "machines/registry.h"
 
 #include "kv/kv-client.h"
@@ -6,13 +6,14 @@
 #include "machines/machine-health.h"
 #include "sharing/sharing.h"
 
+/* Minimum time between two transactions that register machines. */
 #define WRITE_INTERVAL_MS 250
 
 static void
 registrations_written(gpointer data, int status, json_t *body) {
   MmRegistry *registry = data;
 
-  /* The replica shows which machines are entered; those it does not show are tried again. */
+  /* The replica shows which machines were registered. The others are tried again. */
   registry->is_writing = FALSE;
   registry->next_write_at = mm_time_add_ms(mm_node_now(registry->node), WRITE_INTERVAL_MS);
 }
@@ -33,7 +34,8 @@
   return unregistered;
 }
 
-/* Appends the pack's entries without those that a newer incarnation replaces, here or elsewhere. */
+/* Appends the entries of the pack, except those replaced by a newer incarnation that is registered
+ * in another pack or about to be registered. */
 static void
 append_current_entries(const MmRegistry *registry, const MmRegistryPack *pack,
                        GPtrArray *unregistered, GArray *entries) {
@@ -61,8 +63,9 @@
   return entry;
 }
 
-/* What to write as the pack (NULL: a new one): its current entries and as many of `unregistered` as
- * fit, which are removed from its end. */
+/* Returns the entries to write to the pack (NULL: a new pack), owned by the caller: its current
+ * entries and as many machines from `unregistered` as fit. These are removed from the end of
+ * `unregistered`. */
 static GArray *
 fill_pack(const MmRegistry *registry, const MmRegistryPack *pack, GPtrArray *unregistered) {
   GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
--- a/src/machines/registry-pack.h
+++ b/src/machines/registry-pack.h
@@ -1,7 +1,7 @@
-/* A pack of the registry: the value of one key, with the entries of several machines, and its
- * codec.
+/* A pack of the registry, which is the value of one key and contains the entries of several
+ * machines, and the codec for packs.
  *
- * An entry says that the incarnation of a machine may run tasks, and what the machine is. */
+ * An entry permits one incarnation of a machine to run tasks and describes the machine. */
 #pragma once
 
 #include "node/node.h"
@@ -17,20 +17,21 @@
 
 typedef struct {
   MmKeyVersion version;
-  GArray *entries; /* MmRegistryEntry, owned */
+  GArray *entries; /* elements: MmRegistryEntry, owned */
 } MmRegistryPack;
 
 void mm_registry_pack_free(MmRegistryPack *pack);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmRegistryPack, mm_registry_pack_free)
 
-/* `entries` are of MmRegistryEntry throughout. A new reference. */
+/* Returns the entries (elements: MmRegistryEntry) as JSON, as a new reference. */
 json_t *mm_registry_entries_to_json(const GArray *entries);
-/* Skips entries without a machine id. `value` is lent; the array is owned by the caller. */
+/* Returns the decoded entries (elements: MmRegistryEntry), owned by the caller. Skips entries
+ * without a machine id. `value` is borrowed. */
 GArray *mm_registry_entries_from_json(const json_t *value);
-/* The entry of the machine, lent, or NULL. */
+/* Returns the entry of the machine, borrowed, or NULL. */
 const MmRegistryEntry *mm_registry_entries_find(const GArray *entries, const char *machine_id);
-/* An upper bound of the encoded size. */
+/* Returns an upper bound on the encoded size. */
 gsize mm_registry_entry_bytes(const MmRegistryEntry *entry);
 gsize mm_registry_entries_bytes(const GArray *entries);
-/* How many bytes the entries of one pack may take. */
+/* Returns the maximum total size in bytes of the entries in one pack. */
 gsize mm_registry_pack_limit_bytes(const MmKvClient *kv);
--- a/src/machines/registry-removal.c
+++ b/src/machines/registry-removal.c
@@ -1,18 +1,21 @@
-/* Removes ended incarnations from the registry, and splits packs that exceed the present limits. */
+/* Removes ended incarnations from the registry, and splits packs that exceed the current size
+ * limit. */
 #include "machines/registry.h"
 
 #include "base/wire.h"
 #include "kv/kv-client.h"
 
-/* Bound on the conditions of a transaction, in multiples of the bound on its operations. */
-#define GUARDS_PER_OPERATION 4
+/* Maximum number of conditions of a transaction, as a multiple of the maximum number of
+ * operations. */
+#define CONDITIONS_PER_OPERATION 4
 
 static void
 removals_written(gpointer data, int status, json_t *body) {
   ((MmRegistry *)data)->is_removing = FALSE;
 }
 
-/* A machine has one incarnation at a time: a message of a newer one ends the older. */
+/* Returns whether the entry's incarnation has ended. A machine has one incarnation at a time, so a
+ * message from a newer incarnation proves that all older ones have ended. */
 static gboolean
 entry_has_ended(const MmMachine *machine, const MmRegistryEntry *entry) {
   if (machine->is_terminated
@@ -23,7 +26,8 @@
              || entry->incarnation == machine->latest_message_id.incarnation);
 }
 
-/* The name of another pack with the same incarnation of the machine, or NULL; lent. */
+/* Returns the name of another pack that contains the same incarnation of the machine, borrowed, or
+ * NULL. Sets `version` to the version of that pack. */
 static const char *
 find_copy_in_other_pack(const MmRegistry *registry, const MmRegistryPack *excluded_pack,
                         const MmRegistryEntry *entry, MmKeyVersion *version) {
@@ -45,24 +49,24 @@
 }
 
 static gboolean
-pack_is_guarded(const MmTransaction *transaction, const char *pack_name) {
+has_version_condition(const MmTransaction *transaction, const char *pack_name) {
   g_autofree char *key = g_strconcat(MM_KEY_REGISTRY_PACK, pack_name, NULL);
   size_t i;
-  json_t *guard;
+  json_t *condition;
 
-  json_array_foreach(transaction->conditions, i, guard) {
-    if (g_strcmp0(mm_json_string(guard, WIRE_KEY), key) == 0)
+  json_array_foreach(transaction->conditions, i, condition) {
+    if (g_strcmp0(mm_json_string(condition, WIRE_KEY), key) == 0)
       return TRUE;
   }
   return FALSE;
 }
 
-/* The entries that stay in the pack: without the incarnations that are over and, in a pack written
- * under larger limits, without those that have been copied to another pack. `guards` then gets a
- * condition that the other pack stays unchanged until this one is written: of two copies one has to
- * remain. */
+/* Returns the entries that remain in the pack, owned by the caller. Ended incarnations are left
+ * out. If the pack was written under a larger size limit, entries that have been copied to another
+ * pack are left out too. In that case a condition is added to `copy_conditions` that the other pack
+ * has not changed when this one is written, so that at least one of the two copies remains. */
 static GArray *
-entries_to_keep(MmRegistry *registry, const MmRegistryPack *pack, MmTransaction *guards) {
+entries_to_keep(MmRegistry *registry, const MmRegistryPack *pack, MmTransaction *copy_conditions) {
   GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
   gboolean too_large
       = mm_registry_entries_bytes(pack->entries) > mm_registry_pack_limit_bytes(registry->node->kv);
@@ -79,8 +83,8 @@
       copied_to = find_copy_in_other_pack(registry, pack, entry, &version);
     if (copied_to == NULL)
       g_array_append_val(remaining, *entry);
-    else if (!pack_is_guarded(guards, copied_to))
-      mm_transaction_require_version(guards, MM_KEY_REGISTRY_PACK, copied_to, version);
+    else if (!has_version_condition(copy_conditions, copied_to))
+      mm_transaction_require_version(copy_conditions, MM_KEY_REGISTRY_PACK, copied_to, version);
   }
   return remaining;
 }
@@ -94,8 +98,9 @@
   }
 }
 
-/* Copies the last entries, which exceed the pack's present limit, to a new pack. They leave this
- * one once the replica shows the copies: no reader ever finds a machine in neither. */
+/* Copies entries from the end of the pack, which exceeds the current size limit, to a new pack.
+ * They are removed from the old pack only after the replica contains the copies, so that every
+ * reader finds each machine in at least one pack. */
 static void
 copy_overflow(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
               const GArray *remaining, MmTransaction *transaction) {
@@ -130,30 +135,32 @@
     mm_transaction_delete(transaction, MM_KEY_REGISTRY_PACK, pack_name);
 }
 
-/* A pack whose removal needs conditions on other packs, or a copy, gets a transaction of its own.
- */
+/* Adds the removal of ended entries from the pack to the transaction. If the removal needs
+ * conditions on other packs, or entries must be copied, it is added only to an empty
+ * transaction. */
 static void
 remove_ended_entries(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
                      MmTransaction *transaction) {
-  MmTransaction guards = mm_transaction_begin();
-  g_autoptr(GArray) remaining = entries_to_keep(registry, pack, &guards);
-  guint guards_limit = GUARDS_PER_OPERATION * mm_kv_client_max_operations(registry->node->kv);
+  MmTransaction copy_conditions = mm_transaction_begin();
+  g_autoptr(GArray) remaining = entries_to_keep(registry, pack, &copy_conditions);
+  guint conditions_limit
+      = CONDITIONS_PER_OPERATION * mm_kv_client_max_operations(registry->node->kv);
   gboolean too_large
       = mm_registry_entries_bytes(remaining) > mm_registry_pack_limit_bytes(registry->node->kv);
-  gboolean needs_own_transaction = too_large || json_array_size(guards.conditions) > 0;
+  gboolean needs_own_transaction = too_large || json_array_size(copy_conditions.conditions) > 0;
 
   if (remaining->len < pack->entries->len
       && !(needs_own_transaction && transaction->n_operations > 0)
-      && json_array_size(guards.conditions) < guards_limit
+      && json_array_size(copy_conditions.conditions) < conditions_limit
       && mm_kv_client_try_spend_writes(registry->node->kv, 1)) {
-    json_array_extend(transaction->conditions, guards.conditions);
+    json_array_extend(transaction->conditions, copy_conditions.conditions);
     if (too_large)
       copy_overflow(registry, pack_name, pack, remaining, transaction);
     else
       write_remaining(pack_name, pack, remaining, transaction);
   }
-  json_decref(guards.conditions);
-  json_decref(guards.operations);
+  json_decref(copy_conditions.conditions);
+  json_decref(copy_conditions.operations);
 }
 
 void
--- a/src/machines/registry.c
+++ b/src/machines/registry.c
@@ -16,7 +16,7 @@
   g_free(registry);
 }
 
-/* The entry of the machine's newest registered incarnation, or NULL. */
+/* Returns the entry of the newest registered incarnation of the machine, or NULL. */
 static const MmRegistryEntry *
 find_newest_entry(const MmRegistry *registry, const char *machine_id) {
   const MmRegistryEntry *newest_entry = NULL;
@@ -33,7 +33,7 @@
   return newest_entry;
 }
 
-/* Handles the entries that a pack no longer has. */
+/* Updates the machine table for entries that are no longer in a pack. */
 static void
 process_removed_entries(MmRegistry *registry, const GArray *previous, const GArray *current) {
   for (guint i = 0; i < previous->len; i++) {
