--- a/src/peers/peer-broadcast.c
+++ b/src/peers/peer-broadcast.c
@@ -2,18 +2,20 @@
 
 #include "kv/replica.h"
 
-/* Of heartbeats that show nothing new, so many in one frame. */
-#define REPEAT_HEARTBEATS_MAX 1024
+/* Maximum number of heartbeats without changes, and of unverified machines, in one frame. A batch
+ * that reaches it is sent without waiting for its interval. */
+#define REPEAT_HEARTBEATS_PER_FRAME_MAX 1024
 
 static void
-send_to_all(MmPeerLinks *links, Mm__Frame *frame) {
+broadcast_frame(MmPeerLinks *links, Mm__Frame *frame) {
   for (guint i = 0; i < links->n_peers; i++)
     mm_peer_links_send(links, i, frame);
 }
 
 typedef enum { HEARTBEAT_ANSWERED, HEARTBEAT_UNANSWERED, HEARTBEAT_DIRECT } HeartbeatKind;
 
-/* The machine's reported tasks as a frame has them. Free with g_free; the strings are lent. */
+/* Returns the machine's reported tasks as protobuf messages. Free with g_free; the strings are
+ * borrowed from the machine. */
 static Mm__TaskState *
 new_task_states(const MmMachine *machine) {
   guint n_tasks = machine->reported_tasks->len;
@@ -32,7 +34,7 @@
   return states;
 }
 
-/* Fills all but the tasks. The strings are lent from the machine. */
+/* Fills all fields except the tasks. The strings are borrowed from the machine. */
 static void
 fill_heartbeat(const MmPeerLinks *links, const MmMachine *machine, HeartbeatKind kind,
                Mm__Heartbeat *heartbeat) {
@@ -84,10 +86,10 @@
   g_autofree char **machines = g_new(char *, MAX(n, 1));
   g_autofree guint64 *incarnations = g_new(guint64, MAX(n, 1));
   g_autofree guint64 *sequences = g_new(guint64, MAX(n, 1));
-  g_autofree char **unverified = g_new(char *, MAX(links->unverified->len, 1));
+  g_autofree char **unverified = g_new(char *, MAX(links->unverified_machines->len, 1));
 
-  links->repeats_sent_at = mm_node_now(links->node);
-  if (n == 0 && links->unverified->len == 0)
+  links->repeat_heartbeats_sent_at = mm_node_now(links->node);
+  if (n == 0 && links->unverified_machines->len == 0)
     return;
   for (guint i = 0; i < n; i++) {
     MmRepeatHeartbeat *repeat = &g_array_index(links->repeat_heartbeats, MmRepeatHeartbeat, i);
@@ -95,10 +97,10 @@
     incarnations[i] = repeat->heartbeat_id.incarnation;
     sequences[i] = repeat->heartbeat_id.sequence;
   }
-  for (guint i = 0; i < links->unverified->len; i++)
-    unverified[i] = g_array_index(links->unverified, MmName, i).s;
+  for (guint i = 0; i < links->unverified_machines->len; i++)
+    unverified[i] = g_array_index(links->unverified_machines, MmName, i).s;
   repeats.unverified = unverified;
-  repeats.n_unverified = links->unverified->len;
+  repeats.n_unverified = links->unverified_machines->len;
   repeats.term = links->node->replica->term.v;
   repeats.machines = machines;
   repeats.incarnations = incarnations;
@@ -106,15 +108,15 @@
   repeats.n_machines = repeats.n_incarnations = repeats.n_sequences = n;
   frame.body_case = MM__FRAME__BODY_REPEAT_HEARTBEATS;
   frame.repeat_heartbeats = &repeats;
-  send_to_all(links, &frame);
+  broadcast_frame(links, &frame);
   g_array_set_size(links->repeat_heartbeats, 0);
-  g_array_set_size(links->unverified, 0);
+  g_array_set_size(links->unverified_machines, 0);
 }
 
 void
 mm_peer_broadcast_unverified(MmPeerLinks *links, const MmName *machine) {
-  g_array_append_val(links->unverified, *machine);
-  if (links->unverified->len >= REPEAT_HEARTBEATS_MAX)
+  g_array_append_val(links->unverified_machines, *machine);
+  if (links->unverified_machines->len >= REPEAT_HEARTBEATS_PER_FRAME_MAX)
     mm_peer_broadcast_repeat_heartbeats(links);
 }
 
@@ -130,7 +132,7 @@
   if (!machine->has_unsent_changes && is_answered) {
     MmRepeatHeartbeat repeat = { machine->id, machine->latest_message_id };
     g_array_append_val(links->repeat_heartbeats, repeat);
-    if (links->repeat_heartbeats->len >= REPEAT_HEARTBEATS_MAX)
+    if (links->repeat_heartbeats->len >= REPEAT_HEARTBEATS_PER_FRAME_MAX)
       mm_peer_broadcast_repeat_heartbeats(links);
     return;
   }
@@ -179,7 +181,7 @@
   gone.machine = (char *)machine;
   frame.body_case = MM__FRAME__BODY_MACHINE_GONE;
   frame.machine_gone = &gone;
-  send_to_all(links, &frame);
+  broadcast_frame(links, &frame);
 }
 
 void
@@ -209,26 +211,29 @@
   mm_peer_links_send(links, peer, &frame);
 }
 
-/* Whether the newest of the machine came by a direct reply that overtook its newest heartbeat. Sent
- * as a heartbeat, it would deny starts that are still in the response to that one, and their tasks
- * would run twice (day 29 of tests/test-world). */
+/* Returns whether the machine's newest message is a direct reply, sent after its newest heartbeat.
+ * If a peer took that message for a heartbeat, it would conclude that starts in the response to the
+ * heartbeat, which may still be in transit, were not executed, and their tasks would run twice (met
+ * on random day 29 of tests/test-world). */
 static gboolean
-is_known_by_direct_reply(const MmMachine *machine) {
+latest_message_is_direct_reply(const MmMachine *machine) {
   return mm_heartbeat_id_is_newer(machine->latest_message_id, machine->latest_heartbeat_id);
 }
 
-/* Every response that this node gave within two leases is sent before its first pong on a link:
- * what was lost with an earlier link is sent again, so that `responses_known_until` can be relied
- * on. That must not depend on which node is believed to serve a machine: a node that was cut off
- * from its peers may believe that it serves machines which another one answers, and machines whose
- * responses nobody sent would be given up while they live. */
+/* Runs before this node's first pong on a new connection and repeats every response given within
+ * two leases, since frames may have been lost with the previous connection. Without this a pong
+ * would not justify the peer's `responses_known_until`.
+ *
+ * Responses are sent regardless of which node is believed to serve the machine. That belief can be
+ * wrong after a partition, when two nodes disagree about who answers a machine; if neither sent its
+ * responses, the other nodes would treat a live machine as lost. */
 void
 mm_peer_links_send_recent_responses(MmPeerLinks *links, guint peer) {
   MmNode *node = links->node;
   const GPtrArray *machines = node->machine_table->sorted_machines;
   MmTime now = mm_node_now(node);
   gint64 recent_ms = (gint64)(node->settings->worker_lease_s * 2000);
-  g_autoptr(GPtrArray) served_elsewhere = g_ptr_array_new();
+  g_autoptr(GPtrArray) recently_answered = g_ptr_array_new();
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__RepeatHeartbeats repeats = MM__REPEAT_HEARTBEATS__INIT;
 
@@ -236,7 +241,7 @@
     MmMachine *machine = g_ptr_array_index(machines, i);
     gboolean is_served_here = machine->has_reported && machine->serving_node == MM_SERVING_NODE_SELF
                               && !machine->lease_has_expired;
-    if (is_served_here && !is_known_by_direct_reply(machine)) {
+    if (is_served_here && !latest_message_is_direct_reply(machine)) {
       send_heartbeat(links, peer, machine, HEARTBEAT_ANSWERED);
       continue;
     }
@@ -244,12 +249,12 @@
       send_heartbeat(links, peer, machine, HEARTBEAT_DIRECT);
     if (machine->last_own_response_at.us != 0
         && mm_time_ms_since(now, machine->last_own_response_at) < recent_ms)
-      g_ptr_array_add(served_elsewhere, machine->id.s);
+      g_ptr_array_add(recently_answered, machine->id.s);
   }
-  if (served_elsewhere->len == 0)
+  if (recently_answered->len == 0)
     return;
-  repeats.unverified = (char **)served_elsewhere->pdata;
-  repeats.n_unverified = served_elsewhere->len;
+  repeats.unverified = (char **)recently_answered->pdata;
+  repeats.n_unverified = recently_answered->len;
   frame.body_case = MM__FRAME__BODY_REPEAT_HEARTBEATS;
   frame.repeat_heartbeats = &repeats;
   mm_peer_links_send(links, peer, &frame);
--- a/src/peers/peer-broadcast.h
+++ b/src/peers/peer-broadcast.h
@@ -1,31 +1,39 @@
-/* What this node sends its peers: responses to workers, cancellations, machines that are gone, and
- * commands for machines that a peer answers. Frames go to peers whose link is up; a peer whose link
- * comes up later is sent what it missed by mm_peer_links_send_recent_responses. */
+/* Sends peers this node's responses to workers, job cancellations, terminations of machines, and
+ * commands for machines that a peer answers.
+ *
+ * Frames go only to peers whose link is up. When the link to a peer comes up later, the peer
+ * receives the responses that it missed from mm_peer_links_send_recent_responses. */
 #pragma once
 
 #include "peers/peer-links.h"
 
-/* A heartbeat was received here and is about to be answered: sent whole when it shows anything new
- * or is not answered 200, else in one of the batches that keep peers informed of who was answered.
- */
+/* Announces a heartbeat that this node has received and is about to answer. A heartbeat that shows
+ * a change, or that is not answered with status 200 (`is_answered` FALSE), is sent at once and in
+ * full; any other is added to the next batch of RepeatHeartbeats. */
 void mm_peer_broadcast_heartbeat(MmPeerLinks *links, MmMachine *machine, gboolean is_answered);
-/* What a direct reply showed: it acknowledges a term, and proves nothing else. */
+/* Announces the machine's state as shown by a direct reply. Peers take from it the term that the
+ * machine has acknowledged; it does not count as a heartbeat. */
 void mm_peer_broadcast_direct_reply(MmPeerLinks *links, MmMachine *machine);
-/* The machine was answered, though its heartbeat is unverified; goes with the next batch. */
+/* Announces that this node answered the machine's unverified heartbeat; sent with the next batch of
+ * RepeatHeartbeats. */
 void mm_peer_broadcast_unverified(MmPeerLinks *links, const MmName *machine);
-/* Sends the batch of heartbeats that showed nothing new, and of unverified machines. */
+/* Sends the pending batch of heartbeats without changes and of unverified machines. */
 void mm_peer_broadcast_repeat_heartbeats(MmPeerLinks *links);
-/* The job's cancellation is in the key-value store. */
+/* Announces that the job's cancellation has been committed to the key-value store. */
 void mm_peer_broadcast_cancellation(MmPeerLinks *links, const char *job);
-/* The cloud has proved that the machine is gone. */
+/* Announces that the cloud has confirmed the termination of the machine. */
 void mm_peer_broadcast_machine_gone(MmPeerLinks *links, const char *machine);
 
-/* To one peer. */
-/* MmCommand, stops and clean-ups only, for a machine that the peer answers. */
+/* The functions below send to one peer. */
+
+/* Sends commands for a machine that the peer answers. `commands`: MmCommand, only stops and
+ * clean-ups. */
 void mm_peer_links_send_commands(MmPeerLinks *links, guint peer, const MmMachine *machine,
                                  const GArray *commands);
-/* Every response that this node has given within two leases. */
+/* Sends every response that this node gave to workers within the last two worker leases. */
 void mm_peer_links_send_recent_responses(MmPeerLinks *links, guint peer);
+/* Announces one cancellation, as mm_peer_broadcast_cancellation does to all peers. */
 void mm_peer_links_send_cancellation(MmPeerLinks *links, guint peer, const char *job);
-/* This node knows of the cancellation: each of its responses to workers stops the job's tasks. */
+/* Confirms that this node has recorded the cancellation: from now on each of its responses to
+ * workers stops the job's tasks. */
 void mm_peer_links_send_cancellation_ack(MmPeerLinks *links, guint peer, const char *job);
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -7,17 +7,19 @@
 #include "peers/peer-broadcast.h"
 #include "sharing/moves.h"
 
-/* How long heartbeats that show nothing new may wait to be broadcast together. */
+/* Maximum time for which heartbeats without changes wait to be sent as one batch. */
 #define REPEAT_HEARTBEATS_INTERVAL_MS 200
-/* A pong older than this says nothing of whether the peer still answers workers. */
-#define PONG_FRESH_MS 1500
-/* A connection over which no ping was answered for so many periods is opened anew. */
-#define SILENT_PINGS 10
-#define SILENT_MIN_MS 5000
-/* More than this between two ticks is not the peer's silence: this node was stopped itself. */
+/* A pong older than this is no evidence that the peer still answers workers. */
+#define PONG_VALIDITY_MS 1500
+/* A connection without a pong for this many ping intervals, and for at least SILENCE_LIMIT_MIN_MS,
+ * is considered half-open and is reopened. */
+#define SILENCE_LIMIT_PING_INTERVALS 10
+#define SILENCE_LIMIT_MIN_MS 5000
+/* Limit of the time between two ticks that counts as silence of a peer. A longer gap means that
+ * this node was suspended itself. */
 #define TICK_GAP_MAX_MS (4 * MM_NODE_TICK_MS)
-/* An event longer ago than this is sent as if it had never been. */
-#define AGE_SENT_MAX_MS 3600000
+/* Events older than this are reported to peers as if they had never occurred. */
+#define REPORTED_AGE_MAX_MS 3600000
 
 MmPeerLinks *
 mm_peer_links_new(MmNode *node) {
@@ -25,7 +27,7 @@
 
   links->node = node;
   links->n_peers = node->settings->peers->len;
-  links->unverified = g_array_new(FALSE, FALSE, sizeof(MmName));
+  links->unverified_machines = g_array_new(FALSE, FALSE, sizeof(MmName));
   links->repeat_heartbeats = g_array_new(FALSE, FALSE, sizeof(MmRepeatHeartbeat));
   links->peers = g_new0(MmPeer, links->n_peers);
   for (guint i = 0; i < links->n_peers; i++)
@@ -36,7 +38,7 @@
 void
 mm_peer_links_free(MmPeerLinks *links) {
   g_array_unref(links->repeat_heartbeats);
-  g_array_unref(links->unverified);
+  g_array_unref(links->unverified_machines);
   g_free(links->peers);
   g_free(links);
 }
@@ -49,7 +51,7 @@
   return MM_PEER_NONE;
 }
 
-/* Also to a peer that has not been sent the initial state yet. */
+/* Sends the frame on an open connection, even if the peer has not been sent the initial state. */
 static void
 send_if_connected(MmPeerLinks *links, guint peer, Mm__Frame *frame) {
   if (!links->peers[peer].is_connected)
@@ -64,12 +66,13 @@
     send_if_connected(links, peer, frame);
 }
 
-/* The age as frames carry it: in milliseconds, plus one; 0: never, or too long ago to matter. */
+/* Returns the event's age as frames encode it: in milliseconds, plus one; 0: the event never
+ * occurred or is older than REPORTED_AGE_MAX_MS. */
 static guint32
-age_plus_one_ms(const MmPeerLinks *links, MmTime since) {
-  gint64 age = mm_time_ms_since(mm_node_now(links->node), since);
+age_plus_one_ms(const MmPeerLinks *links, MmTime event_at) {
+  gint64 age = mm_time_ms_since(mm_node_now(links->node), event_at);
 
-  return since.us == 0 || age > AGE_SENT_MAX_MS ? 0 : (guint32)age + 1;
+  return event_at.us == 0 || age > REPORTED_AGE_MAX_MS ? 0 : (guint32)age + 1;
 }
 
 static void
@@ -124,8 +127,8 @@
     const MmLiveNode *live_node = g_hash_table_lookup(replica->live_nodes, peer->label.s);
     if (live_node == NULL)
       continue;
-    /* A pong of another incarnation of the peer says nothing of this one; a silent peer counts as
-     * answering workers. */
+    /* A pong from another incarnation of the peer does not cover the current one, which must be
+     * assumed to answer workers even if it sends nothing. */
     if (live_node->lease_id != peer->lease_id)
       return (MmTime){ 0 };
     known_until = mm_time_min(known_until, peer->responses_known_until);
@@ -156,7 +159,8 @@
   const MmPeer *peer_state = &links->peers[peer];
 
   return peer_state->is_up && peer_state->serves_workers
-         && mm_time_ms_since(mm_node_now(links->node), peer_state->last_pong_at) <= PONG_FRESH_MS;
+         && mm_time_ms_since(mm_node_now(links->node), peer_state->last_pong_at)
+                <= PONG_VALIDITY_MS;
 }
 
 gint
@@ -173,21 +177,23 @@
   return best;
 }
 
-/* A refusal is taken as old as it may be, a served request as recent: both make a proof of an
- * outage harder. Of served requests the latest message counts: an earlier one may have been long on
- * its way. A refusal counts from when this node's ping was sent, since the pong may have been
- * delayed, or have waited unread while this node was stopped; a ping of the peer says nothing of
- * its age. */
+/* Records when the key-value store last served the peer, assuming that the message took no time:
+ * the latest possible instant, so that an outage is not proved wrongly. Each message replaces the
+ * earlier value, which may have been too late because its message was delayed. */
 static void
-record_served(MmPeerLinks *links, guint peer, guint32 served_age_plus_one_ms) {
+record_kv_served(MmPeerLinks *links, guint peer, guint32 served_age_plus_one_ms) {
   if (served_age_plus_one_ms > 0)
     links->peers[peer].last_served_at
         = mm_time_add_ms(mm_node_now(links->node), 1 - (gint64)served_age_plus_one_ms);
 }
 
+/* Records when the key-value store last refused the peer, assuming that the peer sent the pong as
+ * early as this node sent the ping: the earliest possible instant, so that an outage is not proved
+ * wrongly. The pong may have been delayed, or have remained unread while this node was suspended.
+ * A ping from the peer gives no such bound, so it carries no refusal. */
 static void
-record_refused(MmPeerLinks *links, guint peer, MmTime ping_sent_at,
-               guint32 refused_age_plus_one_ms) {
+record_kv_refused(MmPeerLinks *links, guint peer, MmTime ping_sent_at,
+                  guint32 refused_age_plus_one_ms) {
   MmPeer *peer_state = &links->peers[peer];
 
   if (refused_age_plus_one_ms > 0)
@@ -201,8 +207,8 @@
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Pong pong = MM__PONG__INIT;
 
-  /* The pong says that all responses given before the ping are known to the peer: send them first.
-   */
+  /* By the pong the peer concludes that it knows all responses given before its ping, so those of
+   * the pending batch must be sent first. */
   mm_peer_broadcast_repeat_heartbeats(links);
   pong.ping_sent_at_us = ping->sent_at_us;
   pong.refused_age_plus_one_ms = age_plus_one_ms(links, links->node->kv->last_refused_at);
@@ -217,7 +223,7 @@
 
 void
 mm_peer_links_ping_received(MmPeerLinks *links, guint peer, const Mm__Ping *ping) {
-  record_served(links, peer, ping->served_age_plus_one_ms);
+  record_kv_served(links, peer, ping->served_age_plus_one_ms);
   send_pong(links, peer, ping);
 }
 
@@ -226,8 +232,8 @@
   MmPeer *peer = &links->peers[peer_index];
   MmTime ping_sent_at = { (gint64)pong->ping_sent_at_us };
 
-  record_served(links, peer_index, pong->served_age_plus_one_ms);
-  record_refused(links, peer_index, ping_sent_at, pong->refused_age_plus_one_ms);
+  record_kv_served(links, peer_index, pong->served_age_plus_one_ms);
+  record_kv_refused(links, peer_index, ping_sent_at, pong->refused_age_plus_one_ms);
   peer->last_pong_at = mm_node_now(links->node);
   peer->silent_us = 0;
   peer->serves_workers = pong->serves_workers;
@@ -238,14 +244,16 @@
   peer->responses_known_until = mm_time_max(peer->responses_known_until, ping_sent_at);
 }
 
-/* A peer whose machine loses power leaves a half-open connection. TCP retransmits ever more rarely,
- * for minutes; a node that is back would receive nothing from its peers for as long, and the shards
- * it acquired would wait for acknowledgements that only the peers received. */
+/* Reopens connections on which no pong has arrived for too long. A peer whose machine loses power
+ * leaves a half-open connection, over which TCP retransmits at growing intervals for minutes.
+ * Without a reconnect, a peer that has restarted would receive nothing in that time, and the shards
+ * that it acquired would wait for acknowledgements that only its peers received. */
 static void
 reconnect_silent_peers(MmPeerLinks *links, MmTime now) {
   gint64 elapsed_us = MIN(now.us - links->last_tick_at.us, TICK_GAP_MAX_MS * 1000);
   gint64 silence_limit_ms = MAX(
-      (gint64)(links->node->operators->peer_ping_interval_s * 1000 * SILENT_PINGS), SILENT_MIN_MS);
+      (gint64)(links->node->operators->peer_ping_interval_s * 1000 * SILENCE_LIMIT_PING_INTERVALS),
+      SILENCE_LIMIT_MIN_MS);
 
   links->last_tick_at = now;
   for (guint i = 0; i < links->n_peers; i++) {
@@ -255,8 +263,8 @@
     peer->silent_us += elapsed_us;
     if (peer->silent_us < silence_limit_ms * 1000)
       continue;
-    mm_info("link is half-open, reconnecting peer=%s silent_s=%.1f", peer->label.s,
-            (double)peer->silent_us / G_USEC_PER_SEC);
+    mm_info("peer link reconnecting, no pong on the open connection peer=%s silent_s=%.1f",
+            peer->label.s, (double)peer->silent_us / G_USEC_PER_SEC);
     links->node->platform.reconnect(links->node->platform.context, i);
   }
 }
@@ -266,7 +274,7 @@
   MmTime now = mm_node_now(links->node);
 
   reconnect_silent_peers(links, now);
-  if (mm_time_ms_since(now, links->repeats_sent_at) >= REPEAT_HEARTBEATS_INTERVAL_MS)
+  if (mm_time_ms_since(now, links->repeat_heartbeats_sent_at) >= REPEAT_HEARTBEATS_INTERVAL_MS)
     mm_peer_broadcast_repeat_heartbeats(links);
   if (mm_time_before(now, links->next_ping_at))
     return;
--- a/src/sharing/admin.c
+++ b/src/sharing/admin.c
@@ -6,22 +6,23 @@
 #include "sharing/moves.h"
 
 #define MOVE_SUFFIX "/move"
-#define RETRY_S 1
+#define RETRY_AFTER_S 1
 
-/* ---- the list ---- */
+/* List of groups. */
 
 static json_t *
 describe_node(const MmSharing *sharing, const char *label) {
-  const MmGroupHolding *holding = mm_group_map_holding(sharing->map, label);
+  const MmOwnershipRecord *record = mm_group_map_ownership_record(sharing->map, label);
   json_t *owned = json_array();
   guint64 count = 0;
 
-  for (guint i = 0; holding != NULL && i < holding->grants->len; i++) {
-    const MmGroupGrant *grant = g_ptr_array_index(holding->grants, i);
-    g_autofree char *ranges = mm_group_set_to_text(grant->groups);
-    count += roaring_bitmap_get_cardinality(grant->groups);
-    json_array_append_new(owned, json_pack("{s:I, s:s}", MM_ADMIN_TERM, (json_int_t)grant->term.v,
-                                           MM_ADMIN_GROUPS, ranges));
+  for (guint i = 0; record != NULL && i < record->acquisitions->len; i++) {
+    const MmGroupAcquisition *acquisition = g_ptr_array_index(record->acquisitions, i);
+    g_autofree char *ranges = mm_group_set_to_text(acquisition->groups);
+    count += roaring_bitmap_get_cardinality(acquisition->groups);
+    json_array_append_new(owned,
+                          json_pack("{s:I, s:s}", MM_ADMIN_TERM, (json_int_t)acquisition->term.v,
+                                    MM_ADMIN_GROUPS, ranges));
   }
   return json_pack("{s:s, s:f, s:I, s:o}", MM_ADMIN_NODE, label, MM_ADMIN_WEIGHT,
                    mm_operators_group_weight(sharing->node->operators, label), MM_ADMIN_COUNT,
@@ -86,7 +87,7 @@
                            0);
 }
 
-/* ---- a move by hand ---- */
+/* Moves requested by an operator. */
 
 static int
 http_status_of(MmMoveResult result) {
@@ -114,20 +115,21 @@
   int status = http_status_of(result);
 
   mm_http_exchange_respond(exchange, status, mm_json_error(mm_sharing_move_result_text(result)),
-                           status == 503 ? RETRY_S : 0);
+                           status == 503 ? RETRY_AFTER_S : 0);
 }
 
-/* Another node owns the group: the order is forwarded to it; its outcome shows in the list. */
+/* Forwards the order to the peer that owns the group and responds that the move has started. The
+ * peer does not report the outcome; it is visible only in the list of groups. */
 static void
-forward_order(MmSharing *sharing, const MmGroupHolding *holding, guint group, const char *target,
-              MmHttpExchange *exchange) {
-  gint peer = mm_peer_links_find(sharing->node->peer_links, holding->node.s);
+forward_move_order(MmSharing *sharing, const MmOwnershipRecord *record, guint group,
+                   const char *target, MmHttpExchange *exchange) {
+  gint peer = mm_peer_links_find(sharing->node->peer_links, record->node.s);
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__MoveOrder order = MM__MOVE_ORDER__INIT;
 
   if (peer < 0 || !sharing->node->peer_links->peers[peer].is_up) {
     mm_http_exchange_respond(exchange, 503, mm_json_error("the group's owner can't be reached"),
-                             RETRY_S);
+                             RETRY_AFTER_S);
     return;
   }
   order.group = group;
@@ -140,7 +142,7 @@
 }
 
 static void
-move_by_hand(MmSharing *sharing, guint group, const char *target, MmHttpExchange *exchange) {
+handle_manual_move(MmSharing *sharing, guint group, const char *target, MmHttpExchange *exchange) {
   MmMoveResult result = mm_sharing_move(sharing, group, target, TRUE);
   MmGroupOwner owner;
 
@@ -154,12 +156,12 @@
   else if (strcmp(owner.holding->node.s, target) == 0)
     respond_move(MM_MOVE_SAME_NODE, exchange);
   else
-    forward_order(sharing, owner.holding, group, target, exchange);
+    forward_move_order(sharing, owner.holding, group, target, exchange);
 }
 
-/* "/NUMBER/move"; FALSE when it is something else. */
+/* Parses "/NUMBER/move". Returns FALSE for any other path. */
 static gboolean
-read_move_path(const char *subpath, guint *group) {
+parse_move_path(const char *subpath, guint *group) {
   guint64 number;
   char *end = NULL;
 
@@ -177,7 +179,7 @@
   const char *target = mm_json_string(body, MM_ADMIN_TO);
   guint group;
 
-  if (!is_list && !read_move_path(subpath, &group))
+  if (!is_list && !parse_move_path(subpath, &group))
     mm_http_exchange_respond(exchange, 404, mm_json_error("no such path"), 0);
   else if (strcmp(method, is_list ? "GET" : "POST") != 0)
     mm_http_exchange_respond(exchange, 405, mm_json_error("this path does not take that method"),
@@ -187,5 +189,5 @@
   else if (target == NULL)
     mm_http_exchange_respond(exchange, 400, mm_json_error(MM_ADMIN_TO " must name a node"), 0);
   else
-    move_by_hand(sharing, group, target, exchange);
+    handle_manual_move(sharing, group, target, exchange);
 }
--- a/src/sharing/admin.h
+++ b/src/sharing/admin.h
@@ -1,12 +1,12 @@
-/* The administrators' HTTP interface to machine groups:
- *   GET  /admin/groups              who owns which groups, and what moves
- *   POST /admin/groups/NUMBER/move  with {"to": NODE}: moves the group to that node */
+/* HTTP interface for administrators of machine groups:
+ *   GET  /admin/groups              lists the owners of all groups and the moves in progress
+ *   POST /admin/groups/NUMBER/move  with {"to": NODE} moves the group to that node */
 #pragma once
 
 #include "sharing/sharing.h"
 
 #define MM_ADMIN_GROUPS_PATH "/admin/groups"
-/* The names in requests and responses. */
+/* JSON keys of requests and responses. */
 #define MM_ADMIN_ACTIVE "active"
 #define MM_ADMIN_GROUPS "groups"
 #define MM_ADMIN_NODES "nodes"
@@ -21,6 +21,7 @@
 #define MM_ADMIN_TO "to"
 #define MM_ADMIN_UNOWNED "unowned"
 
-/* `rest`: the path behind MM_ADMIN_GROUPS_PATH. */
+/* Handles a request and responds through `exchange`. `subpath`: the rest of the path after
+ * MM_ADMIN_GROUPS_PATH. `body`: NULL if the request has none. */
 void mm_sharing_handle_admin_request(MmSharing *sharing, const char *method, const char *subpath,
                                      const json_t *body, MmHttpExchange *exchange);
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -1,5 +1,5 @@
-/* Balancing the machine groups among the nodes: the duty of the one node that leads the shard for
- * it. Its orders carry the shard's term, so those of a former leader are rejected. */
+/* Balances the machine groups among the nodes. Only the leader of the balancing shard orders moves.
+ * Its orders carry the shard's term, so owners reject those of a former leader. */
 #include "sharing/balance.h"
 
 #include "leases/node-lease.h"
@@ -11,13 +11,15 @@
 
 #define BALANCE_INTERVAL_MS 500
 #define MOVES_BROADCAST_INTERVAL_MS 1000
-/* Shares must have been uneven for this long: a node that restarts is back within it. */
-#define UNEVEN_WAIT_MS 10000
-/* A node may be off its target by one group in this many of an even share before anything moves. */
+/* The shares must be imbalanced for longer than this before groups move. A node that restarts is
+ * back within this time. */
+#define IMBALANCE_WAIT_MS 10000
+/* A node may deviate from its target by 1 + (an even share / SLACK_DIVISOR) groups before any group
+ * moves. */
 #define SLACK_DIVISOR 8
 
 struct MmSharePlan {
-  GPtrArray *live; /* labels, in order */
+  GPtrArray *live_labels; /* of the live nodes, sorted; the arrays below are parallel to it */
   MmShare *shares;
   guint *targets;
 };
@@ -28,17 +30,17 @@
   MmSharePlan *plan = g_new0(MmSharePlan, 1);
   guint n;
 
-  plan->live = mm_replica_live_labels(node->replica);
-  n = plan->live->len;
+  plan->live_labels = mm_replica_live_labels(node->replica);
+  n = plan->live_labels->len;
   plan->shares = g_new0(MmShare, MAX(n, 1));
   plan->targets = g_new0(guint, MAX(n, 1));
   for (guint i = 0; i < n; i++)
     plan->shares[i].weight
-        = mm_operators_group_weight(node->operators, g_ptr_array_index(plan->live, i));
+        = mm_operators_group_weight(node->operators, g_ptr_array_index(plan->live_labels, i));
   for (guint group = 0; group < sharing->n_groups; group++) {
-    const MmGroupHolding *holding = mm_group_map_owner(sharing->map, group).holding;
-    for (guint i = 0; holding != NULL && i < n; i++)
-      plan->shares[i].owned += strcmp(holding->node.s, g_ptr_array_index(plan->live, i)) == 0;
+    const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).holding;
+    for (guint i = 0; record != NULL && i < n; i++)
+      plan->shares[i].owned += strcmp(record->node.s, g_ptr_array_index(plan->live_labels, i)) == 0;
   }
   mm_shares_targets(plan->shares, n, sharing->n_groups, plan->targets);
   return plan;
@@ -46,23 +48,23 @@
 
 void
 mm_share_plan_free(MmSharePlan *plan) {
-  g_ptr_array_unref(plan->live);
+  g_ptr_array_unref(plan->live_labels);
   g_free(plan->shares);
   g_free(plan->targets);
   g_free(plan);
 }
 
 const char *
-mm_share_plan_next_taker(MmSharePlan *plan) {
-  guint taker = mm_shares_next_taker(plan->shares, plan->targets, plan->live->len);
+mm_share_plan_next_acquirer(MmSharePlan *plan) {
+  guint acquirer = mm_shares_next_taker(plan->shares, plan->targets, plan->live_labels->len);
 
-  if (taker == G_MAXUINT)
+  if (acquirer == G_MAXUINT)
     return NULL;
-  plan->shares[taker].owned++;
-  return g_ptr_array_index(plan->live, taker);
+  plan->shares[acquirer].owned++;
+  return g_ptr_array_index(plan->live_labels, acquirer);
 }
 
-/* ---- balancing ---- */
+/* Orders of moves. */
 
 static gboolean
 leads_sharing_shard(const MmSharing *sharing) {
@@ -71,7 +73,7 @@
 }
 
 static guint
-moves_under_way(const MmSharing *sharing) {
+count_moves_under_way(const MmSharing *sharing) {
   guint n = sharing->n_moving;
 
   for (guint i = 0; i < sharing->node->peer_links->n_peers; i++)
@@ -109,40 +111,40 @@
   mm_peer_links_send(node->peer_links, (guint)peer, &frame);
 }
 
-/* Orders moves towards the targets, up to the limit of moves under way at once. */
+/* Orders moves towards the targets, up to the limit of concurrent moves. */
 static void
 order_moves(MmSharing *sharing, MmSharePlan *plan) {
-  guint n = plan->live->len;
+  guint n = plan->live_labels->len;
   guint max_moves = (guint)sharing->node->operators->max_group_moves;
   guint slack = 1 + sharing->n_groups / MAX(n, 1) / SLACK_DIVISOR;
-  guint under_way = moves_under_way(sharing);
+  guint under_way = count_moves_under_way(sharing);
 
   for (guint group = 0; group < sharing->n_groups && under_way < max_moves; group++) {
-    const MmGroupHolding *holding = mm_group_map_owner(sharing->map, group).holding;
+    const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).holding;
     MmShareMove move;
     const char *from;
 
     if (!mm_shares_next_move(plan->shares, plan->targets, n, slack, &move))
       break;
-    from = g_ptr_array_index(plan->live, move.from);
-    if (strcmp(holding->node.s, from) != 0 || is_group_moving(sharing, group))
+    from = g_ptr_array_index(plan->live_labels, move.from);
+    if (strcmp(record->node.s, from) != 0 || is_group_moving(sharing, group))
       continue;
-    order_move(sharing, group, from, g_ptr_array_index(plan->live, move.to));
+    order_move(sharing, group, from, g_ptr_array_index(plan->live_labels, move.to));
     plan->shares[move.from].owned--;
     plan->shares[move.to].owned++;
     under_way++;
   }
 }
 
-/* Groups that are moving count as their target's. */
+/* Changes the plan as if all moves in progress were completed. */
 static void
-count_moves_as_made(const MmSharing *sharing, MmSharePlan *plan) {
+apply_moves_under_way(const MmSharing *sharing, MmSharePlan *plan) {
   for (guint group = 0; group < sharing->n_groups; group++) {
     const MmOwnedGroup *owned = sharing->owned[group];
     if (owned == NULL || !owned->is_moving)
       continue;
-    for (guint i = 0; i < plan->live->len; i++) {
-      const char *label = g_ptr_array_index(plan->live, i);
+    for (guint i = 0; i < plan->live_labels->len; i++) {
+      const char *label = g_ptr_array_index(plan->live_labels, i);
       plan->shares[i].owned -= strcmp(label, sharing->node->settings->label.s) == 0;
       plan->shares[i].owned += strcmp(label, owned->target.s) == 0;
     }
@@ -150,11 +152,11 @@
   for (guint p = 0; p < sharing->node->peer_links->n_peers; p++)
     for (guint k = 0; k < sharing->peer_moves[p]->len; k++) {
       const MmGroupMove *move = &g_array_index(sharing->peer_moves[p], MmGroupMove, k);
-      const MmGroupHolding *holding = mm_group_map_owner(sharing->map, move->group).holding;
-      if (holding == NULL || !mm_name_equal(&holding->node, &move->from))
+      const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, move->group).holding;
+      if (record == NULL || !mm_name_equal(&record->node, &move->from))
         continue;
-      for (guint i = 0; i < plan->live->len; i++) {
-        const char *label = g_ptr_array_index(plan->live, i);
+      for (guint i = 0; i < plan->live_labels->len; i++) {
+        const char *label = g_ptr_array_index(plan->live_labels, i);
         plan->shares[i].owned -= strcmp(label, move->from.s) == 0;
         plan->shares[i].owned += strcmp(label, move->to.s) == 0;
       }
@@ -165,22 +167,22 @@
 rebalance(MmSharing *sharing) {
   MmTime now = mm_node_now(sharing->node);
   g_autoptr(MmSharePlan) plan = mm_share_plan_new(sharing);
-  MmTime since = sharing->uneven_since;
-  guint slack = 1 + sharing->n_groups / MAX(plan->live->len, 1) / SLACK_DIVISOR;
+  MmTime since = sharing->imbalanced_since;
+  guint slack = 1 + sharing->n_groups / MAX(plan->live_labels->len, 1) / SLACK_DIVISOR;
   MmShareMove move;
 
-  count_moves_as_made(sharing, plan);
-  if (!mm_shares_next_move(plan->shares, plan->targets, plan->live->len, slack, &move)) {
-    sharing->uneven_since.us = 0;
+  apply_moves_under_way(sharing, plan);
+  if (!mm_shares_next_move(plan->shares, plan->targets, plan->live_labels->len, slack, &move)) {
+    sharing->imbalanced_since.us = 0;
     return;
   }
   if (since.us == 0)
-    sharing->uneven_since = now;
-  else if (mm_time_ms_since(now, since) > UNEVEN_WAIT_MS)
+    sharing->imbalanced_since = now;
+  else if (mm_time_ms_since(now, since) > IMBALANCE_WAIT_MS)
     order_moves(sharing, plan);
 }
 
-/* ---- broadcast ---- */
+/* Broadcast of moves in progress. */
 
 void
 mm_sharing_broadcast_moves(MmSharing *sharing) {
@@ -202,21 +204,21 @@
   frame.group_moves = &message;
   for (guint i = 0; i < sharing->node->peer_links->n_peers; i++)
     mm_peer_links_send(sharing->node->peer_links, i, &frame);
-  sharing->moves_sent_at = mm_node_now(sharing->node);
+  sharing->moves_broadcast_at = mm_node_now(sharing->node);
 }
 
 void
 mm_sharing_balance(MmSharing *sharing) {
   MmTime now = mm_node_now(sharing->node);
 
-  if (mm_time_ms_since(now, sharing->moves_sent_at) >= MOVES_BROADCAST_INTERVAL_MS)
+  if (mm_time_ms_since(now, sharing->moves_broadcast_at) >= MOVES_BROADCAST_INTERVAL_MS)
     mm_sharing_broadcast_moves(sharing);
   if (mm_time_before(now, sharing->next_balance_at))
     return;
   sharing->next_balance_at = mm_time_add_ms(now, BALANCE_INTERVAL_MS);
   if (!leads_sharing_shard(sharing) || sharing->unowned_since.us != 0
       || g_hash_table_size(sharing->map->malformed) > 0)
-    sharing->uneven_since.us = 0;
+    sharing->imbalanced_since.us = 0;
   else
     rebalance(sharing);
 }
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -28,7 +28,8 @@
   return mm_machine_find_reported_task(machine, &grant->job, grant->number, grant->attempt) != NULL;
 }
 
-/* Subtracts what the reported tasks use. FALSE: one of them is of an unknown job. */
+/* Subtracts the resources of reported tasks that have not ended. Returns FALSE if one of them
+ * belongs to an unknown job. */
 static gboolean
 subtract_reported(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
@@ -45,6 +46,7 @@
   return TRUE;
 }
 
+/* Subtracts the resources of places reserved for gang tasks. */
 static void
 subtract_reserved(const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
@@ -54,8 +56,8 @@
   }
 }
 
-/* Subtracts what outstanding grants use. FALSE: one of them is of a job that is not known here any
- * more, so what it uses is unknown. */
+/* Subtracts the resources of outstanding grants. Returns FALSE if one of them belongs to a job that
+ * this node no longer knows, so that its resources are unknown. */
 static gboolean
 subtract_outstanding(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   const GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
@@ -118,10 +120,11 @@
   return TRUE;
 }
 
-/* A direct reply of the same incarnation may have been made before the response with the start
- * arrived, so it disproves nothing. */
+/* Returns whether a message that does not show the granted start proves that the start was not
+ * executed and never will be. A direct reply from the same incarnation does not: the worker may
+ * have sent it before the response with the start arrived. */
 static gboolean
-is_disproved(const MmGrant *grant, MmHeartbeatId heartbeat_id, gboolean is_direct_reply) {
+proves_not_started(const MmGrant *grant, MmHeartbeatId heartbeat_id, gboolean is_direct_reply) {
   return heartbeat_id.incarnation > grant->heartbeat_id.incarnation
          || (!is_direct_reply && mm_heartbeat_id_is_newer(heartbeat_id, grant->heartbeat_id));
 }
@@ -133,7 +136,7 @@
 
   for (guint i = list != NULL ? list->len : 0; i > 0; i--) {
     const MmGrant *grant = &g_array_index(list, MmGrant, i - 1);
-    if (is_in_heartbeat(machine, grant) || is_disproved(grant, heartbeat_id, is_direct_reply))
+    if (is_in_heartbeat(machine, grant) || proves_not_started(grant, heartbeat_id, is_direct_reply))
       g_array_remove_index_fast(list, i - 1);
   }
   if (list != NULL && list->len == 0)
--- a/src/sharing/grants.h
+++ b/src/sharing/grants.h
@@ -1,44 +1,49 @@
-/* Grants of resources on the machines of this node's groups that no heartbeat accounts for yet.
- * Resources of a machine are granted by its group's owner alone, so no two starts are granted the
- * same ones. */
+/* Outstanding grants: resources that this node has granted to starts on machines of its groups, and
+ * that no heartbeat accounts for yet. Only the owner of a machine's group grants the machine's
+ * resources, so no resources are granted to two starts. */
 #pragma once
 
 #include "machines/machine-table.h"
 #include "node/node.h"
 
-/* A start that may use resources of a machine, in the response to one heartbeat. */
+/* Permission to start one attempt of a task with resources of a machine, valid only in the response
+ * to one heartbeat. */
 typedef struct {
   MmName job;
   guint number;
   MmAttempt attempt;
-  MmHeartbeatId heartbeat_id; /* whose response carries the start */
+  MmHeartbeatId heartbeat_id; /* the heartbeat whose response carries the start */
 } MmGrant;
 
 typedef struct {
   MmNode *node;
   GHashTable *outstanding; /* machine id -> GArray of MmGrant */
-  guint64 n_granted;       /* ever */
-  guint64 n_refused;       /* ever */
+  guint64 n_granted;       /* since this process started */
+  guint64 n_refused;       /* since this process started */
 } MmGrants;
 
+/* The node must outlive the grants. */
 MmGrants *mm_grants_new(MmNode *node);
 void mm_grants_free(MmGrants *grants);
 
-/* Grants the start if the machine has the resources beside what its newest heartbeat shows, what is
- * outstanding, and places that this node has reserved for gangs. Idempotent: a grant that is
- * outstanding is granted again. */
+/* Grants the start if the machine has enough resources besides those used by the tasks in its
+ * newest message, by outstanding grants and by places that this node has reserved for gang tasks.
+ * Refuses if the machine has sent a newer message than the heartbeat of the grant. Idempotent:
+ * succeeds for a grant that is already outstanding. */
 gboolean mm_grants_try_grant(MmGrants *grants, MmMachine *machine, const MmGrant *grant);
-/* A heartbeat of the machine was recorded: starts that it shows are accounted for, and those whose
- * response it was sent after without showing them were not carried out. `is_direct_reply`: the
- * message is the reply to a direct command, which says nothing of starts under way in the same
- * incarnation. */
+/* Removes grants that a newly recorded heartbeat resolves. Starts that it shows are accounted for;
+ * starts that it does not show, though the worker sent it after it was done with the response that
+ * carried them, were not executed. `is_direct_reply`: the message is the reply to a direct command,
+ * which proves nothing about starts in transit to the same incarnation. */
 void mm_grants_heartbeat_received(MmGrants *grants, const MmMachine *machine,
                                   MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
-/* Nothing is on the machine any more and no start can reach it. */
+/* Removes the machine's grants: no task runs on it any more and no start can reach it. */
 void mm_grants_machine_gone(MmGrants *grants, const char *machine);
-/* Another node may grant the group's resources from now on. */
+/* Removes the grants on all machines of the group; another node may grant their resources from now
+ * on. */
 void mm_grants_drop_group(MmGrants *grants, guint group, guint n_groups);
-/* How many machines of the group have outstanding grants. */
+/* Returns the number of the group's machines with outstanding grants. */
 guint mm_grants_count_outstanding(const MmGrants *grants, guint group, guint n_groups);
-/* What of the machine's resources is left to grant; nothing where that is unknown. */
+/* Returns the resources of the machine that can still be granted; zero if they are unknown, because
+ * the machine's type is, or a task on it or an outstanding grant belongs to an unknown job. */
 MmResources mm_grants_free_resources(const MmGrants *grants, const MmMachine *machine);
--- a/src/sharing/group-map.c
+++ b/src/sharing/group-map.c
@@ -4,83 +4,83 @@
 #include "base/log.h"
 #include "config/operators.h"
 
-/* The names in a key's value. */
+/* JSON keys of an ownership record. */
 #define FIELD_LEASE "c"
 #define FIELD_GROUP_COUNT "of"
-#define FIELD_GRANTS "g"
+#define FIELD_ACQUISITIONS "g"
 
-/* ---- what one key says ---- */
+/* Parsing of ownership records. */
 
 static void
-group_grant_free(gpointer data) {
-  MmGroupGrant *grant = data;
+group_acquisition_free(gpointer data) {
+  MmGroupAcquisition *acquisition = data;
 
-  roaring_bitmap_free(grant->groups);
-  g_free(grant);
+  roaring_bitmap_free(acquisition->groups);
+  g_free(acquisition);
 }
 
 static void
-holding_free(gpointer data) {
-  MmGroupHolding *holding = data;
+ownership_record_free(gpointer data) {
+  MmOwnershipRecord *record = data;
 
-  g_ptr_array_unref(holding->grants);
-  g_free(holding);
+  g_ptr_array_unref(record->acquisitions);
+  g_free(record);
 }
 
-/* One entry: [term, "ranges"]. */
-static MmGroupGrant *
-grant_from_json(const json_t *entry, guint n_groups) {
+/* Parses one entry, [term, "ranges"]. Returns NULL if it is malformed. */
+static MmGroupAcquisition *
+acquisition_from_json(const json_t *entry, guint n_groups) {
   const json_t *term = json_array_get(entry, 0), *ranges = json_array_get(entry, 1);
   MmGroupSet *set;
-  MmGroupGrant *grant;
+  MmGroupAcquisition *acquisition;
 
   if (!json_is_integer(term) || json_integer_value(term) <= 0 || !json_is_string(ranges))
     return NULL;
   set = mm_group_set_from_text(json_string_value(ranges), n_groups);
   if (set == NULL)
     return NULL;
-  grant = g_new(MmGroupGrant, 1);
-  *grant = (MmGroupGrant){ { (guint64)json_integer_value(term) }, set };
-  return grant;
+  acquisition = g_new(MmGroupAcquisition, 1);
+  *acquisition = (MmGroupAcquisition){ { (guint64)json_integer_value(term) }, set };
+  return acquisition;
 }
 
-/* NULL where the value is malformed. */
-static MmGroupHolding *
-holding_from_json(const char *label, const json_t *value, MmKeyVersion version) {
-  const json_t *grants = mm_json_get(value, FIELD_GRANTS);
-  MmGroupHolding *holding = g_new0(MmGroupHolding, 1);
+/* Parses the value of a node's key. Returns NULL if it is malformed. */
+static MmOwnershipRecord *
+ownership_record_from_json(const char *label, const json_t *value, MmKeyVersion version) {
+  const json_t *acquisitions = mm_json_get(value, FIELD_ACQUISITIONS);
+  MmOwnershipRecord *record = g_new0(MmOwnershipRecord, 1);
   size_t i;
   json_t *entry;
 
-  holding->node = mm_name(label);
-  holding->lease_id = mm_json_count(value, FIELD_LEASE, 0);
-  holding->version = version;
-  holding->n_groups = (guint)MIN(mm_json_count(value, FIELD_GROUP_COUNT, 0), G_MAXUINT);
-  holding->grants = g_ptr_array_new_with_free_func(group_grant_free);
-  if (holding->lease_id == 0 || holding->n_groups == 0 || holding->n_groups > MM_GROUPS_MAX
-      || !json_is_array(grants)) {
-    holding_free(holding);
+  record->node = mm_name(label);
+  record->lease_id = mm_json_count(value, FIELD_LEASE, 0);
+  record->version = version;
+  record->n_groups = (guint)MIN(mm_json_count(value, FIELD_GROUP_COUNT, 0), G_MAXUINT);
+  record->acquisitions = g_ptr_array_new_with_free_func(group_acquisition_free);
+  if (record->lease_id == 0 || record->n_groups == 0 || record->n_groups > MM_GROUPS_MAX
+      || !json_is_array(acquisitions)) {
+    ownership_record_free(record);
     return NULL;
   }
-  json_array_foreach(grants, i, entry) {
-    MmGroupGrant *grant = grant_from_json(entry, holding->n_groups);
-    if (grant == NULL) {
-      holding_free(holding);
+  json_array_foreach(acquisitions, i, entry) {
+    MmGroupAcquisition *acquisition = acquisition_from_json(entry, record->n_groups);
+    if (acquisition == NULL) {
+      ownership_record_free(record);
       return NULL;
     }
-    g_ptr_array_add(holding->grants, grant);
+    g_ptr_array_add(record->acquisitions, acquisition);
   }
-  return holding;
+  return record;
 }
 
-/* ---- the map ---- */
+/* The map. */
 
 MmGroupMap *
 mm_group_map_new(guint n_groups) {
   MmGroupMap *map = g_new0(MmGroupMap, 1);
 
   map->n_groups = n_groups;
-  map->holdings = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, holding_free);
+  map->records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, ownership_record_free);
   map->malformed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   map->owners = g_new0(MmGroupOwner, n_groups);
   return map;
@@ -88,7 +88,7 @@
 
 void
 mm_group_map_free(MmGroupMap *map) {
-  g_hash_table_unref(map->holdings);
+  g_hash_table_unref(map->records);
   g_hash_table_unref(map->malformed);
   g_free(map->owners);
   g_free(map);
@@ -96,7 +96,7 @@
 
 typedef struct {
   MmGroupMap *map;
-  const MmGroupHolding *holding;
+  const MmOwnershipRecord *record;
   MmTerm term;
 } OwnerUpdate;
 
@@ -105,63 +105,65 @@
   const OwnerUpdate *update = data;
   MmGroupOwner *owner = &update->map->owners[group];
 
-  /* In two keys only if somebody wrote by hand: the later transaction stands. */
+  /* A group is in two records only if someone edited a key by hand; the later term wins. */
   if (update->term.v > owner->term.v)
-    *owner = (MmGroupOwner){ update->holding, update->term };
+    *owner = (MmGroupOwner){ update->record, update->term };
   return true;
 }
 
-/* Keys that divide the fleet otherwise list nothing here. */
+/* Recomputes the owners of all groups. Records with a different number of groups are ignored, since
+ * their group numbers have another meaning. */
 static void
 update_owners(MmGroupMap *map) {
   GHashTableIter iter;
   gpointer value;
 
   memset(map->owners, 0, map->n_groups * sizeof *map->owners);
-  g_hash_table_iter_init(&iter, map->holdings);
+  g_hash_table_iter_init(&iter, map->records);
   while (g_hash_table_iter_next(&iter, NULL, &value)) {
-    const MmGroupHolding *holding = value;
-    for (guint i = 0; i < holding->grants->len && holding->n_groups == map->n_groups; i++) {
-      const MmGroupGrant *grant = g_ptr_array_index(holding->grants, i);
-      OwnerUpdate update = { map, holding, grant->term };
-      roaring_iterate(grant->groups, update_owner, &update);
-      map->newest_term.v = MAX(map->newest_term.v, grant->term.v);
+    const MmOwnershipRecord *record = value;
+    for (guint i = 0; i < record->acquisitions->len && record->n_groups == map->n_groups; i++) {
+      const MmGroupAcquisition *acquisition = g_ptr_array_index(record->acquisitions, i);
+      OwnerUpdate update = { map, record, acquisition->term };
+      roaring_iterate(acquisition->groups, update_owner, &update);
+      map->newest_term.v = MAX(map->newest_term.v, acquisition->term.v);
     }
   }
 }
 
 static void
-remove_holding(MmGroupMap *map, const char *label) {
-  g_hash_table_remove(map->holdings, label);
+remove_record(MmGroupMap *map, const char *label) {
+  g_hash_table_remove(map->records, label);
   g_hash_table_remove(map->malformed, label);
 }
 
 gboolean
 mm_group_map_put(MmGroupMap *map, const char *label, const json_t *value, MmKeyVersion version) {
-  MmGroupHolding *holding = holding_from_json(label, value, version);
+  MmOwnershipRecord *record = ownership_record_from_json(label, value, version);
 
-  remove_holding(map, label);
-  if (holding != NULL) {
-    g_hash_table_replace(map->holdings, g_strdup(label), holding);
+  remove_record(map, label);
+  if (record != NULL) {
+    g_hash_table_replace(map->records, g_strdup(label), record);
   } else {
     MmKeyVersion *malformed_version = g_new(MmKeyVersion, 1);
     *malformed_version = version;
     g_hash_table_replace(map->malformed, g_strdup(label), malformed_version);
-    mm_error("key of machine groups is malformed, nothing is granted there node=%s", label);
+    mm_error("machine group record malformed, its groups have no owner and get no grants node=%s",
+             label);
   }
   update_owners(map);
-  return holding != NULL;
+  return record != NULL;
 }
 
 void
 mm_group_map_remove(MmGroupMap *map, const char *label) {
-  remove_holding(map, label);
+  remove_record(map, label);
   update_owners(map);
 }
 
 void
 mm_group_map_list_keys(const MmGroupMap *map, const char *prefix, GPtrArray *keys) {
-  GHashTable *const tables[] = { map->holdings, map->malformed };
+  GHashTable *const tables[] = { map->records, map->malformed };
 
   for (guint i = 0; i < G_N_ELEMENTS(tables); i++) {
     GHashTableIter iter;
@@ -172,18 +174,18 @@
   }
 }
 
-const MmGroupHolding *
-mm_group_map_holding(const MmGroupMap *map, const char *label) {
-  return g_hash_table_lookup(map->holdings, label);
+const MmOwnershipRecord *
+mm_group_map_ownership_record(const MmGroupMap *map, const char *label) {
+  return g_hash_table_lookup(map->records, label);
 }
 
 MmKeyVersion
 mm_group_map_key_version(const MmGroupMap *map, const char *label) {
-  const MmGroupHolding *holding = mm_group_map_holding(map, label);
+  const MmOwnershipRecord *record = mm_group_map_ownership_record(map, label);
   const MmKeyVersion *malformed_version = g_hash_table_lookup(map->malformed, label);
 
-  if (holding != NULL)
-    return holding->version;
+  if (record != NULL)
+    return record->version;
   return malformed_version != NULL ? *malformed_version : (MmKeyVersion){ 0 };
 }
 
@@ -197,14 +199,14 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init(&iter, map->holdings);
+  g_hash_table_iter_init(&iter, map->records);
   while (g_hash_table_iter_next(&iter, NULL, &value))
-    if (((const MmGroupHolding *)value)->n_groups != map->n_groups)
-      return ((const MmGroupHolding *)value)->n_groups;
+    if (((const MmOwnershipRecord *)value)->n_groups != map->n_groups)
+      return ((const MmOwnershipRecord *)value)->n_groups;
   return 0;
 }
 
-/* ---- a key's value under construction ---- */
+/* Builder of an ownership record's JSON. */
 
 struct MmGroupValue {
   guint n_groups;
@@ -249,12 +251,12 @@
 }
 
 void
-mm_group_value_add_all(MmGroupValue *value, const MmGroupHolding *holding,
+mm_group_value_add_all(MmGroupValue *value, const MmOwnershipRecord *record,
                        const MmGroupSet *without) {
-  for (guint i = 0; i < holding->grants->len; i++) {
-    const MmGroupGrant *grant = g_ptr_array_index(holding->grants, i);
-    GroupCopy copy = { value, without, grant->term };
-    roaring_iterate(grant->groups, copy_group, &copy);
+  for (guint i = 0; i < record->acquisitions->len; i++) {
+    const MmGroupAcquisition *acquisition = g_ptr_array_index(record->acquisitions, i);
+    GroupCopy copy = { value, without, acquisition->term };
+    roaring_iterate(acquisition->groups, copy_group, &copy);
   }
 }
 
@@ -266,7 +268,7 @@
 }
 
 static void
-append_term(json_t *grants, const MmGroupValue *value, MmTerm term) {
+append_acquisition(json_t *acquisitions, const MmGroupValue *value, MmTerm term) {
   g_autoptr(MmGroupSet) set = roaring_bitmap_create();
   g_autofree char *ranges = NULL;
 
@@ -274,19 +276,19 @@
     if (value->terms[group].v == term.v)
       roaring_bitmap_add(set, group);
   ranges = mm_group_set_to_text(set);
-  json_array_append_new(grants, json_pack("[I, s]", (json_int_t)term.v, ranges));
+  json_array_append_new(acquisitions, json_pack("[I, s]", (json_int_t)term.v, ranges));
 }
 
 json_t *
 mm_group_value_to_json(const MmGroupValue *value) {
-  g_autoptr(GHashTable) written = g_hash_table_new(g_int64_hash, g_int64_equal);
-  json_t *grants = json_array();
+  g_autoptr(GHashTable) written_terms = g_hash_table_new(g_int64_hash, g_int64_equal);
+  json_t *acquisitions = json_array();
 
   for (guint group = 0; group < value->n_groups; group++) {
-    if (value->terms[group].v == 0 || !g_hash_table_add(written, &value->terms[group].v))
+    if (value->terms[group].v == 0 || !g_hash_table_add(written_terms, &value->terms[group].v))
       continue;
-    append_term(grants, value, value->terms[group]);
+    append_acquisition(acquisitions, value, value->terms[group]);
   }
   return json_pack("{s:I, s:i, s:o}", FIELD_LEASE, (json_int_t)value->lease_id, FIELD_GROUP_COUNT,
-                   (int)value->n_groups, FIELD_GRANTS, grants);
+                   (int)value->n_groups, FIELD_ACQUISITIONS, acquisitions);
 }
--- a/src/sharing/group-map.h
+++ b/src/sharing/group-map.h
@@ -1,10 +1,10 @@
-/* Who owns which machine group, as the key-value store shows it.
+/* Map from machine groups to their owners, as the key-value store shows them.
  *
- * Each node has one key that lists the groups it owns, each with the term of the transaction by
- * which it acquired the group. The key is attached to the node's lease, so a node whose lease
- * expires loses all its groups at once. A group is in at most one key: every transaction that gives
- * a group to a node raises the global term and is guarded by its version, so two of them never
- * build on the same map. */
+ * Each node has one key, its ownership record, that lists the groups it owns, each with the term of
+ * the transaction by which the node acquired the group. The key is attached to the node's lease, so
+ * a node whose lease expires loses all its groups at once. A group is in at most one record: every
+ * transaction that assigns a group increments the global term and requires the term's version to be
+ * unchanged, so no two of them start from the same map. */
 #pragma once
 
 #include <jansson.h>
@@ -12,63 +12,69 @@
 #include "base/types.h"
 #include "sharing/group-set.h"
 
-/* Groups that their owner acquired by one transaction. */
+/* Groups that their owner acquired in one transaction. */
 typedef struct {
   MmTerm term;
   MmGroupSet *groups;
-} MmGroupGrant;
+} MmGroupAcquisition;
 
-/* What one node's key says. */
+/* The ownership record of one node, parsed from its key. */
 typedef struct {
   MmName node;
   guint64 lease_id;
   MmKeyVersion version;
-  guint n_groups;    /* into how many groups its writer divides the fleet */
-  GPtrArray *grants; /* MmGroupGrant */
-} MmGroupHolding;
+  guint n_groups;          /* number of groups in the settings of the node that wrote it */
+  GPtrArray *acquisitions; /* MmGroupAcquisition */
+} MmOwnershipRecord;
 
 typedef struct {
-  const MmGroupHolding *holding; /* NULL: nobody owns it */
-  MmTerm term;
+  const MmOwnershipRecord *holding; /* the owner's record, borrowed; NULL: the group has no owner */
+  MmTerm term;                      /* under which the owner acquired the group; 0: no owner */
 } MmGroupOwner;
 
 typedef struct {
   guint n_groups;
-  GHashTable *holdings;  /* label -> MmGroupHolding */
-  GHashTable *malformed; /* label -> MmKeyVersion: keys that could not be read */
+  GHashTable *records;   /* label -> MmOwnershipRecord */
+  GHashTable *malformed; /* label -> MmKeyVersion: keys that could not be parsed */
   MmGroupOwner *owners;  /* by group */
-  MmTerm newest_term;    /* the highest term of any group */
+  MmTerm newest_term;    /* the highest term that any group has had */
 } MmGroupMap;
 
-/* `n_groups`: at least 1. */
+/* Creates an empty map. `n_groups`: at least 1. */
 MmGroupMap *mm_group_map_new(guint n_groups);
 void mm_group_map_free(MmGroupMap *map);
-/* A node's key has changed. FALSE when it is malformed: then it is unknown what the node owns, and
- * no group without an owner may be acquired by anybody. */
+/* Stores the new value of a node's key. Returns FALSE if it is malformed; the groups of that node
+ * are then unknown, so no other node may acquire groups that seem to have no owner. */
 gboolean mm_group_map_put(MmGroupMap *map, const char *label, const json_t *value,
                           MmKeyVersion version);
+/* Removes a node's key that was deleted from the key-value store. */
 void mm_group_map_remove(MmGroupMap *map, const char *label);
-/* Appends the known keys, each behind the prefix; free them with g_free. */
+/* Appends the names of all known keys, malformed ones included, as new strings: `prefix` and the
+ * label. The caller frees them with g_free. */
 void mm_group_map_list_keys(const MmGroupMap *map, const char *prefix, GPtrArray *keys);
 
-/* NULL: the node has no key, or a malformed one. Valid until the key changes. */
-const MmGroupHolding *mm_group_map_holding(const MmGroupMap *map, const char *label);
-/* The version of the node's key, malformed or not; 0: there is none. */
+/* Returns the node's ownership record, owned by the map and valid until the key changes; NULL: the
+ * node has no key, or a malformed one. */
+const MmOwnershipRecord *mm_group_map_ownership_record(const MmGroupMap *map, const char *label);
+/* Returns the version of the node's key, malformed or not; 0: there is no key. */
 MmKeyVersion mm_group_map_key_version(const MmGroupMap *map, const char *label);
+/* Returns the group's owner. A group number outside the map has none. */
 MmGroupOwner mm_group_map_owner(const MmGroupMap *map, guint group);
-/* Another number of groups than this map's, as some key says; 0: none does. */
+/* Returns a number of groups that some record gives and that differs from this map's; 0: none. */
 guint mm_group_map_conflicting_count(const MmGroupMap *map);
 
-/* A key's value under construction. */
+/* Builder of an ownership record's JSON. */
 typedef struct MmGroupValue MmGroupValue;
 MmGroupValue *mm_group_value_new(guint n_groups, guint64 lease_id);
 void mm_group_value_free(MmGroupValue *value);
-/* Adds a group; of one that is listed already the later term counts. */
+/* Adds a group below `n_groups`. If it is listed already, the later term is kept. */
 void mm_group_value_add(MmGroupValue *value, guint group, MmTerm term);
-/* Adds all groups of the holding except those of `without` (may be NULL). */
-void mm_group_value_add_all(MmGroupValue *value, const MmGroupHolding *holding,
+/* Adds all groups of the record except those in `without`, which may be NULL. The record must have
+ * the same number of groups as the value. */
+void mm_group_value_add_all(MmGroupValue *value, const MmOwnershipRecord *record,
                             const MmGroupSet *without);
-/* Replaces the terms of all listed groups by this one. */
+/* Sets the terms of all listed groups to `term`, which makes the JSON shorter. */
 void mm_group_value_use_one_term(MmGroupValue *value, MmTerm term);
+/* Returns the JSON value for the node's key, with a reference that the caller owns. */
 json_t *mm_group_value_to_json(const MmGroupValue *value);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmGroupValue, mm_group_value_free)
--- a/src/sharing/group-set.c
+++ b/src/sharing/group-set.c
@@ -4,11 +4,11 @@
 
 #define FNV_OFFSET G_GUINT64_CONSTANT(14695981039346656037)
 #define FNV_PRIME G_GUINT64_CONSTANT(1099511628211)
-#define MIX_FIRST G_GUINT64_CONSTANT(0xff51afd7ed558ccd)
-#define MIX_SECOND G_GUINT64_CONSTANT(0xc4ceb9fe1a85ec53)
+#define FMIX64_MULTIPLIER_1 G_GUINT64_CONSTANT(0xff51afd7ed558ccd)
+#define FMIX64_MULTIPLIER_2 G_GUINT64_CONSTANT(0xc4ceb9fe1a85ec53)
 
-/* FNV-1a, finished as in MurmurHash3: names differ in their last digits only, and FNV-1a alone
- * leaves such names close together. */
+/* Computes the FNV-1a hash and applies the finalizer of MurmurHash3. Machine names differ only in
+ * their last digits, and FNV-1a alone maps such names to close values. */
 static guint64
 hash_name(const char *name) {
   guint64 hash = FNV_OFFSET;
@@ -18,9 +18,9 @@
     hash *= FNV_PRIME;
   }
   hash ^= hash >> 33;
-  hash *= MIX_FIRST;
+  hash *= FMIX64_MULTIPLIER_1;
   hash ^= hash >> 33;
-  hash *= MIX_SECOND;
+  hash *= FMIX64_MULTIPLIER_2;
   hash ^= hash >> 33;
   return hash;
 }
@@ -30,16 +30,17 @@
   return n_groups > 0 ? (guint)(hash_name(machine) % n_groups) : 0;
 }
 
+/* Writes a sorted sequence of groups as ranges. */
 typedef struct {
   GString *text;
   guint first;
   guint last;
-  gboolean open;
-} Ranges;
+  gboolean has_range;
+} RangeWriter;
 
 static void
-finish_range(Ranges *ranges) {
-  if (!ranges->open)
+write_range(RangeWriter *ranges) {
+  if (!ranges->has_range)
     return;
   if (ranges->text->len > 0)
     g_string_append_c(ranges->text, ',');
@@ -50,29 +51,29 @@
 
 static bool
 add_to_ranges(guint32 group, void *data) {
-  Ranges *ranges = data;
+  RangeWriter *ranges = data;
 
-  if (ranges->open && group == ranges->last + 1) {
+  if (ranges->has_range && group == ranges->last + 1) {
     ranges->last = group;
     return true;
   }
-  finish_range(ranges);
-  ranges->open = TRUE;
+  write_range(ranges);
+  ranges->has_range = TRUE;
   ranges->first = ranges->last = group;
   return true;
 }
 
 char *
 mm_group_set_to_text(const MmGroupSet *set) {
-  Ranges ranges = { g_string_new(NULL), 0, 0, FALSE };
+  RangeWriter ranges = { g_string_new(NULL), 0, 0, FALSE };
 
   roaring_iterate(set, add_to_ranges, &ranges);
-  finish_range(&ranges);
+  write_range(&ranges);
   return g_string_free(ranges.text, FALSE);
 }
 
 static gboolean
-read_number(const char **cursor, guint n_groups, guint *number) {
+parse_number(const char **cursor, guint n_groups, guint *number) {
   char *end = NULL;
   guint64 value;
 
@@ -87,15 +88,15 @@
 }
 
 static gboolean
-read_range(const char **cursor, guint n_groups, MmGroupSet *set) {
+parse_range(const char **cursor, guint n_groups, MmGroupSet *set) {
   guint first, last;
 
-  if (!read_number(cursor, n_groups, &first))
+  if (!parse_number(cursor, n_groups, &first))
     return FALSE;
   last = first;
   if (**cursor == '-') {
     ++*cursor;
-    if (!read_number(cursor, n_groups, &last) || last < first)
+    if (!parse_number(cursor, n_groups, &last) || last < first)
       return FALSE;
   }
   roaring_bitmap_add_range_closed(set, first, last);
@@ -108,7 +109,7 @@
   const char *cursor = text;
 
   while (*cursor != '\0') {
-    if (!read_range(&cursor, n_groups, set))
+    if (!parse_range(&cursor, n_groups, set))
       return NULL;
     if (*cursor == ',' && cursor[1] != '\0')
       cursor++;
--- a/src/sharing/group-set.h
+++ b/src/sharing/group-set.h
@@ -1,7 +1,7 @@
-/* Sets of machine groups, and which group a machine belongs to.
+/* Sets of machine groups, and the assignment of machines to groups.
  *
- * The fleet is divided into a fixed number of groups by a stable hash of the machines' names, so a
- * machine's group never changes. Sets are CRoaring bitmaps; as text they are lists of ranges, as in
+ * A stable hash of the machine's name assigns it to one of a fixed number of groups, so a machine's
+ * group never changes. Sets are CRoaring bitmaps. Their text form is a list of ranges, such as
  * "0-3,7". */
 #pragma once
 
@@ -11,10 +11,12 @@
 typedef roaring_bitmap_t MmGroupSet;
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmGroupSet, roaring_bitmap_free)
 
-/* The group, below `groups`, of the machine of this name. */
+/* Returns the group, below `n_groups`, of the machine with this name; 0 if `n_groups` is 0. Nodes
+ * of different versions must agree on it, so it must never change. */
 guint mm_group_of_machine(const char *machine, guint n_groups);
 
-/* Free with g_free. */
+/* Returns the set's text form. Free with g_free. */
 char *mm_group_set_to_text(const MmGroupSet *set);
-/* NULL where the text is malformed or names a group that is not below `groups`. */
+/* Parses a set's text form. Returns NULL if the text is malformed or contains a group that is not
+ * below `n_groups`. Free with roaring_bitmap_free. */
 MmGroupSet *mm_group_set_from_text(const char *text, guint n_groups);
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -1,5 +1,6 @@
-/* Starting a group's move to another node: whether it may move, orders of the balancing node and of
- * operators, and the moves that peers announce. transactions.c carries them out. */
+/* Starts moves of groups to other nodes: checks whether a group may move, handles the orders of the
+ * balancing node and of operators, and records the moves that peers announce. transactions.c
+ * commits the moves. */
 #include "sharing/moves.h"
 
 #include "leases/shard-ownership.h"
@@ -26,7 +27,7 @@
 }
 
 static MmMoveResult
-may_move(const MmSharing *sharing, guint group, const char *target, gboolean by_hand) {
+may_move(const MmSharing *sharing, guint group, const char *target, gboolean is_manual) {
   const MmNode *node = sharing->node;
   const MmOwnedGroup *owned;
   gint64 owned_ms;
@@ -47,16 +48,16 @@
   if (g_hash_table_lookup(node->replica->live_nodes, target) == NULL)
     return MM_MOVE_TARGET_NOT_LIVE;
   owned_ms = mm_time_ms_since(mm_node_now(node), owned->acquired_at);
-  if (!by_hand && owned_ms < (gint64)(node->operators->group_min_stay_s * 1000))
+  if (!is_manual && owned_ms < (gint64)(node->operators->group_min_stay_s * 1000))
     return MM_MOVE_TOO_SOON;
-  if (!by_hand && sharing->n_moving >= (guint)node->operators->max_group_moves)
+  if (!is_manual && sharing->n_moving >= (guint)node->operators->max_group_moves)
     return MM_MOVE_TOO_MANY;
   return MM_MOVE_STARTED;
 }
 
 MmMoveResult
-mm_sharing_move(MmSharing *sharing, guint group, const char *target, gboolean by_hand) {
-  MmMoveResult result = may_move(sharing, group, target, by_hand);
+mm_sharing_move(MmSharing *sharing, guint group, const char *target, gboolean is_manual) {
+  MmMoveResult result = may_move(sharing, group, target, is_manual);
   MmOwnedGroup *owned;
 
   if (result != MM_MOVE_STARTED)
@@ -66,12 +67,13 @@
   owned->target = mm_name(target);
   owned->moving_since = mm_node_now(sharing->node);
   sharing->n_moving++;
-  mm_info("started move group=%u target=%s", group, target);
+  mm_info("machine group move started group=%u target=%s", group, target);
   mm_sharing_broadcast_moves(sharing);
   return result;
 }
 
-/* Only the leader of the balancing shard may order moves, and an operator by way of any node. */
+/* Accepts orders only from the leader of the balancing shard under its current term, and from any
+ * node on behalf of an operator. */
 void
 mm_sharing_move_ordered(MmSharing *sharing, guint peer, const Mm__MoveOrder *order) {
   const MmShard *balancer_shard = mm_replica_shard(sharing->node->replica, MM_SHARD_SHARING);
@@ -81,25 +83,26 @@
   if (!order->by_hand
       && (balancer_shard == NULL || balancer_shard->term.v != order->term
           || !mm_name_equal(&balancer_shard->leader, sender))) {
-    mm_info("rejected order to move, sender does not lead balancing sender=%s group=%u", sender->s,
-            order->group);
+    mm_info("machine group move order rejected, sender does not lead the balancing shard"
+            " sender=%s group=%u",
+            sender->s, order->group);
     return;
   }
   result = mm_sharing_move(sharing, order->group, order->target, order->by_hand);
   if (result != MM_MOVE_STARTED)
-    mm_debug("rejected order to move group=%u reason=\"%s\"", order->group,
+    mm_debug("machine group move order rejected group=%u reason=\"%s\"", order->group,
              mm_sharing_move_result_text(result));
 }
 
 void
 mm_sharing_moves_received(MmSharing *sharing, guint peer, const Mm__GroupMoves *moves) {
-  GArray *list = sharing->peer_moves[peer];
+  GArray *peer_moves = sharing->peer_moves[peer];
 
-  g_array_set_size(list, 0);
+  g_array_set_size(peer_moves, 0);
   for (size_t i = 0; i < MIN(moves->n_groups, moves->n_targets); i++) {
     MmGroupMove move = { moves->groups[i], sharing->node->peer_links->peers[peer].label,
                          mm_name(moves->targets[i]) };
-    g_array_append_val(list, move);
+    g_array_append_val(peer_moves, move);
   }
 }
 
--- a/src/sharing/shares.c
+++ b/src/sharing/shares.c
@@ -9,9 +9,9 @@
   return total;
 }
 
-/* Whether node `a` has precedence over node `b` for one more group. */
+/* Returns whether node `a` takes precedence over node `b` when a remaining group is assigned. */
 static gboolean
-comes_first(const MmShare *shares, const double *remainders, guint a, guint b) {
+has_precedence(const MmShare *shares, const double *remainders, guint a, guint b) {
   if (remainders[a] != remainders[b])
     return remainders[a] > remainders[b];
   if (shares[a].owned != shares[b].owned)
@@ -29,14 +29,14 @@
     double fraction = total > 0 ? shares[i].weight / total : 1.0 / n_nodes;
     double exact = fraction * n_groups;
     targets[i] = (guint)exact;
-    /* Who weighs nothing gets no rest either. */
+    /* Nodes of weight 0 get none of the remaining groups. */
     remainders[i] = fraction > 0 ? exact - targets[i] : -1;
     unassigned -= targets[i];
   }
   while (unassigned > 0 && n_nodes > 0) {
     guint first = 0;
     for (guint i = 1; i < n_nodes; i++)
-      if (comes_first(shares, remainders, i, first))
+      if (has_precedence(shares, remainders, i, first))
         first = i;
     targets[first]++;
     remainders[first] = -1;
@@ -73,10 +73,10 @@
 
 guint
 mm_shares_next_taker(const MmShare *shares, const guint *targets, guint n_nodes) {
-  guint taker = n_nodes > 0 ? 0 : G_MAXUINT;
+  guint acquirer = n_nodes > 0 ? 0 : G_MAXUINT;
 
   for (guint i = 1; i < n_nodes; i++)
-    if (surplus(shares, targets, i) < surplus(shares, targets, taker))
-      taker = i;
-  return taker;
+    if (surplus(shares, targets, i) < surplus(shares, targets, acquirer))
+      acquirer = i;
+  return acquirer;
 }
--- a/src/sharing/shares.h
+++ b/src/sharing/shares.h
@@ -1,29 +1,34 @@
-/* How many machine groups each node should own, and the fewest moves that get there. Pure. */
+/* Computes how many machine groups each node should own, and the minimal moves that achieve it.
+ * Pure functions without state. */
 #pragma once
 
 #include "sharing/group-set.h"
 
+/* One node's weight and number of owned groups. */
 typedef struct {
-  double weight; /* 0: it should own none */
+  double weight; /* 0: the node should own no group */
   guint owned;
 } MmShare;
 
-/* Divides the groups in proportion to the weights, by largest remainders; among equal remainders
- * nodes that own more come first, so that nothing moves without need. Fills `targets`, one a node;
- * where all weights are 0, all nodes weigh the same. */
+/* Computes the number of groups that each node should own, in proportion to the weights by the
+ * largest remainder method. Among equal remainders the node that owns more groups takes precedence,
+ * which avoids needless moves. If all weights are 0, all nodes have equal shares. Writes one number
+ * per node to `targets`. */
 void mm_shares_targets(const MmShare *shares, guint n_nodes, guint n_groups, guint *targets);
 
+/* A move of one group between two nodes, given by their indexes. */
 typedef struct {
   guint from;
   guint to;
 } MmShareMove;
 
-/* The next move of one group, from the node that is furthest above its target to the one furthest
- * below. FALSE when nothing should move: all are within `slack` of their targets, or own none where
- * they should not. */
+/* Computes the next move of one group, from the node furthest above its target to the node furthest
+ * below it. Returns FALSE if no move is needed, because no node is above its target, none is below
+ * it, or neither of the two deviates by more than `slack`. `slack` is ignored if the target of the
+ * node furthest above is 0, so that this node gives up all its groups. */
 gboolean mm_shares_next_move(const MmShare *shares, const guint *targets, guint n_nodes,
                              guint slack, MmShareMove *move);
 
-/* The node to which a group without an owner goes: the one furthest below its target, among equals
- * the first. G_MAXUINT: there is no node. */
+/* Returns the index of the node that should acquire the next group without an owner: the node
+ * furthest below its target, the first among equals. G_MAXUINT: there are no nodes. */
 guint mm_shares_next_taker(const MmShare *shares, const guint *targets, guint n_nodes);
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -25,7 +25,7 @@
 }
 
 static void
-owned_free(MmOwnedGroup *owned) {
+owned_group_free(MmOwnedGroup *owned) {
   g_hash_table_unref(owned->unacknowledged);
   g_free(owned);
 }
@@ -37,16 +37,16 @@
   g_free(sharing->peer_moves);
   for (guint group = 0; group < sharing->n_groups; group++)
     if (sharing->owned[group] != NULL)
-      owned_free(sharing->owned[group]);
+      owned_group_free(sharing->owned[group]);
   g_free(sharing->owned);
   g_clear_pointer(&sharing->map, mm_group_map_free);
   mm_grants_free(sharing->grants);
   g_free(sharing);
 }
 
-/* ---- which groups are owned here ---- */
+/* Owned groups. */
 
-/* Whether the replica shows this incarnation of this node as the group's owner. */
+/* Returns whether the replica shows the current incarnation of this node as the group's owner. */
 static gboolean
 is_owned_in_replica(const MmSharing *sharing, guint group) {
   const MmNode *node = sharing->node;
@@ -65,21 +65,22 @@
 }
 
 static void
-drop_group(MmSharing *sharing, guint group) {
+remove_owned_group(MmSharing *sharing, guint group) {
   MmOwnedGroup *owned = sharing->owned[group];
 
-  mm_debug("group is no longer owned here group=%u", group);
+  mm_debug("machine group ownership ended, not held under the current lease and term group=%u",
+           group);
   sharing->n_owned--;
   sharing->n_moving -= owned->is_moving;
   sharing->n_moved += owned->is_moving;
   sharing->owned[group] = NULL;
-  owned_free(owned);
+  owned_group_free(owned);
   mm_grants_drop_group(sharing->grants, group, sharing->n_groups);
 }
 
-/* A machine of an acquired group may still carry out starts of earlier owners, unless it has
- * acknowledged the group's term. One that is registered later only gets responses of that term or a
- * later one. */
+/* Adds the machine of a newly owned group to `unacknowledged`, unless it has acknowledged the
+ * group's term: it may still execute starts granted by earlier owners. A machine that is registered
+ * later needs no such entry, as it only receives responses of that term or a later one. */
 static void
 track_unacknowledged(MmSharing *sharing, const MmMachine *machine) {
   MmOwnedGroup *owned = sharing->owned[machine->group];
@@ -92,7 +93,7 @@
 }
 
 static void
-adopt_group(MmSharing *sharing, guint group) {
+add_owned_group(MmSharing *sharing, guint group) {
   MmOwnedGroup *owned = g_new0(MmOwnedGroup, 1);
 
   owned->number = group;
@@ -103,34 +104,35 @@
   sharing->n_owned++;
 }
 
-/* Drops the groups that are not owned any more, or under another term, and adopts the new ones. */
+/* Removes groups that this node no longer owns, or owns under another term, and adds newly owned
+ * ones. */
 static void
-apply_group_map(MmSharing *sharing) {
+update_owned_groups(MmSharing *sharing) {
   const GPtrArray *machines = sharing->node->machine_table->sorted_machines;
-  g_autoptr(MmGroupSet) adopted_groups = roaring_bitmap_create();
+  g_autoptr(MmGroupSet) added_groups = roaring_bitmap_create();
 
   for (guint group = 0; group < sharing->n_groups; group++) {
     gboolean is_owned = is_owned_in_replica(sharing, group);
     MmTerm term = mm_group_map_owner(sharing->map, group).term;
 
     if (sharing->owned[group] != NULL && (!is_owned || term.v != sharing->owned[group]->term.v))
-      drop_group(sharing, group);
+      remove_owned_group(sharing, group);
     if (sharing->owned[group] == NULL && is_owned) {
-      adopt_group(sharing, group);
-      roaring_bitmap_add(adopted_groups, group);
+      add_owned_group(sharing, group);
+      roaring_bitmap_add(added_groups, group);
     }
   }
-  if (roaring_bitmap_is_empty(adopted_groups))
+  if (roaring_bitmap_is_empty(added_groups))
     return;
   for (guint i = 0; i < machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machines, i);
-    if (!roaring_bitmap_contains(adopted_groups, machine->group))
+    if (!roaring_bitmap_contains(added_groups, machine->group))
       continue;
     track_unacknowledged(sharing, machine);
     machine->acknowledgement_requested_at.us = 0;
   }
-  mm_info("adopted %u machine group(s) owned=%u",
-          (guint)roaring_bitmap_get_cardinality(adopted_groups), sharing->n_owned);
+  mm_info("machine group ownership began for %u group(s) owned=%u",
+          (guint)roaring_bitmap_get_cardinality(added_groups), sharing->n_owned);
 }
 
 static void
@@ -144,12 +146,13 @@
   sharing->unowned_since.us = 0;
 }
 
-/* Only when this node starts: nodes that take part already keep out those with another number. */
+/* Compares the stored number of groups with the settings, only once after this node has started:
+ * later, a node with a different number is excluded by those that share machines already. */
 static void
 check_stored_group_count(MmSharing *sharing) {
-  if (!sharing->is_compared)
+  if (!sharing->is_group_count_checked)
     sharing->conflicting_groups = mm_group_map_conflicting_count(sharing->map);
-  sharing->is_compared = TRUE;
+  sharing->is_group_count_checked = TRUE;
 }
 
 static void
@@ -157,8 +160,9 @@
   gboolean is_active = mm_versions_common_group_count(sharing->node->versions) == sharing->n_groups;
 
   if (is_active != sharing->is_active)
-    mm_info("sharing of machine groups is %s",
-            is_active ? "active, every node takes part" : "inactive, not every node takes part");
+    mm_info("machine group sharing is %s",
+            is_active ? "active, all nodes announce the same number of groups"
+                      : "inactive, not all nodes announce the same number of groups");
   sharing->is_active = is_active;
 }
 
@@ -168,7 +172,7 @@
     return;
   check_stored_group_count(sharing);
   update_is_active(sharing);
-  apply_group_map(sharing);
+  update_owned_groups(sharing);
   update_unowned_since(sharing);
 }
 
@@ -193,12 +197,14 @@
     mm_sharing_balance(sharing);
 }
 
-/* ---- heartbeats ---- */
+/* Heartbeats and registration. */
 
-/* As for a team's shard: the heartbeat shows the group's term, or a newer incarnation than was
- * registered when the group was acquired; what was started in the old one is gone. */
+/* Returns whether the machine's newest message proves that it no longer executes starts granted by
+ * earlier owners. As for a team's shard, it does so if it carries the group's term or a later one,
+ * or comes from a newer incarnation than the one registered when the group was acquired: tasks of
+ * the old incarnation no longer run. */
 static gboolean
-acknowledges(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
+acknowledges_group_term(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
   return machine->acknowledged_term.v >= owned->term.v
          || machine->latest_message_id.incarnation > incarnation;
 }
@@ -215,7 +221,7 @@
   owned = sharing->owned[machine->group];
   if (owned != NULL
       && g_hash_table_lookup_extended(owned->unacknowledged, machine->id.s, NULL, &incarnation)
-      && acknowledges(owned, machine, GPOINTER_TO_SIZE(incarnation)))
+      && acknowledges_group_term(owned, machine, GPOINTER_TO_SIZE(incarnation)))
     g_hash_table_remove(owned->unacknowledged, machine->id.s);
 }
 
@@ -258,7 +264,7 @@
   return owned != NULL && g_hash_table_contains(owned->unacknowledged, machine->id.s);
 }
 
-/* ---- grants ---- */
+/* Grants. */
 
 gboolean
 mm_sharing_may_grant(const MmSharing *sharing, const MmMachine *machine) {
@@ -269,8 +275,9 @@
     return FALSE;
   group = machine->group;
   owned = sharing->owned[group];
-  /* A machine that the owner has quarantined gets nothing; nor does an incarnation that is not
-   * registered: if the group changed hands, the next owner would not know to wait for it. */
+  /* No grants on a machine that this node has quarantined, nor on an incarnation that is not
+   * registered: after a change of owner, the next owner would not know that it must wait for the
+   * acknowledgement of that incarnation. */
   return owned != NULL && !owned->is_moving && mm_sharing_owns(sharing, group)
          && mm_machine_is_usable(sharing->node->machine_table, machine)
          && mm_node_lease_may_answer_workers(sharing->node->node_lease)
@@ -332,7 +339,7 @@
   mm_peer_links_send(sharing->node->peer_links, peer, &frame);
 }
 
-/* ---- heartbeats go to the owner ---- */
+/* Redirection of workers to the owner. */
 
 gint
 mm_sharing_redirect_target(MmSharing *sharing, const char *machine_id) {
@@ -348,7 +355,8 @@
   if (owner.holding == NULL)
     return MM_PEER_NONE;
   peer = mm_peer_links_find(node->peer_links, owner.holding->node.s);
-  /* A worker that is back within a lease can't reach the owner: this node serves it. */
+  /* A worker that returns within a lease of its redirect could not reach the owner, so this node
+   * serves it. */
   if (peer < 0 || !mm_peer_links_peer_serves_workers(node->peer_links, (guint)peer)
       || (machine->last_redirected_at.us != 0
           && mm_time_ms_since(now, machine->last_redirected_at)
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -1,12 +1,12 @@
-/* Sharing machines among nodes: each node owns groups of machines under its lease, and only the
- * owner of a machine's group grants its resources to starts.
+/* Divides the machines among the nodes: each node owns groups of machines under its lease, and only
+ * the owner of a machine's group grants the machine's resources to starts.
  *
- * A start needs two approvals. The leader of the team's shard says that this attempt may run; the
- * owner of the machine's group says that the machine has the resources. docs/sharing.md argues why
- * the rules hold while groups move.
+ * A start needs two permissions. The leader of the team's shard approves the attempt; the owner of
+ * the machine's group grants the resources on the machine. docs/sharing.md explains why these rules
+ * hold while groups move.
  *
- * The state of all modules of this folder stands here: ownership in sharing.c, moves in moves.c,
- * the transactions that change it in transactions.c, balancing in balance.c. */
+ * This header declares the state of all modules in this folder: sharing.c tracks ownership, moves.c
+ * starts moves, transactions.c writes changes of ownership, balance.c balances. */
 #pragma once
 
 #include "machines/machine-table.h"
@@ -20,22 +20,24 @@
   guint number;
   MmTerm term;
   MmTime acquired_at;
-  /* Machines that may still carry out starts of earlier owners: id -> registered incarnation. */
+  /* Machines that may still execute starts granted by earlier owners, since they have not
+   * acknowledged `term`: id -> registered incarnation. Nothing is granted on them. */
   GHashTable *unacknowledged;
-  gboolean is_moving; /* nothing is granted: the group is to move to `target` */
-  MmName target;
-  MmTime moving_since;
+  gboolean is_moving;  /* a move to `target` is in progress: no resources are granted */
+  MmName target;       /* valid while `is_moving` */
+  MmTime moving_since; /* valid while `is_moving` */
 } MmOwnedGroup;
 
-/* What a transaction of this node about groups is for. */
+/* Purpose of a transaction by which this node changes ownership of groups. */
 typedef enum {
   MM_GROUP_WRITE_NONE,
   MM_GROUP_WRITE_ACQUIRE,
   MM_GROUP_WRITE_MOVE,
-  MM_GROUP_WRITE_CONFIRM, /* makes a move of unknown outcome fail, or finds that it was applied */
+  MM_GROUP_WRITE_CONFIRM, /* resolves a move of unknown outcome, see confirm_move */
   MM_GROUP_WRITE_RELEASE
 } MmGroupWrite;
 
+/* Outcome of a request to move a group. */
 typedef enum {
   MM_MOVE_STARTED,
   MM_MOVE_SHARING_OFF,
@@ -45,11 +47,11 @@
   MM_MOVE_SAME_NODE,
   MM_MOVE_UNDER_WAY,
   MM_MOVE_TOO_SOON, /* this node acquired the group less than the minimum time ago */
-  MM_MOVE_TOO_MANY, /* the limit of moves under way is reached */
+  MM_MOVE_TOO_MANY, /* the limit of concurrent moves is reached */
   MM_MOVE_TARGET_NOT_LIVE
 } MmMoveResult;
 
-/* A move of one group that is under way at a peer, as the peer last said. */
+/* A move in progress at a peer, according to the peer's last GroupMoves frame. */
 typedef struct {
   guint group;
   MmName from;
@@ -58,77 +60,86 @@
 
 struct MmSharing {
   MmNode *node;
-  guint n_groups;  /* 0: this node does not take part in sharing */
-  MmGroupMap *map; /* NULL with `n_groups` 0 */
+  guint n_groups;  /* number of groups in the settings; 0: sharing is disabled on this node */
+  MmGroupMap *map; /* NULL if `n_groups` is 0 */
   MmGrants *grants;
-  MmOwnedGroup **owned; /* by group; NULL: not owned */
+  MmOwnedGroup **owned; /* by group; NULL: not owned by this node */
   guint n_owned;
   guint n_moving;
-  guint64 n_moved;     /* groups that moved to other nodes, ever */
+  guint64 n_moved;     /* groups moved to other nodes since this process started */
   GArray **peer_moves; /* by peer: MmGroupMove */
-  gboolean is_active;  /* every node of the settings takes part, with the same number of groups */
-  /* Another number of groups that was stored when this node started; 0: there was none. It may not
-   * take part then: the program ends with an error. */
+  gboolean is_active;  /* every node of the settings announces the same number of groups */
+  /* A stored number of groups that differed from the settings when this node started; 0: there was
+   * none. Otherwise this node must not own groups, and the program exits with an error. */
   guint conflicting_groups;
-  gboolean is_compared; /* the stored number of groups has been compared */
-  MmTime unowned_since; /* since when some group has had no owner; 0: all have one */
+  gboolean is_group_count_checked; /* `conflicting_groups` has been determined */
+  MmTime unowned_since;            /* since when at least one group has no owner; 0: none */
 
-  /* transactions.c */
+  /* Written by transactions.c. */
   MmGroupWrite write_in_flight;
-  gboolean is_move_unconfirmed; /* a move got no response: it is to be confirmed */
-  guint64 min_revision;         /* nothing more is written before the replica has reached it */
+  gboolean is_move_unconfirmed; /* a move got no response; its outcome must be determined */
+  guint64 min_revision;         /* no transaction starts until the replica has reached it */
   MmTime next_write_at;
 
-  /* balance.c */
+  /* Written by balance.c. */
   MmTime next_balance_at;
-  MmTime uneven_since;
-  MmTime moves_sent_at;
+  MmTime imbalanced_since; /* 0: the shares need no move */
+  MmTime moves_broadcast_at;
 };
 
-/* The node must outlive it. */
+/* Creates the state of this folder's modules; the node must outlive it. */
 MmSharing *mm_sharing_new(MmNode *node);
 void mm_sharing_free(MmSharing *sharing);
-/* Writes what is due, and balances where that is this node's duty. */
+/* Starts a transaction that is due, and balances the groups if this node leads the balancing shard;
+ * to be called at every tick of the node. */
 void mm_sharing_tick(MmSharing *sharing);
-/* The replica has changed: drops groups that are no longer owned and adopts new ones. */
+/* Called after the replica has changed. Updates the groups that this node owns. */
 void mm_sharing_replica_changed(MmSharing *sharing);
-/* A node's key of groups, as the replica shows it; NULL: it was deleted. */
+/* Called when the replica shows a change of the ownership record of the node `label`. `value`: NULL
+ * if the record was deleted. */
 void mm_sharing_key_changed(MmSharing *sharing, const char *label, const json_t *value,
                             MmKeyVersion version);
 
-/* From the machine table: a heartbeat was recorded, or nothing is on the machine any more. */
+/* Called when the machine table has recorded a heartbeat or direct reply. Removes grants that it
+ * resolves, and notes an acknowledgement of the group's term. */
 void mm_sharing_heartbeat_received(MmSharing *sharing, MmMachine *machine,
                                    MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
+/* Called when the machine certainly runs no task any more. Removes its grants and no longer waits
+ * for its acknowledgement. */
 void mm_sharing_machine_gone(MmSharing *sharing, const MmMachine *machine);
 
-/* Whether this node owns the group, by a lease that is certainly valid. */
+/* Returns whether this node owns the group under a lease that is certainly valid. */
 gboolean mm_sharing_owns(const MmSharing *sharing, guint group);
-/* Whether this node may grant resources of the machine now. */
+/* Returns whether this node may grant resources of the machine now. */
 gboolean mm_sharing_may_grant(const MmSharing *sharing, const MmMachine *machine);
 
-/* Who grants a machine's resources. */
+/* Node that grants a machine's resources. */
 typedef enum {
-  MM_GRANTS_NOT_NEEDED, /* sharing is off: approvals are enough */
+  MM_GRANTS_NOT_NEEDED, /* sharing is inactive: the shard leader's approval suffices */
   MM_GRANTS_HERE,
   MM_GRANTS_AT_PEER,
-  MM_GRANTS_NOWHERE /* no owner can be reached now: no start */
+  MM_GRANTS_NOWHERE /* no node can grant now, so no start is sent */
 } MmGrantSource;
-/* Sets `peer` with MM_GRANTS_AT_PEER, and the group's `term` wherever sharing is active. */
+/* Returns which node grants the machine's resources. Sets `peer` for MM_GRANTS_AT_PEER, and `term`
+ * to the group's term whenever sharing is active. */
 MmGrantSource mm_sharing_grant_source(const MmSharing *sharing, const MmMachine *machine,
                                       guint *peer, MmTerm *term);
-/* Whether a grant of that term is valid in a response that is sent now. */
+/* Returns whether a grant made under the term is valid in a response that is sent now. */
 gboolean mm_sharing_grant_is_current(const MmSharing *sharing, const char *machine, MmTerm term);
-/* The peer that owns the machine's group and should get its heartbeats; MM_PEER_NONE: this node
- * serves the machine. Not the same machine again within a lease. */
+/* Returns the peer to which the machine's worker should send its heartbeats, the owner of the
+ * machine's group; MM_PEER_NONE: this node serves the machine. Records the redirect: a machine is
+ * redirected at most once per worker lease. To be called only while sharing is active. */
 gint mm_sharing_redirect_target(MmSharing *sharing, const char *machine);
-/* Whether this node should register the machine: it owns the machine's group, or, where nobody
- * does, the machine sends its heartbeats to it. */
+/* Returns whether this node should register the machine: it owns the machine's group, or the group
+ * has no owner and the machine sends its heartbeats to this node. */
 gboolean mm_sharing_may_register(const MmSharing *sharing, const MmMachine *machine);
-/* The term that the owner of the machine's group waits for the machine to acknowledge; 0: none. */
+/* Returns the term under which the machine's group was acquired, which the machine has to
+ * acknowledge; 0: the group has no owner, or sharing is inactive. */
 MmTerm mm_sharing_group_term(const MmSharing *sharing, const MmMachine *machine);
-/* Whether this node waits for the machine to acknowledge the term of its group. */
+/* Returns whether this node owns the machine's group and waits for the machine to acknowledge its
+ * term. */
 gboolean mm_sharing_awaits_acknowledgement(const MmSharing *sharing, const MmMachine *machine);
 
-/* From a peer: asks this node, as owner of the machine's group, to grant starts; answered at once.
- */
+/* Handles a peer's request that this node, as owner of the machine's group, grant resources to
+ * starts. Sends the response at once. */
 void mm_sharing_grant_requested(MmSharing *sharing, guint peer, const Mm__GrantRequest *request);
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -1,7 +1,7 @@
-/* The transactions by which groups change hands. Each that gives a group to a node raises the
- * global term and is guarded by the term's version, by the version of each key that it changes, and
- * attaches each key to the lease of its node. So it fails once anything that it was built on has
- * changed, however late the store applies it. */
+/* Transactions that change the owners of machine groups. Each transaction that assigns a group to a
+ * node increments the global term, requires the term and all keys that it changes to be at their
+ * known versions, and attaches each key to the lease of its node. If any of these has changed, the
+ * transaction fails, however late the store applies it. */
 #include "sharing/transactions.h"
 
 #include "base/wire.h"
@@ -10,22 +10,24 @@
 #include "kv/kv-client.h"
 #include "sharing/balance.h"
 
-/* A group that has had no owner for this long is acquired by any node. */
+/* Once groups have had no owner for longer than this, any node may acquire them, not only the one
+ * to which they are assigned. */
 #define UNOWNED_WAIT_MS 1500
-/* At the start all nodes should be live before groups are distributed. */
-#define START_WAIT_MS 1000
+/* In a new cluster, how long a node waits for the other nodes to become live before it acquires
+ * groups. */
+#define STARTUP_WAIT_MS 1000
 #define WRITE_INTERVAL_MS 100
 #define CONFLICT_BACKOFF_MS 1000
-/* A move writes two keys and the term. */
+/* Operations in the transaction of a move: it writes two ownership records and the term. */
 #define MOVE_OPERATIONS 3
 
-static const MmGroupHolding *
-own_holding(const MmSharing *sharing) {
-  const MmGroupHolding *holding
-      = mm_group_map_holding(sharing->map, sharing->node->settings->label.s);
+/* Returns this node's ownership record; NULL if there is none under its current lease. */
+static const MmOwnershipRecord *
+own_record(const MmSharing *sharing) {
+  const MmOwnershipRecord *record
+      = mm_group_map_ownership_record(sharing->map, sharing->node->settings->label.s);
 
-  return holding != NULL && holding->lease_id == sharing->node->node_lease->lease_id ? holding
-                                                                                     : NULL;
+  return record != NULL && record->lease_id == sharing->node->node_lease->lease_id ? record : NULL;
 }
 
 static MmKeyVersion
@@ -38,12 +40,12 @@
   sharing->next_write_at = mm_time_add_ms(mm_node_now(sharing->node), ms);
 }
 
-/* The group stays here. */
+/* Ends the move; this node keeps the group. */
 static void
 abort_move(MmSharing *sharing, MmOwnedGroup *owned, const char *reason) {
   owned->is_moving = FALSE;
   sharing->n_moving--;
-  mm_info("aborted move group=%u reason=\"%s\"", owned->number, reason);
+  mm_info("machine group move aborted group=%u reason=\"%s\"", owned->number, reason);
 }
 
 static void
@@ -67,19 +69,20 @@
     sharing->min_revision = mm_json_count(body, WIRE_REVISION, 0);
     sharing->is_move_unconfirmed = FALSE;
   } else if (status == 409) {
-    /* Something that it was built on has changed: the replica will show what. A move whose outcome
-     * was unknown has then been applied, or was made to fail by another change of this node's key.
-     */
+    /* Conflict: the term or a key has changed, as the replica will show. If the outcome of a move
+     * was unknown, that move has either been applied, or cannot be applied any more, since another
+     * transaction has changed this node's key. */
     sharing->is_move_unconfirmed = FALSE;
     delay_next_write(sharing, CONFLICT_BACKOFF_MS);
   } else if (status == 400) {
-    /* The target's lease has expired, or this node's: the transaction can never be applied. */
+    /* The lease of the target or of this node has expired; the transaction can never be applied. */
     if (kind == MM_GROUP_WRITE_MOVE)
       abort_all_moves(sharing, "the target's lease has expired");
     sharing->is_move_unconfirmed = FALSE;
     delay_next_write(sharing, CONFLICT_BACKOFF_MS);
   } else if (status == 0 && kind == MM_GROUP_WRITE_MOVE) {
-    /* It may still be applied. Nothing is granted of those groups before the outcome is known. */
+    /* No response: the move may still be applied. No resources of its groups are granted until the
+     * outcome is known. */
     sharing->is_move_unconfirmed = TRUE;
   }
 }
@@ -90,9 +93,9 @@
   mm_kv_client_commit(sharing->node->kv, transaction, on_write_response, sharing);
 }
 
-/* Adds the raising of the global term to the transaction; returns the new term. */
+/* Adds the increment of the global term to the transaction. Returns the new term. */
 static MmTerm
-raise_term(const MmSharing *sharing, MmTransaction *transaction) {
+increment_term(const MmSharing *sharing, MmTransaction *transaction) {
   const MmReplica *replica = sharing->node->replica;
   MmTerm term = { replica->term.v + 1 };
 
@@ -102,8 +105,8 @@
 }
 
 static void
-put_value(const MmSharing *sharing, MmTransaction *transaction, const char *label,
-          const MmGroupValue *value, guint64 lease_id) {
+put_record(const MmSharing *sharing, MmTransaction *transaction, const char *label,
+           const MmGroupValue *value, guint64 lease_id) {
   mm_transaction_require_version(transaction, MM_KEY_MACHINE_GROUPS, label,
                                  key_version(sharing, label));
   mm_transaction_put(transaction, MM_KEY_MACHINE_GROUPS, label, mm_group_value_to_json(value),
@@ -117,16 +120,17 @@
   return json_dumpb(json, NULL, 0, JSON_COMPACT) <= mm_kv_client_max_value_bytes(sharing->node->kv);
 }
 
-/* The holding's groups except `without`, and `added` under the term. Where so many terms exceed the
- * limit of a value, all are listed under the new one: their owner then waits for the machines'
- * acknowledgements once more. Free with mm_group_value_free. */
+/* Builds a record with the groups of `record` except `without`, and with `added` under `term`. Any
+ * of the three may be NULL. If groups are added and the value exceeds the store's size limit, which
+ * happens when there are many different terms, all groups are listed under `term`; their owner then
+ * has to wait for all machines to acknowledge the new term. Free with mm_group_value_free. */
 static MmGroupValue *
-build_value(const MmSharing *sharing, const MmGroupHolding *holding, guint64 lease_id,
-            const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
+build_record(const MmSharing *sharing, const MmOwnershipRecord *record, guint64 lease_id,
+             const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
   MmGroupValue *value = mm_group_value_new(sharing->n_groups, lease_id);
 
-  if (holding != NULL)
-    mm_group_value_add_all(value, holding, without);
+  if (record != NULL)
+    mm_group_value_add_all(value, record, without);
   for (guint group = 0; group < sharing->n_groups; group++)
     if (added != NULL && roaring_bitmap_contains(added, group))
       mm_group_value_add(value, group, term);
@@ -135,26 +139,29 @@
   return value;
 }
 
-/* ---- acquiring ---- */
+/* Acquisition of groups. */
 
-/* Whether nobody owns the group, or a previous incarnation of this node does. */
+/* Returns whether the group has no owner, or is owned by a previous incarnation of this node. */
 static gboolean
-is_free(const MmSharing *sharing, guint group) {
+is_available(const MmSharing *sharing, guint group) {
   const MmNode *node = sharing->node;
-  const MmGroupHolding *holding = mm_group_map_owner(sharing->map, group).holding;
+  const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).holding;
 
-  return holding == NULL
-         || (mm_name_equal(&holding->node, &node->settings->label)
-             && holding->lease_id != node->node_lease->lease_id);
+  return record == NULL
+         || (mm_name_equal(&record->node, &node->settings->label)
+             && record->lease_id != node->node_lease->lease_id);
 }
 
+/* Returns whether this node may acquire all groups without an owner, whichever node they are
+ * assigned to. */
 static gboolean
 anyone_may_acquire(const MmSharing *sharing) {
   return sharing->unowned_since.us != 0
          && mm_time_ms_since(mm_node_now(sharing->node), sharing->unowned_since) > UNOWNED_WAIT_MS;
 }
 
-/* At the very start the other nodes may be about to show. */
+/* Returns whether acquisition must wait: this node's lease is not shown by the replica yet, or the
+ * cluster is new, no group has ever had an owner, and other nodes may be about to become live. */
 static gboolean
 awaits_other_nodes(const MmSharing *sharing) {
   const MmNode *node = sharing->node;
@@ -164,21 +171,22 @@
   return own_node == NULL
          || (g_hash_table_size(node->replica->live_nodes) < node->settings->node_count
              && sharing->map->newest_term.v == 0
-             && mm_time_ms_since(mm_node_now(node), own_node->seen_since) < START_WAIT_MS);
+             && mm_time_ms_since(mm_node_now(node), own_node->seen_since) < STARTUP_WAIT_MS);
 }
 
+/* Returns the set of groups that this node should acquire. Free with roaring_bitmap_free. */
 static MmGroupSet *
 groups_to_acquire(const MmSharing *sharing) {
   g_autoptr(MmSharePlan) plan = mm_share_plan_new(sharing);
   MmGroupSet *set = roaring_bitmap_create();
-  gboolean may_take_all = anyone_may_acquire(sharing);
+  gboolean may_acquire_all = anyone_may_acquire(sharing);
 
   for (guint group = 0; group < sharing->n_groups; group++) {
-    const char *taker;
-    if (!is_free(sharing, group))
+    const char *acquirer;
+    if (!is_available(sharing, group))
       continue;
-    taker = mm_share_plan_next_taker(plan);
-    if (may_take_all || g_strcmp0(taker, sharing->node->settings->label.s) == 0)
+    acquirer = mm_share_plan_next_acquirer(plan);
+    if (may_acquire_all || g_strcmp0(acquirer, sharing->node->settings->label.s) == 0)
       roaring_bitmap_add(set, group);
   }
   return set;
@@ -192,7 +200,8 @@
   MmTransaction transaction;
   MmTerm term;
 
-  /* The groups of a malformed key are not known to be free. Its node writes the key anew. */
+  /* A malformed record may list any group, so no group can be assumed to have no owner. Only the
+   * node whose record it is may acquire groups, which replaces the record. */
   if (awaits_other_nodes(sharing)
       || (g_hash_table_size(sharing->map->malformed) > 0
           && !g_hash_table_contains(sharing->map->malformed, node->settings->label.s)))
@@ -201,27 +210,27 @@
   if (roaring_bitmap_is_empty(wanted))
     return FALSE;
   transaction = mm_transaction_begin();
-  term = raise_term(sharing, &transaction);
+  term = increment_term(sharing, &transaction);
   value
-      = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, wanted, term);
-  put_value(sharing, &transaction, node->settings->label.s, value, node->node_lease->lease_id);
-  mm_info("acquiring %u machine group(s) term=%" G_GUINT64_FORMAT,
+      = build_record(sharing, own_record(sharing), node->node_lease->lease_id, NULL, wanted, term);
+  put_record(sharing, &transaction, node->settings->label.s, value, node->node_lease->lease_id);
+  mm_info("machine group acquisition sent for %u group(s) term=%" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(wanted), term.v);
   commit_write(sharing, &transaction, MM_GROUP_WRITE_ACQUIRE);
   return TRUE;
 }
 
-/* ---- moves ---- */
+/* Moves of groups. */
 
-/* Whether no grant on the group's machines is outstanding. */
+/* Returns whether the group is to move and no grant on its machines is outstanding. */
 static gboolean
 is_ready_to_move(const MmSharing *sharing, const MmOwnedGroup *owned) {
   return owned != NULL && owned->is_moving
          && mm_grants_count_outstanding(sharing->grants, owned->number, sharing->n_groups) == 0;
 }
 
-/* Why the move can't be made: the target is not live, or grants stay unresolved for longer than the
- * machines' leases last. NULL: it may still be. */
+/* Returns why the move must be aborted, a static string: the target is not live, or the move has
+ * waited for outstanding grants for longer than a worker lease. NULL: the move may continue. */
 static const char *
 abort_reason(const MmSharing *sharing, const MmOwnedGroup *owned) {
   const MmNode *node = sharing->node;
@@ -230,7 +239,7 @@
   if (g_hash_table_lookup(node->replica->live_nodes, owned->target.s) == NULL)
     return "the target is not live";
   if (since_ms > (gint64)(node->settings->worker_lease_s * 1000))
-    return "granted starts are unresolved for too long";
+    return "grants outstanding for longer than a worker lease";
   return NULL;
 }
 
@@ -250,7 +259,8 @@
   }
 }
 
-/* The groups that are ready to move to the same target as the first that is. Free the set. */
+/* Returns the first group that is ready to move, together with all others ready to move to the same
+ * target, and sets `target` unless the set is empty. Free with roaring_bitmap_free. */
 static MmGroupSet *
 groups_to_move(const MmSharing *sharing, MmName *target) {
   MmGroupSet *set = roaring_bitmap_create();
@@ -271,8 +281,8 @@
 move_groups(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupSet) moved = NULL;
-  g_autoptr(MmGroupValue) own_value = NULL, targets_value = NULL;
-  const MmGroupHolding *holding;
+  g_autoptr(MmGroupValue) own_value = NULL, target_value = NULL;
+  const MmOwnershipRecord *record;
   const MmLiveNode *live_target;
   MmName target;
   MmTransaction transaction;
@@ -282,44 +292,45 @@
   if (sharing->n_moving == 0 || mm_kv_client_max_operations(node->kv) < MOVE_OPERATIONS)
     return FALSE;
   moved = groups_to_move(sharing, &target);
-  if (roaring_bitmap_is_empty(moved) || own_holding(sharing) == NULL)
+  if (roaring_bitmap_is_empty(moved) || own_record(sharing) == NULL)
     return FALSE;
   live_target = g_hash_table_lookup(node->replica->live_nodes, target.s);
-  holding = mm_group_map_holding(sharing->map, target.s);
-  if (holding != NULL && holding->lease_id != live_target->lease_id)
-    return FALSE; /* the target's new incarnation first acquires what the previous one owned */
+  record = mm_group_map_ownership_record(sharing->map, target.s);
+  if (record != NULL && record->lease_id != live_target->lease_id)
+    return FALSE; /* the target must first acquire the groups of its previous incarnation */
   transaction = mm_transaction_begin();
-  term = raise_term(sharing, &transaction);
+  term = increment_term(sharing, &transaction);
   own_value
-      = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, moved, NULL, term);
-  targets_value = build_value(sharing, holding, live_target->lease_id, NULL, moved, term);
-  put_value(sharing, &transaction, node->settings->label.s, own_value, node->node_lease->lease_id);
-  put_value(sharing, &transaction, target.s, targets_value, live_target->lease_id);
-  mm_info("moving %u machine group(s) target=%s term=%" G_GUINT64_FORMAT,
+      = build_record(sharing, own_record(sharing), node->node_lease->lease_id, moved, NULL, term);
+  target_value = build_record(sharing, record, live_target->lease_id, NULL, moved, term);
+  put_record(sharing, &transaction, node->settings->label.s, own_value, node->node_lease->lease_id);
+  put_record(sharing, &transaction, target.s, target_value, live_target->lease_id);
+  mm_info("machine group move sent for %u group(s) target=%s term=%" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(moved), target.s, term.v);
   commit_write(sharing, &transaction, MM_GROUP_WRITE_MOVE);
   return TRUE;
 }
 
-/* A move without a response may be applied late. Writing this node's key once more makes it fail,
- * since it is guarded by the key's version; where that write conflicts, the move has been applied.
- */
+/* Determines the outcome of a move that got no response and may still be applied. Rewrites this
+ * node's key: if that succeeds, the move can no longer be applied, since it requires the key's
+ * previous version; if it conflicts, the move has been applied. */
 static void
 confirm_move(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupValue) value = NULL;
   MmTransaction transaction = mm_transaction_begin();
 
-  value = build_value(sharing, own_holding(sharing), node->node_lease->lease_id, NULL, NULL,
-                      (MmTerm){ 0 });
-  put_value(sharing, &transaction, node->settings->label.s, value, node->node_lease->lease_id);
+  value = build_record(sharing, own_record(sharing), node->node_lease->lease_id, NULL, NULL,
+                       (MmTerm){ 0 });
+  put_record(sharing, &transaction, node->settings->label.s, value, node->node_lease->lease_id);
   commit_write(sharing, &transaction, MM_GROUP_WRITE_CONFIRM);
 }
 
-/* ---- when sharing is no longer active at every node ---- */
+/* Release while sharing is inactive. */
 
-/* While sharing is inactive, starts are sent that no owner has granted: when it is active again,
- * groups must be acquired anew, under terms that the machines have yet to acknowledge. */
+/* Deletes this node's ownership record. While sharing is inactive, starts are sent without grants,
+ * so once it is active again, groups must be acquired under new terms that the machines have not
+ * acknowledged yet. Returns FALSE if there is no record. */
 static gboolean
 release_groups(MmSharing *sharing) {
   const char *label = sharing->node->settings->label.s;
@@ -349,7 +360,7 @@
     release_groups(sharing);
     return;
   }
-  if (sharing->is_move_unconfirmed && own_holding(sharing) != NULL) {
+  if (sharing->is_move_unconfirmed && own_record(sharing) != NULL) {
     confirm_move(sharing);
     return;
   }
--- a/src/sharing/transactions.h
+++ b/src/sharing/transactions.h
@@ -1,8 +1,9 @@
-/* The transactions by which machine groups change hands. */
+/* Transactions that change the owners of machine groups. */
 #pragma once
 
 #include "sharing/sharing.h"
 
-/* Moves groups that are ready to move, and acquires those without an owner that are due to this
- * node; one transaction at a time. */
+/* Starts the next transaction that is due: moves groups that are ready to move, else acquires
+ * groups without an owner that are assigned to this node. While sharing is inactive, releases all
+ * groups of this node instead. Only one transaction is in flight at a time. */
 void mm_sharing_write(MmSharing *sharing);
