--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,9 +1,11 @@
-/* The clocks of the running program; the simulated world has its own, see platform/platform.h. */
+/* Clocks of the running program. The simulation in the tests provides its own clocks through
+ * platform/platform.h. */
 #pragma once
 
 #include "base/types.h"
 
-/* Steady time: never set back, of no use across processes or machines. */
+/* Returns monotonic time, which never goes backwards. Values of different processes or machines
+ * cannot be compared. */
 MmTime mm_clock_now(void);
-/* Milliseconds since 1970, as the machine's clock is set. */
+/* Returns wall-clock time in milliseconds since 1970, as the machine's clock is set. */
 gint64 mm_clock_wall_ms(void);
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -1,5 +1,5 @@
-/* Helpers over jansson. Absent members, null and members of another type than asked for are alike.
- */
+/* Helper functions for jansson. They treat a member that is null or of an unexpected type as
+ * absent. */
 #pragma once
 
 #include <jansson.h>
@@ -8,14 +8,17 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(json_t, json_decref)
 
-/* Lent; NULL: absent or null, or `object` is no object. */
+/* Returns the member as a borrowed reference, or NULL if it is absent or null or if `object` is not
+ * a JSON object. */
 json_t *mm_json_get(const json_t *object, const char *key);
-/* Lent; NULL: no string. */
+/* Returns the member's string, borrowed from `object`, or NULL if the member is not a string. */
 const char *mm_json_string(const json_t *object, const char *key);
+/* Returns the member's number, or `fallback` if the member is not a number. */
 double mm_json_number(const json_t *object, const char *key, double fallback);
-/* A number that is not negative, fractions cut off. */
+/* Returns the member's number with its fraction truncated, or `fallback` if the member is not a
+ * number or is negative. */
 guint64 mm_json_count(const json_t *object, const char *key, guint64 fallback);
-/* TRUE for `true` alone. */
+/* Returns TRUE only if the member is the JSON value `true`. */
 gboolean mm_json_flag(const json_t *object, const char *key);
-/* The body of an error response, as a new reference. */
+/* Returns the body of an error response as a new reference. */
 json_t *mm_json_error(const char *reason);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,18 +1,20 @@
-/* Log lines on standard error, at the level that the environment variable LOG_LEVEL sets.
+/* Log lines on standard error. The environment variable LOG_LEVEL selects the level.
  *
- * A line names subject and event, then key=value. Lines longer than 1 KiB are cut. */
+ * A line consists of the subject, the event and key=value pairs. A message longer than 1 KiB is
+ * truncated. */
 #pragma once
 
 #include <glib.h>
 
 typedef enum { MM_LOG_ERROR, MM_LOG_INFO, MM_LOG_DEBUG } MmLogLevel;
 
-/* Lines above it are not written. */
+/* The most verbose level that is written. */
 extern MmLogLevel mm_log_level;
 
-/* Sets the level by LOG_LEVEL, `info` without it; FALSE when it names no level (then `info`, too).
- */
+/* Sets the level from LOG_LEVEL. If the variable is unset the level is `info`. If its value is not
+ * a level, sets `info` and returns FALSE. */
 gboolean mm_log_read_level(void);
+/* Writes the line regardless of mm_log_level. Use mm_error, mm_info and mm_debug instead. */
 void mm_log_write(MmLogLevel level, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
 #define mm_error(...) mm_log_write(MM_LOG_ERROR, __VA_ARGS__)
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,37 +1,41 @@
-/* Types for ids, versions, times and resources. Each is a struct of its own, so that the compiler
- * keeps them apart. */
+/* Types for ids, versions, times and resources. Each is a separate struct, so that the compiler
+ * rejects a value of one type where another is expected. */
 #pragma once
 
 #include <glib.h>
 #include <string.h>
 
-/* An instant of steady time, in microseconds. 0: never. */
+/* A point in monotonic time, in microseconds. 0 stands for "never". */
 typedef struct {
   gint64 us;
 } MmTime;
 
-/* The global term, sent to workers as fencing token: a command of an older term is not accepted. */
+/* The global term. Workers receive it as the fencing token and reject commands of an older term. */
 typedef struct {
   guint64 v;
 } MmTerm;
 
-/* A revision of the key-value store: of the whole, or of the last change of a key. 0: none. */
+/* A revision of the key-value store: the store's current one, or that of the last change of a key.
+ * 0 stands for "none". */
 typedef struct {
   guint64 v;
 } MmKeyVersion;
 
-/* One attempt at running a task: the term in the high bits, a serial number in the low ones. */
+/* Identifies one attempt to run a task. The high bits hold the term, the low bits a serial number.
+ */
 typedef struct {
   guint64 v;
 } MmAttempt;
 
-/* The order of a worker's heartbeats: by its agent's incarnation, then by number. */
+/* Identifies a worker's heartbeat. Heartbeats are ordered by the incarnation of the worker's agent,
+ * then by sequence number. */
 typedef struct {
   guint64 incarnation;
   guint64 sequence;
 } MmHeartbeatId;
 
-/* An id of a job, machine, node, team, zone, image or machine type; longer ones are cut. */
+/* The id of a job, machine, node, team, zone, image or machine type. Ids of more than MM_NAME_MAX
+ * bytes are truncated. */
 #define MM_NAME_MAX 63
 typedef struct {
   char s[MM_NAME_MAX + 1];
@@ -85,14 +89,14 @@
   return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.sequence > b.sequence;
 }
 
-/* A machine's resources, or those that a task needs. */
+/* The resources of a machine, or those required by a task. */
 typedef struct {
   double cores;
   double accelerators;
   double memory_gb;
 } MmResources;
 
-/* Tolerance for sums of fractions. */
+/* Tolerance for rounding errors in sums of fractional resources. */
 #define MM_RESOURCES_SLACK 1e-6
 
 static inline gboolean
@@ -102,7 +106,7 @@
          && need.memory_gb <= have.memory_gb + MM_RESOURCES_SLACK;
 }
 
-/* The smaller of each. */
+/* Returns the element-wise minimum. */
 static inline MmResources
 mm_resources_least(MmResources a, MmResources b) {
   return (MmResources){ MIN(a.cores, b.cores), MIN(a.accelerators, b.accelerators),
--- a/src/base/wire.h
+++ b/src/base/wire.h
@@ -1,8 +1,9 @@
-/* The one place that maps the words of the wire protocols to the field's terms, which the code
- * uses. */
+/* Names used in the HTTP protocols: JSON fields, some of their values, and paths. The protocols use
+ * their own vocabulary; the code uses the standard terms of cluster scheduling. Only this file maps
+ * one to the other. */
 #pragma once
 
-/* Users: submission, status and cancellation of jobs. */
+/* User API: submission, status and cancellation of jobs. */
 #define WIRE_JOB_ID "nameId"
 #define WIRE_CLASS "guild"
 #define WIRE_TEAM "flock"
@@ -36,7 +37,7 @@
 #define WIRE_CANCEL_WORD "withdraw"
 #define WIRE_JOB_PREFIX "run-"
 
-/* Workers: heartbeats, their responses, and commands. */
+/* Worker protocol: heartbeats, responses to heartbeats, and commands. */
 #define WIRE_HEARTBEAT_PATH "/checkin"
 #define WIRE_DIRECT_PATH "/do"
 #define WIRE_STATUS_PATH "/status"
@@ -60,7 +61,7 @@
 #define WIRE_FORGET "clear"
 #define WIRE_GRACE "leewayS"
 
-/* Cloud: machine types, machines, requests and releases. */
+/* Cloud API: machine types, machines, and requests for and releases of machines. */
 #define WIRE_MACHINE_TYPES_PATH "/machine_types"
 #define WIRE_MACHINES_PATH "/hosts"
 #define WIRE_RELEASE_PATH "/hosts/release"
@@ -80,7 +81,7 @@
 #define WIRE_BOOTING "booting"
 #define WIRE_FAILED "failed"
 
-/* Key-value store: keys, transactions, leases and watches. */
+/* Key-value store API: keys, transactions, leases and watches. */
 #define WIRE_KEYS_PATH "/keys"
 #define WIRE_TXN_PATH "/txn"
 #define WIRE_LEASES_PATH "/grants"
--- a/src/config/config-error.h
+++ b/src/config/config-error.h
@@ -1,5 +1,5 @@
-/* Errors of the configuration files. The message is one line that names the file, the field or
- * line, and what is wrong; it is printed as it is. */
+/* Errors in the configuration files. The message is a single line that gives the file, the field or
+ * line number, and the problem. It is printed to the user unchanged. */
 #pragma once
 
 #include <glib.h>
@@ -7,9 +7,9 @@
 G_BEGIN_DECLS
 
 typedef enum {
-  MM_CONFIG_ERROR_UNREADABLE, /* the file cannot be read */
-  MM_CONFIG_ERROR_SYNTAX,     /* the file is no TOML, or no XML */
-  MM_CONFIG_ERROR_INVALID     /* a setting is missing, unknown, or has no valid value */
+  MM_CONFIG_ERROR_UNREADABLE, /* the file could not be read */
+  MM_CONFIG_ERROR_SYNTAX,     /* the file is not well-formed TOML or XML */
+  MM_CONFIG_ERROR_INVALID     /* a setting is missing or unknown, or its value is invalid */
 } MmConfigError;
 
 #define MM_CONFIG_ERROR (mm_config_error_quark())
--- a/src/config/operators.c
+++ b/src/config/operators.c
@@ -11,8 +11,8 @@
 #define SETTING(name, field, unit, fallback, least, most, meaning)                                 \
   { name, unit, meaning, G_STRUCT_OFFSET(MmOperators, field), fallback, least, most }
 
-/* A setting's XML element is its name with dashes for underscores. A test compares
- * docs/operators.md with this table. */
+/* The XML element of a setting has the setting's name with dashes in place of underscores.
+ * tests/test-operators.c compares docs/operators.md with this table. */
 const MmOperatorSetting mm_operator_settings[] = {
   SETTING("claim_ttl_s", lease_ttl_s, "s", 3, 0.5, 600,
           "how long a node's lease lasts without renewal"),
@@ -53,8 +53,8 @@
 
 typedef struct {
   MmOperators *operators;
-  const MmOperatorSetting *open_setting; /* the setting whose element is open */
-  MmNodeWeight *open_weight;             /* or the node's weight */
+  const MmOperatorSetting *open_setting; /* the setting whose element is being read, or NULL */
+  MmNodeWeight *open_weight;             /* the node weight whose element is being read, or NULL */
   gboolean is_inside_root;
   gboolean has_value;
 } ParseState;
@@ -69,7 +69,7 @@
   return operators;
 }
 
-/* <group-weight node="NAME">. */
+/* Handles the start of <group-weight node="NAME">. */
 static void
 start_weight_element(ParseState *parse, const char **attributes, const char **values,
                      GError **error) {
@@ -81,18 +81,18 @@
       node = values[i];
   if (node == NULL || node[0] == '\0') {
     g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
-                "<" WEIGHT_ELEMENT ">: names no node");
+                "<" WEIGHT_ELEMENT ">: the node attribute is missing or empty");
     return;
   }
   for (guint i = 0; i < operators->n_group_weights; i++)
     if (strcmp(operators->group_weights[i].node.s, node) == 0) {
       g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
-                  "<" WEIGHT_ELEMENT ">: names %s twice", node);
+                  "<" WEIGHT_ELEMENT ">: node %s is listed twice", node);
       return;
     }
   if (operators->n_group_weights == MM_NODE_WEIGHTS_MAX) {
     g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
-                "<" WEIGHT_ELEMENT ">: stands more than %d times", MM_NODE_WEIGHTS_MAX);
+                "<" WEIGHT_ELEMENT ">: occurs more than %d times", MM_NODE_WEIGHTS_MAX);
     return;
   }
   parse->open_weight = &operators->group_weights[operators->n_group_weights++];
@@ -108,13 +108,13 @@
   if (!parse->is_inside_root) {
     if (strcmp(name, "martenmount") != 0)
       g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
-                  "the outermost element must be <martenmount>, not <%s>", name);
+                  "the root element must be <martenmount>, not <%s>", name);
     parse->is_inside_root = TRUE;
     return;
   }
   if (parse->open_setting != NULL || parse->open_weight != NULL) {
     g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
-                "<%s> stands inside another setting", name);
+                "<%s> is nested in another setting", name);
     return;
   }
   for (const MmOperatorSetting *setting = mm_operator_settings; setting->name != NULL; setting++)
@@ -137,7 +137,7 @@
   parse->open_weight = NULL;
 }
 
-/* A number that is one, within the bounds. */
+/* Parses a finite number. Returns FALSE if `text` is not one or it lies outside `min` to `max`. */
 static gboolean
 read_number(const char *text, double min, double max, double *number) {
   char *end = NULL;
@@ -176,7 +176,7 @@
   parse->has_value = TRUE;
 }
 
-/* Reads the document into the operators; errors name the line. */
+/* Reads the document into `operators`. Error messages give the file and the line. */
 static gboolean
 parse_document(MmOperators *operators, const char *path, const char *xml, gssize length,
                GError **error) {
@@ -237,7 +237,7 @@
   for (guint i = 0; i < operators->n_group_weights; i++)
     if (!mm_settings_has_node(settings, operators->group_weights[i].node.s)) {
       g_set_error(error, MM_CONFIG_ERROR, MM_CONFIG_ERROR_INVALID,
-                  "%s: <" WEIGHT_ELEMENT ">: %s is none of the settings' nodes", path,
+                  "%s: <" WEIGHT_ELEMENT ">: %s is not a node listed in the settings", path,
                   operators->group_weights[i].node.s);
       return FALSE;
     }
--- a/src/config/operators.h
+++ b/src/config/operators.h
@@ -1,70 +1,98 @@
-/* The operators' settings: an optional XML file, `<martenmount>` with one element a setting.
+/* The operators' settings: an optional XML file whose root element <martenmount> has one child
+ * element per setting, and one <group-weight> per node with a weight of its own.
  *
- * Read once at the start; constant afterwards. Numbers are doubles, also counts and switches. The
- * elements keep their names, see mm_operator_settings; docs/operators.md lists them. */
+ * The file is read once at start-up; the settings are constant afterwards. All numbers, including
+ * counts and on/off switches, are stored as doubles. mm_operator_settings maps the XML elements to
+ * the fields of MmOperators; docs/operators.md documents the elements. */
 #pragma once
 
 #include "base/types.h"
 #include "config/settings.h"
 
-/* As many as there may be nodes: the peers and this one. */
+/* The maximum number of nodes: MM_PEERS_MAX peers and this node. */
 #define MM_NODE_WEIGHTS_MAX 32
 
-/* The most machine groups. Values of the key-value store hold at least 2 KiB, enough for a list of
- * every other one of so many groups. */
+/* The maximum number of machine groups. A set of groups is stored as a list of ranges, which is
+ * longest when the set contains every second group. With this maximum the longest list fits into
+ * 2 KiB, a value size that every key-value store is expected to accept. */
 #define MM_GROUPS_MAX 512
 
-/* A node's share of the machine groups, relative to that of others; 1 for nodes not listed. */
+/* A node's share of the machine groups relative to the other nodes. Nodes that are not listed have
+ * weight 1. */
 typedef struct {
   MmName node;
   double weight;
 } MmNodeWeight;
 
+/* The operators' settings. Durations are in seconds unless the name says otherwise. */
 typedef struct {
-  double lease_ttl_s;            /* time to live of a node's lease in the key-value store */
-  double lease_renew_interval_s; /* at most half of the former */
-  double peer_ping_interval_s;   /* between pings to each peer */
-  double wait_bound_s; /* a task that waited longer has precedence on any fitting machine */
-  double start_request_timeout_ms; /* how long a response to a worker waits for shard leaders */
-  double max_starts_per_response;  /* starts in one response to a worker */
-  double candidates_per_request;   /* candidate tasks in one start request to a shard leader */
-  double idle_release_s;           /* a machine without tasks for this long is released */
-  double silent_release_s; /* a listed machine silent for this long is released; 0: by its lease */
-  double boot_timeout_factor; /* times the nominal boot time, after which a boot has failed */
-  double preempt_after_s;     /* how long urgent tasks wait for resources before they may preempt */
-  double starved_after_s;     /* a job that waited longer with no task started has precedence */
-  double may_scale_out;       /* 1: request machines when tasks are pending; 0: never */
-  double group_count;         /* machine groups, divided among the nodes; 0: none */
-  double group_min_stay_s;    /* a group that moved stays for this long, unless moved by hand */
-  double max_group_moves;     /* moves of groups under way at once */
+  /* TTL of a node's lease in the key-value store. */
+  double lease_ttl_s;
+  /* At most half of lease_ttl_s. */
+  double lease_renew_interval_s;
+  /* Time between two pings to the same peer. */
+  double peer_ping_interval_s;
+  /* A task that has waited longer has precedence on any fitting machine. */
+  double wait_bound_s;
+  /* How long a response to a worker waits for start responses of shard leaders. */
+  double start_request_timeout_ms;
+  /* Maximum number of start commands in one response to a worker. */
+  double max_starts_per_response;
+  /* Candidate tasks in one start request to a shard leader. */
+  double candidates_per_request;
+  /* A machine that has had no tasks for this long is released. */
+  double idle_release_s;
+  /* A machine that the cloud lists and that has been silent for this long is released. 0: it is
+   * released when a heartbeat is overdue and status requests get no response. */
+  double silent_release_s;
+  /* A machine that is still booting after this many times the nominal boot time counts as failed
+   * and is released. */
+  double boot_timeout_factor;
+  /* How long urgent tasks wait for free resources before they may preempt other tasks. */
+  double preempt_after_s;
+  /* A job that has waited longer with no task started has precedence over all others. */
+  double starved_after_s;
+  /* 1: machines are requested when tasks are pending; 0: machines are never requested. */
+  double may_scale_out;
+  /* Number of machine groups that are divided among the nodes. 0: there are no groups. */
+  double group_count;
+  /* A group that has moved is not moved again for this long, except by an operator. */
+  double group_min_stay_s;
+  /* Maximum number of group moves in progress at the same time. */
+  double max_group_moves;
   MmNodeWeight group_weights[MM_NODE_WEIGHTS_MAX];
   guint n_group_weights;
 } MmOperators;
 
-/* One setting: its element, documentation and bounds. */
+/* Describes a setting: its XML element, documentation, default and bounds. */
 typedef struct {
-  const char *name; /* of the element, with underscores for dashes */
+  const char *name; /* name of the XML element, with underscores in place of dashes */
   const char *unit;
   const char *meaning;
-  gsize offset; /* of the double in MmOperators */
+  gsize offset; /* offset of the field, a double, in MmOperators */
   double default_value;
   double min;
   double max;
 } MmOperatorSetting;
 
-/* All settings with a number; ends with a NULL name. */
+/* All settings that consist of a single number. The last entry has a NULL name. */
 extern const MmOperatorSetting mm_operator_settings[];
 
+/* Returns the default values, without group weights. */
 MmOperators mm_operators_defaults(void);
-/* Reads the XML over the values that are there; `path` serves messages. FALSE with an error of
- * MM_CONFIG_ERROR, whose message names file, line and setting. */
+/* Overwrites the settings that the XML document contains and keeps the others. `path` is only used
+ * in error messages. `length` is in bytes, or -1 if `xml` is NUL-terminated. Returns FALSE with an
+ * error in the MM_CONFIG_ERROR domain whose message gives the file, the line (except for
+ * contradictions between settings) and the setting. */
 gboolean mm_operators_parse(MmOperators *operators, const char *path, const char *xml,
                             gssize length, GError **error);
-/* Whether the groups and the nodes named fit the platform's settings; FALSE with an error. */
+/* Returns FALSE, with an error in the MM_CONFIG_ERROR domain, if the number of groups is not whole,
+ * a weight names a node that the settings file does not list, or the weights of all nodes are 0. */
 gboolean mm_operators_check_against_settings(const MmOperators *operators,
                                              const MmSettings *settings, const char *path,
                                              GError **error);
-/* The node's weight, see MmNodeWeight. */
+/* Returns the node's weight, or 1 if none is configured. */
 double mm_operators_group_weight(const MmOperators *operators, const char *node);
-/* mm_operators_parse of a file. */
+/* Reads the file and calls mm_operators_parse on its contents. Returns FALSE with an error
+ * likewise, and also if the file cannot be read. */
 gboolean mm_operators_read(MmOperators *operators, const char *path, GError **error);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -6,7 +6,8 @@
 #include "config/config-error.h"
 #include "config/toml.h"
 
-/* Reads a whole file's settings and keeps the first error. */
+/* State of validating a settings file. Reading continues after an error; only the first error is
+ * kept. */
 typedef struct {
   const char *path;
   GError *error;
@@ -61,7 +62,7 @@
   else if (!json_is_number(value) || !isfinite(parsed))
     record_error(validation, field, "must be a number");
   else if (parsed < min || parsed > max) {
-    g_autofree char *problem = g_strdup_printf("must lie between %g and %g", min, max);
+    g_autofree char *problem = g_strdup_printf("must be between %g and %g", min, max);
     record_error(validation, field, problem);
   }
   return parsed;
@@ -85,7 +86,7 @@
   if (list != NULL && !json_is_array(list))
     record_error(validation, "others", "must be a list of tables");
   if (json_array_size(list) > MM_PEERS_MAX)
-    record_error(validation, "others", "must not be longer than 31");
+    record_error(validation, "others", "must not have more than 31 entries");
   json_array_foreach(list, i, item) {
     MmPeerSettings peer = { .label = mm_name(read_text(validation, item, "others.", "label")),
                             .zone = mm_name(mm_json_string(item, "zone")),
@@ -113,7 +114,7 @@
                  read_number(validation, item, "settings.teams.", "gpus_max", 0, 1e9), 0 },
     };
     if (mm_settings_team(settings, &team.name) != NULL)
-      record_error(validation, "settings.teams.name", "names a team twice");
+      record_error(validation, "settings.teams.name", "must not occur twice");
     if (team.limit.cores > 0 && team.quota.cores > team.limit.cores)
       record_error(validation, "settings.teams.cpus", "must not exceed cpus_max");
     if (team.limit.accelerators > 0 && team.quota.accelerators > team.limit.accelerators)
@@ -159,7 +160,7 @@
       = read_number(validation, section, "settings.workers.", "report_s", 0.05, 3600);
   settings->worker_lease_s
       = read_number(validation, section, "settings.workers.", "lease_s", 0.1, 86400);
-  /* Must be valid, though nothing here depends on their values. */
+  /* These settings must be present and valid, although the scheduler does not use them. */
   read_number(validation, section, "settings.workers.", "gang_wait_s", 0, 86400);
   read_number(validation, section, "settings.workers.", "gang_peer_s", 0, 86400);
   read_number(validation, section, "settings.workers.", "cancel_s", 0, 86400);
@@ -167,8 +168,9 @@
     record_error(validation, "settings.workers.lease_s", "must exceed report_s");
 }
 
-/* A limit of the key-value store: from the start on the smaller of the present one and the one
- * announced for later, since the change comes without notice. */
+/* Reads a limit of the key-value store. If a future limit is announced under `next`, returns the
+ * smaller of the two: the new limit takes effect without notice, so the smaller one is respected
+ * from start-up. */
 static double
 read_kv_limit(Validation *validation, const json_t *section, const char *key, double min,
               double max) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,5 @@
-/* The platform's settings file (TOML), validated. Read once at the start; constant afterwards. */
+/* The validated contents of the platform's settings file (TOML). The file is read once at start-up;
+ * the settings are constant afterwards. */
 #pragma once
 
 #include <jansson.h>
@@ -10,29 +11,32 @@
   MmName zone;
   char *endpoint;
 } MmPeerSettings;
-/* Sets of peers are bit masks of 32 bits, see peers/. */
+/* The maximum number of peers. With this maximum a set of peers fits into a 32-bit mask. */
 #define MM_PEERS_MAX 31
 
 typedef struct {
   MmName name;
-  MmResources quota; /* guaranteed; memory is 0: the settings know cores and accelerators only */
-  MmResources limit; /* 0: no limit of that resource */
+  /* Guaranteed resources. memory_gb is 0: the settings have no quota for memory. */
+  MmResources quota;
+  /* Maximum resources; 0: no limit for that resource. */
+  MmResources limit;
 } MmTeamSettings;
 
-/* Service-level objectives of classes of jobs. */
+/* Kinds of service-level objectives (SLOs). */
 typedef enum {
-  MM_OBJECTIVE_WAIT,
-  MM_OBJECTIVE_FINISHED,
-  MM_OBJECTIVE_DEADLINE,
-  MM_OBJECTIVE_QUOTA,
-  MM_OBJECTIVE_OTHER
+  MM_OBJECTIVE_WAIT,     /* the last task starts within `within_s` */
+  MM_OBJECTIVE_FINISHED, /* the job finishes within `within_s` */
+  MM_OBJECTIVE_DEADLINE, /* the job finishes within its own deadline times `deadline_factor` */
+  MM_OBJECTIVE_QUOTA,    /* like MM_OBJECTIVE_WAIT, for the jobs within their team's quota */
+  MM_OBJECTIVE_OTHER     /* unknown kind, ignored */
 } MmObjectiveKind;
 
+/* A service-level objective for a class of jobs. */
 typedef struct {
   MmObjectiveKind kind;
   MmName job_class;
   double within_s;
-  double deadline_factor; /* times the deadline of the job */
+  double deadline_factor; /* multiplies the job's deadline */
 } MmObjective;
 
 typedef struct {
@@ -42,37 +46,39 @@
   char *peer_listen_address;
   char *cloud_address;
   char *kv_address;
-  GArray *peers;      /* MmPeerSettings; a peer's index here is its number everywhere */
+  GArray *peers;      /* MmPeerSettings; other modules identify a peer by its index here */
   GArray *teams;      /* MmTeamSettings */
   GArray *objectives; /* MmObjective */
-  guint node_count;   /* of all nodes, this one included */
+  guint node_count;   /* all nodes, including this one */
   double heartbeat_interval_s;
   double worker_lease_s;
-  /* Limits of the key-value store: the smaller of the present and of the announced ones. */
+  /* Limits of the key-value store: the smaller of the current and the announced limit. */
   double kv_requests_per_s;
   double kv_writes_per_s;
   guint kv_max_value_bytes;
   guint kv_max_operations;
   double cloud_requests_per_s;
-  double cloud_list_delay_s; /* how late the cloud's list of machines may show a change */
-  double cpu_share;          /* cores that this node may use */
+  double cloud_list_delay_s; /* maximum delay until the cloud's list of machines shows a change */
+  double cpu_share;          /* CPU cores that this node may use */
   double memory_mb;
   guint max_sockets;
 } MmSettings;
 
-/* New settings; NULL with an error of MM_CONFIG_ERROR, whose message names file, field and what is
- * wrong. */
+/* Reads and validates the file. Returns new settings, or NULL with an error in the MM_CONFIG_ERROR
+ * domain whose message gives the file, the field or line, and the problem. */
 MmSettings *mm_settings_read(const char *path, GError **error);
-/* The same of a file that has been read; `path` serves messages. */
+/* Like mm_settings_read, for a file that has already been read into `root`. `path` is only used in
+ * error messages. */
 MmSettings *mm_settings_from_json(const char *path, const json_t *root, GError **error);
-/* Whether the label is this node's or a peer's. */
+/* Returns whether the label is that of this node or of a peer. */
 gboolean mm_settings_has_node(const MmSettings *settings, const char *label);
 void mm_settings_free(MmSettings *settings);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmSettings, mm_settings_free)
 
+/* The result of mm_settings_team_index for an unknown team. */
 #define MM_NO_TEAM (-1)
 
-/* The team's index in `teams`, or MM_NO_TEAM. */
+/* Returns the team's index in MmSettings.teams, or MM_NO_TEAM. */
 gint mm_settings_team_index(const MmSettings *settings, const MmName *name);
-/* Lent; NULL: no such team. */
+/* Returns the team's settings, owned by `settings`, or NULL if there is no such team. */
 const MmTeamSettings *mm_settings_team(const MmSettings *settings, const MmName *name);
--- a/src/config/toml.cc
+++ b/src/config/toml.cc
@@ -30,7 +30,7 @@
     return json_integer(number->get());
   if (auto number = node.as_floating_point()) {
     json_t *real = json_real(number->get());
-    return real != nullptr ? real : json_null(); // JSON has no infinities
+    return real != nullptr ? real : json_null(); // JSON cannot represent infinity or NaN
   }
   if (auto flag = node.as_boolean())
     return json_boolean(flag->get());
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -1,4 +1,5 @@
-/* Reads TOML files into JSON values. Debian has no TOML library for C, hence one small C++ file. */
+/* Reads TOML files into JSON values. The implementation is in C++, because Debian packages no TOML
+ * library for C. */
 #pragma once
 
 #include <glib.h>
@@ -8,8 +9,8 @@
 extern "C" {
 #endif
 
-/* The file's tables as a new JSON object; NULL with an error of MM_CONFIG_ERROR. Dates become null.
- */
+/* Returns the contents of the file as a new JSON object, or NULL with an error in the
+ * MM_CONFIG_ERROR domain. Dates and times become null. */
 json_t *mm_toml_read(const char *path, GError **error);
 
 #ifdef __cplusplus
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -23,9 +23,11 @@
 #include "upgrade/versions.h"
 #include "node/wiring.h"
 
-#define REFUSED_ALONE_MS 2000
-/* Under overload status polls are refused first, then submissions. Heartbeats, cancellations and
- * health checks never are. */
+/* How long the last request of this node that the key-value store served, or the last request of a
+ * peer that it refused, counts as recent, see is_healthy. */
+#define KV_RECENT_RESPONSE_MS 2000
+/* Load shedding under overload: status polls are rejected at the smaller tick delay, submissions
+ * only at the larger one. Heartbeats, cancellations and health checks are never rejected. */
 #define SHED_POLLS_DELAY_MS 600
 #define SHED_SUBMISSIONS_DELAY_MS 1500
 #define LOAD_SHED_RETRY_S 3
@@ -71,7 +73,7 @@
     mm_kv_client_fail_unsent(node->kv);
   mm_heartbeat_server_free(node->heartbeat_server);
   mm_job_api_free(node->job_api);
-  mm_replica_free(node->replica); /* calls back those who wait for it */
+  mm_replica_free(node->replica); /* calls the callbacks that wait for a current replica */
   mm_peer_links_free(node->peer_links);
   mm_sharing_free(node->sharing);
   mm_autoscaler_free(node->autoscaler);
@@ -97,7 +99,7 @@
   mm_node_tick(node);
 }
 
-/* Keeps the worst delay, halved with each tick that is on time. */
+/* Updates tick_delay_ms, the worst recent delay: each tick that is on time halves it. */
 static void
 measure_tick_delay(MmNode *node) {
   MmTime now = mm_node_now(node);
@@ -107,7 +109,7 @@
 
   node->last_tick_at = now;
   if (delay_ms >= SHED_POLLS_DELAY_MS && node->tick_delay_ms < SHED_POLLS_DELAY_MS)
-    mm_info("node overloaded, refuses status polls tick_delay_ms=%" G_GINT64_FORMAT, delay_ms);
+    mm_info("node is overloaded, rejecting status polls tick_delay_ms=%" G_GINT64_FORMAT, delay_ms);
   node->tick_delay_ms = MAX(delay_ms, node->tick_delay_ms / 2);
 }
 
@@ -140,8 +142,11 @@
   mm_autoscaler_tick(node->autoscaler);
 }
 
-/* A node that alone is refused by the key-value store, or gets no response from it, is unhealthy,
- * so that its users go to other nodes. In an outage for all nodes that would help nobody. */
+/* Returns whether health checks succeed, so that users are sent to healthy nodes only. A node is
+ * unhealthy until its replica, the machine types and a supported format are loaded, while the
+ * key-value store does not respond to it, and while the store refuses this node alone. If the store
+ * refuses peers as well, or no peer serves workers, the node stays healthy: sending its users
+ * elsewhere would help nobody. */
 static gboolean
 is_healthy(const MmNode *node) {
   MmTime now = mm_node_now(node);
@@ -152,9 +157,9 @@
   if (mm_kv_client_is_silent(node->kv))
     return FALSE;
   return !mm_kv_client_is_refused(node->kv)
-         || mm_time_ms_since(now, node->kv->last_served_at) < REFUSED_ALONE_MS
+         || mm_time_ms_since(now, node->kv->last_served_at) < KV_RECENT_RESPONSE_MS
          || mm_time_ms_since(now, mm_peer_links_last_refused_at(node->peer_links))
-                < REFUSED_ALONE_MS
+                < KV_RECENT_RESPONSE_MS
          || mm_peer_links_least_loaded(node->peer_links) < 0;
 }
 
@@ -184,7 +189,9 @@
   }
 }
 
-/* Before the format has been read there is nothing to misread, and the node is not fenced. */
+/* Returns whether the node must not serve requests because it does not support the active format.
+ * Until the format is known the node has read no data that it could misinterpret, so it is not
+ * fenced. */
 static gboolean
 is_fenced(const MmNode *node) {
   return node->format->is_known && !mm_format_is_supported(node->format);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-/* One controller node: owns all its modules, drives their ticks and dispatches users' and workers'
- * requests. src/node/wiring.c connects the modules. */
+/* A controller node. It owns all its modules, runs their periodic ticks and dispatches requests
+ * from users and workers. src/node/wiring.c connects the modules to each other. */
 #pragma once
 
 #include "base/json.h"
@@ -36,8 +36,7 @@
   GRand *rand;
   MmTime started_at;
   MmTime last_tick_at;
-  gint64
-      tick_delay_ms; /* how late ticks are: the worst recent delay, halved by each tick in time */
+  gint64 tick_delay_ms; /* the worst recent delay of a tick; halved by each tick that is on time */
 
   MmKvClient *kv;
   MmReplica *replica;
@@ -59,20 +58,21 @@
   MmSharing *sharing;
 };
 
-/* Copies the platform; settings and operators must outlive the node. The seed is that of its random
- * numbers. */
+/* Creates a node. Copies `platform`; `settings` and `operators` must outlive the node. `seed`
+ * initializes the node's random number generator. */
 MmNode *mm_node_new(const MmSettings *settings, const MmOperators *operators,
                     const MmPlatform *platform, guint32 seed);
-/* Only when no response to one of its requests can come any more. */
+/* Frees the node. Must only be called when no response to any of the node's requests can arrive any
+ * more. */
 void mm_node_free(MmNode *node);
 
-/* Starts to load the replica and runs the first tick. */
+/* Starts loading the replica and runs the first tick. */
 void mm_node_start(MmNode *node);
-/* To be called every MM_NODE_TICK_MS. */
+/* Runs the ticks of all modules. Must be called every MM_NODE_TICK_MS. */
 void mm_node_tick(MmNode *node);
-/* A request of a user or worker. Path without query; the body is lent, NULL when absent or not
- * JSON.
- */
+/* Handles a request from a user, an operator or a worker. `path` has no query part. `body` is
+ * borrowed for the call and is NULL if the request has no body or the body is not JSON. The
+ * response is sent through `exchange`, during the call or later. */
 void mm_node_handle_request(MmNode *node, const char *method, const char *path, json_t *body,
                             MmHttpExchange *exchange);
 
--- a/src/node/peer-receiver.c
+++ b/src/node/peer-receiver.c
@@ -11,26 +11,27 @@
 #include "sharing/moves.h"
 #include "sharing/sharing.h"
 
-/* Sends a peer that has shown a sign of life all that it must know, before any pong of this node. A
- * peer that is stopped costs a few bytes each time its connection is opened anew. */
+/* Sends the initial state to a peer that has proved to be alive, before this node answers any of
+ * its pings. Until then only a few bytes are sent on each new connection, so a peer whose process
+ * is stopped costs little. */
 static void
 send_initial_state(MmPeerLinks *links, guint peer) {
   const MmJobTable *job_table = links->node->job_table;
 
   links->peers[peer].is_up = TRUE;
-  mm_debug("link is up peer=%s", links->peers[peer].label.s);
+  mm_debug("peer link is up peer=%s", links->peers[peer].label.s);
   mm_peer_links_send_recent_responses(links, peer);
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
-    /* What depends on a cancelled job, the peer derives by itself. */
+    /* The peer derives by itself which jobs are cancelled because a dependency was cancelled. */
     if (job->is_cancelled && !mm_job_has_cancelled_dependency(job))
       mm_peer_links_send_cancellation(links, peer, job->spec.id.s);
   }
   mm_placement_send_backlog(links->node->placement, (gint)peer);
 }
 
-/* The message's tasks; free with g_array_unref. Numbers beyond the enums are taken as their last.
- */
+/* Returns the tasks of the message as an array of MmReportedTask; free it with g_array_unref. A
+ * state or cause beyond the last known enum value is replaced by that last value. */
 static GArray *
 parse_reported_tasks(const Mm__Heartbeat *message) {
   GArray *tasks = g_array_sized_new(FALSE, TRUE, sizeof(MmReportedTask), (guint)message->n_tasks);
@@ -110,18 +111,19 @@
                           .number = item->number,
                           .attempt = { item->attempt },
                           .grace_s = item->grace_s };
-    /* Starts are good for one answer only and never come this way. */
+    /* Start commands are valid only in the response for which they were made, so peers do not
+     * forward them. */
     if (command.op == MM_OP_STOP || command.op == MM_OP_FORGET)
       mm_machine_queue_command(machine, message->incarnation, &command);
   }
 }
 
-/* Liveness of the link. FALSE: the frame is something else. */
+/* Handles frames about the liveness of the link. Returns FALSE for other frames. */
 static gboolean
 receive_liveness_frame(MmPeerLinks *links, guint peer, const Mm__Frame *frame) {
   switch (frame->body_case) {
   case MM__FRAME__BODY_HELLO:
-    return TRUE; /* the transport has used it to tell whose link this is */
+    return TRUE; /* already used by the transport to identify the peer */
   case MM__FRAME__BODY_PING:
     mm_peer_links_ping_received(links, peer, frame->ping);
     return TRUE;
@@ -133,7 +135,7 @@
   }
 }
 
-/* Machines, as other nodes know them. FALSE: the frame is something else. */
+/* Handles frames about machines that report to other nodes. Returns FALSE for other frames. */
 static gboolean
 receive_machine_frame(MmPeerLinks *links, guint peer, const Mm__Frame *frame) {
   switch (frame->body_case) {
@@ -154,7 +156,8 @@
   }
 }
 
-/* Jobs: starts, backlog and cancellations. FALSE: the frame is something else. */
+/* Handles frames about jobs: task starts, the backlog and cancellations. Returns FALSE for other
+ * frames. */
 static gboolean
 receive_job_frame(MmPeerLinks *links, guint peer, const Mm__Frame *frame) {
   MmNode *node = links->node;
@@ -181,7 +184,7 @@
   }
 }
 
-/* Machine groups. FALSE: the frame is something else. */
+/* Handles frames about machine groups. Returns FALSE for other frames. */
 static gboolean
 receive_sharing_frame(MmPeerLinks *links, guint peer, const Mm__Frame *frame) {
   MmSharing *sharing = links->node->sharing;
@@ -211,5 +214,5 @@
     send_initial_state(links, peer);
   if (!receive_liveness_frame(links, peer, frame) && !receive_machine_frame(links, peer, frame)
       && !receive_job_frame(links, peer, frame) && !receive_sharing_frame(links, peer, frame))
-    mm_debug("frame of unknown kind received peer=%s", links->peers[peer].label.s);
+    mm_debug("peer frame ignored, unknown type peer=%s", links->peers[peer].label.s);
 }
--- a/src/node/peer-receiver.h
+++ b/src/node/peer-receiver.h
@@ -1,9 +1,10 @@
-/* Frames from peers, handed to the modules that they are for. */
+/* Dispatches frames received from peers to the modules that handle them. */
 #pragma once
 
 #include "peers/peer-links.h"
 
-/* A frame, which is lent, has come on the peer's link to this node. The first one after this node's
- * connection to the peer was opened is the peer's sign of life: the peer is sent the initial state
- * before the frame is handled, see MmPeer.is_up. */
+/* Handles a frame that was received on the peer's connection to this node. `frame` is borrowed for
+ * the call. The first frame after this node's own connection to the peer was opened proves that the
+ * peer is alive: this node then sends the peer its initial state before it handles the frame, see
+ * MmPeer.is_up. */
 void mm_peer_links_receive(MmPeerLinks *links, guint peer, const Mm__Frame *frame);
--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -21,7 +21,7 @@
 #include "upgrade/format.h"
 #include "upgrade/versions.h"
 
-/* ---- observers of the replica's keys ---- */
+/* Observers of keys in the replica. */
 
 static void
 put_job(gpointer context, const char *job_id, const json_t *value, MmKeyVersion version) {
@@ -64,7 +64,9 @@
   mm_format_key_changed(context, NULL);
 }
 
-/* Always among the known keys: a format that is absent after a reload is the first one. */
+/* Lists the format key as known even if it has never been read, so that a reload that does not find
+ * the key reports it as removed. An absent key stands for the first format, which is also the
+ * lowest. */
 static void
 list_format_key(gpointer context, const char *prefix, GPtrArray *keys) {
   g_ptr_array_add(keys, g_strdup(prefix));
@@ -103,7 +105,8 @@
   mm_versions_key_changed(context, label, value, version);
 }
 
-/* After a reload vanished keys are removed in the order of these calls. */
+/* The order matters: after a reload, keys that no longer exist are removed in the order in which
+ * the observers were added. */
 static void
 observe_replica_keys(MmNode *node) {
   const MmReplicaObserver observers[] = {
@@ -121,7 +124,7 @@
     mm_replica_add_observer(node->replica, &observers[i]);
 }
 
-/* ---- listeners to changes of the replica as a whole ---- */
+/* Listeners to changes of the replica as a whole. */
 
 static void
 scheduler_replica_changed(gpointer context) {
@@ -138,7 +141,8 @@
   mm_heartbeat_server_replica_changed(context);
 }
 
-/* The scheduler comes first: it determines which shards this node leads, and since when. */
+/* The scheduler must be the first listener: it determines which shards this node leads, and since
+ * when. */
 static void
 listen_to_replica(MmNode *node) {
   mm_replica_add_change_listener(node->replica, scheduler_replica_changed, node->scheduler);
@@ -147,7 +151,7 @@
                                  node->heartbeat_server);
 }
 
-/* ---- observers of the job table ---- */
+/* Observers of the job table. */
 
 static void
 placement_job_added(gpointer context, MmJob *job) {
@@ -184,7 +188,7 @@
   mm_dependencies_job_ended(context, job_id, terminal->is_cancelled, terminal->completed_at_ms);
 }
 
-/* The dependencies come last: they act on a new job by calling the scheduler. */
+/* The dependencies must be the last observer: for a new job they call the scheduler. */
 static void
 observe_job_table(MmNode *node) {
   const MmJobObserver observers[] = {
@@ -203,7 +207,7 @@
     mm_job_table_add_observer(node->job_table, &observers[i]);
 }
 
-/* ---- observers of machines ---- */
+/* Observers of machines. */
 
 static void
 scheduler_heartbeat_recorded(gpointer context, MmMachine *machine, const MmHeartbeat *heartbeat,
@@ -239,7 +243,7 @@
     mm_machine_table_add_observer(node->machine_table, &observers[i]);
 }
 
-/* ---- callbacks of the dependencies and the autoscaler ---- */
+/* Event callbacks of the dependencies and the autoscaler. */
 
 static void
 scheduler_job_ready(gpointer context, MmJob *job) {
@@ -260,7 +264,7 @@
   mm_autoscaler_set_release_callback(node->autoscaler, broadcast_machine_gone, node->peer_links);
 }
 
-/* ---- what lower modules ask ---- */
+/* Callbacks through which modules query modules of higher layers. */
 
 static gboolean
 supports_format(gconstpointer context) {
--- a/src/node/wiring.h
+++ b/src/node/wiring.h
@@ -1,9 +1,10 @@
-/* Connects the modules of a node: lower modules tell upper ones by observers and listeners, and ask
- * them by callbacks. They include no header of a folder above their own; this is the one place that
- * knows both sides. */
+/* Connects the modules of a node. A module must not include headers of a higher layer (see
+ * .ci/layers.txt), so it notifies modules of higher layers through observers and listeners and
+ * queries them through callbacks. Only the wiring includes the headers of both sides. */
 #pragma once
 
 #include "node/node.h"
 
-/* To be called once, when all modules of the node exist and before the first tick. */
+/* Registers all observers, listeners and callbacks. Must be called once, after all modules of the
+ * node have been created and before the first tick. */
 void mm_node_wire(MmNode *node);
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -1,8 +1,8 @@
-/* The interface of a node to the outside: clocks, outgoing requests, links to peers and timers. The
- * program implements it with sockets, the tests with a simulated world.
+/* The interface through which a node accesses clocks, outgoing requests, links to peers and timers.
+ * The program implements it with sockets, the tests with a simulation.
  *
- * Responses and timers come from the one main loop, never from within the call that asked for them.
- */
+ * Callbacks of requests and timers are called from the single main loop, never from within the call
+ * that requested them. */
 #pragma once
 
 #include <jansson.h>
@@ -13,29 +13,31 @@
 
 typedef enum { MM_TARGET_KV_STORE, MM_TARGET_CLOUD, MM_TARGET_WORKER } MmTarget;
 
-/* Status 0: no response in time. The body is lent, and NULL when it is absent or not JSON. */
+/* Receives a response. `status` is the HTTP status, or 0 if there was no valid response before the
+ * time-out. `body` is borrowed for the call; it is NULL if it is absent or not JSON. */
 typedef void (*MmResponseCallback)(gpointer data, int status, json_t *body);
 
 typedef struct {
-  gpointer context;                 /* passed as `self` */
-  MmTime (*now)(gpointer self);     /* steady time */
-  gint64 (*wall_ms)(gpointer self); /* since 1970 */
-  /* The body is lent and may be NULL; `address` is for workers alone. `on_response` is called
-   * exactly once, and never before this returns. */
-  void (*request)(gpointer self, MmTarget target, const char *address, const char *method,
+  gpointer context;                    /* passed to each function as its first argument */
+  MmTime (*now)(gpointer context);     /* monotonic time */
+  gint64 (*wall_ms)(gpointer context); /* milliseconds since 1970 */
+  /* Sends a request. `address` is used for MM_TARGET_WORKER only. `body` is borrowed for the call
+   * and may be NULL. `on_response` is called exactly once, after this function has returned. */
+  void (*request)(gpointer context, MmTarget target, const char *address, const char *method,
                   const char *path, const json_t *body, guint timeout_ms,
                   MmResponseCallback on_response, gpointer data);
-  /* Sends a frame, which is lent, to the peer; lost when there is no connection. */
-  void (*send)(gpointer self, guint peer, const Mm__Frame *frame);
-  /* Closes the connection to the peer, which calls mm_peer_links_disconnected, and opens another.
+  /* Sends a frame to the peer; it is dropped if there is no connection. `frame` is borrowed for the
+   * call. */
+  void (*send)(gpointer context, guint peer, const Mm__Frame *frame);
+  /* Closes the connection to the peer, which calls mm_peer_links_disconnected, and opens a new one.
    */
-  void (*reconnect)(gpointer self, guint peer);
-  /* Calls once, after the time; cannot be cancelled. */
-  void (*call_after)(gpointer self, guint ms, void (*call)(gpointer data), gpointer data);
+  void (*reconnect)(gpointer context, guint peer);
+  /* Calls `callback` once after `ms` milliseconds. The timer cannot be cancelled. */
+  void (*call_after)(gpointer context, guint ms, void (*callback)(gpointer data), gpointer data);
 } MmPlatform;
 
-/* How often the loops of a node run, each of which moves the actual state towards the wanted one.
- */
+/* The interval of a node's ticks. In each tick the modules run their control loops, which move the
+ * actual state towards the desired state. */
 #define MM_NODE_TICK_MS 50
 
 static inline MmTime
@@ -49,15 +51,16 @@
 }
 
 static inline void
-mm_platform_call_after(const MmPlatform *platform, guint ms, void (*call)(gpointer data),
+mm_platform_call_after(const MmPlatform *platform, guint ms, void (*callback)(gpointer data),
                        gpointer data) {
-  platform->call_after(platform->context, ms, call, data);
+  platform->call_after(platform->context, ms, callback, data);
 }
 
-/* An incoming request, to be responded to exactly once; it must not be used afterwards. */
+/* An incoming request. It must be responded to exactly once and must not be used afterwards. */
 typedef struct MmHttpExchange MmHttpExchange;
 struct MmHttpExchange {
-  /* Takes the body. `retry_after_s` 0: no Retry-After header. */
+  /* Sends the response and takes ownership of `body`. If `retry_after_s` is 0, no Retry-After
+   * header is sent. */
   void (*respond)(MmHttpExchange *exchange, int status, json_t *body, guint retry_after_s);
 };
 
--- a/src/transport/groups-command.c
+++ b/src/transport/groups-command.c
@@ -12,22 +12,23 @@
 #define NO_GROUP (-1)
 
 typedef struct {
-  char *front;
+  char *front_address;
   char *target_node;
   int group;
 } Arguments;
 
-/* One line on standard error. */
+/* Prints one line on standard error and returns `status`. */
 static int
-print_failure(int status, const char *front, const char *reason) {
-  fprintf(stderr, "martenmount groups: %s%s%s\n", front != NULL ? front : "",
-          front != NULL ? ": " : "", reason);
+print_failure(int status, const char *front_address, const char *reason) {
+  fprintf(stderr, "martenmount groups: %s%s%s\n", front_address != NULL ? front_address : "",
+          front_address != NULL ? ": " : "", reason);
   return status;
 }
 
 static SoupMessage *
 new_message(const Arguments *arguments) {
-  g_autofree char *list_url = g_strdup_printf("http://%s" MM_ADMIN_GROUPS_PATH, arguments->front);
+  g_autofree char *list_url
+      = g_strdup_printf("http://%s" MM_ADMIN_GROUPS_PATH, arguments->front_address);
   g_autofree char *move_url = g_strdup_printf("%s/%d/move", list_url, arguments->group);
   gboolean is_move = arguments->group != NO_GROUP;
   SoupMessage *message = soup_message_new(is_move ? "POST" : "GET", is_move ? move_url : list_url);
@@ -41,7 +42,8 @@
   return message;
 }
 
-/* The answer's body, to be released; NULL with a reason when there is none. */
+/* Returns the body of the response as a new reference. If there is none, returns NULL and sets
+ * `reason`, which the caller must free. */
 static json_t *
 send_request(const Arguments *arguments, guint *status, char **reason) {
   g_autoptr(SoupSession) soup_session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
@@ -51,7 +53,7 @@
   json_t *body;
 
   if (message == NULL) {
-    *reason = g_strdup("is no address of the form HOST:PORT");
+    *reason = g_strdup("is not an address of the form HOST:PORT");
     return NULL;
   }
   bytes = soup_session_send_and_read(soup_session, message, NULL, &error);
@@ -62,7 +64,7 @@
   *status = soup_message_get_status(message);
   body = json_loadb(g_bytes_get_data(bytes, NULL), g_bytes_get_size(bytes), 0, NULL);
   if (body == NULL)
-    *reason = g_strdup_printf("answered %u without JSON", *status);
+    *reason = g_strdup_printf("response with status %u has no JSON body", *status);
   return body;
 }
 
@@ -103,13 +105,13 @@
   const char *error_text = mm_json_string(body, "error");
 
   if (body == NULL)
-    return print_failure(EXIT_FAILURE, arguments->front, reason);
+    return print_failure(EXIT_FAILURE, arguments->front_address, reason);
   if (status == SOUP_STATUS_OK) {
     print_list(body);
     return EXIT_SUCCESS;
   }
   if (status != SOUP_STATUS_ACCEPTED)
-    return print_failure(EXIT_FAILURE, arguments->front,
+    return print_failure(EXIT_FAILURE, arguments->front_address,
                          error_text != NULL ? error_text : "refused");
   printf("group %d goes to %s\n", arguments->group, arguments->target_node);
   return EXIT_SUCCESS;
@@ -117,10 +119,11 @@
 
 int
 mm_groups_command(int argc, char **argv) {
-  g_autofree char *front = NULL, *target_node = NULL;
+  g_autofree char *front_address = NULL, *target_node = NULL;
   int group = NO_GROUP;
   const GOptionEntry entries[] = {
-    { "front", 'f', 0, G_OPTION_ARG_STRING, &front, "A node's address for users", "HOST:PORT" },
+    { "front", 'f', 0, G_OPTION_ARG_STRING, &front_address, "A node's address for users",
+      "HOST:PORT" },
     { "move", 'm', 0, G_OPTION_ARG_INT, &group, "Move this group", "GROUP" },
     { "to", 't', 0, G_OPTION_ARG_STRING, &target_node, "To this node", "NODE" },
     { NULL },
@@ -133,9 +136,9 @@
     return print_failure(EXIT_USAGE, NULL, error->message);
   if (argc > 1)
     return print_failure(EXIT_USAGE, NULL, "stray argument");
-  if (front == NULL)
+  if (front_address == NULL)
     return print_failure(EXIT_USAGE, NULL, "--front HOST:PORT is required");
   if ((group == NO_GROUP) != (target_node == NULL))
     return print_failure(EXIT_USAGE, NULL, "--move and --to go together");
-  return run_command(&(Arguments){ front, target_node, group });
+  return run_command(&(Arguments){ front_address, target_node, group });
 }
--- a/src/transport/groups-command.h
+++ b/src/transport/groups-command.h
@@ -1,5 +1,6 @@
-/* `martenmount groups`: shows who owns which machine groups, and moves one by hand. */
+/* The command `martenmount groups`: lists the owners of the machine groups and moves a group to
+ * another node. */
 #pragma once
 
-/* The arguments from "groups" on. Returns the exit status. */
+/* Runs the command. `argv` starts with "groups". Returns the exit status. */
 int mm_groups_command(int argc, char **argv);
--- a/src/transport/http-client.c
+++ b/src/transport/http-client.c
@@ -1,31 +1,33 @@
-/* Requests to the key-value store, the cloud and workers, over libsoup. Each target has a session
- * of its own, so that connections and time-outs of one don't hold up another. */
+/* Sends requests to the key-value store, the cloud and workers with libsoup. Each target has a
+ * session of its own, so that the connections and time-outs of one target do not delay requests to
+ * another. */
 #include "transport/transport.h"
 
 #include <libsoup/soup.h>
 
-/* Each request to an unreachable machine keeps one until it times out. */
-#define CONNECTIONS_MIN 200
+/* Lower bound for a session's limit of connections. The limit must be high, because each request to
+ * an unreachable machine occupies a connection until it times out. */
+#define CONNECTION_LIMIT_MIN 200
 #define CONNECTIONS_PER_HOST 24
-/* By MmTarget: how long a connection on which nothing is under way stays open. A worker is seldom
- * asked twice in a row. */
+/* How long an idle connection stays open, by MmTarget. Workers rarely receive two requests in quick
+ * succession, so connections to them are closed soon. */
 static const guint idle_timeout_s[] = { 60, 60, 1 };
-/* libsoup keeps a timer for each host that a session has asked within five minutes, and the main
- * loop looks at each timer in every turn: at 4,000 machines that took four tenths of a node's
- * processor time. So after so many requests to workers, and none under way, they go on with a new
- * session. */
+/* After this many requests, and once none is in progress, the session for workers is replaced by a
+ * new one. libsoup keeps a timer for each host to which a session has sent a request within the
+ * last five minutes, and the main loop checks every timer in each iteration. With 4,000 machines
+ * this took four tenths of a node's CPU time. */
 #define WORKER_REQUESTS_PER_SESSION 64
 
-/* By MmTarget. Responses of the key-value store go before everything else that waits: a node too
- * busy to renew its lease would lose its shards and be busier still. */
+/* Priorities in the main loop, by MmTarget. Responses of the key-value store come first: a node too
+ * busy to renew its lease would lose its shards, which would increase the load further. */
 static const int source_priorities[] = { G_PRIORITY_HIGH, G_PRIORITY_DEFAULT, G_PRIORITY_DEFAULT };
 
 struct MmHttpClient {
   const MmSettings *settings;
   SoupSession *sessions[3]; /* by MmTarget */
-  char *base_urls[3];       /* by MmTarget; none for workers */
-  guint n_worker_requests;  /* that the session for workers has been used for, */
-  guint n_worker_in_flight; /* and those of them that are under way */
+  char *base_urls[3];       /* by MmTarget; NULL for workers */
+  guint n_worker_requests;  /* requests sent with the current session for workers */
+  guint n_worker_in_flight; /* those of them that are in progress */
 };
 
 typedef struct {
@@ -41,7 +43,7 @@
 static SoupSession *
 new_session(const MmSettings *settings, MmTarget target) {
   SoupSession *session = soup_session_new_with_options(
-      "max-conns", MAX(CONNECTIONS_MIN, settings->max_sockets / 8), "max-conns-per-host",
+      "max-conns", MAX(CONNECTION_LIMIT_MIN, settings->max_sockets / 8), "max-conns-per-host",
       CONNECTIONS_PER_HOST, "idle-timeout", idle_timeout_s[target], "proxy-resolver", NULL, NULL);
 
   soup_session_remove_feature_by_type(session, SOUP_TYPE_CONTENT_DECODER);
@@ -62,7 +64,7 @@
 }
 
 static void
-renew_worker_session(MmHttpClient *client) {
+replace_worker_session_if_due(MmHttpClient *client) {
   if (client->n_worker_in_flight > 0 || client->n_worker_requests < WORKER_REQUESTS_PER_SESSION)
     return;
   g_object_unref(client->sessions[MM_TARGET_WORKER]);
@@ -96,11 +98,11 @@
     if (length > 0)
       body = json_loadb(text, length, JSON_DECODE_ANY, NULL);
     if (length > 0 && body == NULL && status == 200) {
-      mm_info("response is not JSON, treated as none target=%d", (int)request->target);
+      mm_info("response discarded, body is not JSON target=%d", (int)request->target);
       status = 0;
     }
   } else {
-    mm_debug("request got no response error=%s", error->message);
+    mm_debug("request failed, no response received error=%s", error->message);
   }
   if (request->target == MM_TARGET_WORKER)
     request->client->n_worker_in_flight--;
@@ -116,7 +118,7 @@
 } FailedRequest;
 
 static gboolean
-on_failure_due(gpointer data) {
+report_failure(gpointer data) {
   FailedRequest *failure = data;
 
   failure->callback(failure->data, 0, NULL);
@@ -137,8 +139,8 @@
   if (message == NULL) {
     FailedRequest *failure = g_new(FailedRequest, 1);
     *failure = (FailedRequest){ callback, data };
-    mm_info("request has no valid address uri=%s", uri);
-    g_idle_add(on_failure_due, failure);
+    mm_info("request not sent, invalid address uri=%s", uri);
+    g_idle_add(report_failure, failure);
     return;
   }
   if (body != NULL) {
@@ -147,7 +149,7 @@
     soup_message_set_request_body_from_bytes(message, "application/json", bytes);
   }
   if (target == MM_TARGET_WORKER) {
-    renew_worker_session(client);
+    replace_worker_session_if_due(client);
     client->n_worker_requests++;
     client->n_worker_in_flight++;
   }
--- a/src/transport/http-server.c
+++ b/src/transport/http-server.c
@@ -1,17 +1,20 @@
-/* The server for users, workers and health checks, over libmicrohttpd; docs/design.md says why not
- * libsoup. GLib's main loop watches the epoll descriptor of its daemon; no thread is started. */
+/* The HTTP server for users, operators, workers and health checks, based on libmicrohttpd;
+ * docs/design.md explains why it does not use libsoup. GLib's main loop polls the epoll descriptor
+ * of the libmicrohttpd daemon; no thread is started. */
 #include "transport/transport.h"
 
 #include <microhttpd.h>
 #include <netinet/in.h>
 
 #define BODY_MAX_BYTES (64 * 1024)
-/* What a connection holds for headers and reading; longer bodies arrive in pieces. */
+/* Memory of a connection for headers and its read buffer. Longer bodies are received in several
+ * pieces. */
 #define CONNECTION_MEMORY_BYTES 4096
 #define IDLE_TIMEOUT_S 45
-/* Sockets reserved for the key-value store, the cloud, the peers and workers. */
+/* Sockets that the server leaves to connections to the key-value store, the cloud, peers and
+ * workers. */
 #define RESERVED_SOCKETS 100
-#define BACKLOG 256
+#define LISTEN_BACKLOG 256
 
 struct MmHttpServer {
   struct MHD_Daemon *daemon;
@@ -24,11 +27,13 @@
   MmHttpServer *server;
   struct MHD_Connection *connection;
   GByteArray *body;
-  gboolean is_too_long;
-  gboolean is_with_node;    /* the node has yet to respond */
-  gboolean is_in_handler;   /* the node is being called: a response given now resumes nothing */
-  gboolean has_client_left; /* the client closed the connection before the response */
-  int status;               /* 0: no response yet */
+  gboolean is_body_too_large;
+  gboolean awaits_node_response; /* the node has received the request and not responded yet */
+  /* mm_node_handle_request is running: a response must not resume the connection, which has not
+   * been suspended yet. */
+  gboolean is_in_handler;
+  gboolean is_client_disconnected; /* the client closed the connection before the node responded */
+  int status;                      /* HTTP status; 0: no response yet */
   json_t *response;
   guint retry_after_s;
 } ServerExchange;
@@ -44,16 +49,17 @@
 respond(MmHttpExchange *base, int status, json_t *body, guint retry_after_s) {
   ServerExchange *exchange = (ServerExchange *)base;
 
-  exchange->is_with_node = FALSE;
+  exchange->awaits_node_response = FALSE;
   exchange->status = status;
   exchange->response = body;
   exchange->retry_after_s = retry_after_s;
-  if (exchange->has_client_left)
+  if (exchange->is_client_disconnected)
     exchange_free(exchange);
   else if (!exchange->is_in_handler) {
     MHD_resume_connection(exchange->connection);
-    /* The epoll descriptor doesn't show that a connection was resumed: without this the response
-     * would wait for the next request to come in. */
+    /* Run the daemon in the next iteration of the main loop. The epoll descriptor does not signal a
+     * resumed connection, so the response would otherwise be delayed until the next request
+     * arrives. */
     g_source_set_ready_time(exchange->server->source, 0);
   }
 }
@@ -100,28 +106,29 @@
   if (exchange->body == NULL)
     exchange->body = g_byte_array_new();
   if (exchange->body->len + length > BODY_MAX_BYTES)
-    exchange->is_too_long = TRUE;
+    exchange->is_body_too_large = TRUE;
   else
     g_byte_array_append(exchange->body, (const guint8 *)piece, (guint)length);
 }
 
-/* The node responds now or later, see `respond`. */
+/* Passes the request to the node, which responds during the call or later, see respond. */
 static void
-hand_to_node(ServerExchange *exchange, const char *method, const char *path) {
+dispatch_to_node(ServerExchange *exchange, const char *method, const char *path) {
   g_autoptr(json_t) body = NULL;
 
   if (exchange->body != NULL)
     body = json_loadb((const char *)exchange->body->data, exchange->body->len, JSON_DECODE_ANY,
                       NULL);
   g_clear_pointer(&exchange->body, g_byte_array_unref);
-  exchange->is_with_node = TRUE;
+  exchange->awaits_node_response = TRUE;
   exchange->is_in_handler = TRUE;
   mm_node_handle_request(exchange->server->node, method, path, body, &exchange->base);
   exchange->is_in_handler = FALSE;
 }
 
-/* Called once with the headers, for each piece of the body, once when all of it is there, and once
- * more when the node has responded to a request that had to wait. */
+/* Called by libmicrohttpd once for the headers, once for each piece of the body and once when the
+ * body is complete. If the node does not respond at once, the connection is suspended, and this is
+ * called again when the response has resumed it. */
 static enum MHD_Result
 handle_request(gpointer data, struct MHD_Connection *connection, const char *path,
                const char *method, const char *version, const char *piece, size_t *length,
@@ -137,10 +144,10 @@
     *length = 0;
     return MHD_YES;
   }
-  if (exchange->is_too_long)
+  if (exchange->is_body_too_large)
     return queue_error(connection, 413, "the body is over 64 KiB");
   if (exchange->status == 0)
-    hand_to_node(exchange, method, path);
+    dispatch_to_node(exchange, method, path);
   if (exchange->status == 0) {
     MHD_suspend_connection(connection);
     return MHD_YES;
@@ -156,8 +163,8 @@
   *request_state = NULL;
   if (exchange == NULL)
     return;
-  if (exchange->is_with_node)
-    exchange->has_client_left = TRUE; /* freed with the node's response */
+  if (exchange->awaits_node_response)
+    exchange->is_client_disconnected = TRUE; /* respond frees the exchange */
   else
     exchange_free(exchange);
 }
@@ -165,10 +172,11 @@
 typedef struct {
   GSource base;
   MmHttpServer *server;
-  gpointer epoll_tag; /* the tag of its descriptor */
+  gpointer epoll_tag; /* of the daemon's epoll descriptor */
 } DaemonSource;
 
-/* What libmicrohttpd has read but not processed shows on no descriptor, only in its time-out. */
+/* Takes the time-out from libmicrohttpd. Data that it has read but not processed yet is not
+ * signalled by any descriptor, only by a time-out of 0. */
 static gboolean
 source_prepare(GSource *source, gint *timeout_ms) {
   MHD_UNSIGNED_LONG_LONG timeout;
@@ -221,7 +229,7 @@
   }
   server->daemon = MHD_start_daemon(
       MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, handle_request, server,
-      MHD_OPTION_SOCK_ADDR, &socket_address, MHD_OPTION_LISTEN_BACKLOG_SIZE, BACKLOG,
+      MHD_OPTION_SOCK_ADDR, &socket_address, MHD_OPTION_LISTEN_BACKLOG_SIZE, LISTEN_BACKLOG,
       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1, MHD_OPTION_CONNECTION_LIMIT,
       max_sockets - MIN(RESERVED_SOCKETS, max_sockets / 3), MHD_OPTION_CONNECTION_MEMORY_LIMIT,
       (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S,
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -1,5 +1,5 @@
-/* The program: command line, settings, and a node on GLib's main loop with sockets as its platform.
- */
+/* The program: reads the command line and the settings, and runs a node in GLib's main loop on a
+ * platform implemented with sockets. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -71,8 +71,8 @@
 
   if (node->sharing->conflicting_groups != 0) {
     fprintf(stderr,
-            "martenmount: <groups> is %u, but the state service holds machines shared out in %u"
-            " groups\n",
+            "martenmount: <groups> is %u, but the state service holds machines divided into"
+            " %u groups\n",
             node->sharing->n_groups, node->sharing->conflicting_groups);
     exit(EXIT_USAGE);
   }
@@ -92,7 +92,7 @@
 
   if (!mm_peer_sockets_start(transport.peer_sockets, node, &error)
       || mm_http_server_new(node, settings->front_address, &error) == NULL) {
-    mm_error("node cannot listen error=%s", error->message);
+    mm_error("node startup failed, cannot listen error=%s", error->message);
     return EXIT_FAILURE;
   }
   mm_info("node started label=%s front=%s zone=%s", settings->label.s, settings->front_address,
@@ -103,7 +103,7 @@
   return EXIT_SUCCESS;
 }
 
-/* What the command line asks for. Clear with command_line_clear. */
+/* The parsed command line. Clear it with command_line_clear. */
 typedef struct {
   char *settings_path;
   char *operators_path;
@@ -119,7 +119,7 @@
 
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(CommandLine, command_line_clear)
 
-/* FALSE when it is wrong, which is printed with the help. */
+/* Parses the command line. If it is invalid, prints the error and the help, and returns FALSE. */
 static gboolean
 parse_command_line(int argc, char **argv, CommandLine *command_line) {
   const GOptionEntry entries[] = {
@@ -146,8 +146,8 @@
   return FALSE;
 }
 
-/* The settings of both files, checked against each other; NULL when they don't hold, with the
- * reason printed. */
+/* Reads both settings files and checks them against each other. If they are invalid, prints the
+ * reason and returns NULL. */
 static MmSettings *
 read_settings(const CommandLine *command_line, MmOperators *operators) {
   g_autoptr(GError) error = NULL;
@@ -169,7 +169,8 @@
   g_autoptr(MmSettings) settings = NULL;
   MmOperators operators = mm_operators_defaults();
 
-  /* No name look-ups, proxies or volumes are wanted: loading GIO's modules only costs start-up. */
+  /* GIO's modules add only features that the program does not need: name resolution, proxies and
+   * volumes. Skipping them shortens start-up. */
   g_setenv("GIO_MODULE_DIR", "/nonexistent", TRUE);
   g_setenv("GIO_USE_VFS", "local", TRUE);
   if (argc > 1 && strcmp(argv[1], "groups") == 0)
@@ -181,7 +182,7 @@
     return EXIT_SUCCESS;
   }
   if (!mm_log_read_level())
-    fprintf(stderr, "martenmount: LOG_LEVEL is none of error, info, debug: info holds\n");
+    fprintf(stderr, "martenmount: LOG_LEVEL must be error, info, or debug; using info\n");
   if (command_line.settings_path == NULL) {
     fprintf(stderr, "martenmount: --config FILE is required\n");
     return EXIT_USAGE;
--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -1,6 +1,7 @@
-/* Links between nodes: each node sends on connections that it opened and receives on those that its
- * peers opened. A frame is its length in four bytes, big-endian, then the message. What is sent
- * within one turn of the main loop is written at once. */
+/* Links between nodes. Each node sends on the connections that it opened and receives on those that
+ * its peers opened. A frame on the wire consists of the length of the message, as four bytes in
+ * big-endian order, and the message. All frames sent within one iteration of the main loop are
+ * written together. */
 #include "transport/transport.h"
 
 #include <netinet/in.h>
@@ -11,14 +12,15 @@
 #include "node/peer-receiver.h"
 
 #define FRAME_MAX_BYTES (1024 * 1024)
-/* The length that goes before each frame. */
+/* Size of the length field in front of each message. */
 #define LENGTH_BYTES 4
-/* What is sent at once on a new link grows with the fleet: a sixteenth of the memory may be queued.
- */
-#define QUEUE_MIN_BYTES (2 * 1024 * 1024)
-#define QUEUE_BYTES_PER_MB (1024 * 1024 / 16.0)
+/* The limit of a send queue: a sixteenth of the node's memory, but at least QUEUE_LIMIT_MIN_BYTES.
+ * It depends on the memory because the initial state sent on a new link grows with the number of
+ * machines. */
+#define QUEUE_LIMIT_MIN_BYTES (2 * 1024 * 1024)
+#define QUEUE_LIMIT_BYTES_PER_MB (1024 * 1024 / 16.0)
 #define READ_BYTES (32 * 1024)
-#define RETRY_MS 250
+#define RECONNECT_DELAY_MS 250
 #define CONNECT_TIMEOUT_S 2
 
 typedef struct {
@@ -26,10 +28,13 @@
   guint peer;
   char *endpoint;
   GSocketConnection *connection;
-  GByteArray *queue;        /* to be written */
-  GSource *flush_source;    /* set to the end of this turn while something is queued */
-  GSource *writable_source; /* only while the socket is full */
-  GSource *readable_source; /* the peer never writes here: its end shows this way */
+  GByteArray *queue; /* frames to be written */
+  /* Dispatched at the end of the main loop iteration in which frames were queued. */
+  GSource *flush_source;
+  /* Exists only while the socket's send buffer is full. */
+  GSource *writable_source;
+  /* The peer never sends on this connection, so it becomes readable only when it is closed. */
+  GSource *readable_source;
 } OutboundLink;
 
 typedef struct {
@@ -37,7 +42,7 @@
   GSocketConnection *connection;
   GByteArray *buffer;
   GSource *readable_source;
-  gint peer; /* MM_PEER_NONE until its hello */
+  gint peer; /* MM_PEER_NONE until its hello frame is received */
 } InboundLink;
 
 struct MmPeerSockets {
@@ -46,7 +51,8 @@
   GSocketService *service;
   GSocketClient *client;
   OutboundLink *outbound;
-  InboundLink **inbound; /* by peer, the connection that said hello last; may be NULL */
+  /* By peer: the connection on which its latest hello frame was received, or NULL. */
+  InboundLink **inbound;
   guint n_peers;
 };
 
@@ -64,7 +70,7 @@
 }
 
 static void
-prepare_socket(GSocketConnection *connection) {
+set_socket_options(GSocketConnection *connection) {
   GSocket *socket = g_socket_connection_get_socket(connection);
 
   g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
@@ -78,7 +84,7 @@
   g_object_unref(connection);
 }
 
-/* ---- sending ---- */
+/* Sending. */
 
 static gboolean
 on_retry_due(gpointer data) {
@@ -103,7 +109,7 @@
   close_connection(g_steal_pointer(&outbound->connection));
   g_byte_array_set_size(outbound->queue, 0);
   mm_peer_links_disconnected(outbound->sockets->node->peer_links, outbound->peer);
-  g_timeout_add(RETRY_MS, on_retry_due, outbound);
+  g_timeout_add(RECONNECT_DELAY_MS, on_retry_due, outbound);
 }
 
 static gboolean on_writable(GSocket *socket, GIOCondition condition, gpointer data);
@@ -189,8 +195,9 @@
 
   if (outbound->connection == NULL)
     return;
-  if (offset + length > MAX(QUEUE_MIN_BYTES, sockets->settings->memory_mb * QUEUE_BYTES_PER_MB)) {
-    mm_info("link queue is full, disconnecting peer=%u", peer);
+  if (offset + length
+      > MAX(QUEUE_LIMIT_MIN_BYTES, sockets->settings->memory_mb * QUEUE_LIMIT_BYTES_PER_MB)) {
+    mm_info("peer link closed, send queue is full peer=%u", peer);
     close_outbound(outbound);
     return;
   }
@@ -218,10 +225,10 @@
       = g_socket_client_connect_finish(G_SOCKET_CLIENT(source), result, NULL);
 
   if (connection == NULL) {
-    g_timeout_add(RETRY_MS, on_retry_due, outbound);
+    g_timeout_add(RECONNECT_DELAY_MS, on_retry_due, outbound);
     return;
   }
-  prepare_socket(connection);
+  set_socket_options(connection);
   outbound->connection = connection;
   outbound->readable_source
       = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
@@ -236,14 +243,14 @@
   g_autoptr(GSocketAddress) address = mm_transport_parse_address(outbound->endpoint);
 
   if (address == NULL) {
-    mm_error("peer address is not usable endpoint=%s", outbound->endpoint);
+    mm_error("peer link not opened, invalid address endpoint=%s", outbound->endpoint);
     return;
   }
   g_socket_client_connect_async(outbound->sockets->client, G_SOCKET_CONNECTABLE(address), NULL,
                                 on_connected, outbound);
 }
 
-/* ---- receiving ---- */
+/* Receiving. */
 
 static void
 close_inbound(InboundLink *inbound) {
@@ -255,8 +262,8 @@
   g_free(inbound);
 }
 
-/* The peer has opened a new connection: if the previous one is half-open, nothing else would ever
- * close it. */
+/* Assigns the connection to the peer that sent the hello frame, and closes the peer's previous
+ * connection: if that is half-open, nothing else would ever close it. */
 static void
 register_hello(InboundLink *inbound, const char *label) {
   MmPeerSockets *sockets = inbound->sockets;
@@ -269,7 +276,8 @@
   sockets->inbound[inbound->peer] = inbound;
 }
 
-/* Hands over the frames that are complete. FALSE when the stream is malformed. */
+/* Passes complete frames to the node and removes them from the buffer. Returns FALSE if a frame is
+ * malformed, longer than FRAME_MAX_BYTES, or received before a hello frame of a known peer. */
 static gboolean
 receive_frames(InboundLink *inbound) {
   guint offset = 0;
@@ -316,7 +324,7 @@
   if (n_read > 0 && receive_frames(inbound))
     return G_SOURCE_CONTINUE;
   if (n_read > 0)
-    mm_info("link received a malformed frame, disconnecting peer=%d", inbound->peer);
+    mm_info("peer link closed, malformed frame received peer=%d", inbound->peer);
   close_inbound(inbound);
   return G_SOURCE_REMOVE;
 }
@@ -330,7 +338,7 @@
   inbound->connection = g_object_ref(connection);
   inbound->buffer = g_byte_array_new();
   inbound->peer = MM_PEER_NONE;
-  prepare_socket(connection);
+  set_socket_options(connection);
   inbound->readable_source
       = g_socket_create_source(g_socket_connection_get_socket(connection), G_IO_IN, NULL);
   g_source_set_callback(inbound->readable_source, G_SOURCE_FUNC(on_inbound_readable), inbound,
--- a/tests/test-operators.c
+++ b/tests/test-operators.c
@@ -37,7 +37,8 @@
     { "<martenmount><groups>-1</groups></martenmount>", "line 1", "groups" },
     { "<martenmount><groups>513</groups></martenmount>", "line 1", "groups" },
     { "<martenmount><group-moves>0</group-moves></martenmount>", "line 1", "group-moves" },
-    { "<martenmount><group-weight>1</group-weight></martenmount>", "line 1", "names no node" },
+    { "<martenmount><group-weight>1</group-weight></martenmount>", "line 1",
+      "node attribute is missing" },
     { "<martenmount><group-weight node=\"a\">-1</group-weight></martenmount>", "line 1", "-1" },
     { "<martenmount><group-weight node=\"a\"></group-weight></martenmount>", "line 1", "no value" },
     { "<martenmount><group-weight node=\"a\">1</group-weight>\n"
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -119,7 +119,7 @@
     g_string_append_printf(
         text, "\n[[others]]\nlabel = \"x-%u\"\nzone = \"a\"\nendpoint = \"127.0.0.1:9\"\n", i);
   g_assert_null(read_text(text->str, &error));
-  g_assert_nonnull(strstr(error->message, "others: must not be longer"));
+  g_assert_nonnull(strstr(error->message, "others: must not have more than 31 entries"));
 }
 
 static void
