--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -1,4 +1,4 @@
-/* The simulated cloud: instance types, launches, releases, the list of machines. */
+/* The simulated cloud: instance types, launches and releases of machines, and the machine list. */
 #include "world/internal.h"
 
 #include "base/wire.h"
@@ -23,9 +23,9 @@
   WorldMachine *machine = g_new0(WorldMachine, 1);
 
   machine->world = world;
-  g_snprintf(machine->id, sizeof machine->id, "m-%06u", ++world->next_machine);
+  g_snprintf(machine->id, sizeof machine->id, "m-%06u", ++world->last_machine_number);
   g_snprintf(machine->address, sizeof machine->address, "10.1.%u.%u:9000",
-             world->next_machine / 200, world->next_machine % 200 + 1);
+             world->last_machine_number / 200, world->last_machine_number % 200 + 1);
   g_strlcpy(machine->type, type, sizeof machine->type);
   g_strlcpy(machine->zone, zone, sizeof machine->zone);
   machine->is_spot = spot;
@@ -34,7 +34,7 @@
   machine->failure_rate = world_uniform(world, 0, 1) < 0.05 ? 0.6 : 0.005;
   machine->boots_at_us = world->now_us + (gint64)(boot_s * G_USEC_PER_SEC);
   g_ptr_array_add(world->machines, machine);
-  /* A few never come up. */
+  /* 3 % of the machines never start. */
   if (world_uniform(world, 0, 1) > 0.03)
     world_schedule(world, machine->boots_at_us, world_machine_boot, machine);
   return machine;
@@ -97,8 +97,8 @@
   double boot_s = 0;
 
   g_assert_true(launch_id != NULL && type != NULL && zone != NULL && count >= 1 && count <= 50);
-  if (g_hash_table_contains(world->launches, launch_id)) {
-    *response = json_incref(g_hash_table_lookup(world->launches, launch_id));
+  if (g_hash_table_contains(world->launch_responses, launch_id)) {
+    *response = json_incref(g_hash_table_lookup(world->launch_responses, launch_id));
     return 200;
   }
   for (guint i = 0; i < G_N_ELEMENTS(machine_types); i++)
@@ -120,7 +120,7 @@
                                                         boot_s * world_uniform(world, 0.6, 1.5))
                                           ->id));
   *response = json_pack("{s:o}", WIRE_MACHINES, names);
-  g_hash_table_insert(world->launches, g_strdup(launch_id), json_incref(*response));
+  g_hash_table_insert(world->launch_responses, g_strdup(launch_id), json_incref(*response));
   return 200;
 }
 
@@ -149,7 +149,7 @@
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = world_machine_at(world, i);
     double age_s = (double)(world->now_us - machine->launched_at_us) / G_USEC_PER_SEC;
-    /* The list lags. */
+    /* Machines appear in the list 2 s after their launch, because the list of a cloud lags. */
     if (machine->is_terminated || age_s < 2)
       continue;
     json_array_append_new(list, json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", WIRE_JOB_ID,
--- a/tests/world/event-queue.c
+++ b/tests/world/event-queue.c
@@ -1,4 +1,4 @@
-/* The queue of events: all that happens in the world happens in one of its callbacks. */
+/* The event queue. All activity in the simulation takes place in the callbacks of events. */
 #include "world/internal.h"
 
 typedef struct {
--- a/tests/world/fault-injection.c
+++ b/tests/world/fault-injection.c
@@ -1,4 +1,4 @@
-/* Faults drawn at random, odd requests of users, and the end of a day. */
+/* Random load and faults, unusual user requests, and the end of a test run. */
 #include "world/world.h"
 
 #include "base/wire.h"
@@ -67,7 +67,7 @@
 
 guint
 world_node_leading_most_shards(World *world) {
-  guint leader = G_MAXUINT, most_led = 0;
+  guint leader = G_MAXUINT, max_led = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = world->nodes[i].node;
@@ -75,9 +75,9 @@
     guint n_led = 0;
     for (guint k = 0; ownership != NULL && k < ownership->shard_names->len; k++)
       n_led += mm_shard_ownership_leads(ownership, g_ptr_array_index(ownership->shard_names, k));
-    if (ownership != NULL && (leader == G_MAXUINT || n_led > most_led)) {
+    if (ownership != NULL && (leader == G_MAXUINT || n_led > max_led)) {
       leader = i;
-      most_led = n_led;
+      max_led = n_led;
     }
   }
   g_assert_cmpuint(leader, !=, G_MAXUINT);
@@ -98,12 +98,13 @@
   return n_cancelled;
 }
 
-/* ---- odd requests ---- */
+/* Unusual user requests */
 
+/* An unusual request and the response that it must get. */
 typedef struct {
   World *world;
   int status;
-  const char *state; /* NULL: any */
+  const char *state; /* expected state of the job; NULL: not checked */
   char *description;
 } ExpectedResponse;
 
@@ -116,8 +117,8 @@
       && (expected->state == NULL || g_strcmp0(state, expected->state) == 0))
     expected->world->n_odd_requests_correct++;
   else if (status != 0 && status != 503)
-    world_report_violation(expected->world, "odd: %s gets %d %s", expected->description, status,
-                           state);
+    world_report_violation(expected->world, "odd_request: %s: unexpected response %d %s",
+                           expected->description, status, state);
   g_free(expected->description);
   g_free(expected);
 }
@@ -134,9 +135,9 @@
 }
 
 static json_t *
-fresh_body(World *world, const WorldJob *template) {
+copy_body_with_new_id(World *world, const WorldJob *template) {
   json_t *body = json_deep_copy(template->body);
-  g_autofree char *id = g_strdup_printf("run-9%08u", ++world->next_job);
+  g_autofree char *id = g_strdup_printf("run-9%08u", ++world->last_job_number);
 
   json_object_set_new(body, WIRE_JOB_ID, json_string(id));
   return body;
@@ -145,24 +146,25 @@
 void
 world_send_odd_requests(World *world) {
   WorldJob *template = world_job_at(world, 0);
-  json_t *body = fresh_body(world, template);
+  json_t *body = copy_body_with_new_id(world, template);
   const char *field;
   json_t *value;
 
   json_object_set_new(body, WIRE_CORES, json_real(17));
-  send_odd_request(world, "POST", WIRE_JOBS_PATH, body, 422, NULL, "a job that fits no machine");
+  send_odd_request(world, "POST", WIRE_JOBS_PATH, body, 422, NULL,
+                   "submission of a job that fits no machine");
   json_object_foreach(template->body, field, value) {
-    /* May be null, so absent too. */
+    /* These two fields may be null and may therefore also be absent. */
     if (strcmp(field, WIRE_ZONE) == 0 || strcmp(field, WIRE_DEPENDENCIES) == 0)
       continue;
-    body = fresh_body(world, template);
+    body = copy_body_with_new_id(world, template);
     json_object_del(body, field);
     send_odd_request(world, "POST", WIRE_JOBS_PATH, body, 400, NULL, field);
   }
   send_odd_request(world, "GET", WIRE_JOBS_PATH "/run-555555555", NULL, 404, NULL,
-                   "a job nobody submitted");
+                   "query of a job that was never submitted");
   send_odd_request(world, "POST", WIRE_JOBS_PATH "/run-555555555/" WIRE_CANCEL_WORD, NULL, 404,
-                   NULL, "a cancellation of a job nobody submitted");
+                   NULL, "cancellation of a job that was never submitted");
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = world_job_at(world, i);
     g_autofree char *path = g_strdup_printf(WIRE_JOBS_PATH "/%s/" WIRE_CANCEL_WORD, job->id);
@@ -188,6 +190,8 @@
 world_finish_day(World *world) {
   world->late_write_rate = 0;
   world->delays_acquisitions = FALSE;
+  /* Faults that are still active may continue for a while; after 45 s the checks assume that all
+   * have ended. */
   world->faults_ended_at_us = world->now_us + 45 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = world_job_at(world, i);
--- a/tests/world/faulty-nodes.c
+++ b/tests/world/faulty-nodes.c
@@ -1,4 +1,4 @@
-/* Nodes that are faulty on purpose, so that the checks of the invariants are seen to fail. */
+/* Deliberate defects of nodes. Tests use them to show that the invariant checks find violations. */
 #include "dependencies/dependencies.h"
 #include "scheduler/scheduler.h"
 #include "leases/node-lease.h"
@@ -6,9 +6,9 @@
 #include "kv/replica.h"
 #include "world/world.h"
 
-/* A shard leader that counts every machine as acknowledged at once. */
+/* Makes the node, as a shard leader, count every machine as acknowledged immediately. */
 static void
-forget_unacknowledged(MmScheduler *scheduler) {
+mark_all_acknowledged(MmScheduler *scheduler) {
   GHashTableIter iter;
   gpointer value;
 
@@ -19,19 +19,20 @@
   }
 }
 
-/* A node that accepts late copies of heartbeats as newer ones. */
+/* Makes the node accept late copies of heartbeats as new ones. */
 static void
-forget_heartbeat_ids(MmMachineTable *machine_table) {
+reset_heartbeat_sequences(MmMachineTable *machine_table) {
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machine_table->sorted_machines, i);
     machine->latest_message_id.sequence = machine->latest_heartbeat_id.sequence = 0;
   }
 }
 
-/* A node that goes on answering machines which ignore its answers, and waits for the
- * acknowledgement of each that sends heartbeats, whatever else these prove. */
+/* Makes the node keep responding to machines that ignore its responses, and wait for the
+ * acknowledgement of each machine that sends heartbeats, even if the heartbeats prove that it is
+ * not needed. */
 static void
-ignore_unacknowledging(const MmNode *node) {
+keep_unacknowledging_machines(const MmNode *node) {
   GHashTableIter iter;
   gpointer value;
 
@@ -51,18 +52,18 @@
   }
 }
 
-/* A node that knows only of the cancellations in shards that it leads. */
+/* Makes the node forget cancellations of jobs in shards that it does not lead. */
 static void
-forget_cancelled(const MmJobTable *job_table) {
+clear_cancellations_outside_led_shards(const MmJobTable *job_table) {
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     job->is_cancelled = job->is_cancelled && job->tasks != NULL;
   }
 }
 
-/* A node that counts dependencies as done which are not. */
+/* Makes the node treat unfinished dependencies as done. */
 static void
-forget_dependencies(const MmNode *node) {
+mark_dependencies_done(const MmNode *node) {
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     if (job->vertex != NULL)
@@ -70,9 +71,9 @@
   }
 }
 
-/* A node that does not cancel dependents of a cancelled job. */
+/* Makes the node not cancel the dependents of a cancelled job. */
 static void
-forget_ancestors(const MmNode *node) {
+clear_inherited_cancellations(const MmNode *node) {
   for (guint i = 0; i < node->job_table->by_submission->len; i++) {
     MmJob *job = g_ptr_array_index(node->job_table->by_submission, i);
     if (job->cancel_record_version.v == 0 && mm_job_has_cancelled_dependency(job))
@@ -80,21 +81,22 @@
   }
 }
 
-/* A node whose replica never counts as stale. */
+/* Makes the node treat its replica as never stale. */
 static void
-forget_staleness(const MmNode *node, MmTime now) {
+reset_replica_staleness(const MmNode *node, MmTime now) {
   node->replica->staleness_us = 0;
   node->replica->staleness_at = now;
 }
 
-/* A node whose lease does not expire either. */
+/* Makes the node treat its lease as never expired and its replica as never stale. */
 static void
 extend_lease_forever(const MmNode *node, MmTime now) {
   node->node_lease->valid_until = mm_time_add_ms(now, 60000);
-  forget_staleness(node, now);
+  reset_replica_staleness(node, now);
 }
 
-/* A group owner that counts every machine as acknowledged, or forgets what it has granted. */
+/* Makes the node, as a group owner, count every machine as acknowledged or forget which resources
+ * it has granted, depending on which defects are enabled. */
 static void
 make_sharing_faulty(const World *world, MmSharing *sharing) {
   for (guint group = 0; group < sharing->n_groups && world->ignore_group_acknowledgements; group++)
@@ -108,19 +110,19 @@
 world_make_node_faulty(const World *world, MmNode *node, MmTime now) {
   make_sharing_faulty(world, node->sharing);
   if (world->ignore_acknowledgements)
-    forget_unacknowledged(node->scheduler);
+    mark_all_acknowledged(node->scheduler);
   if (world->accept_duplicates)
-    forget_heartbeat_ids(node->machine_table);
+    reset_heartbeat_sequences(node->machine_table);
   if (world->respond_to_unacknowledging)
-    ignore_unacknowledging(node);
+    keep_unacknowledging_machines(node);
   if (world->lease_never_expires && node->node_lease->lease_id != 0)
     extend_lease_forever(node, now);
   if (world->replica_never_stale)
-    forget_staleness(node, now);
+    reset_replica_staleness(node, now);
   if (world->ignore_dependencies)
-    forget_dependencies(node);
+    mark_dependencies_done(node);
   if (world->ignore_ancestors)
-    forget_ancestors(node);
+    clear_inherited_cancellations(node);
   if (world->only_leader_knows_cancelled)
-    forget_cancelled(node->job_table);
+    clear_cancellations_outside_led_shards(node->job_table);
 }
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -1,13 +1,13 @@
-/* The active format of the stored state in the simulated world. */
+/* The active format of the stored state, and the check that nodes respect it. */
 #include "world/world.h"
 
 #include "base/wire.h"
 #include "kv/kv-client.h"
 #include "upgrade/format.h"
 
-/* Within this time a node has seen a change: a watch whose answer is lost, or arrives while the
- * node is suspended, is opened anew after 3.7 s. */
-#define SEEN_US (4 * G_USEC_PER_SEC)
+/* Time within which a node learns of a change. A node reopens a watch after 3.7 s if the response
+ * to it is lost or arrives while the node is suspended. */
+#define CHANGE_PROPAGATION_US (4 * G_USEC_PER_SEC)
 
 void
 world_set_format(World *world, json_t *value) {
@@ -32,18 +32,20 @@
   guint64 highest
       = world_node->highest_format != 0 ? world_node->highest_format : MM_FORMAT_HIGHEST;
 
-  /* A node that cannot read cannot know; the conditions of its transactions decide on what it
-   * writes meanwhile. */
+  /* A node that cannot read from the store cannot know the format. Until it can, the conditions of
+   * its transactions prevent wrong writes. */
   if ((world->format >= MM_FORMAT_LOWEST && world->format <= highest)
-      || world->now_us < world->format_set_at_us + SEEN_US || world->format_set_at_us == 0
-      || world->now_us < world_node->watches_lost_until_us + SEEN_US
-      || world->now_us < world_node->cut_until_us + SEEN_US
-      || world->now_us < world_node->kv_refuses_until_us + SEEN_US
-      || world->now_us < world_node->frozen_until_us + SEEN_US
-      || world->now_us < world->outage_until_us + SEEN_US
-      || world->now_us < world->kv_slow_until_us + SEEN_US)
+      || world->now_us < world->format_set_at_us + CHANGE_PROPAGATION_US
+      || world->format_set_at_us == 0
+      || world->now_us < world_node->watches_lost_until_us + CHANGE_PROPAGATION_US
+      || world->now_us < world_node->cut_until_us + CHANGE_PROPAGATION_US
+      || world->now_us < world_node->kv_refuses_until_us + CHANGE_PROPAGATION_US
+      || world->now_us < world_node->frozen_until_us + CHANGE_PROPAGATION_US
+      || world->now_us < world->outage_until_us + CHANGE_PROPAGATION_US
+      || world->now_us < world->kv_slow_until_us + CHANGE_PROPAGATION_US)
     return;
-  world_report_violation((World *)world,
-                         "format: node %u writes though the active format is %" G_GUINT64_FORMAT,
-                         node, world->format);
+  world_report_violation(
+      (World *)world,
+      "format: node %u writes although it does not support the active format %" G_GUINT64_FORMAT,
+      node, world->format);
 }
--- a/tests/world/internal.h
+++ b/tests/world/internal.h
@@ -1,95 +1,99 @@
-/* What the files of the simulated world share among themselves: not for tests. */
+/* Declarations shared by the files of the simulated world; not for use by tests. */
 #pragma once
 
 #include "world/world.h"
 
-/* ---- event-queue.c ---- */
+/* event-queue.c */
 
-/* Runs the first event if it is due by `until_us`; FALSE if there is none. */
+/* Runs the first event if it is due by `until_us`. Returns FALSE if no event is due by then. */
 gboolean world_run_next_event(World *world, gint64 until_us);
 
-/* ---- network.c ---- */
+/* network.c */
 
-/* How late a late copy of a message arrives, in microseconds: from half a second to three leases.
- */
+/* Draws the delay with which a late copy of a message arrives, in microseconds: 0.5 s to three
+ * worker leases. */
 gint64 world_duplicate_delay(World *world);
 
-/* ---- links.c ---- */
+/* links.c */
 
-/* Opens links both ways between the node and each other one that is up. */
-void world_link_with_others(const WorldNode *world_node);
-/* The node's links are closed, and both ends see it. */
+/* Opens links in both directions between the node and each other running node. */
+void world_links_open(const WorldNode *world_node);
+/* Closes the links of the node; both ends are notified. */
 void world_links_close(World *world, guint index);
-/* The node's process has ended: the others see their links to it closed, or half-open. */
+/* Handles the end of the node's process: to the other nodes, their links to it appear closed, or
+ * half-open if World.ends_leave_half_open is set. */
 void world_links_node_ended(World *world, guint index);
-/* MmPlatform.send and .reconnect of a node; `data` is its WorldNode. */
+/* Implement MmPlatform.send and MmPlatform.reconnect of a node; `data` is its WorldNode. */
 void world_link_send(gpointer data, guint peer, const Mm__Frame *frame);
 void world_link_reconnect(gpointer data, guint peer);
 
-/* ---- node-platform.c ---- */
+/* node-platform.c */
 
-/* The interface to the outside that a simulated node gets. */
+/* Returns the platform interface of a simulated node. */
 MmPlatform world_node_platform(WorldNode *world_node);
-/* The steady clock of the node; `data` is its WorldNode. */
+/* Returns the time of the node's steady clock; `data` is its WorldNode. */
 MmTime world_node_now(gpointer data);
-/* Whether the node is suspended: the call is made once it goes on then, in the order in which such
- * calls came. */
+/* Returns TRUE if the node's process `generation` is suspended, and schedules the call for the time
+ * when it resumes. Deferred calls run in the order in which they were deferred. */
 gboolean world_defer_while_frozen(const WorldNode *world_node, guint generation,
                                   WorldCallback callback, gpointer data);
 
-/* ---- nodes.c ---- */
+/* nodes.c */
 
 /* Starts the node's process; `data` is its WorldNode. */
 void world_boot_node(gpointer data);
 
-/* ---- node-settings.c ---- */
+/* node-settings.c */
 
-/* The zone of each node. */
+/* Zone of each node, by index. */
 extern const char *const world_zone_names[WORLD_NODES];
 
-/* ---- kv-watches.c ---- */
+/* kv-watches.c */
 
 void world_kv_watches_init(World *world);
-/* Answers all watches that wait with status 0, and frees them. */
+/* Answers all pending watches with status 0 and frees the data of all watches and changes. */
 void world_kv_watches_free(World *world);
-/* A key has changed in the current revision; takes the event. */
+/* Records that a key changed in the current revision. Takes ownership of the event. */
 void world_kv_record_change(World *world, const char *path, json_t *event);
-/* Answers each watch that has changes or has waited long enough, unless the store refuses its node.
- */
+/* Answers each watch that has changes or has timed out, except while the store refuses requests of
+ * the watch's node. */
 void world_kv_answer_watches(World *world);
-/* The value of a field of the path's query; NULL: it is not there. Free with g_free(). */
-char *world_kv_query_text(const char *path, const char *name);
+/* Returns the value of a parameter in the query part of the path, or NULL if it is absent. Free
+ * with g_free(). */
+char *world_kv_query_parameter(const char *path, const char *name);
 
-/* ---- cloud.c ---- */
+/* cloud.c */
 
 #define WORLD_MEMORY_GB_PER_CORE 4
-/* Cores of a machine of that instance type. */
+/* Returns the number of cores of a machine of the instance type. */
 double world_type_cores(const char *type);
 
-/* ---- worker.c ---- */
+/* worker.c */
 
-/* A worker drops answers to heartbeats that arrive later. */
+/* Time-out of a heartbeat request; a worker drops responses that arrive later. */
 #define WORLD_HEARTBEAT_TIMEOUT_US (4 * (gint64)G_USEC_PER_SEC)
 
-/* ---- tasks.c ---- */
+/* tasks.c */
 
-/* The task that is on the machine or has ended there and is not forgotten yet; NULL: none. */
+/* Returns the attempt of the task that is on the machine, or has ended there and has not been
+ * forgotten yet; NULL if there is none. */
 WorldTask *world_machine_find_task(WorldMachine *machine, const WorldJob *job, guint number,
                                    guint64 attempt);
-/* A start command: fetches the image, unless the machine refuses. A known attempt is not started.
- */
+/* Executes a start command: begins to fetch the image, unless the machine refuses the task. Does
+ * nothing if the machine already has this attempt. */
 void world_task_start(WorldMachine *machine, WorldJob *job, guint number, guint64 attempt);
-/* The task ends, and what that means for its gang. */
+/* Ends the task, and its gang peers if it was running as part of a gang. */
 void world_task_end(WorldMachine *machine, WorldTask *task, guint8 cause);
-/* The task's next change of state, if it is due. */
+/* Performs the task's next state change if it is due. */
 void world_task_advance(WorldMachine *machine, WorldTask *task);
-/* The protocol's word for why the task ended. */
-const char *world_task_cause_word(const WorldTask *task);
+/* Returns the name that the protocol uses for the cause of the task's end. */
+const char *world_task_cause_name(const WorldTask *task);
 
-/* ---- request.c ---- */
+/* request.c */
 
-/* A request under way, from a node or to one. Each scheduled event has a reference to it. Embedded
- * as the first member, so that its functions take a pointer to the whole. */
+/* A pending request, sent by a node or to a node. It is reference-counted, and each scheduled event
+ * holds a reference. Specific request types embed it as their first member, so the functions below
+ * take a pointer to the whole struct. */
 typedef struct {
   World *world;
   guint node;       /* index of the node that sends or receives it */
@@ -99,24 +103,27 @@
   json_t *body;
   int status;
   json_t *response_body;
-  MmResponseCallback callback; /* NULL: nobody waits for the answer */
+  MmResponseCallback callback; /* NULL: no caller waits for the response */
   gpointer data;
-  gboolean is_over; /* it was answered or has timed out */
+  gboolean is_finished; /* it was answered or has timed out */
 } WorldRequest;
 
-/* Allocates `size` bytes for a struct that begins with a WorldRequest; takes the body. */
+/* Allocates `size` bytes for a struct that begins with a WorldRequest. Takes ownership of the body.
+ * The caller owns a reference; release it with world_request_release(). */
 gpointer world_request_new(gsize size, World *world, guint node, const char *method,
                            const char *path, json_t *body);
-/* Calls back with the request, to which the event has a reference until then. */
+/* Schedules a callback that receives the request and a reference to it, which it must release. */
 void world_request_schedule(gpointer request, gint64 at_us, WorldCallback callback);
 /* Drops a reference. */
 void world_request_release(gpointer request);
-/* The one answer, status 0 for none; what comes after it is dropped. Drops a reference. */
+/* Delivers the response to the caller; status 0 means that there is none. Only the first call has
+ * this effect. Drops a reference. */
 void world_request_finish(gpointer request, int status, json_t *response_body);
 
-/* ---- requests-of-nodes.c ---- */
+/* requests-of-nodes.c */
 
-/* MmPlatform.request of a node: to the key-value store, the cloud or a worker. */
+/* Implements MmPlatform.request of a node: sends a request to the key-value store, the cloud or a
+ * worker. */
 void world_platform_request(gpointer data, MmTarget target, const char *address, const char *method,
                             const char *path, const json_t *body, guint timeout_ms,
                             MmResponseCallback callback, gpointer callback_data);
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -1,12 +1,12 @@
-/* The simulated key-value store: keys with versions, transactions, leases, watches. */
+/* The simulated key-value store: versioned keys, transactions and leases. */
 #include "world/internal.h"
 
 #include <stdlib.h>
 
 #include "base/wire.h"
 
-/* Small pages, so that nodes have to read several. */
-#define KEYS_A_PAGE 7
+/* Page size of key listings; small, so that nodes have to read several pages. */
+#define KEYS_PER_PAGE 7
 
 static void
 key_free(gpointer data) {
@@ -51,6 +51,7 @@
   world_kv_record_change(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
 }
 
+/* Collects the paths of the keys attached to a lease. */
 typedef struct {
   GPtrArray *paths;
   guint64 lease_id;
@@ -103,7 +104,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  /* Every lease has its full time again. */
+  /* Leases do not expire during an outage and have their full time to live after it. */
   g_hash_table_iter_init(&iter, world->leases);
   while (g_hash_table_iter_next(&iter, NULL, &value))
     ((WorldLease *)value)->expires_at_us = world->now_us + ((WorldLease *)value)->ttl_us;
@@ -115,7 +116,8 @@
   world_schedule(world, world->outage_until_us, on_outage_over, world);
 }
 
-/* Whether the writes are within the rate, with a burst of one second's worth. */
+/* Returns whether the rate limit (a token bucket that holds the writes of one second) allows this
+ * many changes, and takes them from the bucket if so. */
 static gboolean
 is_within_write_rate(World *world, gsize n_changes) {
   double max_rps = world->write_rps;
@@ -136,11 +138,11 @@
 }
 
 static gboolean
-is_too_large(const World *world, const json_t *guards, const json_t *changes) {
+is_too_large(const World *world, const json_t *conditions, const json_t *changes) {
   size_t i;
   json_t *item;
 
-  if (json_array_size(changes) > world->txn_ops || json_array_size(guards) > 4 * world->txn_ops)
+  if (json_array_size(changes) > world->txn_ops || json_array_size(conditions) > 4 * world->txn_ops)
     return TRUE;
   json_array_foreach(changes, i,
                      item) if (json_dumpb(json_object_get(item, WIRE_VALUE), NULL, 0, JSON_COMPACT)
@@ -148,14 +150,14 @@
   return FALSE;
 }
 
-/* The keys whose versions are not as the conditions say. The caller's. */
+/* Returns the keys whose versions differ from those in the conditions. The caller owns the list. */
 static json_t *
-failed_conditions(const World *world, const json_t *guards) {
+failed_conditions(const World *world, const json_t *conditions) {
   json_t *failed = json_array();
   size_t i;
   json_t *item;
 
-  json_array_foreach(guards, i, item) {
+  json_array_foreach(conditions, i, item) {
     const char *path = mm_json_string(item, WIRE_KEY);
     const WorldKey *key = g_tree_lookup(world->keys, path);
     if ((key != NULL ? key->version : 0) != mm_json_count(item, WIRE_VERSION, 0))
@@ -196,21 +198,21 @@
 
 static int
 commit_transaction(World *world, const json_t *body, json_t **response) {
-  const json_t *guards = json_object_get(body, WIRE_CONDITIONS),
+  const json_t *conditions = json_object_get(body, WIRE_CONDITIONS),
                *changes = json_object_get(body, WIRE_OPERATIONS);
   g_autoptr(json_t) failed = NULL;
 
-  if (world->has_unannounced_limits && is_too_large(world, guards, changes)) {
+  if (world->has_unannounced_limits && is_too_large(world, conditions, changes)) {
     world->n_too_large++;
     *response = mm_json_error("too large");
     return 400;
   }
-  g_assert_false(is_too_large(world, guards, changes));
+  g_assert_false(is_too_large(world, conditions, changes));
   if (!is_within_write_rate(world, json_array_size(changes))) {
     *response = mm_json_error("too many changes");
     return 429;
   }
-  failed = failed_conditions(world, guards);
+  failed = failed_conditions(world, conditions);
   if (json_array_size(failed) > 0) {
     *response = json_pack("{s:O, s:I}", WIRE_CONFLICT, failed, WIRE_REVISION,
                           (json_int_t)world->revision);
@@ -227,9 +229,10 @@
   return 200;
 }
 
+/* A page of a key listing: at most `max_items` keys with the prefix that come after `after`. */
 typedef struct {
   const char *prefix;
-  const char *after;
+  const char *after; /* NULL: from the first key */
   guint64 max_items;
   json_t *items;
   gboolean has_more;
@@ -254,9 +257,9 @@
 
 static int
 list_keys(World *world, const char *path, json_t **response) {
-  g_autofree char *prefix = world_kv_query_text(path, WIRE_PREFIX);
-  g_autofree char *after = world_kv_query_text(path, WIRE_AFTER);
-  KeyPage page = { prefix, after, KEYS_A_PAGE, json_array(), FALSE };
+  g_autofree char *prefix = world_kv_query_parameter(path, WIRE_PREFIX);
+  g_autofree char *after = world_kv_query_parameter(path, WIRE_AFTER);
+  KeyPage page = { prefix, after, KEYS_PER_PAGE, json_array(), FALSE };
 
   g_tree_foreach(world->keys, append_key, &page);
   *response = json_pack("{s:o, s:b, s:I}", WIRE_ITEMS, page.items, WIRE_MORE, page.has_more,
@@ -281,7 +284,7 @@
 grant_lease(World *world, const json_t *body, json_t **response) {
   WorldLease *lease = g_new(WorldLease, 1);
 
-  lease->id = ++world->next_lease;
+  lease->id = ++world->last_lease_id;
   lease->ttl_us = (gint64)mm_json_count(body, WIRE_TTL, 0) * 1000;
   lease->expires_at_us = world->now_us + lease->ttl_us;
   g_hash_table_insert(world->leases, &lease->id, lease);
--- a/tests/world/kv-watches.c
+++ b/tests/world/kv-watches.c
@@ -1,22 +1,24 @@
-/* Changes and watches of the simulated key-value store. */
+/* The change history and the watches of the simulated key-value store. */
 #include "world/internal.h"
 
 #include <stdlib.h>
 
 #include "base/wire.h"
 
+/* A pending watch: waits for changes of keys with the prefix. */
 typedef struct {
-  guint node;
+  guint node; /* index of the node that opened it */
   char *prefix;
   guint64 after_revision;
-  gint64 expires_us;
+  gint64 expires_at_us;
   MmResponseCallback callback;
   gpointer data;
-  gboolean is_over;
+  gboolean is_answered;
 } Watch;
 
+/* A recorded change of a key. */
 typedef struct {
-  guint64 version;
+  guint64 revision;
   char *path;
   json_t *event;
 } KeyChange;
@@ -59,14 +61,14 @@
   g_ptr_array_add(world->changes, change);
 }
 
-/* The changes after the watch's revision, in order. The caller's. */
+/* Returns the changes after the watch's revision, in order. The caller owns the list. */
 static json_t *
 watched_changes(const World *world, const Watch *watch) {
   json_t *events = json_array();
 
   for (guint k = world->changes->len; k > 0; k--) {
     const KeyChange *change = g_ptr_array_index(world->changes, k - 1);
-    if (change->version <= watch->after_revision)
+    if (change->revision <= watch->after_revision)
       break;
     if (g_str_has_prefix(change->path, watch->prefix))
       json_array_insert(events, 0, change->event);
@@ -81,40 +83,40 @@
     g_autoptr(json_t) response = NULL;
     json_t *events;
 
-    if (watch->is_over || world->now_us < world->outage_until_us
+    if (watch->is_answered || world->now_us < world->outage_until_us
         || world->now_us < world->nodes[watch->node].kv_refuses_until_us)
       continue;
     events = watched_changes(world, watch);
-    if (json_array_size(events) == 0 && world->now_us < watch->expires_us) {
+    if (json_array_size(events) == 0 && world->now_us < watch->expires_at_us) {
       json_decref(events);
       continue;
     }
     response
         = json_pack("{s:I, s:o}", WIRE_REVISION, (json_int_t)world->revision, WIRE_EVENTS, events);
-    watch->is_over = TRUE;
+    watch->is_answered = TRUE;
     watch->callback(watch->data, 200, response);
   }
   for (guint i = world->watches->len; i > 0; i--)
-    if (((Watch *)g_ptr_array_index(world->watches, i - 1))->is_over)
+    if (((Watch *)g_ptr_array_index(world->watches, i - 1))->is_answered)
       g_ptr_array_remove_index_fast(world->watches, i - 1);
 }
 
 static const char *
 find_query_value(const char *path, const char *name) {
-  g_autofree char *find = g_strconcat(name, "=", NULL);
-  const char *at = strchr(path, '?');
-
-  while (at != NULL) {
-    at++;
-    if (g_str_has_prefix(at, find))
-      return at + strlen(find);
-    at = strchr(at, '&');
+  g_autofree char *name_and_equals = g_strconcat(name, "=", NULL);
+  const char *position = strchr(path, '?');
+
+  while (position != NULL) {
+    position++;
+    if (g_str_has_prefix(position, name_and_equals))
+      return position + strlen(name_and_equals);
+    position = strchr(position, '&');
   }
   return NULL;
 }
 
 char *
-world_kv_query_text(const char *path, const char *name) {
+world_kv_query_parameter(const char *path, const char *name) {
   const char *value = find_query_value(path, name);
 
   return value != NULL ? g_strndup(value, strcspn(value, "&")) : NULL;
@@ -126,9 +128,9 @@
   Watch *watch = g_new0(Watch, 1);
 
   watch->node = node;
-  watch->prefix = world_kv_query_text(path, WIRE_PREFIX);
+  watch->prefix = world_kv_query_parameter(path, WIRE_PREFIX);
   watch->after_revision = g_ascii_strtoull(find_query_value(path, WIRE_AFTER), NULL, 10);
-  watch->expires_us
+  watch->expires_at_us
       = world->now_us
         + (gint64)g_ascii_strtoull(find_query_value(path, WIRE_WAIT), NULL, 10) * 1000;
   watch->callback = callback;
--- a/tests/world/links.c
+++ b/tests/world/links.c
@@ -1,11 +1,12 @@
-/* Links between the nodes: frames arrive in order, unless an end is down or cut off. */
+/* Links between the nodes. They deliver frames in order; frames are lost if either end is not
+ * running or is partitioned, or if the link is half-open or refused. */
 #include "world/internal.h"
 
 #include "peers.pb-c.h"
 #include "peers/peer-links.h"
 #include "node/peer-receiver.h"
 
-/* A frame under way, or, without bytes, the opening of a link. */
+/* A frame in transit, or the opening of a link if `bytes` is NULL. */
 typedef struct {
   World *world;
   guint from;
@@ -16,13 +17,13 @@
   gsize length;
 } LinkMessage;
 
-/* Index of the node `other` among the peers of `node`. */
+/* Returns the index of the node `other` among the peers of `node`. */
 static guint
 peer_index(guint node, guint other) {
   return other < node ? other : other - 1;
 }
 
-/* Index of the node that is peer number `peer` of `node`. */
+/* Returns the index of the node that is peer `peer` of `node`. */
 static guint
 node_index(guint node, guint peer) {
   return peer < node ? peer : peer + 1;
@@ -70,7 +71,7 @@
   world->n_frame_bytes += message->length;
   message->bytes = g_malloc(MAX(message->length, 1));
   mm__frame__pack(frame, message->bytes);
-  /* In order: the same way always takes the same time. */
+  /* A constant transit time keeps the frames in order. */
   world_schedule(world, world->now_us + 1500, deliver_link_message, message);
 }
 
@@ -97,7 +98,7 @@
   *message
       = (LinkMessage){ world, from, to, world->nodes[from].generation, world->nodes[to].generation,
                        NULL,  0 };
-  /* Which side opens first is random. */
+  /* A random delay varies which of the two sides opens the link first. */
   world_schedule(world, world->now_us + 100000 + world_network_delay(world) * 20, on_link_up,
                  message);
 }
@@ -114,7 +115,7 @@
 }
 
 void
-world_link_with_others(const WorldNode *world_node) {
+world_links_open(const WorldNode *world_node) {
   World *world = world_node->world;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -143,7 +144,7 @@
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (i == index || world->nodes[i].node == NULL)
       continue;
-    /* A link that is being opened is tried again until it is up. */
+    /* Only an established link can become half-open. A link that is being opened is retried. */
     if (world->ends_leave_half_open
         && world->nodes[i].node->peer_links->peers[peer_index(i, index)].is_connected)
       world->nodes[i].is_link_half_open[index] = TRUE;
@@ -153,7 +154,7 @@
 }
 
 static void
-on_links_allowed(gpointer data) {
+on_link_refusal_over(gpointer data) {
   World *world = data;
 
   for (guint i = 0; i < WORLD_NODES; i++)
@@ -172,5 +173,5 @@
     for (guint k = 0; k < WORLD_NODES - 1 && world->nodes[i].node != NULL; k++)
       mm_peer_links_disconnected(world->nodes[i].node->peer_links, k);
   }
-  world_schedule(world, world->links_refused_until_us + 1000, on_links_allowed, world);
+  world_schedule(world, world->links_refused_until_us + 1000, on_link_refusal_over, world);
 }
--- a/tests/world/network.c
+++ b/tests/world/network.c
@@ -1,4 +1,4 @@
-/* Delays of the network, and cuts: of a node, of its zone. */
+/* Network delays, and partitions of a node or a zone from the rest. */
 #include "world/internal.h"
 
 gint64
@@ -12,8 +12,8 @@
 }
 
 static void
-on_cut_over(gpointer data) {
-  world_link_with_others(data);
+on_partition_over(gpointer data) {
+  world_links_open(data);
 }
 
 void
@@ -25,7 +25,7 @@
   world_node->cut_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
   world_node->cut_delays_messages = delays_messages;
   world_links_close(world, index);
-  world_schedule(world, world_node->cut_until_us + 1000, on_cut_over, world_node);
+  world_schedule(world, world_node->cut_until_us + 1000, on_partition_over, world_node);
 }
 
 gboolean
--- a/tests/world/node-platform.c
+++ b/tests/world/node-platform.c
@@ -1,4 +1,4 @@
-/* MmPlatform of a simulated node: clocks, timers, requests and links. */
+/* The MmPlatform of a simulated node: clocks, timers, requests and links. */
 #include "world/internal.h"
 
 gboolean
@@ -22,12 +22,14 @@
 platform_wall_ms(gpointer data) {
   WorldNode *world_node = data;
 
+  /* The wall clocks of the nodes differ by up to 74 ms. */
   return 1700000000000 + world_node->world->now_us / 1000 + (gint64)world_node->index * 37 - 40;
 }
 
+/* A timer of a node's process; it is dropped when that process has ended. */
 typedef struct {
   WorldNode *world_node;
-  guint generation;
+  guint generation; /* of the process */
   WorldCallback callback;
   gpointer data;
 } NodeTimer;
--- a/tests/world/node-settings.c
+++ b/tests/world/node-settings.c
@@ -1,4 +1,4 @@
-/* The platform's settings of a simulated node. */
+/* The settings of a simulated node, as the platform would provide them in its settings file. */
 #include "world/internal.h"
 
 const char *const world_zone_names[WORLD_NODES] = { "a", "b", "c" };
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -1,12 +1,12 @@
-/* The nodes' processes: start, ticks, suspension and end. */
+/* Processes of the nodes: start, ticks, suspension and end. */
 #include "world/internal.h"
 
 #include "upgrade/format.h"
 
-/* The ticks of one process of a node. */
+/* The tick timer of a node's process; it is freed at the first tick after the process has ended. */
 typedef struct {
   WorldNode *world_node;
-  guint generation;
+  guint generation; /* of the process */
 } TickTimer;
 
 static void
@@ -44,7 +44,7 @@
   mm_node_start(world_node->node);
   *tick_timer = (TickTimer){ world_node, world_node->generation };
   world_schedule(world, world->now_us + MM_NODE_TICK_MS * 1000, tick_node, tick_timer);
-  world_link_with_others(world_node);
+  world_links_open(world_node);
 }
 
 void
@@ -61,7 +61,8 @@
 
   if (world_node->node == NULL)
     return;
-  /* Answers to its requests still come in, so it is kept until the end; it can do nothing more. */
+  /* The MmNode stays allocated until world_free(), because responses to its requests still arrive.
+   * It can have no further effect. */
   g_ptr_array_add(world->ended_nodes, world_node->node);
   world_node->node = NULL;
   world_node->generation++;
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -1,4 +1,4 @@
-/* Jobs that depend on others, and what must hold of them. */
+/* Jobs that depend on others: submission, and the state that follows from their dependencies. */
 #include "world/world.h"
 
 #include "base/wire.h"
@@ -28,9 +28,9 @@
   return TRUE;
 }
 
-/* The job and all that it depends on, directly or not. */
+/* Returns the job, as the first element, and all its direct and indirect dependencies. */
 static GPtrArray *
-list_with_ancestors(const WorldJob *job) {
+job_and_ancestors(const WorldJob *job) {
   GPtrArray *all = g_ptr_array_new();
 
   g_ptr_array_add(all, (gpointer)job);
@@ -49,7 +49,7 @@
 
   if (job->is_cancel_requested || job->dependencies->len == 0)
     return job->is_cancel_requested;
-  all = list_with_ancestors(job);
+  all = job_and_ancestors(job);
   for (guint i = 0; i < all->len; i++)
     if (((const WorldJob *)g_ptr_array_index(all, i))->is_cancel_requested)
       return TRUE;
@@ -58,7 +58,7 @@
 
 gint64
 world_job_ancestor_cancelled_us(const WorldJob *job) {
-  g_autoptr(GPtrArray) all = list_with_ancestors(job);
+  g_autoptr(GPtrArray) all = job_and_ancestors(job);
   gint64 first_us = 0;
 
   for (guint i = 1; i < all->len; i++) {
--- a/tests/world/request.c
+++ b/tests/world/request.c
@@ -1,4 +1,4 @@
-/* What requests of nodes and requests to nodes have in common. */
+/* Common part of the requests that nodes send and receive. */
 #include "world/internal.h"
 
 gpointer
@@ -38,8 +38,8 @@
 world_request_finish(gpointer request, int status, json_t *response_body) {
   WorldRequest *base = request;
 
-  if (!base->is_over) {
-    base->is_over = TRUE;
+  if (!base->is_finished) {
+    base->is_finished = TRUE;
     if (base->callback != NULL)
       base->callback(base->data, status, response_body);
   }
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -1,4 +1,4 @@
-/* Requests that nodes send: to the key-value store, the cloud and workers. */
+/* Requests that nodes send to the key-value store, the cloud and workers. */
 #include "world/internal.h"
 
 #include "base/wire.h"
@@ -7,9 +7,9 @@
 typedef struct {
   WorldRequest base;
   MmTarget target;
-  char address[64];     /* of a worker */
-  gboolean is_late;     /* a transaction that is applied late and not answered */
-  gboolean was_delayed; /* a direct command that arrived after a cut or a hang */
+  char address[64];         /* of the worker, if the target is one */
+  gboolean is_applied_late; /* a transaction that is applied late and not answered */
+  gboolean was_delayed;     /* a direct command delivered after a partition or hang had ended */
 } NodeRequest;
 
 static void node_request_arrive(gpointer data);
@@ -48,7 +48,7 @@
   World *world = base->world;
   const WorldNode *world_node = &world->nodes[base->node];
 
-  if (!base->is_over && world->now_us >= world_node->cut_until_us
+  if (!base->is_finished && world->now_us >= world_node->cut_until_us
       && world->now_us >= world_node->watches_lost_until_us) {
     base->status = is_sender_alive(base) ? status : 0;
     base->response_body = json_incref(body);
@@ -58,7 +58,8 @@
   world_request_release(request);
 }
 
-/* The functions that execute a request at its target return FALSE when no answer follows now. */
+/* The functions below that execute a request at its target return FALSE if no response is to be
+ * sent now. */
 
 static gboolean
 execute_at_kv_store(NodeRequest *request) {
@@ -90,7 +91,7 @@
     return FALSE;
   delayed_until_us = MAX(machine->cut_until_us, machine->hung_until_us);
   if (world->now_us < delayed_until_us) {
-    /* Executed when it arrives, whether or not its sender still waits. */
+    /* The command is executed when it arrives, even if its sender no longer waits for it. */
     request->was_delayed = TRUE;
     world_request_schedule(request, delayed_until_us + world_network_delay(world),
                            node_request_arrive);
@@ -124,10 +125,11 @@
   }
 }
 
-/* Requests of a node that is cut off are lost, or arrive when the cut is over and are executed
- * then, whether or not the node still waits. */
+/* Returns TRUE if the request cannot reach its target now because its node is partitioned. Such a
+ * request is lost; if the partition delays messages and the target is the key-value store, it
+ * arrives when the partition ends and is executed then, even if the node no longer waits for it. */
 static gboolean
-is_stopped_by_cut(NodeRequest *request) {
+is_blocked_by_partition(NodeRequest *request) {
   World *world = request->base.world;
   const WorldNode *world_node = &world->nodes[request->base.node];
 
@@ -145,9 +147,9 @@
   WorldRequest *base = &request->base;
   World *world = base->world;
 
-  if (!is_stopped_by_cut(request) && node_request_execute(request)) {
+  if (!is_blocked_by_partition(request) && node_request_execute(request)) {
     gint64 at_us = world->now_us + world_network_delay(world);
-    if (request->is_late) {
+    if (request->is_applied_late) {
       world->n_late_applied += base->status == 200;
       world->n_late_rejected += base->status == 409 || base->status == 400;
     }
@@ -160,9 +162,10 @@
   world_request_release(request);
 }
 
-/* Whether it is a transaction that is to be applied late, by the world's parameters; may draw. */
+/* Returns whether the request is a transaction that must be applied late according to the world's
+ * parameters. May draw a random number. */
 static gboolean
-is_delayed(World *world, const char *path, const json_t *body) {
+should_apply_late(World *world, const char *path, const json_t *body) {
   const json_t *changes = mm_json_get(body, WIRE_OPERATIONS);
   size_t i;
   json_t *item;
@@ -191,7 +194,9 @@
   return request;
 }
 
-/* Now and then a request is lost, or so late that its sender has timed out. */
+/* Schedules the arrival of the request. A few requests are lost (1 in 1000) or delayed by half the
+ * time-out and 0.5 s (2 in 1000), so that their sender may time out before the response arrives;
+ * a request whose delay reaches the time-out is lost too. */
 static void
 node_request_send(NodeRequest *request, const json_t *body, gint64 timeout_us) {
   World *world = request->base.world;
@@ -199,8 +204,8 @@
 
   if (world_uniform(world, 0, 1) < 0.002)
     delay_us += timeout_us / 2 + 500000;
-  if (is_delayed(world, request->base.path, body)) {
-    request->is_late = TRUE;
+  if (should_apply_late(world, request->base.path, body)) {
+    request->is_applied_late = TRUE;
     world_request_schedule(request,
                            world->now_us + (gint64)(world_uniform(world, 2, 12) * G_USEC_PER_SEC),
                            node_request_arrive);
@@ -209,7 +214,7 @@
   }
 }
 
-/* A late copy of the request, for whose answer nobody waits. */
+/* Sends a late copy of the request, whose response is dropped. */
 static void
 node_request_duplicate(const NodeRequest *request) {
   const WorldRequest *base = &request->base;
@@ -217,7 +222,7 @@
   NodeRequest *duplicate = node_request_new(&world->nodes[base->node], request->target,
                                             request->address, base->method, base->path, base->body);
 
-  duplicate->base.is_over = TRUE;
+  duplicate->base.is_finished = TRUE;
   world_request_schedule(duplicate, world->now_us + world_duplicate_delay(world),
                          node_request_arrive);
   world_request_release(duplicate);
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -1,14 +1,14 @@
-/* Requests that nodes receive: from workers and users. */
+/* Requests that nodes receive from workers and users. */
 #include "world/internal.h"
 
 #include "base/wire.h"
 
 typedef struct {
   WorldRequest base;
-  MmHttpExchange exchange;    /* what the node answers; it has a reference until then */
+  MmHttpExchange exchange;    /* for the node's response; holds a reference until then */
   WorldMachine *sender;       /* NULL: a user */
-  WorldMachine *duplicate_of; /* a late copy of a heartbeat: whose */
-  gboolean is_pending;        /* the node has received it and not answered */
+  WorldMachine *duplicate_of; /* sender of the original if this is a late copy, else NULL */
+  gboolean is_pending;        /* the node has received the request and not answered it yet */
 } InboundRequest;
 
 static void
@@ -18,16 +18,17 @@
   world_request_finish(request, request->base.status, request->base.response_body);
 }
 
-/* When the answer arrives. */
+/* Returns when the response to the request arrives at its sender. */
 static gint64
 response_time(const InboundRequest *request) {
   World *world = request->base.world;
   gint64 at_us = world->now_us + world_network_delay(world);
 
-  /* An answer to a machine that is cut off is delayed; the worker drops what arrives after 4 s. */
+  /* While the machine's network is interrupted, the response is delayed. The worker drops it if it
+   * arrives more than 4 s after the heartbeat was sent. */
   if (request->sender != NULL && world->now_us < request->sender->cut_until_us)
     at_us = request->sender->cut_until_us + world_network_delay(world);
-  /* The node decides that it may answer, and is suspended before the answer leaves. */
+  /* The node has decided that it may respond, but is suspended before the response is sent. */
   if (world->stall_rate > 0 && world_uniform(world, 0, 1) < world->stall_rate)
     at_us += (gint64)(world_uniform(world, 0.1, 3.9) * G_USEC_PER_SEC);
   return at_us;
@@ -93,7 +94,7 @@
   world_request_finish(data, 0, NULL);
 }
 
-/* A late copy of a request, for whose answer nobody waits. */
+/* Sends a late copy of the request, whose response is dropped. */
 static void
 inbound_request_duplicate(World *world, guint index, const InboundRequest *request, gint64 at_us) {
   InboundRequest *duplicate
@@ -102,12 +103,12 @@
 
   duplicate->exchange.respond = inbound_request_respond;
   duplicate->duplicate_of = request->sender;
-  duplicate->base.is_over = TRUE;
+  duplicate->base.is_finished = TRUE;
   world_request_schedule(duplicate, at_us, inbound_request_arrive);
   world_request_release(duplicate);
 }
 
-/* When a request arrives that takes `delay_us` on a network without faults. */
+/* Returns when a request sent now arrives; `delay_us` is its transit time without faults. */
 static gint64
 arrival_time(World *world, const WorldMachine *sender, gint64 delay_us) {
   gint64 at_us = world->now_us + delay_us;
@@ -126,7 +127,7 @@
   World *world = request->base.world;
   WorldMachine *sender = request->sender;
 
-  /* The copy may reach any node. */
+  /* The copy may arrive at any node. */
   if (strcmp(request->base.method, "GET") != 0
       && world_uniform(world, 0, 1) < world->duplicate_rate) {
     guint to = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
--- a/tests/world/service-checks.c
+++ b/tests/world/service-checks.c
@@ -1,5 +1,5 @@
-/* Checks of the service that users get: no job waits needlessly, and jobs of all kinds are served.
- */
+/* Checks of the service that users get: no job waits while it could run, and jobs of all teams,
+ * kinds and sizes are started. */
 #include "world/internal.h"
 
 #define WAIT_MAX_US (90 * (gint64)G_USEC_PER_SEC)
@@ -19,7 +19,7 @@
 }
 
 static gboolean
-fits_somewhere(const World *world, const MmJobSpec *spec) {
+fits_some_machine(const World *world, const MmJobSpec *spec) {
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = world_machine_at(world, i);
     MmName type = mm_name(machine->type);
@@ -34,20 +34,20 @@
   return FALSE;
 }
 
-/* Cores that the team's tasks use, images being fetched included; `n_given`: how many of the job's
- * tasks machines have. */
+/* Returns the cores used by the tasks of the job's team, tasks that still fetch their image
+ * included. Stores in `n_placed` how many tasks of the job are on machines. */
 static double
-team_cores(const World *world, const WorldJob *target_job, guint *n_given) {
+team_cores(const World *world, const WorldJob *target_job, guint *n_placed) {
   double cores = 0;
 
-  *n_given = 0;
+  *n_placed = 0;
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = world_machine_at(world, i);
     for (guint k = 0; k < machine->tasks->len; k++) {
       const WorldTask *task = g_ptr_array_index(machine->tasks, k);
       if (task->state == MM_REPORTED_ENDED)
         continue;
-      *n_given += task->job == target_job;
+      *n_placed += task->job == target_job;
       if (mm_name_equal(&task->job->spec.team, &target_job->spec.team))
         cores += task->job->spec.task_resources.cores;
     }
@@ -59,16 +59,16 @@
 is_waiting_needlessly(const World *world, const WorldJob *job) {
   const MmJobSpec *spec = &job->spec;
   double cores;
-  guint n_given;
+  guint n_placed;
 
   if (job->user_view != USER_SEES_ACCEPTED || world_job_may_be_cancelled(job)
       || !world_job_is_ready(job) || spec->requires_one_zone || spec->spreads_over_zones
       || (spec->kind == MM_JOB_KIND_GANG && spec->n_tasks > 1))
     return FALSE;
-  cores = team_cores(world, job, &n_given);
-  return spec->n_tasks > job->n_done + n_given
+  cores = team_cores(world, job, &n_placed);
+  return spec->n_tasks > job->n_done + n_placed
          && cores + spec->task_resources.cores <= world->team_cores + 1e-6
-         && fits_somewhere(world, spec);
+         && fits_some_machine(world, spec);
 }
 
 void
@@ -84,18 +84,22 @@
     else if (job->waiting_since_us == 0)
       job->waiting_since_us = world->now_us;
     else if (world->now_us - MAX(job->waiting_since_us, job->last_start_at_us) > WAIT_MAX_US)
-      world_report_violation(world, "waits: %s has waited 90 s beside a machine that fits it",
-                             job->id);
+      world_report_violation(
+          world, "needless_wait: job %s has waited for 90 s although a suitable machine is free",
+          job->id);
   }
 }
 
-/* ---- who is served ---- */
+/* Share of jobs that are served */
 
+/* Counts the jobs of a category and those of them that have started. */
 typedef struct {
   guint n_jobs;
   guint n_served;
 } ServedCount;
 
+/* Adds the job to the count or, if `job` is NULL, reports a violation when less than half of the
+ * counted jobs were served; `description` names the category. */
 static void
 count_served(World *world, ServedCount *served_count, const char *description,
              const WorldJob *job) {
@@ -103,15 +107,15 @@
     served_count->n_jobs++;
     served_count->n_served += job->first_start_at_us != 0;
   } else if (served_count->n_served * 2 < served_count->n_jobs) {
-    world_report_violation(world, "served: %u of %u jobs of %s", served_count->n_served,
-                           served_count->n_jobs, description);
+    world_report_violation(world, "served: only %u of %u jobs of %s started",
+                           served_count->n_served, served_count->n_jobs, description);
   }
 }
 
 void
 world_check_served(World *world) {
   static const char *const kinds[] = { "arrays", "gangs", "services" };
-  ServedCount teams[4] = { 0 }, of_kind[3] = { 0 }, largest = { 0 };
+  ServedCount team_counts[4] = { 0 }, kind_counts[3] = { 0 }, largest_count = { 0 };
   guint most_tasks = 0;
 
   for (guint i = 0; i < world->jobs->len; i++) {
@@ -123,19 +127,19 @@
     const WorldJob *job = world_job_at(world, i);
     if (world_job_may_be_cancelled(job) || !job->was_accepted || job->ready_at_us == 0)
       continue;
-    count_served(world, &teams[job->spec.team.s[5] - '0'], NULL, job);
-    count_served(world, &of_kind[job->spec.kind], NULL, job);
+    count_served(world, &team_counts[job->spec.team.s[5] - '0'], NULL, job);
+    count_served(world, &kind_counts[job->spec.kind], NULL, job);
     if (job->spec.n_tasks < most_tasks)
       continue;
-    count_served(world, &largest, NULL, job);
+    count_served(world, &largest_count, NULL, job);
     if (job->first_start_at_us - job->ready_at_us > LARGEST_JOB_WAIT_MAX_US)
-      world_report_violation(world,
-                             "served: %s, one of the largest, began after %" G_GINT64_FORMAT " s",
-                             job->id, (job->first_start_at_us - job->ready_at_us) / G_USEC_PER_SEC);
+      world_report_violation(
+          world, "served: job %s, one of the largest, started only after %" G_GINT64_FORMAT " s",
+          job->id, (job->first_start_at_us - job->ready_at_us) / G_USEC_PER_SEC);
   }
   for (guint i = 0; i < 4; i++)
-    count_served(world, &teams[i], "a team", NULL);
+    count_served(world, &team_counts[i], "a team", NULL);
   for (guint i = 0; i < 3; i++)
-    count_served(world, &of_kind[i], kinds[i], NULL);
-  count_served(world, &largest, "the largest", NULL);
+    count_served(world, &kind_counts[i], kinds[i], NULL);
+  count_served(world, &largest_count, "the largest size", NULL);
 }
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -1,5 +1,5 @@
-/* Machine groups in the simulated world: what must hold of them, and moves that an administrator
- * requests. */
+/* Machine groups in the simulated world: checks of their ownership and of granted resources, and
+ * moves requested by an administrator. */
 #include "world/internal.h"
 
 #include "base/wire.h"
@@ -9,11 +9,11 @@
 #include "kv/kv-client.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
-/* After faults have ended: a node lease, the time after which any node may acquire a free group,
- * and two transactions. */
+/* Maximum time without an owner after the faults have ended: a node lease, the time after which any
+ * node may acquire an unowned group, and two transactions. */
 #define UNOWNED_MAX_US (8 * SECOND)
 
-/* The map as the key-value store has it. Free with mm_group_map_free. */
+/* Returns the group map stored in the key-value store. Free with mm_group_map_free(). */
 static MmGroupMap *
 stored_group_map(const World *world) {
   MmGroupMap *map = mm_group_map_new(world->group_count);
@@ -28,13 +28,15 @@
   return map;
 }
 
-/* Whether a start that the node grants now could still be executed. A node that the key-value store
- * refuses, together with another, has proof of an outage in which leases do not expire; cut off
- * from the third it goes on granting. But whoever owns the group by now grants only once the
- * machine has acknowledged the later term, and from then on the worker drops the answers that carry
- * that node's grants. */
+/* Returns whether the machine could still execute a start that the node grants now.
+ *
+ * Two nodes may believe that they own a group without harm: If the key-value store refuses two
+ * nodes, they take this as proof of an outage, during which leases do not expire. If they are also
+ * partitioned from the third node, they continue to grant. The third node, which may own the group
+ * by then, grants only after the machine has acknowledged the later term, and from then on the
+ * worker drops the responses that carry grants of the earlier term. */
 static gboolean
-takes_effect(const MmGroupMap *map, guint node, const WorldMachine *machine) {
+is_grant_executable(const MmGroupMap *map, guint node, const WorldMachine *machine) {
   MmGroupOwner owner = mm_group_map_owner(map, mm_group_of_machine(machine->id, map->n_groups));
   g_autofree char *label = g_strdup_printf("n-%u", node);
 
@@ -43,7 +45,7 @@
 }
 
 static void
-check_one_granter(World *world, const WorldMachine *machine) {
+check_single_granting_node(World *world, const WorldMachine *machine) {
   g_autoptr(GString) granting = g_string_new(NULL);
   gboolean may_grant[WORLD_NODES] = { FALSE };
   MmGroupMap *map;
@@ -61,13 +63,13 @@
   world->n_double_owners++;
   map = stored_group_map(world);
   for (guint i = 0; i < WORLD_NODES; i++)
-    if (may_grant[i] && takes_effect(map, i, machine))
+    if (may_grant[i] && is_grant_executable(map, i, machine))
       g_string_append_printf(granting, " n-%u", i);
     else
       n_granting -= may_grant[i];
   mm_group_map_free(map);
   if (n_granting > 1)
-    world_report_violation(world, "two owners at %.3f s:%s grant resources of %s",
+    world_report_violation(world, "two_owners: at %.3f s the nodes%s grant resources of machine %s",
                            (double)world->now_us / SECOND, granting->str, machine->id);
 }
 
@@ -84,7 +86,7 @@
 
 static void
 check_unowned(World *world) {
-  gint64 since;
+  gint64 unowned_us;
 
   if (!some_group_is_unowned(world)) {
     world->unowned_since_us = 0;
@@ -94,10 +96,11 @@
     world->unowned_since_us = world->now_us;
   if (world->faults_ended_at_us == 0 || world->now_us < world->faults_ended_at_us)
     return;
-  since = world->now_us - MAX(world->unowned_since_us, world->faults_ended_at_us);
-  world->longest_unowned_us = MAX(world->longest_unowned_us, since);
-  if (since > UNOWNED_MAX_US)
-    world_report_violation(world, "a group has had no owner for %.1f s", (double)since / SECOND);
+  unowned_us = world->now_us - MAX(world->unowned_since_us, world->faults_ended_at_us);
+  world->longest_unowned_us = MAX(world->longest_unowned_us, unowned_us);
+  if (unowned_us > UNOWNED_MAX_US)
+    world_report_violation(world, "unowned_group: a group has had no owner for %.1f s",
+                           (double)unowned_us / SECOND);
 }
 
 void
@@ -105,14 +108,14 @@
   if (world->group_count == 0)
     return;
   for (guint i = 0; i < world->machines->len; i++)
-    check_one_granter(world, g_ptr_array_index(world->machines, i));
+    check_single_granting_node(world, g_ptr_array_index(world->machines, i));
   check_unowned(world);
 }
 
 static double
 task_cores(World *world, const json_t *task) {
-  const char *text = mm_json_string(task, WIRE_TASK);
-  g_autofree char *id = g_strndup(text, strcspn(text, "/"));
+  const char *task_name = mm_json_string(task, WIRE_TASK);
+  g_autofree char *id = g_strndup(task_name, strcspn(task_name, "/"));
   const WorldJob *job = world_find_job(world, id);
 
   return job != NULL ? job->spec.task_resources.cores : 0;
@@ -165,8 +168,9 @@
   }
   *granted += cores;
   if (*granted > free_cores(world, heartbeat) + MM_RESOURCES_SLACK)
-    world_report_violation(world, "granted twice: answers to %s start %g cores, %g were free", key,
-                           *granted, free_cores(world, heartbeat));
+    world_report_violation(
+        world, "granted_twice: responses to heartbeat %s start tasks of %g cores, %g were free",
+        key, *granted, free_cores(world, heartbeat));
   g_free(key);
 }
 
@@ -176,7 +180,8 @@
 
   world->n_moves_started += status == 202;
   if (status != 0 && status != 202 && status != 409 && status != 503)
-    world_report_violation(world, "a move by hand is answered %d", status);
+    world_report_violation(
+        world, "move_request: unexpected response %d to an administrator's request", status);
 }
 
 void
--- a/tests/world/tasks.c
+++ b/tests/world/tasks.c
@@ -1,14 +1,16 @@
-/* Tasks on the simulated machines: they start, run and end. */
+/* Life cycle of the tasks on simulated machines. */
 #include "world/internal.h"
 
+/* How long a task waits until all tasks of its gang are present. */
 #define GANG_WAIT_S 20
 
-static const char *const cause_words[]
+/* Names of MmEndCause in the protocol. */
+static const char *const cause_names[]
     = { "", "done", "halted", "peers", "alone", "error", "no_room", "busy", "no_such" };
 
 const char *
-world_task_cause_word(const WorldTask *task) {
-  return cause_words[task->cause];
+world_task_cause_name(const WorldTask *task) {
+  return cause_names[task->cause];
 }
 
 WorldTask *
@@ -29,7 +31,8 @@
 
 static void end_gang_peers(World *world, const WorldTask *task, guint8 cause);
 
-/* When one task of a gang is done, all are, also one whose machine hangs. */
+/* Records that the task is done. All tasks of a gang are done together, even those on a machine
+ * that hangs. */
 static void
 record_done(const WorldTask *task) {
   WorldJob *job = task->job;
@@ -45,14 +48,14 @@
 void
 world_task_end(WorldMachine *machine, WorldTask *task, guint8 cause) {
   gboolean was_running = task->state == MM_REPORTED_RUNNING;
-  gboolean was_on = world_task_is_on_machine(task);
+  gboolean was_on_machine = world_task_is_on_machine(task);
 
-  mm_debug("world: %s/%u ends on %s: %s", task->job->id, task->number, machine->id,
-           cause_words[cause]);
+  mm_debug("world: task %s/%u ended machine=%s cause=%s", task->job->id, task->number, machine->id,
+           cause_names[cause]);
   task->state = MM_REPORTED_ENDED;
   task->cause = cause;
   machine->has_changed = TRUE;
-  if (was_on)
+  if (was_on_machine)
     notify_observer(machine, task, WORLD_TASK_ENDS);
   if (cause == MM_CAUSE_DONE)
     record_done(task);
@@ -65,7 +68,8 @@
                    cause == MM_CAUSE_DONE ? MM_CAUSE_DONE : MM_CAUSE_GANG_PEER_ENDED);
 }
 
-/* Gangs complete together and notice a loss together. */
+/* Ends the running tasks of the same attempt of the gang, because the tasks of a gang complete
+ * together and all end when one is lost. */
 static void
 end_gang_peers(World *world, const WorldTask *task, guint8 cause) {
   if (task->job->spec.kind != MM_JOB_KIND_GANG)
@@ -85,7 +89,7 @@
 world_machine_clear_tasks(WorldMachine *machine) {
   g_autoptr(GPtrArray) tasks = machine->tasks;
 
-  /* The peers of a gang task notice its end. */
+  /* end_gang_peers() also searches this machine, so its list is emptied first. */
   machine->tasks = g_ptr_array_new();
   for (guint i = 0; i < tasks->len; i++) {
     WorldTask *task = g_ptr_array_index(tasks, i);
@@ -97,7 +101,7 @@
   }
 }
 
-/* Why the machine refuses a start of the task; 0: it does not. */
+/* Returns the cause for which the machine refuses to start the task, or 0 if it accepts it. */
 static guint8
 refusal_cause(const WorldMachine *machine, const WorldJob *job, guint number) {
   double cores = world_type_cores(machine->type);
@@ -127,11 +131,12 @@
 
   if (job == NULL || world_machine_find_task(machine, job, number, attempt) != NULL)
     return;
-  /* Workers drop answers after 4 s: none that was under way at the cancellation arrives so late. */
+  /* A worker drops responses that arrive more than 4 s after its heartbeat, so a start sent before
+   * the cancellation was confirmed cannot be executed later than that. */
   if (job->user_view == USER_SEES_CANCELLED
       && world->now_us - job->cancelled_at_us > WORLD_HEARTBEAT_TIMEOUT_US + 100000)
-    world_report_violation(world, "ran_cancelled: %s/%u is started after its cancellation", job->id,
-                           number);
+    world_report_violation(world, "ran_cancelled: task %s/%u started after its cancellation",
+                           job->id, number);
   job->n_starts++;
   job->last_start_at_us = world->now_us;
   task = g_new0(WorldTask, 1);
@@ -141,8 +146,8 @@
   task->cause = refusal_cause(machine, job, number);
   world->n_no_resources += task->cause == MM_CAUSE_NO_RESOURCES;
   if (task->cause == MM_CAUSE_NO_RESOURCES && world->group_count > 0)
-    world_report_violation(world, "granted twice: %s has no resources for %s/%u", machine->id,
-                           job->id, number);
+    world_report_violation(world, "granted_twice: machine %s lacks the resources for task %s/%u",
+                           machine->id, job->id, number);
   g_ptr_array_add(machine->tasks, task);
   machine->has_changed = TRUE;
   if (task->cause != 0) {
@@ -172,22 +177,23 @@
 }
 
 static void
-put_on_machine(WorldMachine *machine, WorldTask *task) {
+record_start(WorldMachine *machine, WorldTask *task) {
   World *world = machine->world;
 
   world->n_starts++;
-  mm_debug("world: %s/%u is on %s, attempt %" G_GUINT64_FORMAT, task->job->id, task->number,
-           machine->id, task->attempt);
+  mm_debug("world: task %s/%u started machine=%s attempt=%" G_GUINT64_FORMAT, task->job->id,
+           task->number, machine->id, task->attempt);
   world_check_start(world, machine, task);
   notify_observer(machine, task, WORLD_TASK_STARTS);
 }
 
-/* The image is there. A task that is done already keeps its result: it ends at once. */
+/* Starts the task after its image has been fetched. A task that is already done keeps its result,
+ * so a new attempt of it ends immediately. */
 static void
-leave_fetching(WorldMachine *machine, WorldTask *task) {
+finish_fetching(WorldMachine *machine, WorldTask *task) {
   World *world = machine->world;
 
-  put_on_machine(machine, task);
+  record_start(machine, task);
   if (task->job->is_task_done[task->number]) {
     task->state = MM_REPORTED_WAITING_FOR_GANG;
     world_task_end(machine, task, MM_CAUSE_DONE);
@@ -227,7 +233,7 @@
   if (world->now_us < task->next_change_at_us || task->state == MM_REPORTED_ENDED)
     return;
   if (task->state == MM_REPORTED_FETCHING)
-    leave_fetching(machine, task);
+    finish_fetching(machine, task);
   else if (task->state == MM_REPORTED_WAITING_FOR_GANG)
     wait_for_gang(machine, task);
   else if (task->job->spec.kind == MM_JOB_KIND_SERVICE)
--- a/tests/world/types.h
+++ b/tests/world/types.h
@@ -1,8 +1,9 @@
-/* The types of the simulated world: nodes, machines, jobs and the world itself. See world.h.
+/* Types of the simulated cluster ("world"): controller nodes, machines, jobs and the world itself.
+ * world.h describes the simulation.
  *
- * Units: `_us` is simulated time in microseconds, `_at_us`, `_since_us` and `_until_us` are
- * instants of it, `_s` is seconds. 0 means "none" or "not yet" for an instant, unless said
- * otherwise. */
+ * Units: `_us` marks simulated time in microseconds; `_at_us`, `_since_us` and `_until_us` mark
+ * instants of simulated time; `_s` marks seconds. Unless stated otherwise, an instant of 0 means
+ * "none" or "not yet". */
 #pragma once
 
 #include "machines/machine-table.h"
@@ -12,33 +13,40 @@
 
 typedef struct World World;
 
-/* One controller node, up or down. The struct outlives the processes that run as this node. */
+/* A controller node, running or not. The struct outlives the processes that run as this node. */
 typedef struct {
   World *world;
   guint index; /* in World.nodes */
   MmSettings *settings;
   MmOperators operators;
-  MmNode *node;      /* NULL while it is down */
-  guint generation;  /* of the process: rises when it ends */
-  double clock_rate; /* its steady clock advances this many times as fast as simulated time */
+  MmNode *node;      /* NULL while no process runs */
+  guint generation;  /* number of the process; incremented when a process ends */
+  double clock_rate; /* rate of the node's steady clock relative to simulated time */
 
-  /* what it understands */
-  guint64 highest_format;  /* the highest format that it supports; 0: the program's own */
-  gboolean is_old_version; /* it speaks and stores as the release before dependencies and announced
-                              limits did */
+  /* Supported formats and protocol version */
+  guint64 highest_format; /* highest supported format of the stored state; 0: the program's own */
+  /* The node sends messages and stores records like the release before job dependencies and
+   * announced limits were introduced. */
+  gboolean is_old_version;
 
-  /* injected faults */
-  gint64 kv_refuses_until_us;   /* the key-value store answers 503 to this node only */
-  gint64 workers_cut_until_us;  /* neither it nor any worker reaches the other */
-  gint64 watches_lost_until_us; /* its watches get no answer, its other requests do */
-  gint64 cut_until_us; /* it reaches neither the key-value store, the cloud nor the other nodes */
-  gboolean cut_delays_messages; /* its requests to the key-value store arrive after the cut, else
-                                   they are lost */
-  gint64 frozen_until_us;       /* the process is suspended; its clocks run on, its sockets fill */
-  gboolean is_link_half_open[WORLD_NODES]; /* frames to that node are lost, the link looks open */
+  /* Injected faults */
+  gint64 kv_refuses_until_us; /* the key-value store responds with 503 to this node only */
+  /* The network between the node and all workers drops messages in both directions. */
+  gint64 workers_cut_until_us;
+  /* Responses to the node's watches are lost; its other requests are answered. */
+  gint64 watches_lost_until_us;
+  /* The node is partitioned from the key-value store, the cloud and the other nodes. */
+  gint64 cut_until_us;
+  /* Requests to the key-value store sent during the partition arrive after it; FALSE: they are
+   * lost. */
+  gboolean cut_delays_messages;
+  /* The process is suspended: its clocks continue, and messages queue up in its sockets. */
+  gint64 frozen_until_us;
+  /* By index of the other node: frames sent to it are lost although the link appears open. */
+  gboolean is_link_half_open[WORLD_NODES];
 } WorldNode;
 
-/* The latest state of a job that its user was answered. */
+/* The most advanced state of a job that a response has reported to its user. */
 typedef enum {
   USER_SEES_NOTHING,
   USER_SEES_ACCEPTED,
@@ -47,32 +55,32 @@
 } WorldUserView;
 
 typedef struct WorldJob WorldJob;
-/* A job of a user: the request, what the user was answered, and what truly happened. */
+/* A job of a user: the submission, what the user was told, and what happened in the simulation. */
 struct WorldJob {
   World *world;
   char id[32];
   json_t *body; /* of the submission */
   MmJobSpec spec;
   GPtrArray *dependencies; /* WorldJob, not owned */
-  double run_s;            /* of each task, give or take a fifth */
-  double stagger_s;        /* each next task runs so much longer */
+  double run_s;            /* run time of each task, varied randomly by up to a fifth */
+  double stagger_s;        /* additional run time for each increment of the task number */
 
-  /* what its user knows */
+  /* Known to its user */
   WorldUserView user_view;
   gboolean was_accepted;
   gboolean is_cancel_requested;
   gint64 submitted_at_us;
   gint64 cancelled_at_us;   /* when the cancellation was confirmed */
-  gint64 last_answer_at_us; /* when a request about it was last answered */
+  gint64 last_answer_at_us; /* when a request about the job was last answered */
 
-  /* what happened */
+  /* Actual state in the simulation */
   gboolean *is_task_done; /* by task number */
   guint n_done;
-  guint n_starts;           /* starts that reached a machine, of all its tasks */
+  guint n_starts;           /* start commands that reached a machine, over all tasks of the job */
   gint64 ready_at_us;       /* when the last of its dependencies was done */
-  gint64 first_start_at_us; /* when its first task was on a machine */
-  gint64 last_start_at_us;  /* when a start of it last reached a machine */
-  gint64 waiting_since_us;  /* since when it waits needlessly, see world_check_waiting() */
+  gint64 first_start_at_us; /* when the first of its tasks started on a machine */
+  gint64 last_start_at_us;  /* when a start command for it last reached a machine */
+  gint64 waiting_since_us;  /* since when it has waited needlessly, see world_check_waiting() */
 };
 
 /* An attempt of a task on a machine. */
@@ -86,7 +94,7 @@
   double remaining_s;
 } WorldTask;
 
-/* A machine and the worker on it. */
+/* A machine and the worker process that runs on it. */
 typedef struct {
   World *world;
   char id[32];
@@ -98,178 +106,189 @@
   gint64 boots_at_us;
   gboolean is_up; /* the worker runs */
   gboolean has_failed;
-  gboolean is_terminated; /* returned or reclaimed: the cloud lists it no more */
-  GPtrArray *tasks;       /* WorldTask */
-  double failure_rate;    /* share of tasks that fail on it */
-  gint64 notice_at_us;    /* of its termination notice */
-  gint64 reclaimed_at_us; /* when the notice is over */
+  gboolean is_terminated; /* released or reclaimed; the cloud no longer lists it */
+  GPtrArray *tasks;       /* WorldTask, owned */
+  double failure_rate;    /* share of the tasks on this machine that fail */
+  gint64 notice_at_us;    /* when the cloud gave the termination notice */
+  gint64 reclaimed_at_us; /* when the notice period ends */
 
-  /* heartbeats */
+  /* Heartbeats */
   guint64 incarnation, sequence, fencing_token;
   gint64 lease_renewed_at_us;
-  guint serving_node; /* index of the node to which it sends heartbeats */
+  guint serving_node; /* index of the node that receives its heartbeats */
   gboolean is_heartbeat_in_flight;
-  guint64 heartbeat_number; /* of requests; an answer to an earlier one is dropped */
+  guint64 heartbeat_number; /* of the latest request; responses to earlier ones are dropped */
   gint64 next_heartbeat_at_us;
   gint64 last_heartbeat_at_us;
   gboolean has_changed; /* since the last heartbeat: the next one may be sent early */
 
-  /* injected faults */
+  /* Injected faults */
   gint64 hung_until_us;          /* the worker is suspended */
   gint64 cut_until_us;           /* its network is interrupted; messages are delivered afterwards */
-  gint64 inbound_lost_until_us;  /* heartbeats arrive, answers and direct commands are lost */
-  gint64 outbound_lost_until_us; /* heartbeats are lost, direct commands arrive */
-  guint n_direct_while_outbound_lost; /* direct commands that arrived then */
+  gint64 inbound_lost_until_us;  /* heartbeats arrive; responses and direct commands are lost */
+  gint64 outbound_lost_until_us; /* heartbeats are lost; direct commands arrive */
+  guint n_direct_while_outbound_lost; /* direct commands received while heartbeats were lost */
   gint64 duplicate_at_us; /* when a copy of the next heartbeat arrives; 0: no copy is made */
-  guint duplicate_node;   /* index of the node at which it arrives */
+  guint duplicate_node;   /* index of the node that receives the copy */
 } WorldMachine;
 
 /* A key of the simulated key-value store. */
 typedef struct {
   json_t *value;
   guint64 version;
-  guint64 lease_id; /* 0: on no lease */
+  guint64 lease_id; /* 0: the key is not attached to a lease */
 } WorldKey;
 
+/* A lease of the simulated key-value store. */
 typedef struct {
   guint64 id;
   gint64 ttl_us;
   gint64 expires_at_us;
 } WorldLease;
 
-/* What happens to a task on a machine. */
+/* Events of a task on a machine. */
 typedef enum {
-  WORLD_TASK_STARTS, /* it is on the machine from now on */
-  WORLD_TASK_ENDS,   /* by itself, by command, or with its machine: no cause is set then */
-  WORLD_TASK_REFUSED /* it did not start, see the cause */
+  WORLD_TASK_STARTS, /* the task occupies the machine from now on */
+  WORLD_TASK_ENDS, /* by itself, by command, or with its machine; in the last case without cause */
+  WORLD_TASK_REFUSED /* the task did not start; `cause` says why */
 } WorldTaskEvent;
 
 typedef void (*WorldTaskObserver)(gpointer data, const WorldMachine *machine, const WorldTask *task,
                                   WorldTaskEvent event);
-/* Sends a request to a node, as world_send_request() does. Takes the body. */
+/* Sends a request to a node in place of world_send_request(), with the same contract. Takes
+ * ownership of the body. */
 typedef void (*WorldRequestHandler)(World *world, guint index, const char *method, const char *path,
                                     json_t *body, gint64 timeout_us, MmResponseCallback answered,
                                     gpointer data);
 
 struct World {
-  /* time and chance */
+  /* Time and random numbers */
   GRand *rand;
   gint64 now_us;
-  GSequence *events; /* ordered by time, then by when they were scheduled */
+  GSequence *events; /* ordered by time; events of the same time in the order of scheduling */
   guint64 n_events;
-  gboolean is_shutting_down; /* nodes do not start any more */
+  gboolean is_shutting_down; /* no node is started any more */
 
-  /* nodes */
+  /* Nodes */
   WorldNode nodes[WORLD_NODES];
-  GPtrArray *ended_nodes; /* MmNode of ended processes: answers to their requests still come in */
-  GPtrArray *retired_settings; /* MmSettings that ended processes used */
-  WorldRequestHandler
-      request_handler; /* sends requests to nodes elsewhere; NULL: nodes live here */
+  /* MmNode of ended processes, kept because responses to their requests still arrive. */
+  GPtrArray *ended_nodes;
+  GPtrArray *retired_settings; /* MmSettings used by ended processes */
+  /* Sends requests to nodes that run outside this process; NULL: the nodes run in this process. */
+  WorldRequestHandler request_handler;
   gpointer request_handler_data;
 
-  /* parameters of the workload and of the nodes' settings */
-  double lease_s; /* of workers */
+  /* Parameters of the workload and of the nodes' settings */
+  double lease_s; /* lease of a worker */
   double heartbeat_interval_s;
-  double cancel_s;           /* within which a cancelled task ends */
-  double configured_lease_s; /* lease_s in the nodes' settings; 0: the true one */
-  guint capacity;            /* machines that the cloud has, for each type, zone and spot or not */
-  double team_cores;         /* each team's limit */
-  guint group_count;         /* machine groups in the operators' file; 0: machines are not shared */
-  double group_hold_s;       /* likewise, in the operators' file */
+  double cancel_s;           /* maximum time until the tasks of a cancelled job have ended */
+  double configured_lease_s; /* lease_s in the nodes' settings; 0: same as `lease_s` */
+  /* Maximum number of machines in the cloud, for each type, zone and purchase option (spot or
+   * not). */
+  guint capacity;
+  double team_cores;   /* limit of each team, in cores */
+  guint group_count;   /* machine groups in the operators' file; 0: machines are not shared out */
+  double group_hold_s; /* group-hold-s in the operators' file */
 
-  /* the key-value store */
+  /* Key-value store */
   GTree *keys; /* path -> WorldKey */
   guint64 revision;
-  GPtrArray *changes; /* KeyChange of kv-watches.c, in order */
-  GHashTable *leases; /* id -> WorldLease */
-  guint64 next_lease; /* id */
-  GPtrArray *watches; /* that wait for a change */
-  guint64 format;     /* the active format in truth; 0: its key is missing or malformed */
+  GPtrArray *changes;    /* KeyChange of kv-watches.c, in order of revision */
+  GHashTable *leases;    /* id -> WorldLease */
+  guint64 last_lease_id; /* id of the most recent lease */
+  GPtrArray *watches;    /* pending watches */
+  guint64 format;        /* active format as stored; 0: its key is missing or malformed */
   gint64 format_set_at_us;
   guint64 n_writes;
   guint64 n_conflicts; /* transactions whose conditions failed */
 
-  /* limits of the key-value store; a larger transaction breaks an invariant, as nodes know them */
+  /* Limits of the key-value store. Nodes know them, so a larger transaction fails an assertion,
+   * unless `has_unannounced_limits` is set. */
   guint value_bytes;
   guint txn_ops;
-  double write_rps; /* writes a second, beyond which it answers 429; 0: no limit */
+  double write_rps; /* writes per second, above which the store responds with 429; 0: unlimited */
   double write_tokens;
   gint64 write_tokens_at_us;
-  gboolean has_unannounced_limits; /* nodes do not know the limits: what is too large gets 400 */
-  gboolean announces_next_limits;  /* settings of nodes that start name the next, smaller limits */
-  guint n_rate_limited;            /* requests that got 429 */
-  guint n_too_large;               /* transactions that got 400 */
+  /* The nodes do not know the limits; the store responds with 400 to larger transactions. */
+  gboolean has_unannounced_limits;
+  /* The settings of nodes that start announce the next, lower limits. */
+  gboolean announces_next_limits;
+  guint n_rate_limited; /* requests answered with 429 */
+  guint n_too_large;    /* transactions answered with 400 because of their size */
 
-  /* faults of the key-value store */
-  gint64 outage_until_us; /* it answers 503 to all nodes */
+  /* Faults of the key-value store */
+  gint64 outage_until_us; /* the store responds with 503 to all nodes */
   gint64 kv_slow_until_us;
-  double kv_slow_s;       /* until then, answers take up to this much longer */
-  double late_write_rate; /* share of transactions applied 2 to 12 s late, without an answer */
-  gboolean
-      delays_acquisitions; /* all transactions that write leaders or group owners are so late */
-  guint n_late_applied;    /* late transactions that were applied */
-  guint n_late_rejected;   /* late transactions whose conditions failed */
+  double kv_slow_s; /* maximum additional delay of a response until `kv_slow_until_us` */
+  /* Share of transactions that are applied 2 to 12 s late and not answered. */
+  double late_write_rate;
+  /* All transactions that write shard leaders or group owners are applied 2 to 12 s late. */
+  gboolean delays_acquisitions;
+  guint n_late_applied;  /* late transactions that were applied */
+  guint n_late_rejected; /* late transactions that the store rejected with 400 or 409 */
 
-  /* the cloud */
-  GPtrArray *machines;  /* WorldMachine */
-  guint next_machine;   /* number of the latest machine's name */
-  GHashTable *launches; /* request id -> json_t answer, for repetitions */
+  /* Cloud */
+  GPtrArray *machines;       /* WorldMachine */
+  guint last_machine_number; /* number in the name of the most recent machine */
+  /* request id -> json_t response, which is returned again for a repeated request. */
+  GHashTable *launch_responses;
   gint64 cloud_down_until_us;
 
-  /* users */
+  /* Users */
   GPtrArray *jobs;              /* WorldJob */
-  guint next_job;               /* number of the latest job's name */
-  gint avoided_node;            /* index of the node that no user asks; -1: none */
-  double cancel_at_end_rate;    /* share of jobs that are cancelled as their last task ends */
-  guint n_odd_requests_correct; /* requests of world_send_odd_requests() answered as they should */
-  gint64 waiting_checked_at_us; /* of world_check_waiting() */
+  guint last_job_number;        /* number from which the most recent job id was derived */
+  gint avoided_node;            /* index of the node to which no user sends requests; -1: none */
+  double cancel_at_end_rate;    /* share of jobs that are cancelled when their last task ends */
+  guint n_odd_requests_correct; /* requests of world_send_odd_requests() answered as expected */
+  gint64 waiting_checked_at_us; /* time of the last check by world_check_waiting() */
   gint64 faults_ended_at_us;    /* when the last injected fault ended */
 
-  /* faults of the network */
-  gint64 links_refused_until_us; /* nodes refuse each other's connections */
-  gboolean ends_leave_half_open; /* links to a node that ends look open to the others */
-  guint cut_zone;                /* index of the node whose zone is cut off */
+  /* Network faults */
+  gint64 links_refused_until_us; /* nodes refuse connections from each other */
+  gboolean ends_leave_half_open; /* when a node ends, links to it still appear open to the others */
+  guint cut_zone;                /* index of the node whose zone is partitioned */
   gint64 zone_cut_until_us;
-  double stall_rate;     /* share of answers that leave 0.1 to 3.9 s after the node gave them */
+  double stall_rate; /* share of responses that are sent 0.1 to 3.9 s after the node created them */
   double duplicate_rate; /* share of requests of which a copy arrives late */
-  double slow_links_s;   /* heartbeats and their answers take up to this much longer */
+  double slow_links_s;   /* maximum additional delay of a request from a worker */
 
-  /* counts */
-  guint n_starts;             /* tasks that were on a machine */
-  guint n_stops;              /* stop commands that workers executed */
-  double last_stop_grace_s;   /* time to save that the latest of them gave */
-  guint n_no_resources;       /* starts refused for want of resources on the machine */
+  /* Counters */
+  guint n_starts;             /* tasks that started on a machine */
+  guint n_stops;              /* stop commands executed by workers */
+  double last_stop_grace_s;   /* time for a checkpoint that the latest stop command allowed */
+  guint n_no_resources;       /* starts refused because the machine lacked resources */
   guint64 n_heartbeats;       /* sent by workers */
-  guint n_stale_incarnations; /* copies of heartbeats that came after a newer incarnation began */
+  guint n_stale_incarnations; /* heartbeat copies that arrived after a newer incarnation began */
   guint64 n_direct_commands;  /* sent by nodes */
-  guint n_delayed_commands;   /* direct commands that arrived after a cut or a hang was over */
+  guint n_delayed_commands;   /* direct commands delivered after a partition or hang had ended */
   guint64 n_frames;           /* sent between nodes */
   guint64 n_frame_bytes;
-  guint n_reconnects; /* links that nodes opened anew */
+  guint n_reconnects; /* links that nodes reopened */
 
-  /* machine groups */
-  GHashTable
-      *cores_granted;      /* "machine/incarnation/sequence" -> double: cores started in answers */
-  guint n_moves_started;   /* on an administrator's request, as nodes answered */
-  guint n_double_owners;   /* times that two nodes believed they own a machine's group */
-  gint64 unowned_since_us; /* since when some node sees a group without an owner */
-  gint64 longest_unowned_us; /* longest such duration after faults ended */
+  /* Machine groups */
+  /* "machine/incarnation/sequence" of a heartbeat -> double: cores of the tasks that responses to
+   * it started. */
+  GHashTable *cores_granted;
+  guint n_moves_started;   /* group moves requested by an administrator that a node accepted */
+  guint n_double_owners;   /* checks in which two nodes believed that they own a machine's group */
+  gint64 unowned_since_us; /* since when some node has seen a group without an owner */
+  gint64 longest_unowned_us; /* longest such duration after the faults ended */
 
-  /* faults of the nodes themselves, with which tests show that the invariants find them */
+  /* Defects of the nodes; tests enable them to show that the invariant checks detect them */
   gboolean ignore_acknowledgements;    /* shard leaders count every machine as acknowledged */
-  gboolean accept_duplicates;          /* nodes forget the heartbeat id of a machine's latest one */
-  gboolean respond_to_unacknowledging; /* nodes go on answering machines that ignore answers */
-  gboolean lease_never_expires;        /* nodes count their node lease as valid */
-  gboolean replica_never_stale;        /* nodes answer however stale their replica is */
-  gboolean ignore_dependencies;        /* nodes count every dependency as done */
+  gboolean accept_duplicates;          /* nodes forget the id of each machine's latest heartbeat */
+  gboolean respond_to_unacknowledging; /* nodes keep responding to machines that ignore responses */
+  gboolean lease_never_expires;        /* nodes treat their node lease as valid */
+  gboolean replica_never_stale;        /* nodes respond no matter how stale their replica is */
+  gboolean ignore_dependencies;        /* nodes treat every dependency as done */
   gboolean ignore_ancestors;           /* nodes do not cancel dependents of a cancelled job */
   gboolean only_leader_knows_cancelled;   /* only the shard leader knows that a job is cancelled */
-  gboolean forget_grants;                 /* group owners forget what they have granted */
+  gboolean forget_grants;                 /* group owners forget which resources they granted */
   gboolean ignore_group_acknowledgements; /* group owners count every machine as acknowledged */
 
-  /* checks */
-  gboolean skips_checks;          /* invariants are not checked: for measurements of time */
-  GPtrArray *violations;          /* broken invariants, as text */
+  /* Invariant checks */
+  gboolean skips_checks;          /* disables the periodic checks, for performance measurements */
+  GPtrArray *violations;          /* descriptions of violated invariants */
   WorldTaskObserver observe_task; /* called for each event of a task; may be NULL */
   gpointer observer_data;
 };
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -1,5 +1,5 @@
-/* Upgrades: nodes that speak and store as the previous release did, and limits of the key-value
- * store that fall. */
+/* Upgrades: nodes that send messages and store records as the previous release did, and limits of
+ * the key-value store that are lowered. */
 #include "world/world.h"
 
 #include "base/wire.h"
@@ -23,11 +23,13 @@
       continue;
     if (g_str_has_prefix(key, MM_KEY_TERMINAL_RECORD))
       json_object_del(value, "t");
-    /* It would drop the field, which it does not know. */
+    /* The old release does not know the dependency field and would drop it when it rewrites the
+     * record. */
     if (g_str_has_prefix(key, MM_KEY_JOB) && mm_json_get(value, "w") != NULL)
-      world_report_violation(((WorldNode *)&world->nodes[node])->world,
-                             "upgrade: the old node %u rewrites %s, which depends on others", node,
-                             key);
+      world_report_violation(
+          ((WorldNode *)&world->nodes[node])->world,
+          "upgrade: node %u of the old release rewrites the record %s of a job with dependencies",
+          node, key);
   }
 }
 
@@ -38,7 +40,7 @@
   world_kill_node(world, index, down_s);
   world_node->is_old_version = FALSE;
   world_node->operators.group_count = world->group_count;
-  /* The process that has just ended may still read the old ones. */
+  /* The MmNode of the process that has just ended may still read the old settings. */
   g_ptr_array_add(world->retired_settings, world_node->settings);
   world_node->settings = world_node_settings(world, index);
 }
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -1,10 +1,10 @@
-/* Users: they submit until they are answered, poll until the job is finished, and remember the
- * answers. */
+/* Simulated users. They submit a job until they get a response, poll its state, and check each
+ * response against the earlier ones. */
 #include "world/world.h"
 
 #include "base/wire.h"
 
-/* How old an answer may be by the time that its user has it. */
+/* Maximum age of a response when it arrives at its user. */
 #define ANSWER_MAX_AGE_S 2
 
 static void submit_job(gpointer data);
@@ -28,20 +28,21 @@
   return (gint)node == world->avoided_node ? (node + 1) % WORLD_NODES : node;
 }
 
-/* A request, with what its user knew when it was sent: of two requests under way at once either may
- * be answered first, so an answer must only fit what was known before. */
+/* A request and what its user knew about the job when it was sent. Two pending requests may be
+ * answered in either order, so a response must be consistent only with what was known when its
+ * request was sent. */
 typedef struct {
   WorldJob *job;
-  WorldUserView user_view;
-  gboolean was_accepted;
-} UserQuestion;
+  WorldUserView user_view_when_sent;
+  gboolean was_accepted_when_sent;
+} UserRequest;
 
-static UserQuestion *
-user_question_new(WorldJob *job) {
-  UserQuestion *question = g_new(UserQuestion, 1);
+static UserRequest *
+user_request_new(WorldJob *job) {
+  UserRequest *request = g_new(UserRequest, 1);
 
-  *question = (UserQuestion){ job, job->user_view, job->was_accepted };
-  return question;
+  *request = (UserRequest){ job, job->user_view, job->was_accepted };
+  return request;
 }
 
 static void
@@ -54,34 +55,40 @@
              > (world->cancel_s + ANSWER_MAX_AGE_S) * G_USEC_PER_SEC)
     world_report_violation(
         world,
-        "orphaned: %s is still called %s %.1f s after its user or that of one before it"
-        " was told",
+        "orphaned: job %s is still reported as %s %.1f s after the cancellation of a job that it"
+        " depends on was confirmed",
         job->id, state, (double)(world->now_us - cancelled_us) / G_USEC_PER_SEC);
 }
 
 static void
-record_job_state(const UserQuestion *question, const json_t *body) {
-  WorldJob *job = question->job;
+record_job_state(const UserRequest *request, const json_t *body) {
+  WorldJob *job = request->job;
   World *world = job->world;
   const char *state = mm_json_string(body, WIRE_STATE);
 
   job->last_answer_at_us = world->now_us;
   if (g_strcmp0(state, WIRE_DONE) == 0) {
     if (job->n_done < job->spec.n_tasks)
-      world_report_violation(world, "not_done: %s is called done with %u of %u tasks", job->id,
-                             job->n_done, job->spec.n_tasks);
+      world_report_violation(world, "not_done: job %s reported as done with %u of %u tasks done",
+                             job->id, job->n_done, job->spec.n_tasks);
     if (job->user_view == USER_SEES_CANCELLED)
-      world_report_violation(world, "went_back: %s from cancelled to done", job->id);
+      world_report_violation(world, "state_regressed: job %s changed from cancelled to done",
+                             job->id);
     job->user_view = USER_SEES_DONE;
   } else if (g_strcmp0(state, WIRE_CANCELLED) == 0) {
     if (!world_job_may_be_cancelled(job) || job->user_view == USER_SEES_DONE)
-      world_report_violation(world, "went_back: %s is called cancelled", job->id);
+      world_report_violation(
+          world,
+          "state_regressed: job %s reported as cancelled without a request or after it was done",
+          job->id);
     if (job->user_view != USER_SEES_CANCELLED)
       job->cancelled_at_us = world->now_us;
     job->user_view = USER_SEES_CANCELLED;
   } else {
-    if (question->user_view == USER_SEES_DONE || question->user_view == USER_SEES_CANCELLED)
-      world_report_violation(world, "went_back: %s is %s after it was over", job->id, state);
+    if (request->user_view_when_sent == USER_SEES_DONE
+        || request->user_view_when_sent == USER_SEES_CANCELLED)
+      world_report_violation(world, "state_regressed: job %s reported as %s after it had finished",
+                             job->id, state);
     check_ancestor_cancelled(job, state);
     job->user_view = MAX(job->user_view, USER_SEES_ACCEPTED);
   }
@@ -89,18 +96,20 @@
 
 static void
 on_submit_response(gpointer data, int status, json_t *body) {
-  g_autofree UserQuestion *question = data;
-  WorldJob *job = question->job;
+  g_autofree UserRequest *request = data;
+  WorldJob *job = request->job;
   World *world = job->world;
 
   if (status == 200 || status == 201) {
-    record_job_state(question, body);
+    record_job_state(request, body);
     job->was_accepted = TRUE;
     world_schedule(world, world->now_us + G_USEC_PER_SEC, poll_job, job);
     return;
   }
-  if (question->was_accepted && (status == 400 || status == 422 || status == 404))
-    world_report_violation(world, "forgotten: %s gets %d", job->id, status);
+  if (request->was_accepted_when_sent && (status == 400 || status == 422 || status == 404))
+    world_report_violation(world,
+                           "job_lost: submission of the accepted job %s answered with status %d",
+                           job->id, status);
   g_assert_true(status == 0 || status == 503 || status == 429);
   world_schedule(world, world->now_us + G_USEC_PER_SEC, submit_job, job);
 }
@@ -113,36 +122,37 @@
     return;
   world_send_request(job->world, pick_node(job->world), NULL, "POST", WIRE_JOBS_PATH,
                      json_deep_copy(job->body), 5 * (gint64)G_USEC_PER_SEC, on_submit_response,
-                     user_question_new(job));
+                     user_request_new(job));
 }
 
 static void
 on_resubmit_response(gpointer data, int status, json_t *body) {
-  g_autofree UserQuestion *question = data;
-  WorldJob *job = question->job;
+  g_autofree UserRequest *request = data;
+  WorldJob *job = request->job;
 
   if (status == 200 || status == 201)
-    record_job_state(question, body);
+    record_job_state(request, body);
   else if (status == 400 || status == 422 || status == 404)
-    world_report_violation(job->world, "forgotten: a repeated submission of %s gets %d", job->id,
-                           status);
+    world_report_violation(job->world,
+                           "job_lost: repeated submission of job %s answered with status %d",
+                           job->id, status);
 }
 
 static void
 on_poll_response(gpointer data, int status, json_t *body) {
-  g_autofree UserQuestion *question = data;
-  WorldJob *job = question->job;
+  g_autofree UserRequest *request = data;
+  WorldJob *job = request->job;
   World *world = job->world;
 
   if (status == 200)
-    record_job_state(question, body);
+    record_job_state(request, body);
   else if (status == 404)
-    world_report_violation(world, "forgotten: %s gets 404", job->id);
-  /* Finished jobs are polled on, more rarely, and now and then submitted again. */
+    world_report_violation(world, "job_lost: query of job %s answered with status 404", job->id);
+  /* Users continue to poll finished jobs, but less often, and sometimes submit a job again. */
   if (world_uniform(world, 0, 1) < 0.05)
     world_send_request(world, pick_node(world), NULL, "POST", WIRE_JOBS_PATH,
                        json_deep_copy(job->body), 5 * (gint64)G_USEC_PER_SEC, on_resubmit_response,
-                       user_question_new(job));
+                       user_request_new(job));
   world_schedule(world,
                  world->now_us
                      + (job->user_view >= USER_SEES_CANCELLED ? 9 : 3) * (gint64)G_USEC_PER_SEC,
@@ -156,16 +166,16 @@
 
   if (!job->world->is_shutting_down)
     world_send_request(job->world, pick_node(job->world), NULL, "GET", path, NULL,
-                       2 * (gint64)G_USEC_PER_SEC, on_poll_response, user_question_new(job));
+                       2 * (gint64)G_USEC_PER_SEC, on_poll_response, user_request_new(job));
 }
 
 static void
 on_cancel_response(gpointer data, int status, json_t *body) {
-  g_autofree UserQuestion *question = data;
-  WorldJob *job = question->job;
+  g_autofree UserRequest *request = data;
+  WorldJob *job = request->job;
 
   if (status == 200)
-    record_job_state(question, body);
+    record_job_state(request, body);
   else
     world_schedule(job->world, job->world->now_us + G_USEC_PER_SEC, cancel_job, job);
 }
@@ -183,7 +193,7 @@
   }
   job->is_cancel_requested = TRUE;
   world_send_request(job->world, pick_node(job->world), NULL, "POST", path, NULL,
-                     5 * (gint64)G_USEC_PER_SEC, on_cancel_response, user_question_new(job));
+                     5 * (gint64)G_USEC_PER_SEC, on_cancel_response, user_request_new(job));
 }
 
 void
@@ -194,7 +204,8 @@
 static void
 on_unknown_job_response(gpointer data, int status, json_t *body) {
   if (status == 200)
-    world_report_violation(data, "invented: a job nobody submitted is answered 200");
+    world_report_violation(
+        data, "unknown_job: query of a job that was never submitted answered with status 200");
 }
 
 WorldJob *
@@ -205,7 +216,7 @@
   job->world = world;
   job->run_s = run_s;
   job->submitted_at_us = world->now_us;
-  g_snprintf(job->id, sizeof job->id, "run-%06u", (++world->next_job * 7919) % 1000000);
+  g_snprintf(job->id, sizeof job->id, "run-%06u", (++world->last_job_number * 7919) % 1000000);
   job->body = json_pack(
       "{s:s, s:s, s:s, s:s, s:s, s:i, s:f, s:f, s:f, s:s, s:f, s:b, s:b, s:b, s:f, s:f, s:f}",
       WIRE_JOB_ID, job->id, WIRE_CLASS, "work", WIRE_TEAM, "team-0", WIRE_KIND, WIRE_KIND_ARRAY,
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -1,11 +1,13 @@
-/* The simulated workers, one a machine, by the protocol's page: heartbeats, commands, leases. */
+/* The simulated workers, one per machine. They implement the worker's side of the protocol:
+ * heartbeats, commands and leases. */
 #include "world/internal.h"
 
 #include <stdlib.h>
 
 #include "base/wire.h"
 
-static const char *const reported_state_words[]
+/* Names of MmReportedState in the protocol. */
+static const char *const reported_state_names[]
     = { "fetching", "gathering", "running", "flushing", "ended" };
 
 static void worker_tick(gpointer data);
@@ -46,9 +48,9 @@
     g_autofree char *name = g_strdup_printf("%s/%u", task->job->id, task->number);
     json_t *item
         = json_pack("{s:s, s:I, s:s}", WIRE_TASK, name, WIRE_ATTEMPT, (json_int_t)task->attempt,
-                    WIRE_STATE, reported_state_words[task->state]);
+                    WIRE_STATE, reported_state_names[task->state]);
     if (task->state == MM_REPORTED_ENDED)
-      json_object_set_new(item, WIRE_CAUSE, json_string(world_task_cause_word(task)));
+      json_object_set_new(item, WIRE_CAUSE, json_string(world_task_cause_name(task)));
     json_array_append_new(tasks, item);
   }
   heartbeat
@@ -70,23 +72,23 @@
   json_t *item;
 
   json_array_foreach(commands, i, item) {
-    const char *op = mm_json_string(item, WIRE_COMMAND_KIND),
-               *text = mm_json_string(item, WIRE_TASK);
-    const char *slash = strrchr(text, '/');
-    g_autofree char *id = g_strndup(text, (gsize)(slash - text));
+    const char *kind = mm_json_string(item, WIRE_COMMAND_KIND),
+               *task_name = mm_json_string(item, WIRE_TASK);
+    const char *slash = strrchr(task_name, '/');
+    g_autofree char *id = g_strndup(task_name, (gsize)(slash - task_name));
     guint number = (guint)atoi(slash + 1);
     guint64 attempt = mm_json_count(item, WIRE_ATTEMPT, 0);
     WorldJob *job = world_find_job(machine->world, id);
     WorldTask *task = job != NULL ? world_machine_find_task(machine, job, number, attempt) : NULL;
 
-    if (strcmp(op, WIRE_START) == 0) {
+    if (strcmp(kind, WIRE_START) == 0) {
       world_task_start(machine, job, number, attempt);
-    } else if (task != NULL && strcmp(op, WIRE_STOP) == 0) {
+    } else if (task != NULL && strcmp(kind, WIRE_STOP) == 0) {
       machine->world->n_stops++;
       machine->world->last_stop_grace_s = mm_json_number(item, WIRE_GRACE, 0);
       if (task->state != MM_REPORTED_ENDED)
         world_task_end(machine, task, MM_CAUSE_STOPPED);
-    } else if (task != NULL && strcmp(op, WIRE_FORGET) == 0 && task->state == MM_REPORTED_ENDED) {
+    } else if (task != NULL && strcmp(kind, WIRE_FORGET) == 0 && task->state == MM_REPORTED_ENDED) {
       g_ptr_array_remove(machine->tasks, task);
       g_free(task);
       machine->has_changed = TRUE;
@@ -100,10 +102,12 @@
   size_t i;
   json_t *item;
 
-  /* Starts are never sent as direct commands: one could be executed minutes late. */
+  /* Nodes must not send starts as direct commands, because a direct command may be executed minutes
+   * late. */
   json_array_foreach(json_object_get(body, WIRE_COMMANDS), i,
                      item) if (g_strcmp0(mm_json_string(item, WIRE_COMMAND_KIND), WIRE_START) == 0)
-      world_report_violation(machine->world, "a start was sent as a direct command to %s",
+      world_report_violation(machine->world,
+                             "direct_start: start command sent as a direct command to machine %s",
                              machine->id);
   if (fencing_token < machine->fencing_token
       || mm_json_count(body, WIRE_INCARNATION, 0) != machine->incarnation) {
@@ -117,13 +121,13 @@
   return 200;
 }
 
-/* ---- heartbeats ---- */
+/* Heartbeats */
 
 typedef struct {
   WorldMachine *machine;
   guint64 heartbeat_number;
   guint64 incarnation;
-  gint64 sent_us;
+  gint64 sent_at_us;
 } HeartbeatRequest;
 
 static void
@@ -140,7 +144,7 @@
       if (machine->incarnation == request->incarnation && fencing_token != 0
           && fencing_token >= machine->fencing_token) {
         machine->fencing_token = fencing_token;
-        machine->lease_renewed_at_us = request->sent_us;
+        machine->lease_renewed_at_us = request->sent_at_us;
         execute_commands(machine, json_object_get(body, WIRE_COMMANDS));
       }
     } else if (status == 421 && redirect_label != NULL) {
@@ -181,8 +185,6 @@
                        on_heartbeat_response, request);
 }
 
-/* ---- the tick of a worker ---- */
-
 static void
 worker_tick(gpointer data) {
   WorldMachine *machine = data;
@@ -197,13 +199,14 @@
     return;
   }
   if ((double)(world->now_us - machine->lease_renewed_at_us) > world->lease_s * G_USEC_PER_SEC) {
-    mm_debug("world: the lease of %s has run out", machine->id);
+    mm_debug("world: lease expired machine=%s", machine->id);
     world_machine_clear_tasks(machine);
     machine->incarnation++;
     machine->lease_renewed_at_us = world->now_us;
     machine->has_changed = TRUE;
   }
-  /* The lease ends also while the machine hangs: it may resume within its lease only. */
+  /* The check above comes first because the lease expires even while the worker is suspended: the
+   * tasks of a worker that resumes may run on only within its lease. */
   if (world->now_us < machine->hung_until_us)
     return;
   for (guint i = 0; i < machine->tasks->len; i++)
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -1,4 +1,4 @@
-/* The life of a world: its start, its checks and its end. */
+/* Life cycle of a simulated world: creation, start, periodic checks and end. */
 #include "world/internal.h"
 
 #include "kv/kv-client.h"
@@ -51,7 +51,7 @@
   world->machines = g_ptr_array_new();
   world->jobs = g_ptr_array_new();
   world->cores_granted = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  world->launches
+  world->launch_responses
       = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)json_decref);
   world_kv_init(world);
   return world;
@@ -73,8 +73,8 @@
 }
 
 static void
-run_all_events(World *world, double most_s) {
-  gint64 until_us = world->now_us + (gint64)(most_s * G_USEC_PER_SEC);
+run_all_events(World *world, double max_s) {
+  gint64 until_us = world->now_us + (gint64)(max_s * G_USEC_PER_SEC);
 
   while (world_run_next_event(world, until_us))
     continue;
@@ -118,7 +118,7 @@
   end_nodes(world);
   for (guint i = 0; i < world->machines->len; i++)
     world_kill_machine(world, g_ptr_array_index(world->machines, i));
-  /* Each answer that ended nodes still wait for comes, as none, within the longest time-out. */
+  /* The requests of ended nodes finish with status 0 within the longest time-out. */
   run_all_events(world, 120);
   for (guint i = 0; i < world->ended_nodes->len; i++)
     mm_node_free(g_ptr_array_index(world->ended_nodes, i));
@@ -128,7 +128,7 @@
   free_machines(world);
   free_jobs(world);
   world_kv_free(world);
-  g_hash_table_unref(world->launches);
+  g_hash_table_unref(world->launch_responses);
   g_hash_table_unref(world->cores_granted);
   g_ptr_array_unref(world->machines);
   g_ptr_array_unref(world->jobs);
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -1,224 +1,250 @@
-/* A simulated world: the key-value store, the cloud, workers, users and the network between them
- * and the nodes under test, on one queue of events.
+/* Discrete-event simulation of a cluster: the key-value store, the cloud, workers, users and the
+ * network between them and the nodes under test, all driven by one event queue.
  *
- * All draws come from one seed, so a world with the same seed and the same calls runs the same way.
- * After each event that changes what runs, the invariants are checked; a broken one is kept as text
- * in `violations` and fails the test at its end. */
+ * All random numbers come from one seed, so a world with the same seed and the same calls always
+ * runs the same way. The invariants are checked periodically and at certain events; a violation is
+ * stored as text in World.violations and fails the test when it calls world_assert_invariants(). */
 #pragma once
 
 #include "world/types.h"
 
 typedef void (*WorldCallback)(gpointer data);
 
-/* ---- world.c: the life of a world ---- */
+/* Life cycle (world.c) */
 
-/* The caller may set parameters before world_start(). Free with world_free(). */
+/* Creates a world. The caller may set parameters before world_start(). Free with world_free(). */
 World *world_new(guint32 seed);
-/* Boots the nodes one after the other. */
+/* Starts the nodes one after the other, and the periodic invariant checks. */
 void world_start(World *world);
-/* Ends all nodes and machines, lets the requests under way come to their end and frees everything.
- */
+/* Ends all nodes and machines, runs until the pending requests have finished, and frees
+ * everything. */
 void world_free(World *world);
-/* Adds a broken invariant to `violations`. */
+/* Appends the description of a violated invariant to World.violations. */
 void world_report_violation(World *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
-/* g_test_init(), and the log level that LOG_LEVEL names, if it does. */
+/* Calls g_test_init() and applies the log level in the environment variable LOG_LEVEL, if set. */
 void world_test_init(int *argc, char ***argv);
 
-/* ---- event-queue.c ---- */
+/* Event queue (event-queue.c) */
 
-/* Runs the events of this much simulated time. */
+/* Runs the events of the next `seconds` of simulated time. */
 void world_run(World *world, double seconds);
-/* Calls back at `at_us`, or now if that is in the past. Events of one instant keep their order. */
+/* Schedules a callback for `at_us`, or for the current time if `at_us` is in the past. Events of
+ * the same time run in the order in which they were scheduled. */
 void world_schedule(World *world, gint64 at_us, WorldCallback callback, gpointer data);
-/* One draw, uniform in [from, to). */
+/* Draws a random number, uniformly distributed in [from, to). */
 double world_uniform(World *world, double from, double to);
-/* How long a message is under way, in microseconds; a draw. */
+/* Draws the transit time of a message, in microseconds. */
 gint64 world_network_delay(World *world);
 
-/* ---- nodes.c: processes and what befalls them ---- */
+/* Node processes (nodes.c) */
 
-/* Settings of the node, as the world's parameters say. Free with mm_settings_free(). */
+/* Returns the settings of the node for the world's parameters. Free with mm_settings_free(). */
 MmSettings *world_node_settings(World *world, guint index);
-/* Ends the process; it is started again `down_s` later. */
+/* Kills the node's process and starts a new one `down_s` seconds later. */
 void world_kill_node(World *world, guint index, double down_s);
-/* Suspends the process; what reaches it meanwhile waits, in order. */
+/* Suspends the node's process. Messages to it are delivered in order when it resumes. */
 void world_freeze_node(World *world, guint index, double seconds);
 
-/* ---- network.c: cuts ---- */
+/* Network partitions (network.c) */
 
-/* The node loses the key-value store, the cloud and the other nodes, but not its workers. */
+/* Partitions the node from the key-value store, the cloud and the other nodes, but not from its
+ * workers. `delays_messages`: see WorldNode.cut_delays_messages. */
 void world_cut_node(World *world, guint index, double seconds, gboolean delays_messages);
-/* The node's zone is cut off from everything; inside, the node and the zone's workers go on. */
+/* Partitions the node's zone from everything else. The node and the workers in the zone still reach
+ * each other. */
 void world_cut_zone(World *world, guint index, double seconds, gboolean delays_messages);
-/* Whether a cut lies between the node and the machine. */
+/* Returns whether a partition separates the node from the machine. */
 gboolean world_is_partitioned(const World *world, guint index, const WorldMachine *machine);
-/* The links between all nodes end, and new ones are refused for that long. */
+/* Closes the links between all nodes and refuses new ones for `seconds`. */
 void world_refuse_links(World *world, double seconds);
 
-/* ---- requests-to-nodes.c ---- */
+/* Requests to nodes (requests-to-nodes.c) */
 
-/* Sends a request to a node as workers (`sender`) and users (NULL) do. Takes the body. `callback`
- * is called once, with status 0 if no answer came within `timeout_us`. */
+/* Sends a request to a node, from a worker (`sender`) or a user (`sender` is NULL). Takes ownership
+ * of the body. `callback` is called once, with status 0 if no response arrived within
+ * `timeout_us`. */
 void world_send_request(World *world, guint index, WorldMachine *sender, const char *method,
                         const char *path, json_t *body, gint64 timeout_us,
                         MmResponseCallback callback, gpointer data);
-/* MmResponseCallback for requests of which only the status matters: `data` is an int. */
+/* MmResponseCallback that stores the status in the int to which `data` points. */
 void world_record_status(gpointer data, int status, json_t *body);
 
-/* ---- kv-store.c: the key-value store ---- */
+/* Key-value store (kv-store.c) */
 
 void world_kv_init(World *world);
 void world_kv_free(World *world);
-/* Executes a request other than a watch at once; returns the status. `response` is the caller's. */
+/* Executes a request other than a watch immediately and returns the status. The caller owns
+ * `response`. */
 int world_kv_handle(World *world, const char *method, const char *path, const json_t *body,
                     json_t **response);
-/* It answers 503 to all nodes; leases do not expire meanwhile and have their full time after it. */
+/* Makes the store respond with 503 to all nodes for `seconds`. No lease expires during the outage,
+ * and each lease has its full time to live when it ends. */
 void world_kv_outage(World *world, double seconds);
-/* (kv-watches.c) Calls back once, with the changes after the revision in `path` or with none at its
- * time-out. */
+/* Adds a watch (kv-watches.c). Calls back once: with the changes after the revision in `path`, or
+ * with no changes when the watch times out. */
 void world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
                         gpointer data);
 
-/* ---- faulty-nodes.c ---- */
+/* Defective nodes (faulty-nodes.c) */
 
-/* Injects into the node, before each of its ticks, the faults that the world's switches name. */
+/* Applies the defects enabled in the world to the node. Called before each of the node's ticks. */
 void world_make_node_faulty(const World *world, MmNode *node, MmTime now);
 
-/* ---- fault-injection.c ---- */
+/* Random load and faults (fault-injection.c) */
 
-/* A job drawn at random. */
+/* Returns a randomly selected job. */
 WorldJob *world_any_job(World *world);
-/* A fault of a node, a machine, the key-value store or the links, drawn at random, for seconds. */
+/* Injects a random fault of a node, a machine, the key-value store or the links. Most faults last
+ * for several seconds. */
 void world_inject_random_fault(World *world);
-/* What a random day has at the start of this second: a job on each third, a cancellation now and
- * then, after ten seconds a fault on one of seven. */
+/* Generates the random load at the start of the given second of a test run: a job every third
+ * second, occasionally a cancellation, and after the first ten seconds a fault in about one second
+ * of seven. */
 void world_start_random_second(World *world, guint second);
-/* Index of the node that leads most shards, of those that are up. */
+/* Returns the index of the running node that leads the most shards. */
 guint world_node_leading_most_shards(World *world);
-/* Users send a job that fits no machine, one without each of its fields, and a repetition of each
- * that is accepted; they cancel what is done and ask for what never was. Wrong answers break
- * invariants, right ones are counted; 503 is neither. */
+/* Sends unusual user requests: the submission of a job that fits no machine, submissions that each
+ * lack one field, the repeated submission of each accepted job, the cancellation of each finished
+ * job, and requests about a job that does not exist. Unexpected responses violate an invariant,
+ * expected ones are counted; status 503 and a missing response are neither. */
 void world_send_odd_requests(World *world);
-/* Tasks on machines whose jobs' cancellation was confirmed to their users. */
+/* Returns the number of tasks that are still on machines although the cancellation of their job was
+ * confirmed to its user. */
 guint world_count_cancelled_tasks(const World *world);
 
-/* Nine machines, some big, in three zones. */
+/* Adds nine machines, some of them of type "big", in three zones. */
 void world_add_nine_machines(World *world);
-/* Faults have ended: services are cancelled, all work gets done, the invariants held to the end.
- * Frees the world. */
+/* Ends a test run: turns off late transactions, cancels all services, runs for 200 s, asserts that
+ * all jobs have finished and no invariant was violated, and frees the world. */
 void world_finish_day(World *world);
 
-/* ---- service-checks.c: who waits and who is served ---- */
+/* Checks of the service that users get (service-checks.c) */
 
-/* After faults have ended, no job waits 90 s while a machine that fits has free resources and its
- * team is under its limit. Not checked for gangs and for jobs bound to one zone or spread over
- * several: whether they can start depends on all their places. */
+/* Reports a violation if, after the faults have ended, a job has waited for 90 s while a suitable
+ * machine has free resources and its team is below its limit. Gangs and jobs that must run in one
+ * zone or spread over several are not checked, because whether they can start depends on all the
+ * machines that they need at once. */
 void world_check_waiting(World *world);
-/* Of the jobs that were not cancelled at least half are served: of each team, of each kind and of
- * the largest; the largest begin within four minutes. */
+/* Reports a violation unless at least half of the jobs that were not cancelled have started, of
+ * each team, of each kind and of the largest jobs, and each of the largest started within four
+ * minutes. */
 void world_check_served(World *world);
 
-/* ---- pipelines.c: jobs with dependencies ---- */
+/* Jobs with dependencies (pipelines.c) */
 
-/* Submits a job that depends on others, each accepted before. Takes `overrides`. */
+/* Submits a job that depends on others, each of which was accepted before. Takes ownership of
+ * `overrides`. */
 WorldJob *world_submit_dependent(World *world, json_t *overrides, double run_s,
                                  WorldJob *const *dependencies, guint n_dependencies);
-/* Whether all its dependencies are done, in truth. */
+/* Returns whether all dependencies of the job are actually done. */
 gboolean world_job_is_ready(const WorldJob *job);
-/* Whether its user, or that of a job that it depends on, directly or not, requested its end. */
+/* Returns whether a user has requested the cancellation of the job or of one of its direct or
+ * indirect dependencies. */
 gboolean world_job_may_be_cancelled(const WorldJob *job);
-/* When a cancellation that this job's follows from was first confirmed; 0: none was. */
+/* Returns when the cancellation of one of the job's direct or indirect dependencies was first
+ * confirmed, but not earlier than the job's submission; 0 if none was. */
 gint64 world_job_ancestor_cancelled_us(const WorldJob *job);
 /* Sets `ready_at_us` of jobs that have become ready. */
 void world_record_ready_jobs(World *world);
 
-/* ---- upgrade.c ---- */
+/* Upgrades (upgrade.c) */
 
-/* Changes the request into what a node of the old release would have sent. */
+/* Changes the request to what a node of the old release would have sent. */
 void world_downgrade_request(const World *world, guint node, json_t *request);
-/* Ends the node; it comes back with the new release. */
+/* Kills the node and restarts it with the new release `down_s` seconds later. */
 void world_upgrade_node(World *world, guint index, double down_s);
-/* The limits of the key-value store that were announced for later hold from now on. */
+/* Puts the announced, lower limits of the key-value store into effect. */
 void world_lower_limits(World *world);
 #define WORLD_NEXT_VALUE_BYTES 2048
 #define WORLD_NEXT_TXN_OPS 4
 #define WORLD_NEXT_WRITE_RPS 15.0
 
-/* ---- sharing.c: machine groups ---- */
+/* Machine groups (sharing.c) */
 
-/* No machine has two nodes that grant its resources, and, after faults have ended, no group is long
- * without an owner. */
+/* Reports a violation if two nodes grant resources of the same machine or, after the faults have
+ * ended, a group has had no owner for too long. */
 void world_check_sharing(World *world);
-/* A node answers a heartbeat with these commands: all starts in answers to one heartbeat, its
- * copies included, fit what the machine had free when it sent it. */
+/* Checks the commands in a node's response to a heartbeat: all starts in responses to the same
+ * heartbeat, copies of it included, must fit the resources that were free on the machine when it
+ * sent the heartbeat. */
 void world_check_heartbeat_response(World *world, guint node, const json_t *heartbeat,
                                     const json_t *response);
-/* An administrator asks a node to move a group to a node; all three are drawn at random. */
+/* Sends an administrator's request to move a group; the node that receives it, the group and the
+ * target node are random. */
 void world_random_move(World *world);
 void world_move_group(World *world, guint via_node, guint group, guint target);
-/* Index of the node that owns the group, as `node` knows; WORLD_NODES: it has no owner. */
+/* Returns the index of the node that owns the group according to `node`, or WORLD_NODES if the
+ * group has no owner. */
 guint world_group_owner(const World *world, guint node, guint group);
-/* The group of a machine. */
+/* Returns the group of the machine. */
 guint world_group_of_machine(const World *world, const WorldMachine *machine);
 
-/* ---- formats.c ---- */
+/* Format of the stored state (formats.c) */
 
-/* Somebody sets the active format; NULL removes the key. Takes the value. */
+/* Writes the active format to the key-value store; NULL deletes the key. Takes ownership of the
+ * value. */
 void world_set_format(World *world, json_t *value);
-/* A node writes: one that does not support the active format, and has had time to see it, breaks an
- * invariant. */
+/* Checks a write by a node. Reports a violation if the node does not support the active format and
+ * has had enough time to learn about it. */
 void world_check_write(const World *world, guint node);
 
-/* ---- cloud.c ---- */
+/* Cloud (cloud.c) */
 
-/* Executes a request to the cloud; returns the status. `response` is the caller's. */
+/* Executes a request to the cloud and returns the status. The caller owns `response`. */
 int world_cloud_handle(World *world, const char *method, const char *path, const json_t *body,
                        json_t **response);
+/* Adds a machine whose worker starts after `boot_s` seconds. A few machines never start. */
 WorldMachine *world_add_machine(World *world, const char *type, const char *zone, gboolean spot,
                                 double boot_s);
-/* `n` machines that boot at once, in the first `n_zones` zones in turn; none is a spot machine. */
+/* Adds `n` machines that are not spot machines and start after 0.1 s, distributed evenly over the
+ * first `n_zones` zones. */
 void world_add_machines(World *world, guint n, const char *type, guint n_zones);
-/* Its worker ends and is back shortly, under the same name, with a new incarnation and no tasks. */
+/* Ends the machine's worker and starts it again `down_s` seconds later, with the same machine id, a
+ * new incarnation and no tasks. */
 void world_restart_machine(World *world, WorldMachine *machine, double down_s);
-/* The machine ends for good; the cloud lists it as failed. */
+/* Ends the machine permanently; the cloud lists it as failed. */
 void world_kill_machine(World *world, WorldMachine *machine);
 
-/* ---- worker.c ---- */
+/* Workers (worker.c) */
 
-/* The worker starts; `data` is the WorldMachine. */
+/* Starts the worker; `data` is the WorldMachine. */
 void world_machine_boot(gpointer data);
-/* The machine's status, as the next heartbeat in order. The caller's. */
+/* Returns the machine's status as a heartbeat with the next sequence number. The caller owns it. */
 json_t *world_machine_heartbeat(WorldMachine *machine);
-/* Executes a direct command; returns the status. `response` is the caller's. */
+/* Executes a direct command and returns the status. The caller owns `response`. */
 int world_machine_handle_direct(WorldMachine *machine, const json_t *body, json_t **response);
 WorldMachine *world_find_machine_by_address(World *world, const char *address);
-/* All tasks on the machine end. */
+/* Ends all tasks on the machine. */
 void world_machine_clear_tasks(WorldMachine *machine);
 
-/* ---- users.c ---- */
+/* Users (users.c) */
 
-/* Overrides for world_submit(): any kind, priority, team, image and place. */
+/* Returns overrides for world_submit() with a random kind, priority, team, image, number of tasks
+ * and placement. */
 json_t *world_random_job_body(World *world);
-/* A user submits a job until it is answered, and polls it from then on. Takes `overrides`, fields
- * of the request that replace the defaults. */
+/* Submits a job, repeatedly until a node confirms it, and polls its state from then on. Takes
+ * ownership of `overrides`, fields of the request that replace the defaults. */
 WorldJob *world_submit(World *world, json_t *overrides, double run_s);
-/* Its user requests the cancellation until it is confirmed. */
+/* Requests the cancellation of the job, repeatedly until it is confirmed. */
 void world_cancel(WorldJob *job);
 WorldJob *world_find_job(World *world, const char *id);
 
-/* ---- invariants.c ---- */
+/* Invariants (invariants.c) */
 
-/* A task starts on a machine: no other attempt of it runs, and it is in a place that it may be. */
+/* Checks a task that starts on a machine: no other attempt of it runs, its dependencies are done,
+ * and the machine meets the placement constraints of its job. */
 void world_check_start(World *world, const WorldMachine *machine, const WorldTask *task);
-/* What must hold at any time: limits, cancellations, owners of groups, answers to users. */
+/* Checks what must hold at any time: team limits, cancellations, owners of groups, and responses to
+ * users. */
 void world_check_invariants(World *world);
-/* Fails the test, and says which, when an invariant was broken. */
+/* Fails the test if an invariant was violated, and prints each violation. */
 void world_assert_invariants(const World *world);
-/* Fails the test, and says which, when some job's user was not answered that it is done or
- * cancelled. */
+/* Fails the test if there is a job whose user has not been told that it is done or cancelled, and
+ * prints each such job. */
 void world_assert_all_jobs_finished(const World *world);
-/* How many tasks of the job run, on other machines than `except` (may be NULL). */
+/* Returns the number of running tasks of the job on machines other than `except`, which may be
+ * NULL. */
 guint world_count_running(const World *world, const WorldJob *job, const WorldMachine *except);
 static inline WorldMachine *
 world_machine_at(const World *world, guint index) {
@@ -228,7 +254,7 @@
 world_job_at(const World *world, guint index) {
   return g_ptr_array_index(world->jobs, index);
 }
-/* Whether it has begun and not ended. */
+/* Returns whether the task has started on its machine and not ended. */
 static inline gboolean
 world_task_is_on_machine(const WorldTask *task) {
   return task->state == MM_REPORTED_WAITING_FOR_GANG || task->state == MM_REPORTED_RUNNING
