--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -1,5 +1,5 @@
-/* What nodes send one another must prove what others conclude from it, however links come and go
- * and however late it is read. */
+/* Links between nodes: what a node concludes from its peers' frames must be proved by them, even if
+ * links fail and come back, and however late the frames are read. */
 #include "machines/registry.h"
 #include "peers/peer-links.h"
 #include "node/peer-receiver.h"
@@ -16,7 +16,8 @@
   return world;
 }
 
-/* The node that considers itself to serve the machine. */
+/* Returns the index of the node whose machine table says that the node itself serves the machine.
+ */
 static guint
 find_serving_node(World *world, const char *id) {
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -45,7 +46,7 @@
     world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
 }
 
-/* Records a heartbeat that the node receives now. */
+/* Records a heartbeat as if the node received it now. Takes ownership of the heartbeat. */
 static void
 receive_heartbeat(MmNode *node, MmHeartbeat heartbeat) {
   mm_machine_table_record_heartbeat(node->machine_table, &heartbeat, mm_node_now(node),
@@ -53,10 +54,10 @@
   mm_heartbeat_clear(&heartbeat);
 }
 
-/* Links are refused; a node restarts meanwhile and gets a direct reply of a machine only, which
- * does not make it the serving node. The node that does answer the machine believes that another
- * serves it, and announces its answers all the same when the links are back: else the others would
- * count living machines as lost. */
+/* While links are refused, one node restarts and then receives only a direct reply from a machine,
+ * which does not make it the machine's serving node. The node that does answer the machine believes
+ * that another node serves it. It must nevertheless announce its responses once the links are up
+ * again; otherwise the other nodes would count running machines as lost. */
 static void
 test_answered_machines_are_announced_on_a_new_link(void) {
   World *world = new_world_with_two_machines(3);
@@ -65,9 +66,9 @@
   MmNode *node;
   MmMachine *machine;
   MmHeartbeat heartbeat;
-  MmTime loaded;
+  MmTime last_response_at_load;
 
-  /* Else the machine would be returned. */
+  /* The cloud is down so that the machine is not returned. */
   world->cloud_down_until_us = G_MAXINT64;
   world_refuse_links(world, 12);
   world_kill_node(world, restarted, 0.2);
@@ -75,15 +76,16 @@
   node = world->nodes[restarted].node;
   machine = mm_machine_table_find(node->machine_table, id);
   g_assert_nonnull(machine);
-  loaded = machine->last_possible_response_at;
+  last_response_at_load = machine->last_possible_response_at;
   world_run(world, 8);
-  /* From now on it sends no heartbeats. */
+  /* The machine sends no heartbeats from here on. */
   suspend_workers(world);
   world_run(world, 0.1);
   g_assert_cmpint(find_serving_node(world, id), ==, serving_node);
   receive_heartbeat(node, next_heartbeat(machine, TRUE));
   g_assert_cmpint(machine->serving_node, ==, MM_SERVING_NODE_NONE);
-  /* What an earlier release passes on: the direct reply as a heartbeat to the restarted node. */
+  /* Nodes of an earlier release forward the direct reply as a heartbeat that the restarted node
+   * received. */
   heartbeat = next_heartbeat(machine, FALSE);
   mm_machine_table_record_heartbeat(world->nodes[serving_node].node->machine_table, &heartbeat,
                                     (MmTime){ 1 }, 0);
@@ -91,16 +93,17 @@
   g_assert_cmpint(
       mm_machine_table_find(world->nodes[serving_node].node->machine_table, id)->serving_node, ==,
       0);
-  g_assert_cmpint(machine->last_possible_response_at.us, ==, loaded.us);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, last_response_at_load.us);
   world_run(world, 4);
   g_assert_true(node->peer_links->peers[0].is_up && node->peer_links->peers[1].is_up);
-  g_assert_cmpint(machine->last_possible_response_at.us, >, loaded.us + 6 * G_USEC_PER_SEC);
+  g_assert_cmpint(machine->last_possible_response_at.us, >,
+                  last_response_at_load.us + 6 * G_USEC_PER_SEC);
   world_free(world);
 }
 
-/* A refusal that a pong reports is as old as the ping, and one of our own as old as our request:
- * pongs may be delayed, and both lie unread while a node is suspended. The proof of an outage
- * depends on their age. */
+/* A refusal reported by a pong dates from the ping, and one that the node met itself dates from its
+ * own request, because pongs may be delayed and responses of both kinds stay unread while a node is
+ * suspended. The proof of an outage depends on the age of refusals. */
 static void
 test_refusals_are_as_old_as_their_requests(void) {
   World *world = new_world_with_two_machines(4);
@@ -128,45 +131,46 @@
   world_free(world);
 }
 
-/* An incarnation that shows for the first time counts as answered then, so it lives for a lease,
- * however long ago the machine was answered last: whether shown by a direct reply, or by the
- * registry alone. Else machines of a zone that comes back would count as lost a moment later, and
- * their tasks would run twice. */
+/* An incarnation that is seen for the first time counts as answered at that moment and therefore
+ * lives for one lease, however long ago the machine was last answered. This holds whether a direct
+ * reply or only the registry shows the incarnation. Otherwise machines of a zone that reconnects
+ * would be counted as lost a moment later, and their tasks would run twice. */
 static void
 test_new_incarnation_lives_for_a_lease(void) {
   World *world = new_world_with_two_machines(7);
   const char *id = world_machine_at(world, 0)->id;
-  MmNode *direct = world->nodes[0].node, *registered = world->nodes[1].node;
-  MmMachine *machine = mm_machine_table_find(direct->machine_table, id);
+  MmNode *node_with_reply = world->nodes[0].node, *node_with_registration = world->nodes[1].node;
+  MmMachine *machine = mm_machine_table_find(node_with_reply->machine_table, id);
   MmHeartbeat heartbeat = next_heartbeat(machine, TRUE);
-  MmTime before = machine->last_possible_response_at;
+  MmTime response_before = machine->last_possible_response_at;
   MmRegistryEntry entry;
 
   world->now_us += 2 * (gint64)G_USEC_PER_SEC;
-  mm_machine_table_record_heartbeat(direct->machine_table, &heartbeat, mm_node_now(direct),
-                                    MM_SERVING_NODE_NONE);
-  g_assert_cmpint(machine->last_possible_response_at.us, ==, before.us);
+  mm_machine_table_record_heartbeat(node_with_reply->machine_table, &heartbeat,
+                                    mm_node_now(node_with_reply), MM_SERVING_NODE_NONE);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, response_before.us);
   heartbeat.heartbeat_id.incarnation++;
-  mm_machine_table_record_heartbeat(direct->machine_table, &heartbeat, mm_node_now(direct),
-                                    MM_SERVING_NODE_NONE);
-  g_assert_cmpint(machine->last_possible_response_at.us, ==, mm_node_now(direct).us);
+  mm_machine_table_record_heartbeat(node_with_reply->machine_table, &heartbeat,
+                                    mm_node_now(node_with_reply), MM_SERVING_NODE_NONE);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, mm_node_now(node_with_reply).us);
   mm_heartbeat_clear(&heartbeat);
 
-  machine = mm_machine_table_find(registered->machine_table, id);
-  before = machine->last_possible_response_at;
+  machine = mm_machine_table_find(node_with_registration->machine_table, id);
+  response_before = machine->last_possible_response_at;
   entry = (MmRegistryEntry){ .machine_id = machine->id,
                              .incarnation = machine->latest_message_id.incarnation };
-  mm_machine_table_record_registration(registered->machine_table, &entry);
-  g_assert_cmpint(machine->last_possible_response_at.us, ==, before.us);
+  mm_machine_table_record_registration(node_with_registration->machine_table, &entry);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==, response_before.us);
   entry.incarnation++;
-  mm_machine_table_record_registration(registered->machine_table, &entry);
-  g_assert_cmpint(machine->last_possible_response_at.us, ==, mm_node_now(registered).us);
+  mm_machine_table_record_registration(node_with_registration->machine_table, &entry);
+  g_assert_cmpint(machine->last_possible_response_at.us, ==,
+                  mm_node_now(node_with_registration).us);
   world_free(world);
 }
 
-/* A direct reply is newer than the machine's newest heartbeat, whose answer may still be on its way
- * with a start: when a link comes up, the peer must not take the reply for a heartbeat, or it would
- * count that start as not executed. */
+/* A direct reply can be newer than the machine's latest heartbeat, whose response may still be in
+ * flight with a start. When a link comes up, the peer must not take the direct reply for a
+ * heartbeat; otherwise it would conclude that the start was not executed. */
 static void
 test_direct_reply_stays_one_on_a_new_link(void) {
   World *world = new_world_with_two_machines(8);
@@ -174,7 +178,8 @@
   guint serving_node = find_serving_node(world, id), other = (serving_node + 1) % WORLD_NODES;
   MmNode *node = world->nodes[serving_node].node;
   MmMachine *machine = mm_machine_table_find(node->machine_table, id);
-  const MmMachine *there = mm_machine_table_find(world->nodes[other].node->machine_table, id);
+  const MmMachine *peer_machine
+      = mm_machine_table_find(world->nodes[other].node->machine_table, id);
   MmHeartbeat heartbeat;
 
   suspend_workers(world);
@@ -185,18 +190,19 @@
   for (guint i = 0; i < WORLD_NODES - 1; i++)
     node->platform.reconnect(node->platform.context, i);
   world_run(world, 1.5);
-  g_assert_cmpuint(there->latest_message_id.sequence, ==, heartbeat.heartbeat_id.sequence);
-  g_assert_true(mm_heartbeat_id_is_newer(heartbeat.heartbeat_id, there->latest_heartbeat_id));
-  g_assert_cmpint(
-      mm_time_ms_since(mm_node_now(world->nodes[other].node), there->last_possible_response_at), <,
-      2500);
+  g_assert_cmpuint(peer_machine->latest_message_id.sequence, ==, heartbeat.heartbeat_id.sequence);
+  g_assert_true(
+      mm_heartbeat_id_is_newer(heartbeat.heartbeat_id, peer_machine->latest_heartbeat_id));
+  g_assert_cmpint(mm_time_ms_since(mm_node_now(world->nodes[other].node),
+                                   peer_machine->last_possible_response_at),
+                  <, 2500);
   mm_heartbeat_clear(&heartbeat);
   world_free(world);
 }
 
-/* A node's machine loses its power, so that its peers see no link closed, and is back much later.
- * The peers open their links anew: else those that look open lead nowhere for minutes, and the
- * shards that the node acquires wait for machines of which nobody tells it. */
+/* A node's machine loses power, so its peers see no link closed, and the node returns much later.
+ * The peers must reconnect; otherwise links that look open deliver nothing for minutes, and the
+ * shards that the node acquires wait for machines that no peer announces to it. */
 static void
 test_half_open_links_are_opened_anew(void) {
   World *world = new_world_with_two_machines(5);
@@ -216,15 +222,15 @@
   world_free(world);
 }
 
-/* A suspended peer is sent nothing but hello on the links that are opened meanwhile, and all it
- * must know once it resumes, before any pong. */
+/* On links opened while a peer is suspended, the peer is sent only a hello and pings. When it
+ * resumes, it is sent all the state that it needs before any pong. */
 static void
 test_suspended_peer_is_updated_when_it_resumes(void) {
   World *world = new_world_with_two_machines(6);
   const char *id = world_machine_at(world, 0)->id;
   guint serving_node = find_serving_node(world, id), suspended = (serving_node + 1) % WORLD_NODES;
   const MmPeer *peer = NULL;
-  guint64 frames;
+  guint64 frames_before;
 
   for (guint i = 0; i < WORLD_NODES - 1; i++)
     if (mm_name_equal(&world->nodes[serving_node].node->peer_links->peers[i].label,
@@ -234,9 +240,10 @@
   world_run(world, 12);
   g_assert_cmpuint(world->n_reconnects, >=, 2);
   g_assert_true(peer->is_connected && !peer->is_up);
-  frames = world->nodes[serving_node].node->peer_links->n_frames_sent;
+  frames_before = world->nodes[serving_node].node->peer_links->n_frames_sent;
   world_run(world, 1);
-  g_assert_cmpuint(world->nodes[serving_node].node->peer_links->n_frames_sent - frames, <, 40);
+  g_assert_cmpuint(world->nodes[serving_node].node->peer_links->n_frames_sent - frames_before, <,
+                   40);
   world_run(world, 9);
   g_assert_true(peer->is_up);
   g_assert_cmpint(
--- a/tests/test-pipelines-days.c
+++ b/tests/test-pipelines-days.c
@@ -1,14 +1,15 @@
-/* Random days of pipelines under faults, and nodes that are faulty on purpose. */
+/* Random days of pipelines, and checks that deliberately faulty nodes violate the invariants. A
+ * random day is a run of the simulated world whose workload and faults are drawn from a seed. */
 #include "test-pipelines.h"
 
 #include "base/wire.h"
 
 #define DAYS 6
 
-/* An accepted job that is no service, for a new job to depend on; NULL if twenty draws find none.
- */
+/* Returns an accepted job other than a service, for a new job to depend on; NULL if twenty draws
+ * find none. */
 static WorldJob *
-any_dependency(World *world) {
+random_dependency(World *world) {
   for (guint tries = 0; tries < 20; tries++) {
     WorldJob *job = world_any_job(world);
     if (job->was_accepted && job->spec.kind != MM_JOB_KIND_SERVICE)
@@ -28,16 +29,16 @@
   if (is_gang)
     json_object_set_new(body, WIRE_KIND, json_string(WIRE_KIND_GANG));
   for (guint i = 0; i < n; i++) {
-    WorldJob *dependency = any_dependency(world);
+    WorldJob *dependency = random_dependency(world);
     if (dependency != NULL)
       dependencies[n_found++] = dependency;
   }
   world_submit_dependent(world, body, world_uniform(world, 1, 10), dependencies, n_found);
 }
 
-/* A job every other second, three of four with dependencies; some are cancelled. */
+/* Submits a job every two seconds, three of four with dependencies, and cancels some. */
 static void
-play_day(World *world, gboolean with_faults, guint seconds, gboolean stop_when_broken) {
+run_day(World *world, gboolean with_faults, guint seconds, gboolean stop_at_violation) {
   for (guint second = 0; second < seconds; second++) {
     if (second % 2 == 0)
       submit_random_dependent(world);
@@ -46,7 +47,7 @@
     if (with_faults && second > 8 && world_uniform(world, 0, 1) < 0.12)
       world_inject_random_fault(world);
     world_run(world, 1);
-    if (stop_when_broken && world->violations->len > 0)
+    if (stop_at_violation && world->violations->len > 0)
       return;
   }
 }
@@ -57,7 +58,7 @@
   guint n_dependents = 0;
 
   world->duplicate_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
-  play_day(world, TRUE, 100, FALSE);
+  run_day(world, TRUE, 100, FALSE);
   world->faults_ended_at_us = world->now_us + 45 * SECOND;
   world_run(world, 260);
   world_assert_invariants(world);
@@ -75,7 +76,7 @@
 add_random_days(void) {
   guint days = DAYS;
 
-  /* More days than CI plays: MM_PIPELINE_DAYS=100 tests/test-pipelines */
+  /* To run more days than CI does: MM_PIPELINE_DAYS=100 tests/test-pipelines */
   if (g_getenv("MM_PIPELINE_DAYS") != NULL)
     days = (guint)g_ascii_strtoull(g_getenv("MM_PIPELINE_DAYS"), NULL, 10);
   for (guint seed = 1; seed <= days; seed++) {
@@ -84,35 +85,36 @@
   }
 }
 
-/* ---- faulty nodes ---- */
+/* Faulty nodes. */
 
-/* Whether nodes with this fault break the invariant on some of four days. */
+/* Returns whether nodes with these faults violate the invariant on at least one of four days. */
 static gboolean
-breaks_invariant(const char *invariant, gboolean ignore_dependencies, gboolean ignore_ancestors) {
-  gboolean is_broken = FALSE;
+violates_invariant(const char *invariant, gboolean ignore_dependencies, gboolean ignore_ancestors) {
+  gboolean is_violated = FALSE;
 
-  for (guint32 seed = 1; seed <= 4 && !is_broken; seed++) {
+  for (guint32 seed = 1; seed <= 4 && !is_violated; seed++) {
     World *world = new_pipeline_world(seed);
     world->ignore_dependencies = ignore_dependencies;
     world->ignore_ancestors = ignore_ancestors;
-    play_day(world, FALSE, 60, TRUE);
+    run_day(world, FALSE, 60, TRUE);
     if (ignore_ancestors)
       world_run(world, 60);
     for (guint i = 0; i < world->violations->len; i++)
-      is_broken = is_broken || g_str_has_prefix(g_ptr_array_index(world->violations, i), invariant);
+      is_violated
+          = is_violated || g_str_has_prefix(g_ptr_array_index(world->violations, i), invariant);
     world_free(world);
   }
-  return is_broken;
+  return is_violated;
 }
 
 void
 test_ignored_dependencies_are_found(void) {
-  g_assert_false(breaks_invariant("too_early", FALSE, FALSE));
-  g_assert_true(breaks_invariant("too_early", TRUE, FALSE));
+  g_assert_false(violates_invariant("too_early", FALSE, FALSE));
+  g_assert_true(violates_invariant("too_early", TRUE, FALSE));
 }
 
 void
 test_uncancelled_dependents_are_found(void) {
-  g_assert_false(breaks_invariant("orphaned", FALSE, FALSE));
-  g_assert_true(breaks_invariant("orphaned", FALSE, TRUE));
+  g_assert_false(violates_invariant("orphaned", FALSE, FALSE));
+  g_assert_true(violates_invariant("orphaned", FALSE, TRUE));
 }
--- a/tests/test-pipelines-faults.c
+++ b/tests/test-pipelines-faults.c
@@ -4,18 +4,19 @@
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 
-/* The leader of a dependency ends between the write of `done` and the messages to its peers: the
- * dependents, which another node leads, start by what the key-value store has. */
+/* The shard leader of a dependency is killed between its write of the done state and the messages
+ * to its peers. The dependents, which another node leads, must start on the strength of the
+ * key-value store's contents alone. */
 void
 test_leader_ends_after_done_is_written(void) {
   for (guint32 seed = 1; seed <= 3; seed++) {
     World *world = new_pipeline_world(seed);
-    WorldJob *start = submit_first(world, 0, 1, 6), *end;
+    WorldJob *start = submit_array(world, 0, 1, 6), *end;
     MmTerminalState state;
     guint leader = G_MAXUINT;
 
     run_until_accepted(world, start);
-    end = submit_after(world, 1, 1, 2, start);
+    end = submit_dependent_array(world, 1, 1, 2, start);
     run_until_accepted(world, end);
     for (guint i = 0; i < 4000 && leader == G_MAXUINT; i++) {
       world_run(world, 0.005);
@@ -25,33 +26,33 @@
     }
     g_assert_cmpuint(leader, <, WORLD_NODES);
     world_kill_node(world, leader, 5);
-    run_until_seen(world, end, USER_SEES_DONE, 60);
-    finish_world(world);
+    run_until_user_sees(world, end, USER_SEES_DONE, 60);
+    check_and_free_world(world);
   }
 }
 
-/* A cancellation is confirmed, then the key-value store is down for all, and all nodes restart
- * meanwhile. */
+/* A cancellation is confirmed, then the key-value store is down for all nodes, and all nodes
+ * restart during the outage. */
 void
 test_cancellation_survives_outage_and_restart(void) {
   World *world = new_pipeline_world(6);
-  WorldJob *start = submit_first(world, 0, 2, 60), *middle, *end;
+  WorldJob *start = submit_array(world, 0, 2, 60), *middle, *end;
 
   run_until_accepted(world, start);
-  middle = submit_after(world, 1, 2, 3, start);
+  middle = submit_dependent_array(world, 1, 2, 3, start);
   run_until_accepted(world, middle);
-  end = submit_after(world, 2, 2, 3, middle);
+  end = submit_dependent_array(world, 2, 2, 3, middle);
   run_until_accepted(world, end);
   world_cancel(start);
-  run_until_seen(world, start, USER_SEES_CANCELLED, 20);
+  run_until_user_sees(world, start, USER_SEES_CANCELLED, 20);
   world_kv_outage(world, 12);
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 1);
   world_run(world, 14);
-  run_until_seen(world, end, USER_SEES_CANCELLED, 15);
-  run_until_seen(world, middle, USER_SEES_CANCELLED, 15);
+  run_until_user_sees(world, end, USER_SEES_CANCELLED, 15);
+  run_until_user_sees(world, middle, USER_SEES_CANCELLED, 15);
   g_assert_cmpuint(middle->n_starts + end->n_starts, ==, 0);
-  finish_world(world);
+  check_and_free_world(world);
 }
 
 /* A dependent is submitted to another node at the moment of the cancellation. */
@@ -59,79 +60,83 @@
 test_dependent_is_submitted_during_cancellation(void) {
   for (guint32 seed = 1; seed <= 6; seed++) {
     World *world = new_pipeline_world(seed);
-    WorldJob *start = submit_first(world, 0, 2, 60), *end;
+    WorldJob *start = submit_array(world, 0, 2, 60), *end;
 
     run_until_accepted(world, start);
     world_run(world, 3);
     world_cancel(start);
     world_run(world, seed * 0.004);
-    end = submit_after(world, 1, 2, 3, start);
+    end = submit_dependent_array(world, 1, 2, 3, start);
     run_until_accepted(world, end);
-    run_until_seen(world, end, USER_SEES_CANCELLED, 25);
+    run_until_user_sees(world, end, USER_SEES_CANCELLED, 25);
     g_assert_cmpuint(end->n_starts, ==, 0);
-    finish_world(world);
+    check_and_free_world(world);
   }
 }
 
-/* A job names one that was cancelled long ago, or that was done long ago: accepted both times. */
+/* A new job depends on a job that was cancelled long ago, or on one that was done long ago; it is
+ * accepted in both cases. */
 void
 test_finished_dependencies_are_looked_up(void) {
   World *world = new_pipeline_world(7);
-  WorldJob *done = submit_first(world, 0, 1, 2), *cancelled = submit_first(world, 0, 1, 60),
+  WorldJob *done = submit_array(world, 0, 1, 2), *cancelled = submit_array(world, 0, 1, 60),
            *after_done, *after_cancelled;
 
   run_until_accepted(world, cancelled);
   world_cancel(cancelled);
-  run_until_seen(world, done, USER_SEES_DONE, 30);
-  run_until_seen(world, cancelled, USER_SEES_CANCELLED, 30);
+  run_until_user_sees(world, done, USER_SEES_DONE, 30);
+  run_until_user_sees(world, cancelled, USER_SEES_CANCELLED, 30);
   world_run(world, 10);
-  /* The new processes have seen neither job end. */
+  /* The restarted processes have not seen either job end. */
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.2 + 0.2 * i);
   world_run(world, 6);
-  after_done = submit_after(world, 1, 1, 2, done);
-  after_cancelled = submit_after(world, 2, 1, 2, cancelled);
-  /* Never answered as queued: the cancellation was confirmed to the user long ago (day 124). */
+  after_done = submit_dependent_array(world, 1, 1, 2, done);
+  after_cancelled = submit_dependent_array(world, 2, 1, 2, cancelled);
+  /* The job must never be reported as queued, because the user was told of the cancellation long
+   * before (failure found on random day 124). */
   run_until_accepted(world, after_cancelled);
   g_assert_cmpint(after_cancelled->user_view, ==, USER_SEES_CANCELLED);
-  run_until_seen(world, after_done, USER_SEES_DONE, 30);
-  run_until_seen(world, after_cancelled, USER_SEES_CANCELLED, 30);
-  finish_world(world);
+  run_until_user_sees(world, after_done, USER_SEES_DONE, 30);
+  run_until_user_sees(world, after_cancelled, USER_SEES_CANCELLED, 30);
+  check_and_free_world(world);
 }
 
-/* A node's replica stays behind while one dependency is done and another is cancelled: the node
- * neither starts what waits for them too early nor keeps it waiting, nor refuses new dependents,
- * nor answers that a job is queued which another node has answered as cancelled. */
+/* A node's replica is stale while one dependency is done and another is cancelled. The node must
+ * neither start the dependents too early nor hold them back, must accept new dependents, and must
+ * not report a job as queued that another node has reported as cancelled. */
 void
 test_stale_replica_decides_nothing(void) {
   for (guint32 seed = 1; seed <= 6; seed++) {
     World *world = new_pipeline_world(seed);
-    WorldJob *done = submit_first(world, 0, 1, 4), *cancelled = submit_first(world, 1, 1, 90);
-    WorldJob *after[2], *late[2];
+    WorldJob *done = submit_array(world, 0, 1, 4), *cancelled = submit_array(world, 1, 1, 90);
+    WorldJob *dependents[2], *late_dependents[2];
 
     run_until_accepted(world, done);
     run_until_accepted(world, cancelled);
-    after[0] = submit_after(world, 2, 1, 2, done);
-    after[1] = submit_after(world, 3, 1, 2, cancelled);
-    run_until_accepted(world, after[0]);
-    run_until_accepted(world, after[1]);
+    dependents[0] = submit_dependent_array(world, 2, 1, 2, done);
+    dependents[1] = submit_dependent_array(world, 3, 1, 2, cancelled);
+    run_until_accepted(world, dependents[0]);
+    run_until_accepted(world, dependents[1]);
     world->nodes[1].watches_lost_until_us = world->now_us + 30 * SECOND;
     world_cancel(cancelled);
-    /* How soon depends on which nodes its user happens to poll. */
-    run_until_seen(world, done, USER_SEES_DONE, 25);
+    /* The time to this state depends on which nodes the user polls. */
+    run_until_user_sees(world, done, USER_SEES_DONE, 25);
     world->nodes[1].watches_lost_until_us = world->now_us + 2 * SECOND;
     g_assert_nonnull(mm_job_table_find(world->nodes[1].node->job_table, done->id));
-    late[0] = submit_after(world, 2, 1, 2, done);
-    late[1] = submit_after(world, 3, 1, 2, cancelled);
+    late_dependents[0] = submit_dependent_array(world, 2, 1, 2, done);
+    late_dependents[1] = submit_dependent_array(world, 3, 1, 2, cancelled);
     for (guint i = 0; i < 2; i++) {
-      run_until_seen(world, after[i], i == 0 ? USER_SEES_DONE : USER_SEES_CANCELLED, 60);
-      run_until_seen(world, late[i], i == 0 ? USER_SEES_DONE : USER_SEES_CANCELLED, 60);
+      run_until_user_sees(world, dependents[i], i == 0 ? USER_SEES_DONE : USER_SEES_CANCELLED, 60);
+      run_until_user_sees(world, late_dependents[i], i == 0 ? USER_SEES_DONE : USER_SEES_CANCELLED,
+                          60);
     }
-    finish_world(world);
+    check_and_free_world(world);
   }
 }
 
-/* A cancellation comes as the last task ends: whichever is written first decides for all. */
+/* A cancellation arrives as the last task ends: whichever is written first decides the outcome for
+ * the job and its dependent. */
 void
 test_cancellation_races_the_last_task(void) {
   guint n_done = 0, n_cancelled = 0;
@@ -141,9 +146,9 @@
     WorldJob *start, *end;
 
     world->cancel_at_end_rate = 1;
-    start = submit_first(world, 0, 1, 3);
+    start = submit_array(world, 0, 1, 3);
     run_until_accepted(world, start);
-    end = submit_after(world, 1, 1, 2, start);
+    end = submit_dependent_array(world, 1, 1, 2, start);
     run_until_accepted(world, end);
     world_run(world, 8);
     world->cancel_at_end_rate = 0;
@@ -152,19 +157,19 @@
     g_assert_cmpint(end->user_view, ==, start->user_view);
     n_done += start->user_view == USER_SEES_DONE;
     n_cancelled += start->user_view == USER_SEES_CANCELLED;
-    finish_world(world);
+    check_and_free_world(world);
   }
   g_test_message("%u done, %u cancelled", n_done, n_cancelled);
   g_assert_cmpuint(n_done + n_cancelled, ==, 8);
 }
 
-/* All nodes restart in the middle of a pipeline; a gang loses a member while its dependent waits.
- */
+/* All nodes restart in the middle of a pipeline, and a gang loses a member while its dependent
+ * waits. */
 void
 test_pipeline_survives_restarts(void) {
   for (guint32 seed = 1; seed <= 2; seed++) {
     World *world = new_pipeline_world(seed);
-    WorldJob *start = submit_first(world, 0, 4, 3), *gang, *end;
+    WorldJob *start = submit_array(world, 0, 4, 3), *gang, *end;
 
     run_until_accepted(world, start);
     gang = world_submit_dependent(
@@ -172,7 +177,7 @@
         json_pack("{s:s, s:i, s:s}", WIRE_KIND, WIRE_KIND_GANG, WIRE_TASKS, 3, WIRE_TEAM, "team-1"),
         8, &start, 1);
     run_until_accepted(world, gang);
-    end = submit_after(world, 2, 2, 2, gang);
+    end = submit_dependent_array(world, 2, 2, 2, gang);
     run_until_accepted(world, end);
     for (guint i = 0; i < 200 && gang->first_start_at_us == 0; i++)
       world_run(world, 0.2);
@@ -187,7 +192,7 @@
     }
     for (guint i = 0; i < WORLD_NODES; i++)
       world_kill_node(world, i, 0.3 + 0.3 * i);
-    run_until_seen(world, end, USER_SEES_DONE, 120);
-    finish_world(world);
+    run_until_user_sees(world, end, USER_SEES_DONE, 120);
+    check_and_free_world(world);
   }
 }
--- a/tests/test-pipelines-fixtures.c
+++ b/tests/test-pipelines-fixtures.c
@@ -1,4 +1,4 @@
-/* Fixtures of the tests of jobs with dependencies in the simulated world. */
+/* Fixtures for the tests of jobs with dependencies (pipelines) in the simulated world. */
 #include "test-pipelines.h"
 
 #include "base/wire.h"
@@ -28,12 +28,12 @@
 }
 
 WorldJob *
-submit_first(World *world, guint team, guint tasks, double run_s) {
+submit_array(World *world, guint team, guint tasks, double run_s) {
   return world_submit(world, team_job_body(team, tasks), run_s);
 }
 
 WorldJob *
-submit_after(World *world, guint team, guint tasks, double run_s, WorldJob *dependency) {
+submit_dependent_array(World *world, guint team, guint tasks, double run_s, WorldJob *dependency) {
   return world_submit_dependent(world, team_job_body(team, tasks), run_s, &dependency, 1);
 }
 
@@ -45,14 +45,14 @@
 }
 
 void
-run_until_seen(World *world, const WorldJob *job, WorldUserView view, double most_s) {
-  for (double s = 0; s < most_s && job->user_view != view; s += 0.2)
+run_until_user_sees(World *world, const WorldJob *job, WorldUserView view, double timeout_s) {
+  for (double s = 0; s < timeout_s && job->user_view != view; s += 0.2)
     world_run(world, 0.2);
   g_assert_cmpint(job->user_view, ==, view);
 }
 
 void
-finish_world(World *world) {
+check_and_free_world(World *world) {
   world_assert_invariants(world);
   world_free(world);
 }
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -1,51 +1,52 @@
-/* Jobs that depend on others, in the simulated world: the ordinary path, faults at the moments at
- * which a dependency could be misjudged, and whole days.
- */
+/* Jobs with dependencies (pipelines) in the simulated world: the normal path, faults at the moments
+ * at which a node could misjudge a dependency, and random days. */
 #include "test-pipelines.h"
 
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 
-/* A diamond across teams: each stage begins shortly after the last of its dependencies. */
+/* A diamond of dependencies across teams: each stage starts within 5 s after the last of its
+ * dependencies is done. */
 static void
 test_diamond_runs_in_order(void) {
   World *world = new_pipeline_world(1);
-  WorldJob *start = submit_first(world, 0, 3, 4), *arms[2], *end;
+  WorldJob *start = submit_array(world, 0, 3, 4), *branches[2], *end;
 
   run_until_accepted(world, start);
-  arms[0] = submit_after(world, 1, 2, 3, start);
-  arms[1] = submit_after(world, 2, 2, 9, start);
-  run_until_accepted(world, arms[0]);
-  run_until_accepted(world, arms[1]);
-  end = world_submit_dependent(world, team_job_body(3, 2), 2, arms, 2);
-  run_until_seen(world, end, USER_SEES_DONE, 60);
-  g_assert_cmpint(arms[0]->first_start_at_us, <, arms[0]->ready_at_us + 5 * SECOND);
+  branches[0] = submit_dependent_array(world, 1, 2, 3, start);
+  branches[1] = submit_dependent_array(world, 2, 2, 9, start);
+  run_until_accepted(world, branches[0]);
+  run_until_accepted(world, branches[1]);
+  end = world_submit_dependent(world, team_job_body(3, 2), 2, branches, 2);
+  run_until_user_sees(world, end, USER_SEES_DONE, 60);
+  g_assert_cmpint(branches[0]->first_start_at_us, <, branches[0]->ready_at_us + 5 * SECOND);
   g_assert_cmpint(end->first_start_at_us, <, end->ready_at_us + 5 * SECOND);
-  finish_world(world);
+  check_and_free_world(world);
 }
 
-/* The named dependencies are checked: job ids of accepted jobs, no services, not the job itself. */
+/* Dependencies are validated at submission: they must be ids of accepted jobs that are neither
+ * services nor the submitted job itself. */
 static void
 test_named_dependencies_are_checked(void) {
   World *world = new_pipeline_world(2);
-  WorldJob *good = submit_first(world, 0, 1, 2);
+  WorldJob *good = submit_array(world, 0, 1, 2);
   WorldJob *service = world_submit(
       world, json_pack("{s:s, s:i}", WIRE_KIND, WIRE_KIND_SERVICE, WIRE_TASKS, 1), 0);
   const struct {
-    json_t *needs;
+    json_t *dependencies;
     int status;
   } cases[] = {
     { json_pack("[s]", "run-404404"), 422 },
     { json_pack("[s, s]", good->id, "run-404404"), 422 },
     { json_pack("[s]", "nobody"), 422 },
-    { json_pack("[s]", "run-900001"), 422 }, /* itself */
+    { json_pack("[s]", "run-900001"), 422 }, /* the submitted job itself */
     { json_pack("[s]", service->id), 422 },
     { json_pack("[s]", ""), 400 },
     { json_pack("[i]", 4), 400 },
     { json_string(good->id), 400 },
     { json_object(), 400 },
     { json_null(), 201 },
-    { json_array(), 200 }, /* a repetition from here on */
+    { json_array(), 200 }, /* from here on, the job is already accepted */
     { json_pack("[s, s]", good->id, good->id), 200 },
     { json_pack("[s]", "run-404404"), 200 },
   };
@@ -56,27 +57,27 @@
     json_t *body = json_deep_copy(good->body);
     int status = -1;
     json_object_set_new(body, WIRE_JOB_ID, json_string("run-900001"));
-    json_object_set_new(body, WIRE_DEPENDENCIES, cases[i].needs);
+    json_object_set_new(body, WIRE_DEPENDENCIES, cases[i].dependencies);
     world_send_request(world, i % WORLD_NODES, NULL, "POST", WIRE_JOBS_PATH, body, 4 * SECOND,
                        world_record_status, &status);
     world_run(world, 3);
     g_assert_cmpint(status, ==, cases[i].status);
   }
-  finish_world(world);
+  check_and_free_world(world);
 }
 
-/* A job that waits for a dependency is no backlog and uses nothing of its team's limit and quota.
- */
+/* A job that waits for a dependency does not count as backlog and uses none of its team's limit and
+ * quota. */
 static void
 test_waiting_job_uses_no_quota(void) {
   World *world = new_pipeline_world(3);
-  WorldJob *slow = submit_first(world, 0, 1, 40), *wide, *other;
+  WorldJob *slow = submit_array(world, 0, 1, 40), *wide, *other;
 
   run_until_accepted(world, slow);
-  wide = submit_after(world, 0, 12, 2, slow); /* the whole limit of the team */
+  wide = submit_dependent_array(world, 0, 12, 2, slow); /* uses the team's whole limit */
   run_until_accepted(world, wide);
-  other = submit_first(world, 0, 10, 3);
-  run_until_seen(world, other, USER_SEES_DONE, 25);
+  other = submit_array(world, 0, 10, 3);
+  run_until_user_sees(world, other, USER_SEES_DONE, 25);
   g_assert_cmpint(wide->user_view, ==, USER_SEES_ACCEPTED);
   g_assert_cmpuint(wide->n_starts, ==, 0);
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -85,12 +86,12 @@
     g_assert_false(job->is_within_quota);
     g_assert_false(job->is_starving);
   }
-  run_until_seen(world, wide, USER_SEES_DONE, 60);
-  finish_world(world);
+  run_until_user_sees(world, wide, USER_SEES_DONE, 60);
+  check_and_free_world(world);
 }
 
 static WorldJob *
-critical_after(World *world, WorldJob *dependency, double deadline_s) {
+submit_critical_dependent(World *world, WorldJob *dependency, double deadline_s) {
   WorldJob *job
       = world_submit_dependent(world,
                                json_pack("{s:s, s:s, s:f}", WIRE_TEAM, "team-2", WIRE_PRIORITY,
@@ -103,73 +104,77 @@
 }
 
 static void
-assert_priority(const World *world, const WorldJob *job, MmPriority inherited, MmPriority now) {
+assert_priority(const World *world, const WorldJob *job, MmPriority inherited,
+                MmPriority effective) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmJob *seen = mm_job_table_find(world->nodes[i].node->job_table, job->id);
     g_assert_cmpint(seen->spec.priority, ==, MM_PRIORITY_LOW);
     g_assert_cmpint(seen->inherited_priority, ==, inherited);
-    g_assert_cmpint(seen->effective_priority, ==, now);
+    g_assert_cmpint(seen->effective_priority, ==, effective);
   }
 }
 
-/* A job inherits the deadline and the priority of its dependents, direct or not: in the order of
- * ordinary work while there is time, in full when the deadline is near. It loses both with them. */
+/* A job inherits the deadline and the priority of its direct and indirect dependents. The inherited
+ * priority counts as normal at most while the deadline is distant, and in full when it is near. The
+ * job loses both when these dependents are cancelled. */
 static void
 test_dependency_inherits_urgency(void) {
   World *world = new_pipeline_world(4);
   WorldJob *start
       = world_submit(world, json_pack("{s:s, s:i}", WIRE_PRIORITY, "low", WIRE_TASKS, 1), 80);
-  WorldJob *middle, *relaxed, *hurried;
+  WorldJob *middle, *with_distant_deadline, *with_near_deadline;
 
   run_until_accepted(world, start);
-  middle = submit_after(world, 1, 1, 3, start);
+  middle = submit_dependent_array(world, 1, 1, 3, start);
   run_until_accepted(world, middle);
   world_run(world, 2);
   assert_priority(world, start, MM_PRIORITY_NORMAL, MM_PRIORITY_NORMAL);
-  relaxed = critical_after(world, middle, 300);
+  with_distant_deadline = submit_critical_dependent(world, middle, 300);
   assert_priority(world, start, MM_PRIORITY_CRITICAL, MM_PRIORITY_NORMAL);
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmJobTable *job_table = world->nodes[i].node->job_table;
     const MmJob *first = mm_job_table_find(job_table, start->id),
                 *second = mm_job_table_find(job_table, middle->id);
     g_assert_cmpint(first->due_at_ms, <, second->due_at_ms);
-    g_assert_cmpint(second->due_at_ms, <, mm_job_table_find(job_table, relaxed->id)->due_at_ms);
+    g_assert_cmpint(second->due_at_ms, <,
+                    mm_job_table_find(job_table, with_distant_deadline->id)->due_at_ms);
   }
-  hurried = critical_after(world, middle, 100);
+  with_near_deadline = submit_critical_dependent(world, middle, 100);
   assert_priority(world, start, MM_PRIORITY_CRITICAL, MM_PRIORITY_CRITICAL);
-  world_cancel(hurried);
-  run_until_seen(world, hurried, USER_SEES_CANCELLED, 20);
+  world_cancel(with_near_deadline);
+  run_until_user_sees(world, with_near_deadline, USER_SEES_CANCELLED, 20);
   world_run(world, 4);
   assert_priority(world, start, MM_PRIORITY_CRITICAL, MM_PRIORITY_NORMAL);
-  world_cancel(relaxed);
-  run_until_seen(world, relaxed, USER_SEES_CANCELLED, 20);
+  world_cancel(with_distant_deadline);
+  run_until_user_sees(world, with_distant_deadline, USER_SEES_CANCELLED, 20);
   world_run(world, 4);
   assert_priority(world, start, MM_PRIORITY_NORMAL, MM_PRIORITY_NORMAL);
-  finish_world(world);
+  check_and_free_world(world);
 }
 
-/* Hundreds of dependents of one job are cancelled with it, across teams, and all users are answered
- * so in time though the writes of the records are spread. */
+/* 150 direct and indirect dependents of one job, across teams, are cancelled with it. All users get
+ * the cancelled state within the cancellation time even though the writes of the job records are
+ * spread over time. */
 static void
 test_cancellation_reaches_many_dependents(void) {
   World *world = new_pipeline_world(5);
-  WorldJob *start = submit_first(world, 0, 1, 300), *after[150];
+  WorldJob *start = submit_array(world, 0, 1, 300), *dependents[150];
 
   run_until_accepted(world, start);
-  for (guint i = 0; i < G_N_ELEMENTS(after); i++)
-    after[i] = submit_after(world, i % 4, 1, 3, i < 75 ? start : after[i - 75]);
+  for (guint i = 0; i < G_N_ELEMENTS(dependents); i++)
+    dependents[i] = submit_dependent_array(world, i % 4, 1, 3, i < 75 ? start : dependents[i - 75]);
   world_run(world, 15);
   world_lower_limits(world);
   world->value_bytes = 4096;
   world->txn_ops = 12;
   world_cancel(start);
-  run_until_seen(world, start, USER_SEES_CANCELLED, 20);
+  run_until_user_sees(world, start, USER_SEES_CANCELLED, 20);
   world_run(world, world->cancel_s);
-  for (guint i = 0; i < G_N_ELEMENTS(after); i++) {
-    g_assert_cmpint(after[i]->user_view, ==, USER_SEES_CANCELLED);
-    g_assert_cmpuint(after[i]->n_starts, ==, 0);
+  for (guint i = 0; i < G_N_ELEMENTS(dependents); i++) {
+    g_assert_cmpint(dependents[i]->user_view, ==, USER_SEES_CANCELLED);
+    g_assert_cmpuint(dependents[i]->n_starts, ==, 0);
   }
-  finish_world(world);
+  check_and_free_world(world);
 }
 
 int
--- a/tests/test-pipelines.h
+++ b/tests/test-pipelines.h
@@ -1,25 +1,29 @@
-/* Fixtures of the tests of jobs with dependencies in the simulated world. */
+/* Fixtures for the tests of jobs with dependencies (pipelines) in the simulated world. */
 #pragma once
 
 #include "world/world.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 
-/* Nine small machines on which no task fails; the nodes are up. */
+/* Returns a started world with nine small machines on which no task fails; all nodes are up. Free
+ * with world_free() or check_and_free_world(). */
 World *new_pipeline_world(guint32 seed);
-/* Overrides for world_submit(): an array of that team. */
+/* Returns overrides for world_submit() that describe an array of the team `team-N`. Owned by the
+ * caller. */
 json_t *team_job_body(guint team, guint tasks);
-WorldJob *submit_first(World *world, guint team, guint tasks, double run_s);
+WorldJob *submit_array(World *world, guint team, guint tasks, double run_s);
 /* Submits an array that depends on one job. */
-WorldJob *submit_after(World *world, guint team, guint tasks, double run_s, WorldJob *dependency);
-/* Fails the test if the job is not accepted within 30 s. */
+WorldJob *submit_dependent_array(World *world, guint team, guint tasks, double run_s,
+                                 WorldJob *dependency);
+/* Runs the world until the job is accepted; fails the test if that takes more than 30 s. */
 void run_until_accepted(World *world, const WorldJob *job);
-/* Fails the test if the user is not answered so within `most_s`. */
-void run_until_seen(World *world, const WorldJob *job, WorldUserView view, double most_s);
+/* Runs the world until the user's latest answer is `view`; fails the test if that takes more than
+ * `timeout_s`. */
+void run_until_user_sees(World *world, const WorldJob *job, WorldUserView view, double timeout_s);
 /* Checks the invariants and frees the world. */
-void finish_world(World *world);
+void check_and_free_world(World *world);
 
-/* ---- test-pipelines-faults.c ---- */
+/* Defined in test-pipelines-faults.c. */
 
 void test_leader_ends_after_done_is_written(void);
 void test_cancellation_survives_outage_and_restart(void);
@@ -29,9 +33,9 @@
 void test_cancellation_races_the_last_task(void);
 void test_pipeline_survives_restarts(void);
 
-/* ---- test-pipelines-days.c ---- */
+/* Defined in test-pipelines-days.c. */
 
-/* Adds random days: six, or MM_PIPELINE_DAYS. */
+/* Adds the random days: six, or the number in the environment variable MM_PIPELINE_DAYS. */
 void add_random_days(void);
 void test_ignored_dependencies_are_found(void);
 void test_uncancelled_dependents_are_found(void);
--- a/tests/test-scheduler-fixture.c
+++ b/tests/test-scheduler-fixture.c
@@ -1,4 +1,4 @@
-/* Fixture of the tests of the shard leader. */
+/* Fixture for the tests of the shard leader. */
 #include "test-scheduler.h"
 
 #include "base/wire.h"
@@ -18,12 +18,12 @@
   world_run(f.world, 0.5);
   for (guint i = 0; i < WORLD_NODES; i++) {
     MmNode *node = f.world->nodes[i].node;
-    MmJob *known = mm_job_table_find(node->job_table, job->id);
-    g_assert_nonnull(known);
-    if (mm_scheduler_shard_of_job(node->scheduler, known) == NULL)
+    MmJob *job_on_node = mm_job_table_find(node->job_table, job->id);
+    g_assert_nonnull(job_on_node);
+    if (mm_scheduler_shard_of_job(node->scheduler, job_on_node) == NULL)
       continue;
     f.scheduler = node->scheduler;
-    f.job = known;
+    f.job = job_on_node;
     f.machines[0] = mm_machine_table_find(node->machine_table, "m-000001");
     f.machines[1] = mm_machine_table_find(node->machine_table, "m-000002");
   }
--- a/tests/test-scheduler-heartbeats.c
+++ b/tests/test-scheduler-heartbeats.c
@@ -1,4 +1,4 @@
-/* What heartbeats show the shard leader, and what they do not prove. */
+/* What the shard leader may conclude from heartbeats, and what it may not. */
 #include "test-scheduler.h"
 
 #include "base/wire.h"
@@ -6,7 +6,8 @@
 #include "scheduler/led-shards.h"
 #include "scheduler/start-rules.h"
 
-/* A heartbeat of a machine with one task of the fixture's job on it; attempt 0: without. */
+/* Returns a heartbeat of a machine that runs one task of the fixture's job; with attempt 0 it
+ * reports no task. */
 static MmHeartbeat
 heartbeat_with_task(const SchedulerFixture *f, guint machine, guint64 incarnation, guint64 sequence,
                     guint64 attempt) {
@@ -24,7 +25,7 @@
   return heartbeat;
 }
 
-/* Records the heartbeat as one that the node received itself. Takes it. */
+/* Records the heartbeat as one that the node received itself. Takes ownership of the heartbeat. */
 static MmMachine *
 record_heartbeat(const SchedulerFixture *f, MmHeartbeat heartbeat) {
   MmNode *node = f->scheduler->node;
@@ -35,9 +36,10 @@
   return machine;
 }
 
-/* Of two reported attempts at a task the newer was approved when the older had ended: whichever
- * heartbeat comes first, it wins. Else a late heartbeat would keep the task where it no longer is,
- * and when that machine is lost the task would start a third time. */
+/* Of two reported attempts at a task, the newer one wins in whichever order the heartbeats arrive,
+ * since it was approved only after the older one had ended. Otherwise a late heartbeat would keep
+ * the task on a machine where it no longer runs, and when that machine is lost, the task would
+ * start a third time. */
 void
 test_newer_attempt_wins(void) {
   for (guint newer_first = 0; newer_first < 2; newer_first++) {
@@ -56,7 +58,7 @@
   }
 }
 
-/* A job waits for the unacknowledged machines that it was ever allowed on, and for no others. */
+/* A job waits for the unacknowledged machines on which it was ever allowed, and for no others. */
 void
 test_job_waits_where_it_may_have_started(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -79,7 +81,7 @@
   f.job->spec.allows_spot = TRUE;
   f.job->spec.zone = mm_name("elsewhere");
   g_assert_true(mm_scheduler_knows_all_starts(f.scheduler, f.job));
-  /* A machine of which nothing is known may have any task. */
+  /* A machine about which nothing is known may run any task. */
   g_hash_table_insert(led_shard->unacknowledged_machines, g_strdup("m-999999"),
                       GSIZE_TO_POINTER(1));
   led_shard->unacknowledged_changed = TRUE;
@@ -87,8 +89,9 @@
   world_free(f.world);
 }
 
-/* A silent machine is returned though it reports no tasks, since starts may have reached it: until
- * it is proved lost, shards that are acquired anew wait for it. */
+/* A machine that sends no heartbeats is returned to the cloud even if it reports no tasks, because
+ * starts may have reached it: newly acquired shards wait for the machine until it is proved lost.
+ */
 void
 test_silent_idle_machine_is_returned(void) {
   World *world = world_new(6);
@@ -114,7 +117,8 @@
   return is_stale_heartbeat;
 }
 
-/* Which heartbeats are late copies, and that these extend no belief in a lease. */
+/* Late copies of heartbeats are recognised as stale and do not extend the assumed lease of their
+ * machine. */
 void
 test_late_copies_prove_nothing(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -129,14 +133,14 @@
   g_assert_true(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence - 1, 0)));
   g_assert_false(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence + 1, 0)));
   g_assert_false(is_stale(&f, heartbeat_with_task(&f, 0, 2, 1, 0)));
-  /* One that a peer passes on all the same denies nothing and renews nothing. */
+  /* A late copy that a peer forwards nevertheless neither removes a task nor renews the lease. */
   g_assert_null(record_heartbeat(&f, heartbeat_with_task(&f, 0, 1, sequence - 1, 0)));
   g_assert_cmpint(machine->last_possible_response_at.us, ==, answered.us);
   g_assert_true(f.job->tasks[0].machine == machine);
-  /* A heartbeat that a direct reply has overtaken is no copy. */
+  /* A heartbeat overtaken by a direct reply is not a late copy. */
   machine->latest_message_id.sequence = sequence + 5;
   g_assert_false(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence + 2, 0)));
-  /* Nothing brings back a terminated machine. */
+  /* No heartbeat revives a terminated machine. */
   mm_machine_table_record_termination(f.scheduler->node->machine_table, machine->id.s);
   g_assert_true(is_stale(&f, heartbeat_with_task(&f, 0, 9, 1, 100)));
   g_assert_null(record_heartbeat(&f, heartbeat_with_task(&f, 0, 9, 1, 100)));
@@ -151,13 +155,13 @@
   MmHeartbeat heartbeat = heartbeat_with_task(&f, 0, 3, 70, 100);
 
   f.scheduler->node->replica->term_at_start.v
-      = 7; /* as if others had raised the term before its start */
+      = 7; /* as if other nodes had raised the term before this process started */
   heartbeat.machine_id = mm_name("m-000999");
   heartbeat.fencing_token.v = f.scheduler->node->replica->term_at_start.v - 1;
   g_assert_true(mm_machine_table_is_unverified_heartbeat(machine_table, &heartbeat));
   heartbeat.fencing_token = f.scheduler->node->replica->term_at_start;
   g_assert_false(mm_machine_table_is_unverified_heartbeat(machine_table, &heartbeat));
-  /* A registered machine may have tasks: whatever it shows counts. */
+  /* A registered machine may have tasks, so its heartbeat counts whatever its fencing token. */
   heartbeat.machine_id = f.machines[0]->id;
   heartbeat.heartbeat_id.incarnation = f.machines[0]->registered_incarnation;
   heartbeat.fencing_token.v = 0;
--- a/tests/test-scheduler-preemption.c
+++ b/tests/test-scheduler-preemption.c
@@ -1,10 +1,10 @@
-/* Preemption, gangs and lent machines. */
+/* Preemption, gangs, and accelerated machines that are lent to other work. */
 #include "test-scheduler.h"
 
 #include "base/wire.h"
 #include "scheduler/quota.h"
 
-/* Which jobs may preempt which others for a quota of four cores. */
+/* Which jobs may preempt tasks of another team when each team has a quota of four cores. */
 void
 test_quota_is_reclaimed_from_surplus_only(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -16,7 +16,7 @@
   victim.is_within_quota = FALSE;
   f.scheduler->team_used[1] = (MmResources){ 6, 0, 0 };
   g_assert_true(mm_scheduler_may_reclaim_quota(f.scheduler, job, &victim));
-  f.scheduler->team_used[1].cores = 5; /* would fall below its own quota */
+  f.scheduler->team_used[1].cores = 5; /* the victim's team would fall below its own quota */
   g_assert_false(mm_scheduler_may_reclaim_quota(f.scheduler, job, &victim));
   f.scheduler->team_used[1].cores = 6;
   victim.is_within_quota = TRUE;
@@ -30,15 +30,16 @@
   world_free(f.world);
 }
 
-/* A machine is full of work of the lowest priority that takes three seconds to save; a job comes
- * for which it must be preempted. Returns the time to save that it got. */
+/* Fills a machine with work of the lowest priority that takes three seconds to checkpoint, then
+ * submits a job that must preempt it. Returns the grace period in seconds that the preempted work
+ * got for its checkpoint. */
 static double
-grace_given_to(const char *priority, guint tasks, double wait_s) {
+grace_s_of_preempted_work(const char *priority, guint tasks, double wait_s) {
   World *world = world_new(12);
   double grace_s;
   WorldJob *job;
 
-  world->capacity = 0; /* nothing can be rented */
+  world->capacity = 0; /* no machine can be rented */
   world_add_machine(world, "small", "a", FALSE, 0.1)->failure_rate = 0;
   world_start(world);
   world_run(world, 5);
@@ -58,24 +59,25 @@
   return grace_s;
 }
 
-/* Critical services, which should be up within a second, do not wait for work of the lowest
- * priority to save. */
+/* Critical services, which should be up within a second, do not wait until work of the lowest
+ * priority has checkpointed. */
 void
 test_only_critical_work_gives_no_time_to_save(void) {
-  g_assert_cmpfloat(grace_given_to("critical", 1, 5), ==, 0);
-  g_assert_cmpfloat(grace_given_to("urgent", 1, 8), ==, 4);
+  g_assert_cmpfloat(grace_s_of_preempted_work("critical", 1, 5), ==, 0);
+  g_assert_cmpfloat(grace_s_of_preempted_work("urgent", 1, 8), ==, 4);
 }
 
-/* Work above the lowest priority does not wait for work of the lowest either, also when it is
- * neither urgent nor within its team's quota. */
+/* Work above the lowest priority preempts work of the lowest priority even if it is neither urgent
+ * nor within its team's quota. */
 void
 test_normal_work_preempts_low_work(void) {
-  g_assert_cmpfloat(grace_given_to("normal", 60, 12), ==, 4);
+  g_assert_cmpfloat(grace_s_of_preempted_work("normal", 60, 12), ==, 4);
 }
 
-/* Gangs whose tasks take most of a machine each, one of each team after another, so that some of
- * their places are on machines that the gang's leader serves itself. A task must not be compared
- * with the resources left beside its own reservation: such gangs would never begin. */
+/* Gangs of several teams, one after another, whose tasks each take most of a machine, so that some
+ * of their places are on machines that the gang's leader serves itself. A task must not be compared
+ * with the resources that are left beside its own reservation; otherwise such gangs would never
+ * start. */
 void
 test_gang_starts_on_machines_of_its_leader(void) {
   World *world = world_new(11);
@@ -94,9 +96,9 @@
     world_run(world, 8);
     g_assert_cmpuint(world_count_running(world, job, NULL), ==, 2);
     for (guint i = 0; i < WORLD_NODES; i++) {
-      const MmJob *known = mm_job_table_find(world->nodes[i].node->job_table, job->id);
-      for (guint k = 0; known->tasks != NULL && k < 2; k++)
-        n_on_own_machines += known->tasks[k].machine->serving_node == MM_SERVING_NODE_SELF;
+      const MmJob *job_on_node = mm_job_table_find(world->nodes[i].node->job_table, job->id);
+      for (guint k = 0; job_on_node->tasks != NULL && k < 2; k++)
+        n_on_own_machines += job_on_node->tasks[k].machine->serving_node == MM_SERVING_NODE_SELF;
     }
     world_cancel(job);
     world_run(world, 4);
@@ -115,14 +117,15 @@
   return n;
 }
 
-/* Accelerated machines that no accelerated work waits for are lent to other work, all but four; a
- * gang that needs more than those preempts the work on lent machines, and begins at once. */
+/* Accelerated machines for which no accelerated work is pending are lent to other work, except for
+ * four. A gang that needs more than those four preempts the work on lent machines and starts at
+ * once. */
 void
 test_idle_accelerators_are_lent_and_reclaimed(void) {
   World *world = world_new(13);
   WorldJob *first, *array, *gang;
 
-  world->capacity = 0; /* nothing can be rented */
+  world->capacity = 0; /* no machine can be rented */
   world->team_cores = 1000;
   for (guint i = 0; i < 7; i++)
     world_add_machine(world, "big", "a", FALSE, 0.1)->failure_rate = 0;
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -6,46 +6,48 @@
 #include "scheduler/led-shards.h"
 #include "scheduler/quota.h"
 
-/* Requests a start for the machine with up to two candidates (-1: none). Returns the number of the
- * approved task; -1: refused. */
+/* Requests a start on the machine with up to two candidate tasks (-1: no candidate). Returns the
+ * number of the approved task, or -1 if the request is refused. */
 static gint
-request_start(SchedulerFixture *f, guint machine, gint first, gint second, gboolean is_pull) {
+request_start(SchedulerFixture *f, guint machine, gint first_candidate, gint second_candidate,
+              gboolean is_pull) {
   MmStartRequest request = { .machine = f->machines[machine],
                              .heartbeat_id = f->machines[machine]->latest_message_id,
                              .free_resources = { 16, 2, 64 },
                              .is_pull = is_pull };
   MmApproval approval;
 
-  if (first >= 0)
-    request.tasks[request.n_tasks++] = (MmTaskRef){ f->job->spec.id, (guint)first };
-  if (second >= 0)
-    request.tasks[request.n_tasks++] = (MmTaskRef){ f->job->spec.id, (guint)second };
+  if (first_candidate >= 0)
+    request.tasks[request.n_tasks++] = (MmTaskRef){ f->job->spec.id, (guint)first_candidate };
+  if (second_candidate >= 0)
+    request.tasks[request.n_tasks++] = (MmTaskRef){ f->job->spec.id, (guint)second_candidate };
   return mm_scheduler_approve_start(f->scheduler, &request, &approval) ? (gint)approval.number : -1;
 }
 
-/* The answers of the paper's Table I. */
+/* The answers to start requests in Table I of the ScalScheduling paper. */
 static void
 test_start_requests_are_answered_as_in_the_paper(void) {
   SchedulerFixture f = scheduler_fixture(5);
 
   g_assert_cmpint(request_start(&f, 0, 0, 1, FALSE), ==,
-                  0); /* alpha: the first, the second is kept */
+                  0); /* alpha: the first is approved, the second put on the kept list */
   g_assert_cmpuint(f.machines[0]->kept_list->len, ==, 1);
   g_assert_cmpint(request_start(&f, 0, -1, -1, FALSE), ==,
-                  1); /* nothing sent: from the kept-list */
+                  1); /* no candidates: a task of the kept list is approved */
   g_assert_cmpint(request_start(&f, 0, 0, 2, FALSE), ==,
-                  2); /* gamma: the first is taken, the second not */
+                  2); /* gamma: the first is already started, the second is approved */
   g_assert_cmpint(request_start(&f, 0, 0, 1, FALSE), ==,
-                  -1); /* chi: both are taken, nothing is kept */
-  g_assert_cmpint(request_start(&f, 0, 3, 0, FALSE), ==, 3); /* beta */
+                  -1); /* chi: both are already started, and the kept list is empty */
+  g_assert_cmpint(request_start(&f, 0, 3, 0, FALSE), ==, 3); /* beta: only the first is pending */
   g_assert_cmpuint(f.machines[0]->kept_list->len, ==, 0);
   g_assert_cmpint(request_start(&f, 1, -1, -1, FALSE), ==, -1);
-  g_assert_cmpint(request_start(&f, 1, -1, -1, TRUE), ==, 4); /* a pull gets what is left */
+  g_assert_cmpint(request_start(&f, 1, -1, -1, TRUE), ==, 4); /* a pull gets any pending task */
   g_assert_cmpint(request_start(&f, 1, -1, -1, TRUE), ==, -1);
   world_free(f.world);
 }
 
-/* A pull may get a task of another machine's kept-list; that machine then misses it. */
+/* A pull may get a task from another machine's kept list; that machine's next request is then
+ * refused. */
 static void
 test_pull_takes_from_kept_lists(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -56,7 +58,8 @@
   world_free(f.world);
 }
 
-/* 24 cores at most and 2 a task: starts that no heartbeat has confirmed count as well. */
+/* The limit is 24 cores and a task takes 2: starts that no heartbeat has confirmed yet count too.
+ */
 static void
 test_limit_counts_unconfirmed_starts(void) {
   SchedulerFixture f = scheduler_fixture(20);
@@ -70,8 +73,8 @@
   world_free(f.world);
 }
 
-/* A limit of 13 accelerators, of which eight are used and eight more are reserved for a starving
- * job: a job that needs accelerators waits, one that needs none does not. */
+/* Of a limit of 13 accelerators, eight are used and eight more are reserved for a starving job: a
+ * job that needs accelerators waits, a job that needs none does not. */
 static void
 test_reserved_part_of_limit_binds_limited_resources_only(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -96,21 +99,21 @@
   world_free(f.world);
 }
 
-/* A start request for an overtaken heartbeat gets nothing: its answer may never reach the worker.
- */
+/* A start request for an overtaken heartbeat is refused, because the response to that heartbeat may
+ * never reach the worker. */
 static void
 test_start_request_of_overtaken_heartbeat_is_refused(void) {
   SchedulerFixture f = scheduler_fixture(2);
-  MmHeartbeatId now = f.machines[0]->latest_message_id;
+  MmHeartbeatId overtaken_id = f.machines[0]->latest_message_id;
 
   f.machines[0]->latest_message_id.sequence++;
   {
-    MmStartRequest old = { .machine = f.machines[0],
-                           .heartbeat_id = now,
-                           .free_resources = { 16, 2, 64 },
-                           .is_pull = TRUE };
+    MmStartRequest request = { .machine = f.machines[0],
+                               .heartbeat_id = overtaken_id,
+                               .free_resources = { 16, 2, 64 },
+                               .is_pull = TRUE };
     MmApproval approval;
-    g_assert_false(mm_scheduler_approve_start(f.scheduler, &old, &approval));
+    g_assert_false(mm_scheduler_approve_start(f.scheduler, &request, &approval));
   }
   g_assert_cmpint(request_start(&f, 0, -1, -1, TRUE), >=, 0);
   world_free(f.world);
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -26,12 +26,12 @@
   g_assert_cmpfloat(settings->worker_lease_s, ==, 10);
 }
 
-/* One line that names the file, the field and what is wrong with it. */
+/* An error message is a single line that names the file, the field and the mistake. */
 static void
 test_errors_name_file_and_field(void) {
   const struct {
     const char *from, *to, *field;
-  } faults[] = {
+  } mistakes[] = {
     { "label = \"n-0\"", "", "label" },
     { "front = \"127.0.0.1:8080\"", "front = \"here\"", "front" },
     { "front = \"127.0.0.1:8080\"", "front = 8080", "front" },
@@ -46,16 +46,16 @@
     { "max_sockets = 500", "max_sockets = 2", "settings.resources.max_sockets" },
   };
 
-  for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
-    const char *at = strstr(sample_settings, faults[i].from);
+  for (guint i = 0; i < G_N_ELEMENTS(mistakes); i++) {
+    const char *at = strstr(sample_settings, mistakes[i].from);
     g_autofree char *text = NULL;
     g_autoptr(GError) error = NULL;
     g_assert_nonnull(at);
-    text = g_strdup_printf("%.*s%s%s", (int)(at - sample_settings), sample_settings, faults[i].to,
-                           at + strlen(faults[i].from));
+    text = g_strdup_printf("%.*s%s%s", (int)(at - sample_settings), sample_settings, mistakes[i].to,
+                           at + strlen(mistakes[i].from));
     g_assert_null(read_text(text, &error));
     g_assert_nonnull(strstr(error->message, "settings.toml"));
-    g_assert_nonnull(strstr(error->message, faults[i].field));
+    g_assert_nonnull(strstr(error->message, mistakes[i].field));
     g_assert_null(strchr(error->message, '\n'));
   }
 }
@@ -69,14 +69,15 @@
   return read_text(text, error);
 }
 
-/* Of the limits that hold and those that are announced, the smaller ones, from the start. */
+/* The smaller of the current and the announced next limits apply as soon as the settings are read.
+ */
 static void
 test_smaller_of_announced_limits_holds(void) {
   const struct {
     const char *next;
     double write_rps;
     guint value_bytes, txn_ops;
-  } good[] = {
+  } valid[] = {
     { "", 20, 4096, 12 },
     { "[settings.state.next]", 20, 4096, 12 },
     { "[settings.state.next]\nvalue_kb = 2.0", 20, 2048, 12 },
@@ -86,30 +87,30 @@
   };
   const struct {
     const char *next, *field;
-  } bad[] = {
+  } invalid[] = {
     { "[settings.state.next]\nvalue_kb = 0.0", "settings.state.next.value_kb" },
     { "[settings.state.next]\nwrite_rps = -15.0", "settings.state.next.write_rps" },
     { "[settings.state.next]\ntxn_ops = \"four\"", "settings.state.next.txn_ops" },
     { "next = 4", "settings.state.next" },
   };
 
-  for (guint i = 0; i < G_N_ELEMENTS(good); i++) {
+  for (guint i = 0; i < G_N_ELEMENTS(valid); i++) {
     g_autoptr(GError) error = NULL;
-    g_autoptr(MmSettings) settings = read_with_next(good[i].next, &error);
+    g_autoptr(MmSettings) settings = read_with_next(valid[i].next, &error);
     g_assert_no_error(error);
-    g_assert_cmpfloat(settings->kv_writes_per_s, ==, good[i].write_rps);
-    g_assert_cmpuint(settings->kv_max_value_bytes, ==, good[i].value_bytes);
-    g_assert_cmpuint(settings->kv_max_operations, ==, good[i].txn_ops);
+    g_assert_cmpfloat(settings->kv_writes_per_s, ==, valid[i].write_rps);
+    g_assert_cmpuint(settings->kv_max_value_bytes, ==, valid[i].value_bytes);
+    g_assert_cmpuint(settings->kv_max_operations, ==, valid[i].txn_ops);
   }
-  for (guint i = 0; i < G_N_ELEMENTS(bad); i++) {
+  for (guint i = 0; i < G_N_ELEMENTS(invalid); i++) {
     g_autoptr(GError) error = NULL;
-    g_assert_null(read_with_next(bad[i].next, &error));
-    g_assert_nonnull(strstr(error->message, bad[i].field));
+    g_assert_null(read_with_next(invalid[i].next, &error));
+    g_assert_nonnull(strstr(error->message, invalid[i].field));
     g_assert_null(strchr(error->message, '\n'));
   }
 }
 
-/* Sets of peers are kept as bits. */
+/* Sets of peers are stored as bit masks, which bounds the number of peers. */
 static void
 test_too_many_peers_are_refused(void) {
   g_autoptr(GString) text = g_string_new(sample_settings);
@@ -125,12 +126,12 @@
 static void
 test_unreadable_file_is_an_error(void) {
   g_autoptr(GError) error = NULL;
-  g_autoptr(GError) other = NULL;
+  g_autoptr(GError) syntax_error = NULL;
 
   g_assert_null(mm_settings_read("/nonexistent/settings.toml", &error));
   g_assert_nonnull(strstr(error->message, "/nonexistent/settings.toml"));
-  g_assert_null(read_text("label = \n", &other));
-  g_assert_nonnull(strstr(other->message, "line 1"));
+  g_assert_null(read_text("label = \n", &syntax_error));
+  g_assert_nonnull(strstr(syntax_error->message, "line 1"));
 }
 
 int
--- a/tests/test-sharing-world-fixtures.c
+++ b/tests/test-sharing-world-fixtures.c
@@ -1,4 +1,4 @@
-/* Fixtures of the tests of machine groups in the simulated world. */
+/* Fixtures for the tests of machine groups in the simulated world. */
 #include "test-sharing-world.h"
 
 #include "base/wire.h"
--- a/tests/test-sharing-world-moves.c
+++ b/tests/test-sharing-world-moves.c
@@ -1,18 +1,18 @@
-/* One move of a machine group: by itself, and with a fault in every step of it. */
+/* One move of a machine group: without a fault, and with a fault at each step of the move. */
 #include "test-sharing-world.h"
 
 #include "base/wire.h"
 #include "leases/shard-ownership.h"
 #include "sharing/sharing.h"
 
-/* When the fault comes, after the order to move: the steps of a move take some milliseconds each, a
- * pause of the watch some fifty. */
-static const guint moments_ms[] = { 0, 5, 14, 70, 2, 9, 30, 200 };
-#define FEW_MOMENTS 4 /* all with `-m slow` */
+/* Delays between the order to move and the fault. Each step of a move takes a few milliseconds, and
+ * the pause between two requests of a watch about 50 ms. */
+static const guint fault_delays_ms[] = { 0, 5, 14, 70, 2, 9, 30, 200 };
+#define N_DEFAULT_FAULT_DELAYS 4 /* `-m slow` runs all */
 
 typedef struct {
   World *world;
-  WorldMachine *machine; /* of the group that moves; tasks start on it all the time */
+  WorldMachine *machine; /* a machine of the group that moves; tasks start on it throughout */
   guint group;
   guint source;
   guint target;
@@ -20,16 +20,16 @@
 
 typedef struct {
   const char *name;
-  void (*before)(Move *move); /* the order; NULL: nothing */
-  void (*during)(Move *move); /* at each of the moments; NULL: nothing */
+  void (*before_order)(Move *move); /* called before the order to move; NULL: not called */
+  void (*during_move)(Move *move);  /* called after each of the delays; NULL: not called */
 } MoveCase;
 
 static guint
-node_after(const World *world, guint than) {
-  return (than + 1) % WORLD_NODES;
+next_node(const World *world, guint node) {
+  return (node + 1) % WORLD_NODES;
 }
 
-/* A machine that is up, its group, and the nodes between which the group is to move. */
+/* Returns a machine that is up, its group, and the nodes between which the group is to move. */
 static Move
 choose_move(World *world) {
   Move move = { .world = world };
@@ -42,32 +42,32 @@
   move.group = world_group_of_machine(world, move.machine);
   move.source = world_group_owner(world, 0, move.group);
   g_assert_cmpuint(move.source, <, WORLD_NODES);
-  move.target = node_after(world, move.source);
+  move.target = next_node(world, move.source);
   return move;
 }
 
 static void
-source_ends(Move *move) {
+kill_source(Move *move) {
   world_kill_node(move->world, move->source, 3);
 }
 
 static void
-source_is_back_at_once(Move *move) {
+restart_source_at_once(Move *move) {
   world_kill_node(move->world, move->source, 0.2);
 }
 
 static void
-target_ends(Move *move) {
+kill_target(Move *move) {
   world_kill_node(move->world, move->target, 3);
 }
 
 static void
-target_is_back_at_once(Move *move) {
+restart_target_at_once(Move *move) {
   world_kill_node(move->world, move->target, 0.2);
 }
 
 static void
-leader_of_duty_ends(Move *move) {
+restart_sharing_leader(Move *move) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = move->world->nodes[i].node;
     if (node != NULL && mm_shard_ownership_leads(node->shard_ownership, MM_SHARD_SHARING))
@@ -75,120 +75,124 @@
   }
 }
 
-/* Beyond its lease; it resumes with what came meanwhile in its queues. */
+/* Suspends the source for longer than its lease. When it resumes, the messages that arrived in the
+ * meantime are still queued. */
 static void
-source_is_suspended(Move *move) {
+suspend_source(Move *move) {
   world_freeze_node(move->world, move->source, 6);
 }
 
 static void
-machine_is_lost(Move *move) {
+kill_moved_machine(Move *move) {
   world_kill_machine(move->world, move->machine);
 }
 
 static void
-machine_is_back(Move *move) {
+restart_moved_machine(Move *move) {
   world_restart_machine(move->world, move->machine, 0.3);
 }
 
 static void
-source_is_refused(Move *move) {
+refuse_source_kv_requests(Move *move) {
   move->world->nodes[move->source].kv_refuses_until_us = move->world->now_us + 8 * SECOND;
 }
 
 static void
-target_is_refused(Move *move) {
+refuse_target_kv_requests(Move *move) {
   move->world->nodes[move->target].kv_refuses_until_us = move->world->now_us + 8 * SECOND;
 }
 
 static void
-store_is_down(Move *move) {
+start_kv_outage(Move *move) {
   world_kv_outage(move->world, 8);
 }
 
 static void
-links_are_refused(Move *move) {
+refuse_peer_links(Move *move) {
   world_refuse_links(move->world, 8);
 }
 
 static void
-source_misses_changes(Move *move) {
+lose_source_watches(Move *move) {
   move->world->nodes[move->source].watches_lost_until_us = move->world->now_us + 5 * SECOND;
 }
 
-/* A copy of the machine's next heartbeat reaches the former owner well over a lease later. */
+/* Has a copy of the machine's next heartbeat delivered to the source, by then the former owner, 1.5
+ * leases from now. */
 static void
-heartbeat_arrives_again(Move *move) {
+duplicate_next_heartbeat(Move *move) {
   move->machine->duplicate_at_us
       = move->world->now_us + (gint64)(1.5 * move->world->lease_s * (double)SECOND);
   move->machine->duplicate_node = move->source;
 }
 
-/* The leader of most shards ends: its groups and its shards change hands at once. */
+/* Kills the leader of most shards, so that its groups and its shards change owners at the same
+ * time. */
 static void
-shards_change_hands(Move *move) {
+kill_leader_of_most_shards(Move *move) {
   world_kill_node(move->world, world_node_leading_most_shards(move->world), 3);
 }
 
 static void
-jobs_are_cancelled(Move *move) {
+cancel_random_jobs(Move *move) {
   for (guint i = 0; i < 4; i++)
     world_cancel(world_any_job(move->world));
 }
 
 static void
-group_moves_back(Move *move) {
+move_group_back(Move *move) {
   world_move_group(move->world, move->target, move->group, move->source);
 }
 
-/* The transactions of moves are applied seconds after their sender has stopped waiting. */
+/* Has the transactions of moves applied seconds after their sender has stopped waiting for them. */
 static void
-writes_are_late(Move *move) {
+delay_transactions(Move *move) {
   move->world->delays_acquisitions = TRUE;
 }
 
 static void
-writes_are_late_no_more(Move *move) {
+stop_delaying_transactions(Move *move) {
   move->world->delays_acquisitions = FALSE;
 }
 
 static void
-key_is_malformed(Move *move) {
+corrupt_target_key(Move *move) {
   g_autofree char *path = g_strdup_printf("mm/r/g/n-%u", move->target);
   g_autoptr(json_t) body = json_pack("{s:[], s:[{s:s, s:{s:s}}]}", WIRE_CONDITIONS, WIRE_OPERATIONS,
                                      WIRE_PUT, path, WIRE_VALUE, "g", "nonsense");
-  g_autoptr(json_t) answer = NULL;
+  g_autoptr(json_t) response = NULL;
 
-  g_assert_cmpint(world_kv_handle(move->world, "POST", WIRE_TXN_PATH, body, &answer), ==, 200);
+  g_assert_cmpint(world_kv_handle(move->world, "POST", WIRE_TXN_PATH, body, &response), ==, 200);
 }
 
 static const MoveCase move_cases[] = {
   { "move-is-undisturbed", NULL, NULL },
-  { "source-ends", NULL, source_ends },
-  { "source-is-back-at-once", NULL, source_is_back_at_once },
-  { "target-ends", NULL, target_ends },
-  { "target-is-back-at-once", NULL, target_is_back_at_once },
-  { "leader-of-duty-ends", NULL, leader_of_duty_ends },
-  { "source-is-suspended", NULL, source_is_suspended },
-  { "machine-is-lost", NULL, machine_is_lost },
-  { "machine-is-back", NULL, machine_is_back },
-  { "source-is-refused", NULL, source_is_refused },
-  { "target-is-refused", NULL, target_is_refused },
-  { "store-is-down", NULL, store_is_down },
-  { "links-are-refused", NULL, links_are_refused },
-  { "source-misses-changes", NULL, source_misses_changes },
-  { "heartbeat-arrives-again", heartbeat_arrives_again, NULL },
-  { "shards-change-hands", NULL, shards_change_hands },
-  { "jobs-are-cancelled", NULL, jobs_are_cancelled },
-  { "group-moves-back", NULL, group_moves_back },
-  { "transactions-are-applied-late", writes_are_late, writes_are_late_no_more },
-  { "key-is-malformed", NULL, key_is_malformed },
+  { "source-ends", NULL, kill_source },
+  { "source-is-back-at-once", NULL, restart_source_at_once },
+  { "target-ends", NULL, kill_target },
+  { "target-is-back-at-once", NULL, restart_target_at_once },
+  { "leader-of-duty-ends", NULL, restart_sharing_leader },
+  { "source-is-suspended", NULL, suspend_source },
+  { "machine-is-lost", NULL, kill_moved_machine },
+  { "machine-is-back", NULL, restart_moved_machine },
+  { "source-is-refused", NULL, refuse_source_kv_requests },
+  { "target-is-refused", NULL, refuse_target_kv_requests },
+  { "store-is-down", NULL, start_kv_outage },
+  { "links-are-refused", NULL, refuse_peer_links },
+  { "source-misses-changes", NULL, lose_source_watches },
+  { "heartbeat-arrives-again", duplicate_next_heartbeat, NULL },
+  { "shards-change-hands", NULL, kill_leader_of_most_shards },
+  { "jobs-are-cancelled", NULL, cancel_random_jobs },
+  { "group-moves-back", NULL, move_group_back },
+  { "transactions-are-applied-late", delay_transactions, stop_delaying_transactions },
+  { "key-is-malformed", NULL, corrupt_target_key },
 };
 
-/* Returns whether the target owns the group in the end. */
+/* Runs one move with the fault at the given delay. Returns whether the target owns the group in the
+ * end. */
 static gboolean
-play_move_case(const MoveCase *move_case, guint moment) {
-  World *world = new_sharing_world(100 + moment);
+run_move_case(const MoveCase *move_case, guint delay_index) {
+  World *world = new_sharing_world(100 + delay_index);
   gboolean is_moved;
   Move move;
 
@@ -196,14 +200,14 @@
   world_run(world, 4);
   run_under_load(world, 4);
   move = choose_move(world);
-  if (move_case->before != NULL)
-    move_case->before(&move);
+  if (move_case->before_order != NULL)
+    move_case->before_order(&move);
   world_move_group(world, move.source, move.group, move.target);
-  /* The order is there and the source has begun. */
+  /* By then the source has received the order and has started the move. */
   world_run(world, 0.007);
-  world_run(world, moments_ms[moment] / 1000.0);
-  if (move_case->during != NULL)
-    move_case->during(&move);
+  world_run(world, fault_delays_ms[delay_index] / 1000.0);
+  if (move_case->during_move != NULL)
+    move_case->during_move(&move);
   run_under_load(world, 25);
   g_assert_cmpuint(world->n_moves_started, >, 0);
   assert_groups_are_owned(world);
@@ -215,15 +219,15 @@
 static void
 test_move_case(gconstpointer data) {
   const MoveCase *move_case = data;
-  guint moments = g_test_slow() ? G_N_ELEMENTS(moments_ms) : FEW_MOMENTS;
+  guint n_delays = g_test_slow() ? G_N_ELEMENTS(fault_delays_ms) : N_DEFAULT_FAULT_DELAYS;
   guint n_moved = 0;
 
-  for (guint moment = 0; moment < moments; moment++)
-    n_moved += play_move_case(move_case, moment);
-  g_test_message("%s: the group was at its target in the end in %u of %u", move_case->name, n_moved,
-                 moments);
-  if (move_case->during == NULL)
-    g_assert_cmpuint(n_moved, ==, moments);
+  for (guint delay_index = 0; delay_index < n_delays; delay_index++)
+    n_moved += run_move_case(move_case, delay_index);
+  g_test_message("%s: the target owned the group at the end of %u of %u runs", move_case->name,
+                 n_moved, n_delays);
+  if (move_case->during_move == NULL)
+    g_assert_cmpuint(n_moved, ==, n_delays);
 }
 
 void
--- a/tests/test-sharing-world-settings.c
+++ b/tests/test-sharing-world-settings.c
@@ -1,10 +1,10 @@
-/* Sharing as its settings change: on and off, number of groups, limits, weights. */
+/* Machine sharing under changing settings: on and off, number of groups, limits, weights. */
 #include "test-sharing-world.h"
 
 #include "base/wire.h"
 #include "sharing/sharing.h"
 
-/* Nodes that share machines out. */
+/* Returns the number of nodes on which sharing is active. */
 static guint
 count_active(const World *world) {
   guint n = 0;
@@ -34,8 +34,8 @@
   world->nodes[node].operators.group_count = groups;
 }
 
-/* Machines are shared out once every node of the settings takes part, and no longer when one does
- * not; then no key is left behind, and the service goes on as without sharing. */
+/* Sharing becomes active once every node of the settings has it enabled, and inactive when one node
+ * no longer has. Then no key is left behind, and the nodes schedule as without sharing. */
 void
 test_sharing_turns_on_and_off(void) {
   World *world = new_sharing_world(31);
@@ -48,7 +48,7 @@
   g_assert_cmpuint(count_active(world), ==, 0);
   g_assert_cmpuint(count_group_keys(world), ==, 0);
   g_assert_cmpuint(world->n_starts, >, 20);
-  /* To the byte what a node without sharing writes. */
+  /* The node's version key has the same bytes as that of a node without sharing. */
   key = g_tree_lookup(world->keys, "mm/r/v/n-2");
   g_assert_cmpuint(json_object_size(key->value), ==, 1);
   restart_with_groups(world, 2, GROUPS);
@@ -62,8 +62,8 @@
   world_finish_day(world);
 }
 
-/* A node with another number of groups finds that out before it announces anything, and owns no
- * group. */
+/* A node whose settings have a different number of groups detects this before it announces
+ * anything, and owns no group. */
 void
 test_other_group_count_is_inactive(void) {
   World *world = new_sharing_world(32);
@@ -80,7 +80,8 @@
   world_finish_day(world);
 }
 
-/* Smaller limits hold while groups move all the time: the store fails the test on larger values. */
+/* Smaller limits take effect while groups move all the time. The simulated key-value store fails
+ * the test on values above the limits. */
 void
 test_limits_fall_while_groups_move(void) {
   World *world = new_sharing_world(33);
@@ -114,11 +115,11 @@
                       run_s);
 }
 
-/* A gang runs on machines of several groups that all move; no task that runs is stopped. */
+/* A gang runs on machines of several groups that all move; no running task is stopped. */
 void
 test_gang_runs_while_groups_move(void) {
   World *world = new_sharing_world(34);
-  WorldJob *gang, *late;
+  WorldJob *gang, *late_gang;
 
   for (guint i = 0; i < world->machines->len; i++)
     world_machine_at(world, i)->failure_rate = 0;
@@ -137,18 +138,19 @@
   g_assert_cmpuint(gang->n_starts, ==, 4);
   g_assert_cmpint(gang->user_view, ==, USER_SEES_DONE);
   g_assert_cmpuint(world->n_moves_started, >, 100);
-  /* One that starts meanwhile may need more than one try for its places, and runs all the same. */
-  late = submit_gang(world, 5);
+  /* A gang that starts during the moves may need several attempts to get its places, but must run.
+   */
+  late_gang = submit_gang(world, 5);
   for (guint i = 0; i < 40; i++) {
     move_all_groups(world, i);
     world_run(world, 2);
   }
-  g_assert_cmpint(late->user_view, ==, USER_SEES_DONE);
+  g_assert_cmpint(late_gang->user_view, ==, USER_SEES_DONE);
   world_finish_day(world);
 }
 
-/* All groups leave a node of weight 0, one at a time; when all weights are equal again, it gets its
- * share, and then no group moves any more. */
+/* All groups leave a node of weight 0, one at a time. When all weights are equal again, the node
+ * gets its share, and no group moves after that. */
 void
 test_weights_decide_shares(void) {
   World *world = new_sharing_world(35);
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -1,31 +1,33 @@
-/* Machines shared out among the nodes of the simulated world: seeded days with moves at all times
- * beside faults of every kind, and owners that are faulty on purpose. */
+/* Machine sharing among the nodes of the simulated world: random days (seeded runs) with group
+ * moves at all times and faults of every kind, and checks that deliberately faulty group owners
+ * violate the invariants. */
 #include "test-sharing-world.h"
 
 #include "base/wire.h"
 #include "sharing/sharing.h"
 
 #define DAY_S 100
-#define COPY_SOON_US 70000
-#define COPY_LATE_US 900000
+#define SHORT_COPY_DELAY_US 70000
+#define LONG_COPY_DELAY_US 900000
 #define DAYS 4
 #define SLOW_DAYS 300
 
 static void
 print_counts(const World *world) {
-  guint64 moved = 0, given = 0, refused = 0;
+  guint64 moved = 0, granted = 0, refused = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = world->nodes[i].node;
     moved += node != NULL ? node->sharing->n_moved : 0;
-    given += node != NULL ? node->sharing->grants->n_granted : 0;
+    granted += node != NULL ? node->sharing->grants->n_granted : 0;
     refused += node != NULL ? node->sharing->grants->n_refused : 0;
   }
-  g_test_message("%u moves begun, %u starts, %u without resources, %" G_GUINT64_FORMAT
-                 " writes; in these processes %" G_GUINT64_FORMAT " moves made, %" G_GUINT64_FORMAT
-                 " grants, %" G_GUINT64_FORMAT " refused, %u times two owners",
+  g_test_message("%u moves started, %u starts, %u refused for lack of resources, %" G_GUINT64_FORMAT
+                 " writes; by the current processes %" G_GUINT64_FORMAT
+                 " moves completed, %" G_GUINT64_FORMAT " grants, %" G_GUINT64_FORMAT
+                 " refusals; %u double owners",
                  world->n_moves_started, world->n_starts, world->n_no_resources, world->n_writes,
-                 moved, given, refused, world->n_double_owners);
+                 moved, granted, refused, world->n_double_owners);
 }
 
 static void
@@ -44,7 +46,7 @@
   for (guint second = 0; second < DAY_S; second++) {
     world_start_random_second(world, second);
     world_random_move(world);
-    mm_debug("second %u", second);
+    mm_debug("simulated second started second=%u", second);
     world_run(world, 1);
     world_assert_invariants(world);
   }
@@ -54,27 +56,29 @@
   world_finish_day(world);
 }
 
-/* ---- faulty owners ---- */
+/* Faulty owners. */
 
-/* A copy of each machine's next heartbeat reaches some node so much later than the original reaches
- * another: unless one has told the other, both consider it theirs to answer. */
+/* Has a copy of each machine's next heartbeat delivered to a random node `delay_us` after the
+ * original is sent. If the nodes have not informed each other of the heartbeat by then, both the
+ * original's receiver and this node consider themselves responsible for answering it. */
 static void
-duplicate_heartbeats(World *world, gint64 later_us) {
+duplicate_heartbeats(World *world, gint64 delay_us) {
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = world_machine_at(world, i);
-    machine->duplicate_at_us = machine->next_heartbeat_at_us + later_us;
+    machine->duplicate_at_us = machine->next_heartbeat_at_us + delay_us;
     machine->duplicate_node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
   }
 }
 
-typedef enum { SOUND, FORGETS_GRANTS, IGNORES_ACKNOWLEDGEMENTS } OwnerFault;
+typedef enum { NO_OWNER_FAULT, FORGETS_GRANTS, IGNORES_ACKNOWLEDGEMENTS } OwnerFault;
 
-/* Copies arrive before nodes have told one another of the heartbeat; or, with `restarts`, while
- * they cannot, and owners restart in between, with no memory of what they had granted. */
+/* Returns whether a day with this fault of the owners violates an invariant. Copies of heartbeats
+ * arrive before the nodes have informed each other of the originals; with `restarts`, they arrive
+ * while the nodes cannot do so, and owners restart in between and forget what they had granted. */
 static gboolean
-breaks_an_invariant(guint seed, gboolean restarts, OwnerFault fault) {
+violates_an_invariant(guint seed, gboolean restarts, OwnerFault fault) {
   World *world = new_sharing_world(seed);
-  gboolean is_broken;
+  gboolean is_violated;
 
   world->forget_grants = fault == FORGETS_GRANTS;
   world->ignore_group_acknowledgements = fault == IGNORES_ACKNOWLEDGEMENTS;
@@ -89,36 +93,38 @@
       world_refuse_links(world, 3);
       world_kill_node(world, (guint)g_rand_int_range(world->rand, 0, WORLD_NODES), 0.1);
     }
-    duplicate_heartbeats(world, restarts ? COPY_LATE_US : COPY_SOON_US);
+    duplicate_heartbeats(world, restarts ? LONG_COPY_DELAY_US : SHORT_COPY_DELAY_US);
     world_run(world, 1);
   }
-  is_broken = world->violations->len > 0;
-  if (is_broken)
+  is_violated = world->violations->len > 0;
+  if (is_violated)
     g_test_message("seed %u: %s", seed, (char *)g_ptr_array_index(world->violations, 0));
   world_free(world);
-  return is_broken;
+  return is_violated;
 }
 
 static void
 test_faulty_nodes_are_found(void) {
-  guint n_forgetful = 0, n_ignoring = 0;
+  guint n_days_with_forgotten_grants = 0, n_days_with_ignored_acknowledgements = 0;
   guint seeds = g_test_slow() ? 60 : 6;
 
   for (guint seed = 1; seed <= seeds; seed++) {
-    g_assert_false(breaks_an_invariant(seed, FALSE, SOUND));
-    g_assert_false(breaks_an_invariant(seed, TRUE, SOUND));
-    n_forgetful += breaks_an_invariant(seed, FALSE, FORGETS_GRANTS);
-    n_ignoring += breaks_an_invariant(seed, TRUE, IGNORES_ACKNOWLEDGEMENTS);
+    g_assert_false(violates_an_invariant(seed, FALSE, NO_OWNER_FAULT));
+    g_assert_false(violates_an_invariant(seed, TRUE, NO_OWNER_FAULT));
+    n_days_with_forgotten_grants += violates_an_invariant(seed, FALSE, FORGETS_GRANTS);
+    n_days_with_ignored_acknowledgements
+        += violates_an_invariant(seed, TRUE, IGNORES_ACKNOWLEDGEMENTS);
   }
-  g_test_message("of %u days: forgotten grants show on %u, ignored acknowledgements on %u", seeds,
-                 n_forgetful, n_ignoring);
-  g_assert_cmpuint(n_forgetful, >, 0);
+  g_test_message(
+      "%u days: violations from forgotten grants on %u, from ignored acknowledgements on %u", seeds,
+      n_days_with_forgotten_grants, n_days_with_ignored_acknowledgements);
+  g_assert_cmpuint(n_days_with_forgotten_grants, >, 0);
 }
 
 int
 main(int argc, char **argv) {
   world_test_init(&argc, &argv);
-  /* `-m slow`: some hundred days, which take minutes. */
+  /* `-m slow` runs 300 days, which takes minutes. */
   for (guint seed = 1; seed <= (g_test_slow() ? SLOW_DAYS : DAYS); seed++) {
     g_autofree char *path = g_strdup_printf("/sharing-world/random-day-%u", seed);
     g_test_add_data_func(path, GUINT_TO_POINTER(seed), test_random_day);
--- a/tests/test-sharing-world.h
+++ b/tests/test-sharing-world.h
@@ -1,4 +1,4 @@
-/* Fixtures of the tests of machine groups in the simulated world. */
+/* Fixtures for the tests of machine groups in the simulated world. */
 #pragma once
 
 #include "world/world.h"
@@ -6,21 +6,24 @@
 #define SECOND ((gint64)G_USEC_PER_SEC)
 #define GROUPS 16
 
-/* Nine machines in 16 groups; not started yet. */
+/* Returns a world with nine machines in 16 groups. It is not started yet, so that the caller can
+ * set its parameters. Free with world_free() or world_finish_day(). */
 World *new_sharing_world(guint32 seed);
-/* Submits an array of six short tasks with one core each, of any team. */
+/* Submits an array of six short tasks with one core each, of a random team. */
 void submit_small_job(World *world);
-/* Submits such a job each second, and checks the invariants. */
+/* Runs the world for `seconds`; each second, submits a job with submit_small_job() and checks the
+ * invariants. */
 void run_under_load(World *world, guint seconds);
-/* All nodes agree on an owner of each group, and it grants. */
+/* Checks that all nodes agree on the owner of each group, and that the owner itself holds the group
+ * under a valid lease. */
 void assert_groups_are_owned(const World *world);
 
-/* ---- test-sharing-world-moves.c ---- */
+/* Defined in test-sharing-world-moves.c. */
 
-/* Adds the tests of one move, undisturbed and with each fault. */
+/* Adds the tests of a single move, without a fault and with each of the faults. */
 void add_move_cases(void);
 
-/* ---- test-sharing-world-settings.c ---- */
+/* Defined in test-sharing-world-settings.c. */
 
 void test_sharing_turns_on_and_off(void);
 void test_other_group_count_is_inactive(void);
--- a/tests/test-sharing.c
+++ b/tests/test-sharing.c
@@ -1,4 +1,4 @@
-/* Machine groups without nodes: sets and their text, the map of owners, shares and moves. */
+/* Machine groups without nodes: sets and their text form, the map of owners, shares and moves. */
 #include "base/json.h"
 #include "config/operators.h"
 #include "sharing/group-map.h"
@@ -9,52 +9,52 @@
 
 static void
 test_machines_hash_evenly(void) {
-  guint machines[GROUPS] = { 0 };
-  guint most = 0;
+  guint machines_in_group[GROUPS] = { 0 };
+  guint max_machines = 0;
 
-  /* Never changes: the nodes of two versions must agree. */
+  /* The hash must never change: nodes of different versions must agree on it. */
   g_assert_cmpuint(mm_group_of_machine("m-000231", GROUPS), ==, 239);
   g_assert_cmpuint(mm_group_of_machine("", GROUPS), <, GROUPS);
   g_assert_cmpuint(mm_group_of_machine("m-000231", 1), ==, 0);
   for (guint i = 0; i < 6000; i++) {
     g_autofree char *name = g_strdup_printf("m-%06u", i);
-    machines[mm_group_of_machine(name, GROUPS)]++;
+    machines_in_group[mm_group_of_machine(name, GROUPS)]++;
   }
-  /* 23.4 a group at the mean: names that follow one another spread as well as any. */
+  /* The mean is 23.4 machines per group: consecutive names must spread as evenly as any others. */
   for (guint group = 0; group < GROUPS; group++) {
-    g_assert_cmpuint(machines[group], >, 0);
-    most = MAX(most, machines[group]);
+    g_assert_cmpuint(machines_in_group[group], >, 0);
+    max_machines = MAX(max_machines, machines_in_group[group]);
   }
-  g_assert_cmpuint(most, <, 50);
+  g_assert_cmpuint(max_machines, <, 50);
 }
 
 static void
 test_group_sets_round_trip(void) {
-  static const char *const good[] = { "", "0", "0-3,7", "5-6,8-255" };
-  static const char *const bad[]
+  static const char *const valid[] = { "", "0", "0-3,7", "5-6,8-255" };
+  static const char *const invalid[]
       = { "256", "3-1", "a", "1,", ",1", "1-", "-1", "1 2", "1--2", "99999999999999999999" };
   g_autoptr(GRand) rand = g_rand_new_with_seed(3);
 
-  for (guint i = 0; i < G_N_ELEMENTS(good); i++) {
-    g_autoptr(MmGroupSet) set = mm_group_set_from_text(good[i], GROUPS);
+  for (guint i = 0; i < G_N_ELEMENTS(valid); i++) {
+    g_autoptr(MmGroupSet) set = mm_group_set_from_text(valid[i], GROUPS);
     g_autofree char *text = mm_group_set_to_text(set);
-    g_assert_cmpstr(text, ==, good[i]);
+    g_assert_cmpstr(text, ==, valid[i]);
   }
-  for (guint i = 0; i < G_N_ELEMENTS(bad); i++)
-    g_assert_null(mm_group_set_from_text(bad[i], GROUPS));
+  for (guint i = 0; i < G_N_ELEMENTS(invalid); i++)
+    g_assert_null(mm_group_set_from_text(invalid[i], GROUPS));
   for (guint round = 0; round < 200; round++) {
-    g_autoptr(MmGroupSet) set = roaring_bitmap_create(), again = NULL;
+    g_autoptr(MmGroupSet) set = roaring_bitmap_create(), parsed = NULL;
     g_autofree char *text = NULL;
     for (gint n = g_rand_int_range(rand, 0, 300); n > 0; n--)
       roaring_bitmap_add(set, (guint32)g_rand_int_range(rand, 0, GROUPS));
     text = mm_group_set_to_text(set);
-    again = mm_group_set_from_text(text, GROUPS);
-    g_assert_true(roaring_bitmap_equals(set, again));
+    parsed = mm_group_set_from_text(text, GROUPS);
+    g_assert_true(roaring_bitmap_equals(set, parsed));
   }
 }
 
 static json_t *
-value_of(guint groups, guint64 lease, guint from, guint to, guint64 term) {
+group_value_json(guint groups, guint64 lease, guint from, guint to, guint64 term) {
   g_autoptr(MmGroupValue) value = mm_group_value_new(groups, lease);
 
   for (guint group = from; group < to; group++)
@@ -63,7 +63,7 @@
 }
 
 static const char *
-owner_of(const MmGroupMap *map, guint group) {
+owner_label(const MmGroupMap *map, guint group) {
   MmGroupOwner owner = mm_group_map_owner(map, group);
 
   return owner.holding != NULL ? owner.holding->node.s : NULL;
@@ -72,85 +72,89 @@
 static void
 test_map_names_owners(void) {
   MmGroupMap *map = mm_group_map_new(GROUPS);
-  g_autoptr(json_t) a = value_of(GROUPS, 7, 0, 100, 3), b = value_of(GROUPS, 8, 100, 256, 4);
-  g_autoptr(json_t) later = value_of(GROUPS, 9, 0, 1, 9);
+  g_autoptr(json_t) a = group_value_json(GROUPS, 7, 0, 100, 3),
+                    b = group_value_json(GROUPS, 8, 100, 256, 4);
+  g_autoptr(json_t) with_later_term = group_value_json(GROUPS, 9, 0, 1, 9);
 
   g_assert_true(mm_group_map_put(map, "n-0", a, (MmKeyVersion){ 11 }));
   g_assert_true(mm_group_map_put(map, "n-1", b, (MmKeyVersion){ 12 }));
-  g_assert_cmpstr(owner_of(map, 0), ==, "n-0");
-  g_assert_cmpstr(owner_of(map, 255), ==, "n-1");
+  g_assert_cmpstr(owner_label(map, 0), ==, "n-0");
+  g_assert_cmpstr(owner_label(map, 255), ==, "n-1");
   g_assert_cmpuint(mm_group_map_owner(map, 99).term.v, ==, 3);
   g_assert_cmpuint(mm_group_map_key_version(map, "n-1").v, ==, 12);
-  /* In two keys, by somebody's hand: the later term stands, whichever came first. */
-  g_assert_true(mm_group_map_put(map, "n-2", later, (MmKeyVersion){ 13 }));
-  g_assert_cmpstr(owner_of(map, 0), ==, "n-2");
+  /* A group in two keys, which only a manual edit can cause, belongs to the key with the later
+   * term, in whichever order the keys arrive. */
+  g_assert_true(mm_group_map_put(map, "n-2", with_later_term, (MmKeyVersion){ 13 }));
+  g_assert_cmpstr(owner_label(map, 0), ==, "n-2");
   g_assert_true(mm_group_map_put(map, "n-0", a, (MmKeyVersion){ 14 }));
-  g_assert_cmpstr(owner_of(map, 0), ==, "n-2");
+  g_assert_cmpstr(owner_label(map, 0), ==, "n-2");
   mm_group_map_remove(map, "n-2");
-  g_assert_cmpstr(owner_of(map, 0), ==, "n-0");
+  g_assert_cmpstr(owner_label(map, 0), ==, "n-0");
   mm_group_map_free(map);
 }
 
 static void
 test_other_group_count_conflicts(void) {
   MmGroupMap *map = mm_group_map_new(GROUPS);
-  g_autoptr(json_t) a = value_of(GROUPS, 7, 0, 100, 3), other = value_of(128, 9, 0, 1, 9);
+  g_autoptr(json_t) a = group_value_json(GROUPS, 7, 0, 100, 3),
+                    other = group_value_json(128, 9, 0, 1, 9);
 
   g_assert_true(mm_group_map_put(map, "n-0", a, (MmKeyVersion){ 11 }));
-  /* A key with another number of groups owns nothing, and is noticed. */
+  /* A key that names a different number of groups makes its node the owner of no group, and the map
+   * reports the conflict. */
   g_assert_cmpuint(mm_group_map_conflicting_count(map), ==, 0);
   g_assert_true(mm_group_map_put(map, "n-0", other, (MmKeyVersion){ 15 }));
-  g_assert_null(owner_of(map, 0));
+  g_assert_null(owner_label(map, 0));
   g_assert_cmpuint(mm_group_map_conflicting_count(map), ==, 128);
   mm_group_map_free(map);
 }
 
 static void
 test_malformed_values_are_refused(void) {
-  static const char *const bad[] = { "{}",
-                                     "[]",
-                                     "{\"c\":1,\"of\":256}",
-                                     "{\"c\":0,\"of\":256,\"g\":[]}",
-                                     "{\"c\":1,\"of\":100000,\"g\":[]}",
-                                     "{\"c\":1,\"of\":256,\"g\":[[0,\"1\"]]}",
-                                     "{\"c\":1,\"of\":256,\"g\":[[5,\"1-\"]]}",
-                                     "{\"c\":1,\"of\":256,\"g\":[[5,\"256\"]]}",
-                                     "{\"c\":1,\"of\":256,\"g\":[[5]]}",
-                                     "{\"c\":1,\"of\":256,\"g\":[7]}" };
+  static const char *const invalid[] = { "{}",
+                                         "[]",
+                                         "{\"c\":1,\"of\":256}",
+                                         "{\"c\":0,\"of\":256,\"g\":[]}",
+                                         "{\"c\":1,\"of\":100000,\"g\":[]}",
+                                         "{\"c\":1,\"of\":256,\"g\":[[0,\"1\"]]}",
+                                         "{\"c\":1,\"of\":256,\"g\":[[5,\"1-\"]]}",
+                                         "{\"c\":1,\"of\":256,\"g\":[[5,\"256\"]]}",
+                                         "{\"c\":1,\"of\":256,\"g\":[[5]]}",
+                                         "{\"c\":1,\"of\":256,\"g\":[7]}" };
   MmGroupMap *map = mm_group_map_new(GROUPS);
-  g_autoptr(json_t) good = value_of(GROUPS, 7, 0, 100, 3);
+  g_autoptr(json_t) valid = group_value_json(GROUPS, 7, 0, 100, 3);
 
-  for (guint i = 0; i < G_N_ELEMENTS(bad); i++) {
-    g_autoptr(json_t) value = json_loads(bad[i], 0, NULL);
-    g_assert_true(mm_group_map_put(map, "n-0", good, (MmKeyVersion){ 1 }));
+  for (guint i = 0; i < G_N_ELEMENTS(invalid); i++) {
+    g_autoptr(json_t) value = json_loads(invalid[i], 0, NULL);
+    g_assert_true(mm_group_map_put(map, "n-0", valid, (MmKeyVersion){ 1 }));
     g_assert_false(mm_group_map_put(map, "n-0", value, (MmKeyVersion){ 21 }));
-    g_assert_null(owner_of(map, 0));
+    g_assert_null(owner_label(map, 0));
     g_assert_cmpuint(g_hash_table_size(map->malformed), ==, 1);
-    /* To be replaced by its node, which must know the version. */
+    /* The node replaces its malformed key and needs the key's version to do so. */
     g_assert_cmpuint(mm_group_map_key_version(map, "n-0").v, ==, 21);
   }
-  g_assert_true(mm_group_map_put(map, "n-0", good, (MmKeyVersion){ 22 }));
+  g_assert_true(mm_group_map_put(map, "n-0", valid, (MmKeyVersion){ 22 }));
   g_assert_cmpuint(g_hash_table_size(map->malformed), ==, 0);
   mm_group_map_free(map);
 }
 
-/* A key must fit into the smallest values, also after its groups came one by one: then all go under
- * one term. */
+/* A node's key must fit into the smallest value limit even if the node acquired its groups one by
+ * one, each under a term of its own: all groups are then listed under one term. */
 static void
 test_value_fits_smallest_limit(void) {
   g_autoptr(MmGroupValue) value = mm_group_value_new(MM_GROUPS_MAX, 1);
-  g_autoptr(json_t) many = NULL, one = NULL;
+  g_autoptr(json_t) with_many_terms = NULL, with_one_term = NULL;
 
   for (guint group = 0; group < MM_GROUPS_MAX; group += 2)
     mm_group_value_add(value, group, (MmTerm){ 100000 + group });
-  many = mm_group_value_to_json(value);
-  g_assert_cmpuint(json_dumpb(many, NULL, 0, JSON_COMPACT), >, SMALL_VALUE_BYTES);
+  with_many_terms = mm_group_value_to_json(value);
+  g_assert_cmpuint(json_dumpb(with_many_terms, NULL, 0, JSON_COMPACT), >, SMALL_VALUE_BYTES);
   mm_group_value_use_one_term(value, (MmTerm){ 200000 });
-  one = mm_group_value_to_json(value);
-  g_assert_cmpuint(json_dumpb(one, NULL, 0, JSON_COMPACT), <, SMALL_VALUE_BYTES);
+  with_one_term = mm_group_value_to_json(value);
+  g_assert_cmpuint(json_dumpb(with_one_term, NULL, 0, JSON_COMPACT), <, SMALL_VALUE_BYTES);
 }
 
-/* ---- shares ---- */
+/* Shares. */
 
 #define NODES_MAX 31
 
@@ -184,22 +188,23 @@
   g_assert_cmpuint(sum, ==, groups);
 }
 
-/* The fewest moves that reach the targets; without slack these are made, and no more. */
+/* Checks that, without slack, the targets are reached by the fewest possible moves and that no more
+ * are made. */
 static void
 check_moves(MmShare *shares, const guint *targets, guint n) {
-  guint needed = 0, made = 0;
+  guint needed_moves = 0, made_moves = 0;
   MmShareMove move;
 
   for (guint i = 0; i < n; i++)
-    needed += shares[i].owned > targets[i] ? shares[i].owned - targets[i] : 0;
+    needed_moves += shares[i].owned > targets[i] ? shares[i].owned - targets[i] : 0;
   while (mm_shares_next_move(shares, targets, n, 0, &move)) {
     g_assert_cmpuint(move.from, !=, move.to);
     g_assert_cmpuint(shares[move.from].owned, >, 0);
     shares[move.from].owned--;
     shares[move.to].owned++;
-    made++;
+    made_moves++;
   }
-  g_assert_cmpuint(made, ==, needed);
+  g_assert_cmpuint(made_moves, ==, needed_moves);
   for (guint i = 0; i < n; i++)
     g_assert_cmpuint(shares[i].owned, ==, targets[i]);
 }
@@ -217,7 +222,7 @@
     mm_shares_targets(shares, n, groups, targets);
     check_targets(shares, targets, n, groups);
     check_moves(shares, targets, n);
-    /* Once reached, the targets stay the same: no group moves back. */
+    /* Once the targets are reached, they stay the same, so that no group moves back. */
     mm_shares_targets(shares, n, groups, targets);
     for (guint i = 0; i < n; i++)
       g_assert_cmpuint(shares[i].owned, ==, targets[i]);
@@ -226,21 +231,21 @@
 
 static void
 test_small_imbalance_stays(void) {
-  MmShare near[] = { { 1, 88 }, { 1, 84 }, { 1, 84 } },
-          far[] = { { 1, 100 }, { 1, 84 }, { 1, 72 } };
-  MmShare leaving[] = { { 0, 2 }, { 1, 127 }, { 1, 127 } };
+  MmShare within_slack[] = { { 1, 88 }, { 1, 84 }, { 1, 84 } },
+          beyond_slack[] = { { 1, 100 }, { 1, 84 }, { 1, 72 } };
+  MmShare with_zero_weight[] = { { 0, 2 }, { 1, 127 }, { 1, 127 } };
   guint targets[3];
   MmShareMove move;
 
-  mm_shares_targets(near, 3, GROUPS, targets);
-  g_assert_false(mm_shares_next_move(near, targets, 3, 4, &move));
-  mm_shares_targets(far, 3, GROUPS, targets);
-  g_assert_true(mm_shares_next_move(far, targets, 3, 4, &move));
+  mm_shares_targets(within_slack, 3, GROUPS, targets);
+  g_assert_false(mm_shares_next_move(within_slack, targets, 3, 4, &move));
+  mm_shares_targets(beyond_slack, 3, GROUPS, targets);
+  g_assert_true(mm_shares_next_move(beyond_slack, targets, 3, 4, &move));
   g_assert_cmpuint(move.from, ==, 0);
   g_assert_cmpuint(move.to, ==, 2);
-  /* A node of weight 0 releases its last groups, however few. */
-  mm_shares_targets(leaving, 3, GROUPS, targets);
-  g_assert_true(mm_shares_next_move(leaving, targets, 3, 4, &move));
+  /* A node of weight 0 releases its last groups even if the imbalance is within the slack. */
+  mm_shares_targets(with_zero_weight, 3, GROUPS, targets);
+  g_assert_true(mm_shares_next_move(with_zero_weight, targets, 3, 4, &move));
   g_assert_cmpuint(move.from, ==, 0);
 }
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,5 +1,6 @@
-/* Upgrades: old and new nodes side by side and on each other's data, restarted a few at a time
- * beside random faults, and limits of the key-value store that fall at a random moment. */
+/* Rolling upgrades: nodes of the old and the new release run side by side and on each other's data,
+ * are restarted a few at a time amid random faults, and the limits of the key-value store fall at a
+ * random moment. */
 #include "base/wire.h"
 #include "jobs/job-table.h"
 #include "peers.pb-c.h"
@@ -10,9 +11,10 @@
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 
-/* All nodes old, with so many machines that their packs outgrow the limits to come. */
+/* Returns a started world in which all nodes run the old release. With many machines, the registry
+ * packs exceed the limits to come. */
 static World *
-old_world(guint32 seed, guint machines) {
+new_old_version_world(guint32 seed, guint machines) {
   World *world = world_new(seed);
 
   world->announces_next_limits = TRUE;
@@ -26,7 +28,7 @@
 }
 
 static guint
-nodes_knowing_all_new(const World *world) {
+count_nodes_seeing_all_upgraded(const World *world) {
   guint n = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++)
@@ -35,40 +37,40 @@
   return n;
 }
 
-/* A job that depends on another gets 503 until every node has announced the new version, and is
- * accepted from then on, whichever node ends. */
+/* A job with a dependency gets 503 until every node has announced the new version, and is accepted
+ * from then on even if a node is killed. */
 static void
 test_dependencies_wait_for_all_nodes(void) {
-  World *world = old_world(1, 6);
-  WorldJob *first = world_submit(world, json_object(), 2), *after;
+  World *world = new_old_version_world(1, 6);
+  WorldJob *first = world_submit(world, json_object(), 2), *dependent;
 
   world_run(world, 6);
   g_assert_cmpint(first->user_view, >=, USER_SEES_ACCEPTED);
-  after = world_submit_dependent(world, json_object(), 2, &first, 1);
+  dependent = world_submit_dependent(world, json_object(), 2, &first, 1);
   for (guint i = 0; i < WORLD_NODES; i++) {
     world_run(world, 3);
-    g_assert_false(after->was_accepted);
-    g_assert_cmpuint(nodes_knowing_all_new(world), ==, 0);
+    g_assert_false(dependent->was_accepted);
+    g_assert_cmpuint(count_nodes_seeing_all_upgraded(world), ==, 0);
     world_upgrade_node(world, i, 0.5);
   }
-  world_run(world, 12); /* a request to a node that has just ended waits for five */
-  g_assert_cmpuint(nodes_knowing_all_new(world), ==, WORLD_NODES);
-  g_assert_true(after->was_accepted);
-  /* Announcements stay while a node is down. */
+  world_run(world, 12); /* a request to a node that was just killed times out after 5 s */
+  g_assert_cmpuint(count_nodes_seeing_all_upgraded(world), ==, WORLD_NODES);
+  g_assert_true(dependent->was_accepted);
+  /* Version announcements remain while a node is down. */
   world_kill_node(world, 2, 60);
   world_run(world, 6);
-  g_assert_cmpuint(nodes_knowing_all_new(world), ==, WORLD_NODES - 1);
-  after = world_submit_dependent(world, json_object(), 2, &first, 1);
+  g_assert_cmpuint(count_nodes_seeing_all_upgraded(world), ==, WORLD_NODES - 1);
+  dependent = world_submit_dependent(world, json_object(), 2, &first, 1);
   world_run(world, 30);
-  g_assert_cmpint(after->user_view, ==, USER_SEES_DONE);
+  g_assert_cmpint(dependent->user_view, ==, USER_SEES_DONE);
   world_assert_invariants(world);
   world_free(world);
 }
 
-/* Services on most machines, so that none is returned for being idle. */
+/* Runs services on most machines, so that none is returned to the cloud as idle. */
 static World *
-world_of_services(guint32 seed, guint machines) {
-  World *world = old_world(seed, machines);
+new_world_with_services(guint32 seed, guint machines) {
+  World *world = new_old_version_world(seed, machines);
 
   for (guint i = 0; i < 4; i++) {
     g_autofree char *team = g_strdup_printf("team-%u", i);
@@ -82,7 +84,7 @@
 }
 
 static gsize
-largest_pack(const World *world) {
+largest_registry_pack_bytes(const World *world) {
   const MmReplica *replica = world->nodes[0].node->replica;
   gsize most = 0;
   guint i;
@@ -98,14 +100,14 @@
   return most;
 }
 
-/* Registry packs that were written under larger limits are split before they change, and lost
- * machines leave them. */
+/* Registry packs written under larger limits are split before they are changed, and lost machines
+ * are removed from them. */
 static void
 test_large_packs_are_split(void) {
-  World *world = world_of_services(2, 120);
+  World *world = new_world_with_services(2, 120);
   guint registered = 0;
 
-  g_assert_cmpuint(largest_pack(world), >, WORLD_NEXT_VALUE_BYTES);
+  g_assert_cmpuint(largest_registry_pack_bytes(world), >, WORLD_NEXT_VALUE_BYTES);
   for (guint i = 0; i < WORLD_NODES; i++) {
     world_upgrade_node(world, i, 0.5);
     world_run(world, 6);
@@ -115,11 +117,12 @@
     world_kill_machine(world, g_ptr_array_index(world->machines, i));
   world_run(world, 60);
   world_assert_invariants(world);
-  g_assert_cmpuint(largest_pack(world), <=, WORLD_NEXT_VALUE_BYTES);
+  g_assert_cmpuint(largest_registry_pack_bytes(world), <=, WORLD_NEXT_VALUE_BYTES);
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = world_machine_at(world, i);
-    const MmMachine *seen = mm_machine_table_find(world->nodes[0].node->machine_table, machine->id);
-    gboolean known = seen != NULL && seen->is_in_registry;
+    const MmMachine *machine_on_node
+        = mm_machine_table_find(world->nodes[0].node->machine_table, machine->id);
+    gboolean known = machine_on_node != NULL && machine_on_node->is_in_registry;
     if (machine->is_up)
       registered += known;
     else
@@ -130,24 +133,25 @@
 }
 
 static void
-submit_something(World *world, gboolean pipelines) {
+submit_random_job(World *world, gboolean with_dependencies) {
   g_autofree char *team = g_strdup_printf("team-%d", g_rand_int_range(world->rand, 0, 4));
   json_t *body
       = json_pack("{s:s, s:i}", WIRE_TEAM, team, WIRE_TASKS, g_rand_int_range(world->rand, 1, 9));
-  WorldJob *need = pipelines ? world_any_job(world) : NULL;
+  WorldJob *dependency = with_dependencies ? world_any_job(world) : NULL;
 
-  if (need != NULL && need->was_accepted && need->spec.kind != MM_JOB_KIND_SERVICE)
-    world_submit_dependent(world, body, world_uniform(world, 1, 8), &need, 1);
+  if (dependency != NULL && dependency->was_accepted
+      && dependency->spec.kind != MM_JOB_KIND_SERVICE)
+    world_submit_dependent(world, body, world_uniform(world, 1, 8), &dependency, 1);
   else
     world_submit(world, body, world_uniform(world, 1, 8));
 }
 
-/* Limits that fall though nothing announced them: nodes that are refused write less at a time, and
- * nothing is sent twice as it was for long. */
+/* Limits fall without an announcement. Nodes whose transactions are refused write less at a time,
+ * and do not keep sending the same refused transaction. */
 static void
 test_unannounced_limits_are_learned(void) {
   World *world = world_new(3);
-  guint refused;
+  guint n_refused_before;
 
   world->has_unannounced_limits = TRUE;
   world->team_cores = 4 * 120;
@@ -155,7 +159,7 @@
   world_start(world);
   world_run(world, 4);
   for (guint i = 0; i < 8; i++)
-    submit_something(world, FALSE);
+    submit_random_job(world, FALSE);
   world_run(world, 10);
   world_lower_limits(world);
   for (guint i = 0; i < world->machines->len; i += 10)
@@ -165,43 +169,43 @@
     world_kill_node(world, i, i == 0 ? 0.5 : 30);
   world_run(world, 20);
   for (guint i = 0; i < 20; i++) {
-    submit_something(world, FALSE);
+    submit_random_job(world, FALSE);
     world_run(world, 1);
   }
-  refused = world->n_too_large;
-  g_assert_cmpuint(refused, >, 0);
+  n_refused_before = world->n_too_large;
+  g_assert_cmpuint(n_refused_before, >, 0);
   world_run(world, 60);
   world_assert_invariants(world);
   g_test_message("%u transactions refused, %u of them in the last minute", world->n_too_large,
-                 world->n_too_large - refused);
-  g_assert_cmpuint(world->n_too_large - refused, <=, 6);
+                 world->n_too_large - n_refused_before);
+  g_assert_cmpuint(world->n_too_large - n_refused_before, <=, 6);
   for (guint i = 0; i < world->jobs->len; i++)
     g_assert_cmpint(((const WorldJob *)g_ptr_array_index(world->jobs, i))->user_view, ==,
                     USER_SEES_DONE);
   world_free(world);
 }
 
-/* The nodes are upgraded at random moments; users use what is new once all are, and the limits fall
- * at some moment after that. */
+/* Nodes are upgraded at random moments. Users submit jobs with dependencies once all nodes are
+ * upgraded, and the limits fall at a random moment after that. */
 static void
 test_rolling_upgrade(gconstpointer data) {
-  World *world = old_world(GPOINTER_TO_UINT(data), 9);
-  guint turns[WORLD_NODES], all_new = 0, fall;
+  World *world = new_old_version_world(GPOINTER_TO_UINT(data), 9);
+  guint upgrade_at_s[WORLD_NODES], all_upgraded_at_s = 0, limits_fall_at_s;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
-    turns[i] = 8 + (guint)g_rand_int_range(world->rand, 0, 25);
-    all_new = MAX(all_new, turns[i] + 5);
+    upgrade_at_s[i] = 8 + (guint)g_rand_int_range(world->rand, 0, 25);
+    all_upgraded_at_s = MAX(all_upgraded_at_s, upgrade_at_s[i] + 5);
   }
-  fall = all_new + (guint)g_rand_int_range(world->rand, 0, 30);
+  limits_fall_at_s = all_upgraded_at_s + (guint)g_rand_int_range(world->rand, 0, 30);
   for (guint second = 0; second < 100; second++) {
     if (second % 2 == 0)
-      submit_something(world, second > all_new);
+      submit_random_job(world, second > all_upgraded_at_s);
     if (second % 11 == 7)
       world_cancel(world_any_job(world));
     for (guint i = 0; i < WORLD_NODES; i++)
-      if (turns[i] == second)
+      if (upgrade_at_s[i] == second)
         world_upgrade_node(world, i, world_uniform(world, 0.2, 3));
-    if (second == fall)
+    if (second == limits_fall_at_s)
       world_lower_limits(world);
     if (second > 5 && world_uniform(world, 0, 1) < 0.12)
       world_inject_random_fault(world);
@@ -211,7 +215,7 @@
   world->faults_ended_at_us = world->now_us + 45 * SECOND;
   world_run(world, 240);
   world_assert_invariants(world);
-  g_test_message("%u requests over the rate", world->n_rate_limited);
+  g_test_message("%u requests refused with 429, above the rate limit", world->n_rate_limited);
   world_assert_all_jobs_finished(world);
   world_free(world);
 }
@@ -221,7 +225,7 @@
   guint days = 6;
 
   world_test_init(&argc, &argv);
-  /* More days than CI plays: MM_UPGRADE_DAYS=100 tests/test-upgrade */
+  /* To run more days than CI does: MM_UPGRADE_DAYS=100 tests/test-upgrade */
   if (g_getenv("MM_UPGRADE_DAYS") != NULL)
     days = (guint)g_ascii_strtoull(g_getenv("MM_UPGRADE_DAYS"), NULL, 10);
   g_test_add_func("/upgrade/dependencies-wait-for-all-nodes", test_dependencies_wait_for_all_nodes);
--- a/tests/test-world-days.c
+++ b/tests/test-world-days.c
@@ -1,5 +1,5 @@
-/* Seeded random days: anything may fail, the invariants hold after every step, and all work gets
- * done. */
+/* Random days: runs of the simulated world whose workload and faults are drawn from a seed.
+ * Anything may fail; the invariants hold after every step, and all jobs finish in the end. */
 #include "test-world.h"
 
 #include "base/wire.h"
@@ -7,15 +7,16 @@
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 #define DAYS 16
-#define ROUGH_DAYS_IN_CI 8
-/* Days from here on draw from all faults. The earlier ones draw from the first of them only, as
- * they always did: one of them has a failure that was found on it. */
-#define FIRST_ROUGH_DAY 1001
-#define N_FAULTS_OF_CALM_DAYS 17
-
-/* A machine that is up; NULL if fifty draws find none. */
+#define DAYS_WITH_ALL_FAULTS_IN_CI 8
+/* Days from this one on draw from all faults. Earlier days draw only from the first N_BASIC_FAULTS,
+ * so that a seed still reproduces the same run: one of these days covers a failure that was found
+ * on it. */
+#define FIRST_DAY_WITH_ALL_FAULTS 1001
+#define N_BASIC_FAULTS 17
+
+/* Returns a machine that is up, or NULL if fifty draws find none. */
 static WorldMachine *
-any_running_machine(World *world) {
+random_running_machine(World *world) {
   for (guint tries = 0; tries < 50; tries++) {
     WorldMachine *machine = g_ptr_array_index(
         world->machines, (guint)g_rand_int_range(world->rand, 0, (gint32)world->machines->len));
@@ -25,12 +26,12 @@
   return NULL;
 }
 
-/* What a fault befalls: one machine (may be NULL) or one node, drawn beforehand. */
+/* The target of a fault, drawn before the fault: one machine (may be NULL) or one node. */
 typedef struct {
   World *world;
   WorldMachine *machine;
   guint node;
-  double down_s; /* how long a node stays down */
+  double down_s; /* how long a killed node stays down */
 } FaultTarget;
 
 static gint64
@@ -39,53 +40,53 @@
 }
 
 static void
-node_ends(FaultTarget *target) {
+kill_node(FaultTarget *target) {
   world_kill_node(target->world, target->node, target->down_s);
 }
 
 static void
-all_nodes_end(FaultTarget *target) {
+kill_all_nodes(FaultTarget *target) {
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(target->world, i, target->down_s);
 }
 
 static void
-store_is_down(FaultTarget *target) {
+start_kv_outage(FaultTarget *target) {
   world_kv_outage(target->world, world_uniform(target->world, 1, 15));
 }
 
 static void
-node_is_refused(FaultTarget *target) {
+refuse_node_kv_requests(FaultTarget *target) {
   target->world->nodes[target->node].kv_refuses_until_us = random_time(target->world, 1, 12);
 }
 
 static void
-machine_dies(FaultTarget *target) {
+kill_machine(FaultTarget *target) {
   world_kill_machine(target->world, target->machine);
 }
 
 static void
-machine_hangs(FaultTarget *target) {
+hang_worker(FaultTarget *target) {
   target->machine->hung_until_us = random_time(target->world, 1, 20);
 }
 
 static void
-machine_is_cut_off(FaultTarget *target) {
+cut_machine_off(FaultTarget *target) {
   target->machine->cut_until_us = random_time(target->world, 1, 30);
 }
 
 static void
-cloud_is_down(FaultTarget *target) {
+start_cloud_outage(FaultTarget *target) {
   target->world->cloud_down_until_us = target->world->now_us + 10 * SECOND;
 }
 
 static void
-machine_loses_inbound(FaultTarget *target) {
+lose_inbound_messages(FaultTarget *target) {
   target->machine->inbound_lost_until_us = random_time(target->world, 2, 40);
 }
 
 static void
-node_or_zone_is_cut_off(FaultTarget *target) {
+cut_node_or_zone_off(FaultTarget *target) {
   World *world = target->world;
 
   if (g_rand_boolean(world->rand))
@@ -95,23 +96,23 @@
 }
 
 static void
-machine_restarts(FaultTarget *target) {
+restart_machine(FaultTarget *target) {
   world_restart_machine(target->world, target->machine, world_uniform(target->world, 0.1, 0.8));
 }
 
 static void
-links_are_refused(FaultTarget *target) {
+refuse_peer_links(FaultTarget *target) {
   world_refuse_links(target->world, world_uniform(target->world, 2, 25));
 }
 
 static void
-node_is_suspended(FaultTarget *target) {
+suspend_node(FaultTarget *target) {
   world_freeze_node(target->world, target->node,
                     world_uniform(target->world, 0.2, 4 * target->world->lease_s));
 }
 
 static void
-spot_machine_gets_notice(FaultTarget *target) {
+send_termination_notice(FaultTarget *target) {
   WorldMachine *machine = target->machine;
 
   if (!machine->is_spot || machine->notice_at_us != 0)
@@ -122,24 +123,24 @@
 }
 
 static void
-machine_loses_outbound(FaultTarget *target) {
+lose_outbound_messages(FaultTarget *target) {
   target->machine->outbound_lost_until_us = random_time(target->world, 2, 30);
 }
 
 static void
-store_is_slow(FaultTarget *target) {
+slow_kv_store(FaultTarget *target) {
   target->world->kv_slow_s = world_uniform(target->world, 0.1, 1.2);
   target->world->kv_slow_until_us = target->world->now_us + 15 * SECOND;
 }
 
 static void
-users_send_odd_requests(FaultTarget *target) {
+send_odd_requests(FaultTarget *target) {
   world_send_odd_requests(target->world);
 }
 
-/* The store refuses one node, then all. */
+/* The key-value store refuses one node first, then all nodes. */
 static void
-store_refuses_one_then_all(FaultTarget *target) {
+refuse_one_node_then_all(FaultTarget *target) {
   World *world = target->world;
 
   world->nodes[target->node].kv_refuses_until_us = world->now_us + 14 * SECOND;
@@ -148,7 +149,7 @@
 }
 
 static void
-jobs_are_cancelled(FaultTarget *target) {
+cancel_jobs_and_hang_worker(FaultTarget *target) {
   World *world = target->world;
 
   for (guint i = 0; i < 4; i++)
@@ -158,74 +159,76 @@
 }
 
 static void
-writes_turn_late(FaultTarget *target) {
+toggle_late_writes(FaultTarget *target) {
   target->world->late_write_rate = target->world->late_write_rate > 0 ? 0 : 0.2;
 }
 
 typedef struct {
   void (*inject)(FaultTarget *target);
-  gboolean needs_machine; /* not injected without a machine */
+  gboolean needs_machine; /* the fault is skipped if `machine` is NULL */
 } Fault;
 
 static const Fault faults[] = {
-  { node_ends, FALSE },
-  { all_nodes_end, FALSE },
-  { store_is_down, FALSE },
-  { node_is_refused, FALSE },
-  { machine_dies, TRUE },
-  { machine_hangs, TRUE },
-  { machine_is_cut_off, TRUE },
-  { machine_is_cut_off, TRUE },
-  { cloud_is_down, FALSE },
-  { machine_loses_inbound, TRUE },
-  { machine_loses_inbound, TRUE },
-  { node_or_zone_is_cut_off, FALSE },
-  { machine_restarts, TRUE },
-  { links_are_refused, FALSE },
-  { node_is_suspended, FALSE },
-  { node_is_suspended, FALSE },
-  { spot_machine_gets_notice, TRUE },
-  /* N_FAULTS_OF_CALM_DAYS end here. */
-  { machine_loses_outbound, TRUE },
-  { store_is_slow, FALSE },
-  { users_send_odd_requests, FALSE },
-  { store_refuses_one_then_all, FALSE },
-  { jobs_are_cancelled, FALSE },
-  { writes_turn_late, FALSE },
+  { kill_node, FALSE },
+  { kill_all_nodes, FALSE },
+  { start_kv_outage, FALSE },
+  { refuse_node_kv_requests, FALSE },
+  { kill_machine, TRUE },
+  { hang_worker, TRUE },
+  { cut_machine_off, TRUE },
+  { cut_machine_off, TRUE },
+  { start_cloud_outage, FALSE },
+  { lose_inbound_messages, TRUE },
+  { lose_inbound_messages, TRUE },
+  { cut_node_or_zone_off, FALSE },
+  { restart_machine, TRUE },
+  { refuse_peer_links, FALSE },
+  { suspend_node, FALSE },
+  { suspend_node, FALSE },
+  { send_termination_notice, TRUE },
+  /* The first N_BASIC_FAULTS end here. */
+  { lose_outbound_messages, TRUE },
+  { slow_kv_store, FALSE },
+  { send_odd_requests, FALSE },
+  { refuse_one_node_then_all, FALSE },
+  { cancel_jobs_and_hang_worker, FALSE },
+  { toggle_late_writes, FALSE },
 };
 
 static void
-inject_random_fault(World *world, gboolean rough) {
-  FaultTarget target = { .world = world, .machine = any_running_machine(world) };
-  guint which;
+inject_random_fault(World *world, gboolean with_all_faults) {
+  FaultTarget target = { .world = world, .machine = random_running_machine(world) };
+  guint fault_index;
 
   target.node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
   target.down_s = world_uniform(world, 0, 1) < 0.3 ? 0.2 : 3;
-  which = (guint)g_rand_int_range(world->rand, 0,
-                                  rough ? (gint)G_N_ELEMENTS(faults) : N_FAULTS_OF_CALM_DAYS);
-  mm_debug("world: fault %u, machine %s, node %u", which,
+  fault_index = (guint)g_rand_int_range(
+      world->rand, 0, with_all_faults ? (gint)G_N_ELEMENTS(faults) : N_BASIC_FAULTS);
+  mm_debug("random fault drawn index=%u machine=%s node=%u", fault_index,
            target.machine != NULL ? target.machine->id : "none", target.node);
-  if (target.machine != NULL || !faults[which].needs_machine)
-    faults[which].inject(&target);
+  if (target.machine != NULL || !faults[fault_index].needs_machine)
+    faults[fault_index].inject(&target);
 }
 
-/* A job every four seconds, some cancelled, and a fault on every fifth second. */
+/* Submits a job every four seconds, cancels some, and injects a fault in one second of five on
+ * average. */
 static void
-play_random_day(World *world, gboolean rough) {
+run_random_day(World *world, gboolean with_all_faults) {
   for (guint second = 0; second < 150; second++) {
     if (second % 4 == 0)
       world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
     if (second % 13 == 7)
       world_cancel(world_any_job(world));
     if (second > 10 && world_uniform(world, 0, 1) < 0.2)
-      inject_random_fault(world, rough);
-    mm_debug("second %u", second);
+      inject_random_fault(world, with_all_faults);
+    mm_debug("simulated second started second=%u", second);
     world_run(world, 1);
     world_assert_invariants(world);
   }
 }
 
-/* Faults have ended: what is left gets done. */
+/* Injects no more faults, cancels the services and runs the world long enough for the remaining
+ * work to finish. */
 static void
 finish_random_day(World *world) {
   world->late_write_rate = 0;
@@ -242,19 +245,19 @@
 static void
 test_random_day(gconstpointer data) {
   World *world = world_new(GPOINTER_TO_UINT(data));
-  gboolean rough = GPOINTER_TO_UINT(data) >= FIRST_ROUGH_DAY;
+  gboolean with_all_faults = GPOINTER_TO_UINT(data) >= FIRST_DAY_WITH_ALL_FAULTS;
   guint n_starts_amid_faults;
 
-  /* On two days of three, late copies of requests come as well. */
+  /* On two days of three, late copies of requests arrive as well. */
   world->duplicate_rate = GPOINTER_TO_UINT(data) % 3 == 0 ? 0 : 0.02;
   world->stall_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.01;
-  world->cancel_at_end_rate = rough ? 0.2 : 0;
-  /* Nodes may end without their peers seeing the links closed. */
-  world->ends_leave_half_open = rough && GPOINTER_TO_UINT(data) % 2 == 0;
+  world->cancel_at_end_rate = with_all_faults ? 0.2 : 0;
+  /* Nodes may be killed without their peers seeing the links closed. */
+  world->ends_leave_half_open = with_all_faults && GPOINTER_TO_UINT(data) % 2 == 0;
   world_add_nine_machines(world);
   world_start(world);
   world_run(world, 3);
-  play_random_day(world, rough);
+  run_random_day(world, with_all_faults);
   n_starts_amid_faults = world->n_starts;
   finish_random_day(world);
   g_assert_cmpuint(n_starts_amid_faults, >, 20);
@@ -266,20 +269,20 @@
 
 void
 add_random_days(void) {
-  guint days = DAYS, rough = ROUGH_DAYS_IN_CI;
+  guint days = DAYS, days_with_all_faults = DAYS_WITH_ALL_FAULTS_IN_CI;
 
-  /* More days than CI plays: MM_WORLD_DAYS=100 tests/test-world */
+  /* To run more days than CI does: MM_WORLD_DAYS=100 tests/test-world */
   if (g_getenv("MM_WORLD_DAYS") != NULL)
-    days = rough = (guint)g_ascii_strtoull(g_getenv("MM_WORLD_DAYS"), NULL, 10);
-  /* Day 31: a gang split by a lost machine waited without end. */
+    days = days_with_all_faults = (guint)g_ascii_strtoull(g_getenv("MM_WORLD_DAYS"), NULL, 10);
+  /* Regression test for day 31, on which a gang split by the loss of a machine waited forever. */
   g_test_add_data_func("/world/random-day-31-with-split-gang", GUINT_TO_POINTER(31),
                        test_random_day);
   for (guint seed = 1; seed <= days; seed++) {
     g_autofree char *name = g_strdup_printf("/world/random-day-%u", seed);
     g_test_add_data_func(name, GUINT_TO_POINTER(seed), test_random_day);
   }
-  for (guint i = 0; i < rough; i++) {
-    g_autofree char *name = g_strdup_printf("/world/rough-day-%u", FIRST_ROUGH_DAY + i);
-    g_test_add_data_func(name, GUINT_TO_POINTER(FIRST_ROUGH_DAY + i), test_random_day);
+  for (guint i = 0; i < days_with_all_faults; i++) {
+    g_autofree char *name = g_strdup_printf("/world/rough-day-%u", FIRST_DAY_WITH_ALL_FAULTS + i);
+    g_test_add_data_func(name, GUINT_TO_POINTER(FIRST_DAY_WITH_ALL_FAULTS + i), test_random_day);
   }
 }
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -5,14 +5,14 @@
 #include "test-world.h"
 #include "world/world.h"
 
-/* Nodes that all restart while the cloud is down use the instance types that were stored: they are
+/* Nodes that all restart during an outage of the cloud use the stored instance types: they are
  * healthy and start tasks before the cloud is back. */
 static void
 test_restart_needs_no_cloud(void) {
   World *world = world_new(9);
   WorldJob *job;
 
-  /* No task fails: that is not what this test is about. */
+  /* Task failures are disabled, as this test does not cover them. */
   for (guint i = 0; i < 3; i++)
     world_add_machine(world, "small", "a", FALSE, 0.1)->failure_rate = 0;
   world_start(world);
@@ -28,8 +28,9 @@
   world_free(world);
 }
 
-/* Two nodes that are refused at the same time, while the third is served, are no outage: they stop
- * answering and their leases expire, as what the third one does shows; nothing runs twice. */
+/* Two nodes that are refused by the key-value store at the same time, while the third node is
+ * served, do not prove an outage, since the third node shows that the store is up. The two nodes
+ * stop answering workers and their leases expire; no task runs twice. */
 static void
 test_two_refused_nodes_are_no_outage(void) {
   World *world = world_new(5);
@@ -53,13 +54,14 @@
   world_free(world);
 }
 
-/* All nodes are back one shortly after the other, and each acquires its shards with a term of its
- * own. Answers to heartbeats wait a moment for the last of these terms: a worker shows one higher
- * term at once and the next only half a lease later, and the shards would wait for that. */
+/* All nodes restart shortly after one another, and each acquires its shards under a term of its
+ * own. Responses to heartbeats are delayed briefly until the last of these terms is known: a worker
+ * shows one higher term at once but the next one only half a lease later, and the shards would have
+ * to wait for it. */
 static void
 test_last_term_is_shown_first(void) {
   World *world = world_new(11);
-  guint n_changes = 0;
+  guint n_token_changes = 0;
   guint64 fencing_tokens[20] = { 0 };
 
   for (guint i = 0; i < G_N_ELEMENTS(fencing_tokens); i++)
@@ -72,22 +74,22 @@
     world_run(world, 0.02);
     for (guint i = 0; i < G_N_ELEMENTS(fencing_tokens); i++) {
       const WorldMachine *machine = world_machine_at(world, i);
-      n_changes += machine->fencing_token > fencing_tokens[i] && step > 0;
+      n_token_changes += machine->fencing_token > fencing_tokens[i] && step > 0;
       fencing_tokens[i] = machine->fencing_token;
     }
   }
   world_assert_invariants(world);
-  g_test_message("%u changes of term on %u machines", n_changes,
+  g_test_message("%u changes of fencing tokens on %u machines", n_token_changes,
                  (guint)G_N_ELEMENTS(fencing_tokens));
   for (guint i = 0; i < G_N_ELEMENTS(fencing_tokens); i++)
     if (world_machine_at(world, i)->is_up)
       g_assert_cmpuint(fencing_tokens[i], ==, world->nodes[0].node->replica->term.v);
-  g_assert_cmpuint(n_changes, <=, G_N_ELEMENTS(fencing_tokens) + 2);
+  g_assert_cmpuint(n_token_changes, <=, G_N_ELEMENTS(fencing_tokens) + 2);
   world_free(world);
 }
 
-/* A node that has lost the key-value store and the other nodes answers its users at once, sends its
- * workers elsewhere when its lease can have expired, and recovers by itself. */
+/* A node that has lost the key-value store and the other nodes answers its users at once, redirects
+ * its workers once its lease may have expired, and recovers by itself. */
 static void
 test_cut_node_answers_users_503(void) {
   World *world = world_new(7);
@@ -119,21 +121,22 @@
   world_free(world);
 }
 
-/* Status of a request to a node whose ticks are at least so late. */
+/* Returns the status of a request to a node whose ticks are at least `tick_delay_ms` late. */
 static int
 status_of_late_node(World *world, gint64 tick_delay_ms, const char *method, const char *path,
                     json_t *body) {
   int status = -1;
 
   world_send_request(world, 0, NULL, method, path, body, 4000000, world_record_status, &status);
-  /* The request arrives within 6 ms; a tick on time would halve the delay. */
+  /* The request arrives within 6 ms; a tick that is on time would halve the delay. */
   world->nodes[0].node->tick_delay_ms = MAX(world->nodes[0].node->tick_delay_ms, tick_delay_ms);
   world_run(world, 2);
   return status;
 }
 
-/* A node that falls behind refuses polls first, then submissions, not malformed input for long, and
- * never health checks; on time again, it accepts everything. */
+/* An overloaded node refuses status polls first, then submissions, and never health checks; a
+ * malformed submission still gets 400 while only polls are refused. Once the node's ticks are on
+ * time again, it accepts everything. */
 static void
 test_load_is_shed_in_order(void) {
   World *world = world_new(8);
@@ -153,7 +156,8 @@
   world_free(world);
 }
 
-/* An outage for all, which two nodes prove to each other: leases hold throughout. */
+/* During an outage of the key-value store for all nodes, which two nodes prove to each other, the
+ * node leases stay valid. */
 static void
 test_leases_hold_in_an_outage(void) {
   World *world = world_new(6);
