--- a/tests/sample-settings.h
+++ b/tests/sample-settings.h
@@ -1,4 +1,5 @@
-/* A small settings file for the tests. */
+/* Text of a settings file in TOML for tests. The program must ignore the unknown key
+ * `not_known_yet`. */
 #pragma once
 
 static const char sample_settings[]
--- a/tests/test-completed-tasks.c
+++ b/tests/test-completed-tasks.c
@@ -6,21 +6,21 @@
 
   for (guint round = 0; round < 100; round++) {
     guint size = (guint)g_rand_int_range(rand, 1, 400);
-    MmCompletedTasks set, back;
+    MmCompletedTasks set, decoded;
     g_autofree char *text = NULL;
     mm_completed_tasks_init(&set, size);
-    mm_completed_tasks_init(&back, size);
+    mm_completed_tasks_init(&decoded, size);
     for (guint i = 0; i < size; i++)
       if (g_rand_boolean(rand))
         mm_completed_tasks_add(&set, i);
     text = mm_completed_tasks_to_text(&set, 1 << 20);
-    g_assert_true(mm_completed_tasks_add_text(&back, text));
-    g_assert_cmpuint(back.n_completed, ==, set.n_completed);
+    g_assert_true(mm_completed_tasks_add_text(&decoded, text));
+    g_assert_cmpuint(decoded.n_completed, ==, set.n_completed);
     for (guint i = 0; i < size; i++)
       g_assert_cmpint(mm_completed_tasks_contains(&set, i), ==,
-                      mm_completed_tasks_contains(&back, i));
+                      mm_completed_tasks_contains(&decoded, i));
     mm_completed_tasks_clear(&set);
-    mm_completed_tasks_clear(&back);
+    mm_completed_tasks_clear(&decoded);
   }
   g_rand_free(rand);
 }
@@ -40,37 +40,39 @@
   mm_completed_tasks_clear(&set);
 }
 
-/* What does not fit is left out, the shortest ranges first: the text never has a task that is not
- * completed. */
+/* Tasks are omitted from a text that would exceed its maximum size, the shortest ranges first. The
+ * text never contains a task that is not completed. */
 static void
 test_too_long_text_leaves_tasks_out(void) {
-  MmCompletedTasks set, back;
+  MmCompletedTasks set, decoded;
   g_autofree char *text = NULL;
 
   mm_completed_tasks_init(&set, 20000);
-  mm_completed_tasks_init(&back, 20000);
+  mm_completed_tasks_init(&decoded, 20000);
   for (guint i = 0; i < 20000; i += 2)
     mm_completed_tasks_add(&set, i);
   for (guint i = 5000; i < 6000; i++)
     mm_completed_tasks_add(&set, i);
   text = mm_completed_tasks_to_text(&set, 1000);
   g_assert_cmpuint(strlen(text), <=, 1000);
-  g_assert_true(mm_completed_tasks_add_text(&back, text));
-  g_assert_true(mm_completed_tasks_contains(&back, 5500));
+  g_assert_true(mm_completed_tasks_add_text(&decoded, text));
+  g_assert_true(mm_completed_tasks_contains(&decoded, 5500));
   for (guint i = 0; i < 20000; i++)
-    g_assert_true(!mm_completed_tasks_contains(&back, i) || mm_completed_tasks_contains(&set, i));
+    g_assert_true(!mm_completed_tasks_contains(&decoded, i)
+                  || mm_completed_tasks_contains(&set, i));
   mm_completed_tasks_clear(&set);
-  mm_completed_tasks_clear(&back);
+  mm_completed_tasks_clear(&decoded);
 }
 
 static void
 test_malformed_text_is_refused(void) {
-  const char *const bad[] = { "x", "1-", "3-2", "1,,2", "1,", "-1", "200", "1 2", "0-100" };
+  const char *const malformed_texts[]
+      = { "x", "1-", "3-2", "1,,2", "1,", "-1", "200", "1 2", "0-100" };
   MmCompletedTasks set;
 
   mm_completed_tasks_init(&set, 100);
-  for (guint i = 0; i < G_N_ELEMENTS(bad); i++)
-    g_assert_false(mm_completed_tasks_add_text(&set, bad[i]));
+  for (guint i = 0; i < G_N_ELEMENTS(malformed_texts); i++)
+    g_assert_false(mm_completed_tasks_add_text(&set, malformed_texts[i]));
   g_assert_true(mm_completed_tasks_add_text(&set, NULL));
   g_assert_true(mm_completed_tasks_add_text(&set, ""));
   mm_completed_tasks_clear(&set);
--- a/tests/test-concurrent-faults-cancellation.c
+++ b/tests/test-concurrent-faults-cancellation.c
@@ -1,4 +1,5 @@
-/* Cancellations meet outages, cuts and machines that do not get their commands. */
+/* Scenarios in which jobs are cancelled during outages of the key-value store, network partitions,
+ * or while machines do not receive commands. */
 #include "test-concurrent-faults.h"
 
 #include "base/wire.h"
@@ -6,7 +7,7 @@
 #include "kv/replica.h"
 #include "leases/shard-ownership.h"
 
-/* Cancellations, polls and repeated submissions arrive as a job's last task ends. */
+/* Cancellations, status requests and repeated submissions arrive as a job's last task ends. */
 guint
 jobs_are_cancelled_as_they_end(World *world) {
   guint n_done = 0, n_cancelled = 0;
@@ -23,15 +24,16 @@
               && world_job_at(world, i)->user_view == USER_SEES_DONE;
     n_cancelled += world_job_at(world, i)->user_view == USER_SEES_CANCELLED;
   }
-  g_test_message("%u cancelled after all, %u done", n_cancelled, n_done);
+  g_test_message("%u jobs cancelled, %u done despite a cancellation request", n_cancelled, n_done);
   return MIN(world->n_odd_requests_correct, n_cancelled + n_done);
 }
 
-/* The key-value store refuses the leader only, the others confirm cancellations, and then it
- * refuses everybody for longer than cancel_s, while the machines are answered. */
+/* The key-value store refuses requests from the leader only, while the other nodes confirm
+ * cancellations. It then refuses requests from all nodes for longer than `cancel_s`, while nodes
+ * still respond to workers. */
 guint
 outage_follows_cancellation(World *world) {
-  guint leader, n_met;
+  guint leader, n_overlaps;
 
   submit_jobs(world, 6, WIRE_KIND_ARRAY, 4, 300);
   submit_jobs(world, 2, WIRE_KIND_SERVICE, 2, 0);
@@ -39,23 +41,24 @@
   leader = world_node_leading_most_shards(world);
   refuse_kv_requests(world, leader, 14);
   world_run(world, 1.5);
-  /* The first commands to these are lost. */
-  on_machines_with_tasks(world, 4, lose_inbound, 4);
+  /* The first commands to these machines are lost. */
+  inject_into_machines_with_tasks(world, 4, lose_inbound, 4);
   cancel_all_jobs(world);
   world_run(world, 0.4);
   world_kv_outage(world, world->cancel_s + 12);
   world_run(world, 0.5);
-  n_met = world_count_cancelled_tasks(world);
+  n_overlaps = world_count_cancelled_tasks(world);
   world_run(world, world->cancel_s + 20);
-  return n_met;
+  return n_overlaps;
 }
 
-/* The same, but the outage begins when the leader's lease has just expired and nobody has acquired
- * its shards: they have no leader as long as it lasts. */
+/* Like outage_follows_cancellation(), but the outage begins when the leader's lease has just
+ * expired and no node has acquired its shards yet, so that they have no leader during the outage.
+ */
 guint
 outage_follows_cancellation_without_leader(World *world) {
   g_autofree char *key = NULL;
-  guint leader, n_met = 0;
+  guint leader, n_overlaps = 0;
   const MmNode *other;
 
   submit_jobs(world, 8, WIRE_KIND_ARRAY, 3, 300);
@@ -66,7 +69,7 @@
   refuse_kv_requests(world, leader, 14);
   for (guint i = 0; i < 500 && g_tree_lookup(world->keys, key) != NULL; i++)
     world_run(world, 0.01);
-  on_machines_with_tasks(world, 4, lose_inbound, 3);
+  inject_into_machines_with_tasks(world, 4, lose_inbound, 3);
   cancel_all_jobs(world);
   world->delays_acquisitions = TRUE;
   world_run(world, 0.3);
@@ -75,39 +78,39 @@
   world_run(world, 0.5);
   for (guint i = 0; i < world->jobs->len; i++) {
     g_autofree char *shard = mm_shard_ownership_shard_of_team(&world_job_at(world, i)->spec.team);
-    n_met += world_job_at(world, i)->user_view == USER_SEES_CANCELLED
-             && mm_replica_shard(other->replica, shard) == NULL;
+    n_overlaps += world_job_at(world, i)->user_view == USER_SEES_CANCELLED
+                  && mm_replica_shard(other->replica, shard) == NULL;
   }
   world_run(world, world->cancel_s + 20);
-  return n_met;
+  return n_overlaps;
 }
 
-/* The leader reaches its workers and users and nothing else; jobs are cancelled through the others.
- */
+/* The leader is cut off from everything but its workers and users; jobs are cancelled through the
+ * other nodes. */
 guint
 leader_is_cut_off_from_cancellation(World *world) {
-  guint leader, n_met = 0;
+  guint leader, n_overlaps = 0;
 
   submit_jobs(world, 6, WIRE_KIND_ARRAY, 4, 300);
   world_run(world, 8);
   leader = world_node_leading_most_shards(world);
   world_cut_node(world, leader, world->cancel_s + 10, FALSE);
   world_run(world, 1);
-  on_machines_with_tasks(world, 4, lose_inbound, 6);
+  inject_into_machines_with_tasks(world, 4, lose_inbound, 6);
   cancel_all_jobs(world);
   for (guint i = 0; i < 60; i++) {
     world_run(world, 0.1);
-    n_met = MAX(n_met, world_count_cancelled_tasks(world));
+    n_overlaps = MAX(n_overlaps, world_count_cancelled_tasks(world));
   }
   world_run(world, world->cancel_s + 10);
-  return n_met;
+  return n_overlaps;
 }
 
-/* The key-value store is slow, then refuses the leader only and then everybody, while users cancel
- * jobs and poll. */
+/* The key-value store responds slowly, then refuses requests from the leader only, and then from
+ * all nodes, while users cancel jobs and request their status. */
 guint
 store_is_slow_then_refuses(World *world) {
-  guint n_met;
+  guint n_overlaps;
 
   world->kv_slow_s = 0.8;
   world->kv_slow_until_us = world->now_us + 30 * SECOND;
@@ -119,28 +122,28 @@
   world_send_odd_requests(world);
   world_kv_outage(world, world->cancel_s + 10);
   world_run(world, 1);
-  n_met = count_jobs_seen_as(world, USER_SEES_CANCELLED) + world_count_cancelled_tasks(world);
+  n_overlaps = count_jobs_seen_as(world, USER_SEES_CANCELLED) + world_count_cancelled_tasks(world);
   world_send_odd_requests(world);
   world_run(world, world->cancel_s + 20);
-  return n_met;
+  return n_overlaps;
 }
 
-/* Many jobs are cancelled within a fifth of a second, and their machines hang. */
+/* Many jobs are cancelled within a fifth of a second, and machines that run their tasks hang. */
 guint
 machines_hang_as_jobs_are_cancelled(World *world) {
-  guint n_met;
+  guint n_overlaps;
 
   submit_jobs(world, 8, WIRE_KIND_ARRAY, 3, 200);
   world_run(world, 10);
   cancel_all_jobs(world);
   world_run(world, 0.1);
-  n_met = on_machines_with_tasks(world, 5, suspend_worker, world->lease_s - 1);
+  n_overlaps = inject_into_machines_with_tasks(world, 5, suspend_worker, world->lease_s - 1);
   world_run(world, world->cancel_s + 10);
-  return n_met;
+  return n_overlaps;
 }
 
-/* A node's replica gets no changes, while its lease is renewed and its links are refused, and jobs
- * of its workers are cancelled through the other nodes. */
+/* A node's replica receives no changes while its lease is still renewed. Links between nodes are
+ * refused, and jobs with tasks on the node's workers are cancelled through the other nodes. */
 guint
 stale_node_misses_cancellation(World *world) {
   guint node;
@@ -150,7 +153,7 @@
   node = world_node_leading_most_shards(world);
   world->nodes[node].watches_lost_until_us = world->now_us + 60 * SECOND;
   world_refuse_links(world, 60);
-  /* Else its own users would tell it of the cancellations. */
+  /* Users avoid this node; otherwise it would learn of the cancellations from their requests. */
   world->avoided_node = node;
   world_run(world, 0.5);
   cancel_all_jobs(world);
--- a/tests/test-concurrent-faults-fixtures.c
+++ b/tests/test-concurrent-faults-fixtures.c
@@ -1,4 +1,4 @@
-/* Fixtures of the tests in which two faults meet. */
+/* Fixtures of the tests with concurrent faults. */
 #include "test-concurrent-faults.h"
 
 #include "base/wire.h"
@@ -31,7 +31,7 @@
 }
 
 guint
-count_lost_leases(const World *world, const char *zone) {
+count_machines_with_lost_lease(const World *world, const char *zone) {
   guint n = 0;
 
   for (guint i = 0; i < world->machines->len; i++)
@@ -41,7 +41,7 @@
 }
 
 guint64
-newest_term(const World *world) {
+highest_known_term(const World *world) {
   guint64 term = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++)
@@ -51,11 +51,12 @@
 }
 
 guint
-on_machines_with_tasks(World *world, guint n_most, MachineFault inject, double seconds) {
+inject_into_machines_with_tasks(World *world, guint max_machines, MachineFault inject,
+                                double seconds) {
   gint64 until_us = world->now_us + (gint64)(seconds * SECOND);
   guint n = 0;
 
-  for (guint i = 0; i < world->machines->len && n < n_most; i++) {
+  for (guint i = 0; i < world->machines->len && n < max_machines; i++) {
     if (world_machine_at(world, i)->tasks->len == 0)
       continue;
     inject(world_machine_at(world, i), until_us);
--- a/tests/test-concurrent-faults-network.c
+++ b/tests/test-concurrent-faults-network.c
@@ -1,23 +1,24 @@
-/* Faults of the network meet one another, or the end of a node. */
+/* Scenarios in which network faults coincide with each other or with the stop of a node. */
 #include "test-concurrent-faults.h"
 
 #include "autoscaler/autoscaler.h"
 #include "base/wire.h"
 
-/* Direct commands are delayed by seconds while their machines go on. */
+/* Direct commands arrive seconds late, while the machines continue to run their tasks. */
 guint
 commands_are_delayed(World *world) {
   submit_jobs(world, 4, WIRE_KIND_ARRAY, 4, 30);
   world_run(world, 8);
-  on_machines_with_tasks(world, 3, interrupt_network, 6);
+  inject_into_machines_with_tasks(world, 3, interrupt_network, 6);
   cancel_all_jobs(world);
   world_run(world, 2);
-  on_machines_with_tasks(world, 6, suspend_worker, 5);
+  inject_into_machines_with_tasks(world, 6, suspend_worker, 5);
   world_run(world, 10);
   return world->n_delayed_commands;
 }
 
-/* A zone is cut off beyond a worker lease, a node and workers in it. */
+/* A zone that contains a node and workers is cut off for longer than the duration of a worker's
+ * lease. */
 guint
 zone_is_cut_with_its_node(World *world) {
   submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
@@ -26,11 +27,12 @@
   world_run(world, 5);
   submit_jobs(world, 2, WIRE_KIND_ARRAY, 4, 5);
   world_run(world, world->lease_s + 15);
-  return count_lost_leases(world, "a");
+  return count_machines_with_lost_lease(world, "a");
 }
 
-/* The same while one of the other nodes restarts: it knows the machines in the zone from the
- * registry only, and proves that their incarnations are over as the zone comes back. */
+/* Like zone_is_cut_with_its_node(), but a node outside the zone restarts. It knows the machines in
+ * the zone only from the registry, and proves that their incarnations have ended at the time when
+ * the zone is reconnected. */
 guint
 node_restarts_while_zone_is_cut(World *world) {
   submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
@@ -43,18 +45,19 @@
     world_run(world, 3);
     submit_jobs(world, 2, WIRE_KIND_ARRAY, 5, 12);
   }
-  return count_lost_leases(world, "a");
+  return count_machines_with_lost_lease(world, "a");
 }
 
-/* Copies of heartbeats arrive after newer ones, also of earlier incarnations and attempts. */
+/* Duplicates of heartbeats arrive after newer heartbeats, including duplicates from earlier
+ * incarnations and attempts. */
 guint
 stale_heartbeats_arrive(World *world) {
   world->duplicate_rate = 0.3;
   submit_jobs(world, 6, WIRE_KIND_ARRAY, 3, 12);
   for (guint round = 0; round < 3; round++) {
     world_run(world, 6);
-    on_machines_with_tasks(world, 2, round % 2 == 0 ? interrupt_network : lose_inbound,
-                           world->lease_s + 3);
+    inject_into_machines_with_tasks(world, 2, round % 2 == 0 ? interrupt_network : lose_inbound,
+                                    world->lease_s + 3);
     world_kill_node(world, round, 0.3);
     world_run(world, 8);
   }
@@ -62,14 +65,15 @@
   return world->n_stale_incarnations;
 }
 
-/* Machines reach no node while direct commands reach them; jobs on them are cancelled. */
+/* The heartbeats of machines are lost while direct commands still reach these machines, and jobs
+ * that run on them are cancelled. */
 guint
 heartbeats_are_lost_commands_arrive(World *world) {
   guint n_arrived = 0;
 
   submit_jobs(world, 4, WIRE_KIND_ARRAY, 4, 40);
   world_run(world, 8);
-  on_machines_with_tasks(world, 4, lose_outbound, world->lease_s + 12);
+  inject_into_machines_with_tasks(world, 4, lose_outbound, world->lease_s + 12);
   world_run(world, 0.5);
   world_cancel(world_job_at(world, 0));
   world_cancel(world_job_at(world, 1));
@@ -79,49 +83,50 @@
   return n_arrived;
 }
 
-/* A copy of a heartbeat reaches a new leader that has acted already. */
+/* The duplicate of a heartbeat reaches a new leader that has already sent commands. */
 guint
 delayed_heartbeat_reaches_new_leader(World *world) {
-  guint old = world_node_leading_most_shards(world), n_met = 0;
-  guint64 before = newest_term(world);
+  guint old_leader = world_node_leading_most_shards(world), n_overlaps = 0;
+  guint64 before = highest_known_term(world);
 
   submit_jobs(world, 5, WIRE_KIND_ARRAY, 3, 6);
   world_run(world, 4);
   for (guint i = 0; i < world->machines->len; i++) {
     world_machine_at(world, i)->duplicate_at_us
         = world->now_us + 9 * SECOND + (gint64)i * SECOND / 3;
-    world_machine_at(world, i)->duplicate_node = (old + 1 + i % 2) % WORLD_NODES;
+    world_machine_at(world, i)->duplicate_node = (old_leader + 1 + i % 2) % WORLD_NODES;
   }
   world_run(world, 1.5);
-  world_kill_node(world, old, 20);
+  world_kill_node(world, old_leader, 20);
   world_run(world, 6.5);
   submit_jobs(world, 5, WIRE_KIND_ARRAY, 3, 6);
   for (guint i = 0; i < world->machines->len; i++)
-    n_met += world_machine_at(world, i)->duplicate_at_us == 0
-             && world_machine_at(world, i)->fencing_token > before;
+    n_overlaps += world_machine_at(world, i)->duplicate_at_us == 0
+                  && world_machine_at(world, i)->fencing_token > before;
   world_run(world, 20);
-  return newest_term(world) > before ? n_met : 0;
+  return highest_known_term(world) > before ? n_overlaps : 0;
 }
 
-/* The autoscaler's node is cut off from the workers, and some of these, which reach no node for a
- * while, answer the other nodes' requests. That nobody answers a node which reaches no worker must
- * not count as silence of healthy machines: they would be returned. */
+/* The node with the active autoscaler is cut off from all workers. Meanwhile the heartbeats of some
+ * workers are lost, and these answer requests of the other nodes. The autoscaler must not conclude
+ * that machines are silent because its own node reaches no worker: it would return healthy machines
+ * to the cloud. */
 guint
 autoscaler_is_cut_from_workers(World *world) {
-  guint autoscaler_node = 0, n_met, up = 0, left = 0;
+  guint autoscaler_node = 0, n_overlaps, n_up_before = 0, n_up_after = 0;
 
   submit_jobs(world, 6, WIRE_KIND_SERVICE, 2, 0);
   world_run(world, 8);
   while (!world->nodes[autoscaler_node].node->autoscaler->is_active)
     autoscaler_node++;
   for (guint i = 0; i < 9; i++)
-    up += world_machine_at(world, i)->is_up;
+    n_up_before += world_machine_at(world, i)->is_up;
   world->nodes[autoscaler_node].workers_cut_until_us = world->now_us + 20 * SECOND;
   world_run(world, 5);
-  n_met = on_machines_with_tasks(world, 1, lose_outbound, world->lease_s - 1.5);
+  n_overlaps = inject_into_machines_with_tasks(world, 1, lose_outbound, world->lease_s - 1.5);
   world_run(world, 15);
   for (guint i = 0; i < 9; i++)
-    left += world_machine_at(world, i)->is_up;
-  g_assert_cmpuint(left, ==, up);
-  return n_met;
+    n_up_after += world_machine_at(world, i)->is_up;
+  g_assert_cmpuint(n_up_after, ==, n_up_before);
+  return n_overlaps;
 }
--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -1,11 +1,11 @@
-/* Two faults meet: each scenario brings one such meeting about, shows that it happened, and then
- * that the invariants held and all work got done. */
+/* Runs scenarios in which two faults overlap. Each scenario injects the faults and shows that they
+ * did overlap; after it the invariants must hold and all jobs must finish. */
 #include "test-concurrent-faults.h"
 
 typedef struct {
   const char *name;
-  /* Injects the faults; returns how often they met. */
-  guint (*play)(World *world);
+  /* Injects the faults and returns how often they overlapped. */
+  guint (*run)(World *world);
 } FaultScenario;
 
 static const FaultScenario scenarios[] = {
@@ -45,9 +45,10 @@
   return world;
 }
 
-/* What is left gets done once the faults have ended, and users are served. */
+/* Cancels the services, then checks that all jobs finish once the faults have ended, that users
+ * were served and that no invariant was broken. */
 static void
-run_to_the_end(World *world) {
+finish_jobs_and_check(World *world) {
   world->faults_ended_at_us = world->now_us + 30 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++)
     if (world_job_at(world, i)->spec.kind == MM_JOB_KIND_SERVICE
@@ -58,7 +59,7 @@
   world_assert_invariants(world);
   for (guint i = 0; i < world->jobs->len; i++)
     if (world_job_at(world, i)->user_view < USER_SEES_CANCELLED)
-      g_test_message("%s is not finished: %u of %u done", world_job_at(world, i)->id,
+      g_test_message("job %s did not finish: %u of %u tasks done", world_job_at(world, i)->id,
                      world_job_at(world, i)->n_done, world_job_at(world, i)->spec.n_tasks);
   g_assert_cmpuint(count_jobs_seen_as(world, USER_SEES_DONE)
                        + count_jobs_seen_as(world, USER_SEES_CANCELLED),
@@ -68,35 +69,37 @@
 static void
 test_fault_scenario(gconstpointer data) {
   const FaultScenario *scenario = data;
-  guint first = 1, days = 2, n_met = 0;
+  guint first_seed = 1, last_seed = 2, n_overlaps = 0;
 
-  /* More than CI plays: MM_FAULT_DAYS=50 tests/test-concurrent-faults; or one of them:
-   * MM_FAULT_DAY=7 */
+  /* CI runs the seeds 1 and 2. MM_FAULT_DAYS=50 tests/test-concurrent-faults runs the seeds 1 to
+   * 50, and MM_FAULT_DAY=7 runs only the seed 7. */
   if (g_getenv("MM_FAULT_DAYS") != NULL)
-    days = (guint)g_ascii_strtoull(g_getenv("MM_FAULT_DAYS"), NULL, 10);
+    last_seed = (guint)g_ascii_strtoull(g_getenv("MM_FAULT_DAYS"), NULL, 10);
   if (g_getenv("MM_FAULT_DAY") != NULL)
-    first = days = (guint)g_ascii_strtoull(g_getenv("MM_FAULT_DAY"), NULL, 10);
-  for (guint32 seed = first; seed <= days; seed++) {
+    first_seed = last_seed = (guint)g_ascii_strtoull(g_getenv("MM_FAULT_DAY"), NULL, 10);
+  for (guint32 seed = first_seed; seed <= last_seed; seed++) {
     World *world = new_fault_world(seed);
-    guint n_here = scenario->play(world);
-    g_test_message("day %u: met %u times", seed, n_here);
-    n_met += n_here;
-    run_to_the_end(world);
+    guint n_overlaps_in_run = scenario->run(world);
+    g_test_message("seed %u: the faults overlapped %u times", seed, n_overlaps_in_run);
+    n_overlaps += n_overlaps_in_run;
+    finish_jobs_and_check(world);
     world_free(world);
   }
-  g_assert_cmpuint(n_met, >, 0);
+  g_assert_cmpuint(n_overlaps, >, 0);
 }
 
-/* Whether tasks of cancelled jobs run on when nodes have this fault, on some of four days. */
+/* Returns whether tasks of cancelled jobs keep running when nodes have this fault, with at least
+ * one of four seeds. */
 static gboolean
-cancelled_run_on(guint (*play)(World *world), gboolean only_leader_knows, gboolean never_stale) {
+cancelled_tasks_keep_running(guint (*run_scenario)(World *world), gboolean only_leader_knows,
+                             gboolean never_stale) {
   gboolean is_broken = FALSE;
 
   for (guint32 seed = 1; seed <= 4 && !is_broken; seed++) {
     World *world = new_fault_world(seed);
     world->only_leader_knows_cancelled = only_leader_knows;
     world->replica_never_stale = never_stale;
-    play(world);
+    run_scenario(world);
     for (guint i = 0; i < world->violations->len; i++)
       is_broken
           = is_broken || g_str_has_prefix(g_ptr_array_index(world->violations, i), "ran_cancelled");
@@ -105,16 +108,19 @@
   return is_broken;
 }
 
-/* Nodes that know only of the cancellations in shards that they lead let tasks run on. */
+/* Nodes that know only of the cancellations in shards that they lead let tasks of cancelled jobs
+ * run on. */
 static void
 test_cancellation_known_to_leader_only_is_found(void) {
-  g_assert_true(cancelled_run_on(outage_follows_cancellation_without_leader, TRUE, FALSE));
+  g_assert_true(
+      cancelled_tasks_keep_running(outage_follows_cancellation_without_leader, TRUE, FALSE));
 }
 
-/* And so does one that goes on answering its workers though its replica is long stale. */
+/* A node that continues to respond to its workers although its replica is stale lets tasks of
+ * cancelled jobs run on. */
 static void
 test_replica_never_stale_is_found(void) {
-  g_assert_true(cancelled_run_on(stale_node_misses_cancellation, FALSE, TRUE));
+  g_assert_true(cancelled_tasks_keep_running(stale_node_misses_cancellation, FALSE, TRUE));
 }
 
 int
--- a/tests/test-concurrent-faults.h
+++ b/tests/test-concurrent-faults.h
@@ -1,38 +1,42 @@
-/* Fixtures and scenarios of the tests in which two faults meet. Each scenario injects the faults
- * into a world of nine small machines and returns how often they met: 0 means that the scenario has
- * shown nothing. What all scenarios must keep is checked by test-concurrent-faults.c. */
+/* Fixtures and scenarios of the tests with concurrent faults. Each scenario injects its faults into
+ * a simulated world of nine small machines and returns how often they overlapped; 0 means that the
+ * scenario has tested nothing. test-concurrent-faults.c checks what must hold after every scenario.
+ */
 #pragma once
 
 #include "world/world.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 
-/* Submits `n` jobs of that kind and number of tasks, of each team in turn. */
+/* Submits `n` jobs of the kind, for each of four teams in turn. Each has `tasks` tasks, which run
+ * for about `run_s` seconds. */
 void submit_jobs(World *world, guint n, const char *kind, guint tasks, double run_s);
-/* Users of all jobs request their cancellation, of those that were not before. */
+/* Requests the cancellation of each job for which it has not been requested before. */
 void cancel_all_jobs(World *world);
-/* How many jobs have this as their latest answer. */
+/* Returns the number of jobs whose user was last told this state. */
 guint count_jobs_seen_as(const World *world, WorldUserView view);
-/* How many machines (of the zone, NULL: of any) have lost a lease. */
-guint count_lost_leases(const World *world, const char *zone);
-/* The highest term that a node knows. */
-guint64 newest_term(const World *world);
+/* Returns the number of machines in the zone that have lost a lease. NULL: in all zones. */
+guint count_machines_with_lost_lease(const World *world, const char *zone);
+/* Returns the highest term that any running node knows. */
+guint64 highest_known_term(const World *world);
 
-/* Injects a fault into the machine until then. */
+/* Injects a fault into the machine that lasts until `until_us`. */
 typedef void (*MachineFault)(WorldMachine *machine, gint64 until_us);
-/* Injects it into at most `n_most` machines that have tasks, for so long; returns into how many. */
-guint on_machines_with_tasks(World *world, guint n_most, MachineFault inject, double seconds);
-/* Its network is interrupted; messages are delivered afterwards. */
+/* Injects a fault of the given duration into at most `max_machines` machines that have tasks.
+ * Returns the number of machines that it was injected into. */
+guint inject_into_machines_with_tasks(World *world, guint max_machines, MachineFault inject,
+                                      double seconds);
+/* Interrupts the machine's network; messages are delivered when the interruption is over. */
 void interrupt_network(WorldMachine *machine, gint64 until_us);
 void suspend_worker(WorldMachine *machine, gint64 until_us);
-/* Answers and direct commands to it are lost. */
+/* Drops the responses and direct commands that are sent to the machine. */
 void lose_inbound(WorldMachine *machine, gint64 until_us);
-/* Its heartbeats are lost. */
+/* Drops the machine's heartbeats; direct commands still arrive. */
 void lose_outbound(WorldMachine *machine, gint64 until_us);
-/* The key-value store refuses this node only. */
+/* Makes the key-value store answer 503 to this node only, for that long. */
 void refuse_kv_requests(World *world, guint node, double seconds);
 
-/* ---- test-concurrent-faults-network.c ---- */
+/* Scenarios in test-concurrent-faults-network.c. */
 
 guint commands_are_delayed(World *world);
 guint zone_is_cut_with_its_node(World *world);
@@ -42,7 +46,7 @@
 guint delayed_heartbeat_reaches_new_leader(World *world);
 guint autoscaler_is_cut_from_workers(World *world);
 
-/* ---- test-concurrent-faults-failover.c ---- */
+/* Scenarios in test-concurrent-faults-failover.c. */
 
 guint all_nodes_end_and_one_returns(World *world);
 guint transactions_are_applied_late(World *world);
@@ -55,7 +59,7 @@
 guint all_nodes_are_down_beyond_a_lease(World *world);
 guint team_is_at_its_limit_during_failover(World *world);
 
-/* ---- test-concurrent-faults-cancellation.c ---- */
+/* Scenarios in test-concurrent-faults-cancellation.c. */
 
 guint jobs_are_cancelled_as_they_end(World *world);
 guint outage_follows_cancellation(World *world);
--- a/tests/test-doc-names.sh
+++ b/tests/test-doc-names.sh
@@ -1,5 +1,7 @@
 #!/usr/bin/env bash
-# The check of the names in the pages must be able to fail: test-doc-names.sh CHECK ROOT
+# Tests .ci/doc-names, which checks the names that the documentation pages quote: it must accept names
+# that exist and report those that do not, and the pages in ROOT must pass it.
+# Usage: test-doc-names.sh CHECK ROOT
 set -u
 check=$1
 root=$2
@@ -7,13 +9,14 @@
 trap 'rm -rf "$dir"' EXIT
 failed=0
 
-# expect STATUS WORDS LINE: the check of a page whose third line is LINE ends so, and says so.
+# expect STATUS WORDS LINE: runs the check on a page whose third line is LINE. It must exit with STATUS
+# and print WORDS.
 expect() {
   printf '# Page\n\n%s\n' "$3" >"$dir/docs/architecture.md"
   out=$("$check" "$dir" 2>&1)
   status=$?
   if [ "$status" -ne "$1" ] || ! grep -qF -- "$2" <<<"$out"; then
-    printf 'status %s, not %s with "%s", for: %s\n%s\n' "$status" "$1" "$2" "$3" "$out"
+    printf 'exit status %s, expected %s and the output "%s", for: %s\n%s\n' "$status" "$1" "$2" "$3" "$out"
     failed=1
   fi
 }
--- a/tests/test-faulty-nodes.c
+++ b/tests/test-faulty-nodes.c
@@ -1,9 +1,10 @@
-/* The checks of the invariants must be able to fail: they find nodes that are faulty on purpose. */
+/* Tests that the invariant checks can fail: they must detect nodes with deliberately injected
+ * faults, and report no broken invariant for correct nodes. */
 #include "base/wire.h"
 #include "world/world.h"
 
-/* Machines are cut off while all nodes restart, on many days. Returns whether an invariant was
- * broken. */
+/* Cuts machines off while all nodes restart, with up to eight seeds. Returns whether an invariant
+ * was broken. */
 static gboolean
 restarts_break_an_invariant(gboolean ignore_acknowledgements, double configured_lease_s) {
   gboolean is_broken = FALSE;
@@ -39,21 +40,23 @@
   g_assert_false(restarts_break_an_invariant(FALSE, 0));
 }
 
-/* Tasks start though a machine that may have them has not acknowledged the term. */
+/* Shard leaders start tasks although a machine that may already have these tasks has not
+ * acknowledged the term. */
 static void
 test_ignored_acknowledgements_are_found(void) {
   g_assert_true(restarts_break_an_invariant(TRUE, 0));
 }
 
-/* Machines count as lost long before their lease has expired. */
+/* Nodes count machines as lost long before the leases of these machines have expired. */
 static void
 test_too_short_lease_is_found(void) {
   g_assert_true(restarts_break_an_invariant(FALSE, 1.5));
 }
 
-/* Tasks end and machines are lost while late copies of a third of all requests arrive. */
+/* Tasks end and nodes restart while late duplicates of almost a third of all requests arrive.
+ * Returns whether an invariant was broken. */
 static gboolean
-copies_break_an_invariant(gboolean accept_duplicates) {
+duplicates_break_an_invariant(gboolean accept_duplicates) {
   gboolean is_broken = FALSE;
 
   for (guint seed = 1; seed <= 6 && !is_broken; seed++) {
@@ -78,8 +81,8 @@
 
 static void
 test_accepted_duplicates_are_found(void) {
-  g_assert_false(copies_break_an_invariant(FALSE));
-  g_assert_true(copies_break_an_invariant(TRUE));
+  g_assert_false(duplicates_break_an_invariant(FALSE));
+  g_assert_true(duplicates_break_an_invariant(TRUE));
 }
 
 static WorldMachine *
@@ -92,12 +95,13 @@
   g_assert_not_reached();
 }
 
-/* A machine with replicas of a service gets no answers while all nodes restart. Returns whether all
- * replicas run on other machines a minute and a half later. */
+/* A machine that runs replicas of a service receives no responses or direct commands while all
+ * nodes restart. Returns whether, a minute and a half later, all replicas run on other machines and
+ * a job submitted during the restart is done. */
 static gboolean
 service_recovers_without_machine(guint32 seed, gboolean respond_to_unacknowledging) {
   World *world = world_new(seed);
-  WorldMachine *silenced;
+  WorldMachine *unanswered;
   WorldJob *service, *later;
   gboolean has_recovered;
 
@@ -108,26 +112,26 @@
   service = world_submit(world,
                          json_pack("{s:i, s:s}", WIRE_TASKS, 8, WIRE_KIND, WIRE_KIND_SERVICE), 0);
   world_run(world, 12);
-  silenced = first_machine_with_tasks(world);
-  silenced->inbound_lost_until_us = world->now_us + 3600 * (gint64)G_USEC_PER_SEC;
-  /* Else the cloud would return it, which proves it lost sooner. */
-  world->cloud_down_until_us = silenced->inbound_lost_until_us;
+  unanswered = first_machine_with_tasks(world);
+  unanswered->inbound_lost_until_us = world->now_us + 3600 * (gint64)G_USEC_PER_SEC;
+  /* Otherwise the machine would be returned to the cloud, which would prove it lost sooner. */
+  world->cloud_down_until_us = unanswered->inbound_lost_until_us;
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.2);
-  /* Submitted before the shards are acquired: it waits until all machines have acknowledged the
-   * term. */
+  /* Submitted before the shards are acquired, so the job waits until all machines have acknowledged
+   * the term. */
   later = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 3), 2);
   world_run(world, 90);
   g_assert_cmpuint(world->violations->len, ==, 0);
-  /* No task runs twice, as the invariants show: so many are all of them. */
+  /* The invariants ensure that no task runs twice, so this count means that every replica runs. */
   has_recovered = later->user_view == USER_SEES_DONE
-                  && world_count_running(world, service, silenced) == service->spec.n_tasks;
+                  && world_count_running(world, service, unanswered) == service->spec.n_tasks;
   world_free(world);
   return has_recovered;
 }
 
-/* The faulty node's waiting does not show on every day: where the last shard is acquired before the
- * machine's incarnation has ended, nothing waits for the machine. */
+/* The fault does not show with every seed: if the last shard is acquired before the machine's
+ * incarnation has ended, the faulty nodes do not wait for the machine. */
 static void
 test_answers_to_unacknowledging_machines_are_found(void) {
   guint n_found = 0;
@@ -136,13 +140,15 @@
     g_assert_true(service_recovers_without_machine(seed, FALSE));
     n_found += !service_recovers_without_machine(seed, TRUE);
   }
-  g_test_message("caught on %u days", n_found);
+  g_test_message("fault detected with %u seeds", n_found);
   g_assert_cmpuint(n_found, >, 0);
 }
 
-/* A node keeps its workers and loses all else, for long enough that the others count its machines
- * as lost. Where the others reach its workers by direct commands, these drop its answers for their
- * lower token; when its whole zone is cut off, nothing but the expiry of its lease stops it. */
+/* Cuts a node off from everything but its workers, for long enough that the other nodes count its
+ * machines as lost. If the other nodes still reach the node's workers by direct commands, the
+ * workers drop the node's responses because of their lower fencing token. If the node's whole zone
+ * is cut off, only the expiry of the node's lease stops it. Returns whether an invariant was
+ * broken. */
 static gboolean
 cut_node_breaks_an_invariant(gboolean lease_never_expires) {
   gboolean is_broken = FALSE;
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -1,5 +1,5 @@
-/* Half as many machines again as the largest fleet that is planned: no limit is met below that. The
- * cost is counted in messages and bytes. */
+/* Tests a fleet with half as many machines again as the largest planned fleet, to show that no
+ * limit is reached below that size. The cost is counted in messages and bytes. */
 #include "base/wire.h"
 #include "scheduler/scheduler.h"
 #include "kv/replica.h"
@@ -29,7 +29,7 @@
 }
 
 static guint
-machines_up(const World *world) {
+count_machines_up(const World *world) {
   guint n = 0;
 
   for (guint i = 0; i < world->machines->len; i++) {
@@ -39,9 +39,10 @@
   return n;
 }
 
-/* Machines that the node knows from heartbeats and from the registry. */
+/* Returns the number of machines that the node knows both from heartbeats and from the registry and
+ * whose lease has not expired. */
 static guint
-machines_known(const World *world, guint node) {
+count_machines_known(const World *world, guint node) {
   const GPtrArray *order = world->nodes[node].node->machine_table->sorted_machines;
   guint n = 0;
 
@@ -53,9 +54,10 @@
   return n;
 }
 
-/* Machines that some shard leader still counts as unacknowledged. */
+/* Returns the number of machines that shard leaders count as unacknowledged, summed over all
+ * shards. */
 static guint
-machines_unacknowledged(const World *world) {
+count_unacknowledged_machines(const World *world) {
   guint n = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -69,7 +71,7 @@
 }
 
 static guint
-shards_owned(const World *world) {
+count_led_shards(const World *world) {
   guint n = 0;
 
   for (guint i = 0; i < WORLD_NODES; i++)
@@ -89,74 +91,76 @@
 }
 
 static gboolean
-all_known(const World *world) {
+all_machines_known(const World *world) {
   for (guint i = 0; i < WORLD_NODES; i++)
-    if (machines_known(world, i) != machines_up(world))
+    if (count_machines_known(world, i) != count_machines_up(world))
       return FALSE;
-  return machines_unacknowledged(world) == 0 && shards_owned(world) == 4;
+  return count_unacknowledged_machines(world) == 0 && count_led_shards(world) == 4;
 }
 
-#define KNOWN_WITHIN_S (5 * HEARTBEAT_S)
+#define KNOWN_TIMEOUT_S (5 * HEARTBEAT_S)
 
-/* Every node knows every machine, and all of them have acknowledged the terms of all shard leaders.
- */
+/* Runs until every node knows every machine and all machines have acknowledged the terms of all
+ * shard leaders. */
 static void
-run_until_all_known(World *world) {
-  for (guint s = 0; s < KNOWN_WITHIN_S && !all_known(world); s++)
+run_until_all_machines_known(World *world) {
+  for (guint s = 0; s < KNOWN_TIMEOUT_S && !all_machines_known(world); s++)
     world_run(world, 1);
-  g_assert_true(all_known(world));
+  g_assert_true(all_machines_known(world));
 }
 
 static gboolean
-all_done(const World *world) {
+all_jobs_done(const World *world) {
   for (guint i = 0; i < world->jobs->len; i++)
     if (((const WorldJob *)g_ptr_array_index(world->jobs, i))->user_view != USER_SEES_DONE)
       return FALSE;
   return TRUE;
 }
 
-#define DONE_WITHIN_S 80
+#define DONE_TIMEOUT_S 80
 
 static void
-run_until_all_done(World *world) {
-  for (guint s = 0; s < DONE_WITHIN_S && !all_done(world); s++)
+run_until_all_jobs_done(World *world) {
+  for (guint s = 0; s < DONE_TIMEOUT_S && !all_jobs_done(world); s++)
     world_run(world, 1);
-  g_assert_true(all_done(world));
+  g_assert_true(all_jobs_done(world));
 }
 
-/* A heartbeat is passed on to two peers, whole where it shows anything new. */
-#define BYTES_A_HEARTBEAT 600
+/* Bound on the average number of bytes in frames between nodes per heartbeat. A heartbeat is
+ * forwarded to two peers, in full if it contains anything new. */
+#define MAX_BYTES_PER_HEARTBEAT 600
 
 static void
 test_six_thousand_machines_are_served(void) {
   World *world = fleet_world();
 
   world_run(world, HEARTBEAT_S);
-  run_until_all_known(world);
-  /* Three of a hundred never come up in this world. */
-  g_assert_cmpuint(machines_up(world), >=, MACHINES * 95 / 100);
+  run_until_all_machines_known(world);
+  /* Three in a hundred machines never come up in the simulated world. */
+  g_assert_cmpuint(count_machines_up(world), >=, MACHINES * 95 / 100);
   submit_arrays(world, 12, 400);
-  run_until_all_done(world);
-  /* All shards change hands. */
+  run_until_all_jobs_done(world);
+  /* All nodes restart, so that every shard is acquired again. */
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.3 + 0.3 * i);
   world_run(world, HEARTBEAT_S);
-  run_until_all_known(world);
-  /* A zone is lost for longer than a lease, with a node. */
+  run_until_all_machines_known(world);
+  /* A zone is cut off together with its node, for longer than the duration of a worker's lease. */
   world_cut_zone(world, 1, world->lease_s + HEARTBEAT_S, FALSE);
   submit_arrays(world, 4, 400);
   world_run(world, world->lease_s + 2 * HEARTBEAT_S);
   world_assert_invariants(world);
-  run_until_all_known(world);
+  run_until_all_machines_known(world);
   submit_arrays(world, 4, 400);
-  run_until_all_done(world);
+  run_until_all_jobs_done(world);
   world_assert_invariants(world);
-  g_test_message("%" G_GUINT64_FORMAT " reports, %" G_GUINT64_FORMAT " frames, %.0f bytes a report,"
+  g_test_message("%" G_GUINT64_FORMAT " heartbeats, %" G_GUINT64_FORMAT
+                 " frames, %.0f bytes per heartbeat,"
                  " %" G_GUINT64_FORMAT " writes, %" G_GUINT64_FORMAT " direct commands",
                  world->n_heartbeats, world->n_frames,
                  (double)world->n_frame_bytes / (double)world->n_heartbeats, world->n_writes,
                  world->n_direct_commands);
-  g_assert_cmpuint(world->n_frame_bytes, <, BYTES_A_HEARTBEAT * world->n_heartbeats);
+  g_assert_cmpuint(world->n_frame_bytes, <, MAX_BYTES_PER_HEARTBEAT * world->n_heartbeats);
   g_assert_cmpuint(world->n_writes, <, MACHINES);
   world_free(world);
 }
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -1,4 +1,5 @@
-/* The active format: a node that does not know it does nothing at all, and the others go on. */
+/* Tests of the active format: a node that does not support it is fenced, while the other nodes
+ * continue to work. */
 #include "base/wire.h"
 #include "leases/node-lease.h"
 #include "kv/replica.h"
@@ -7,16 +8,16 @@
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 #define NEXT_FORMAT 2
-#define DAYS 4
-#define SLOW_DAYS 150
+#define N_SEEDS 4
+#define N_SEEDS_SLOW 150
 
 static World *
-format_world(guint32 seed, guint knowing) {
+format_world(guint32 seed, guint n_supporting) {
   World *world = world_new(seed);
 
   world_add_nine_machines(world);
   world_start(world);
-  for (guint i = 0; i < knowing; i++)
+  for (guint i = 0; i < n_supporting; i++)
     world->nodes[i].highest_format = NEXT_FORMAT;
   return world;
 }
@@ -31,7 +32,7 @@
 }
 
 static int
-ask(World *world, guint node, const char *method, const char *path, json_t *body) {
+send_request(World *world, guint node, const char *method, const char *path, json_t *body) {
   int status = -1;
 
   world_send_request(world, node, NULL, method, path, body, 2 * SECOND, world_record_status,
@@ -40,8 +41,9 @@
   return status;
 }
 
-/* The key has a value that this program does not know or cannot read: no node writes, starts tasks
- * or answers 200, and none ends; with the key set right all goes on as before. */
+/* While the format key has a value that this program does not support or cannot read, no node
+ * writes, starts tasks or answers 200, and no node exits. Once the key is removed, all nodes
+ * resume. */
 static void
 test_unknown_value_fences_all_nodes(gconstpointer data) {
   World *world = format_world(41, 0);
@@ -58,23 +60,24 @@
   starts = world->n_starts;
   for (guint i = 0; i < WORLD_NODES; i++) {
     g_autofree char *path = g_strconcat(WIRE_JOBS_PATH "/", first->id, NULL);
-    g_assert_cmpint(ask(world, i, "GET", "/healthz", NULL), ==, 503);
-    g_assert_cmpint(ask(world, i, "GET", path, NULL), ==, 503);
-    g_assert_cmpint(ask(world, i, "POST", WIRE_JOBS_PATH, json_deep_copy(first->body)), ==, 503);
+    g_assert_cmpint(send_request(world, i, "GET", "/healthz", NULL), ==, 503);
+    g_assert_cmpint(send_request(world, i, "GET", path, NULL), ==, 503);
+    g_assert_cmpint(send_request(world, i, "POST", WIRE_JOBS_PATH, json_deep_copy(first->body)), ==,
+                    503);
     g_assert_false(mm_node_lease_may_answer_workers(world->nodes[i].node->node_lease));
   }
   world_kill_node(world, 1, 0.2);
   world_run(world, 10);
   g_assert_cmpuint(world->n_writes, ==, writes);
-  g_assert_cmpuint(world->n_starts, <=, starts + 2); /* images that were being fetched */
+  g_assert_cmpuint(world->n_starts, <=, starts + 2); /* tasks whose images were being fetched */
   world_set_format(world, NULL);
   run_under_load(world, 10);
-  g_assert_cmpint(ask(world, 1, "GET", "/healthz", NULL), ==, 200);
+  g_assert_cmpint(send_request(world, 1, "GET", "/healthz", NULL), ==, 200);
   world_finish_day(world);
 }
 
-/* Two nodes know the next format and one does not: they acquire its shards, and its lease and key
- * are gone, however often it starts. */
+/* Two nodes support the next format and the third does not. The two acquire the shards of the
+ * third, which has neither a lease nor its node key, however often it restarts. */
 static void
 test_old_node_is_fenced(void) {
   World *world = format_world(42, 2);
@@ -90,17 +93,18 @@
     world_kill_node(world, 2, 0.2);
     run_under_load(world, 6);
   }
-  g_assert_cmpint(ask(world, 2, "GET", "/healthz", NULL), ==, 503);
+  g_assert_cmpint(send_request(world, 2, "GET", "/healthz", NULL), ==, 503);
   world->nodes[2].highest_format = NEXT_FORMAT;
   world_kill_node(world, 2, 0.5);
   run_under_load(world, 6);
-  g_assert_cmpint(ask(world, 2, "GET", "/healthz", NULL), ==, 200);
+  g_assert_cmpint(send_request(world, 2, "GET", "/healthz", NULL), ==, 200);
   world_finish_day(world);
 }
 
-/* Random days on which the format is set to and fro while one node knows only the first. */
+/* Random workload and faults while the active format changes back and forth and one node supports
+ * only the first format. */
 static void
-test_random_day(gconstpointer data) {
+test_random_run(gconstpointer data) {
   World *world = format_world(GPOINTER_TO_UINT(data), 2);
 
   world->duplicate_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.02;
@@ -132,9 +136,9 @@
     g_test_add_data_func(path, values[i], test_unknown_value_fences_all_nodes);
   }
   g_test_add_func("/format/old-node-is-fenced", test_old_node_is_fenced);
-  for (guint seed = 1; seed <= (g_test_slow() ? SLOW_DAYS : DAYS); seed++) {
+  for (guint seed = 1; seed <= (g_test_slow() ? N_SEEDS_SLOW : N_SEEDS); seed++) {
     g_autofree char *path = g_strdup_printf("/format/random-day-%u", seed);
-    g_test_add_data_func(path, GUINT_TO_POINTER(seed), test_random_day);
+    g_test_add_data_func(path, GUINT_TO_POINTER(seed), test_random_run);
   }
   return g_test_run();
 }
--- a/tests/test-job-spec.c
+++ b/tests/test-job-spec.c
@@ -4,7 +4,7 @@
 #include "machines/machine-table.h"
 #include "jobs/job-spec.h"
 
-static const char good[]
+static const char complete_spec[]
     = "{\"nameId\":\"run-000412\",\"guild\":\"train\",\"flock\":\"vision\",\"gait\":\"group\","
       "\"rank\":\"urgent\",\"kits\":16,\"cores\":8.0,\"accelerators\":1.0,\"memGb\":64.0,"
       "\"pelt\":\"img-07\",\"sizeGb\":6.2,\"breeds\":[\"g8\"],\"den\":null,\"together\":true,"
@@ -12,8 +12,8 @@
       "\"cacheTakeS\":4.0,\"dueS\":900.0,\"later\":[1]}";
 
 static json_t *
-sample(void) {
-  json_t *body = json_loads(good, 0, NULL);
+parse_complete_spec(void) {
+  json_t *body = json_loads(complete_spec, 0, NULL);
 
   g_assert_nonnull(body);
   return body;
@@ -21,10 +21,10 @@
 
 static void
 test_complete_spec_is_parsed(void) {
-  g_autoptr(json_t) body = sample();
+  g_autoptr(json_t) body = parse_complete_spec();
   g_autoptr(json_t) stored = NULL;
   const char *reason = NULL;
-  MmJobSpec spec, again;
+  MmJobSpec spec, reparsed;
 
   g_assert_true(mm_job_spec_parse(&spec, body, &reason));
   g_assert_cmpuint(spec.n_tasks, ==, 16);
@@ -33,17 +33,18 @@
   g_assert_true(spec.requires_one_zone && spec.allows_spot && !spec.spreads_over_zones);
   g_assert_true(mm_name_is_empty(&spec.zone));
   stored = mm_job_spec_to_json(&spec);
-  g_assert_true(mm_job_spec_parse(&again, stored, &reason));
-  g_assert_cmpfloat(again.deadline_s, ==, 900);
-  g_assert_cmpuint(again.n_allowed_types, ==, 1);
+  g_assert_true(mm_job_spec_parse(&reparsed, stored, &reason));
+  g_assert_cmpfloat(reparsed.deadline_s, ==, 900);
+  g_assert_cmpuint(reparsed.n_allowed_types, ==, 1);
   mm_job_spec_clear(&spec);
-  mm_job_spec_clear(&again);
+  mm_job_spec_clear(&reparsed);
 }
 
-/* Takes the value; NULL: without the field. */
+/* Asserts that a specification with this value of the field is refused, with an error that names
+ * the field. Takes ownership of `value`; NULL: the field is missing. */
 static void
 assert_field_is_refused(const char *field, json_t *value) {
-  g_autoptr(json_t) body = sample();
+  g_autoptr(json_t) body = parse_complete_spec();
   const char *reason = NULL;
   MmJobSpec spec;
 
@@ -55,13 +56,14 @@
   g_assert_nonnull(strstr(reason, field));
 }
 
-/* Every field that may not be null must be there and of its kind; the error names the field. */
+/* Every field that must not be null has to be present and of the right type, and the error names
+ * the field. */
 static void
 test_malformed_fields_are_refused(void) {
   const struct {
     const char *field;
     json_t *value;
-  } faults[] = {
+  } cases[] = {
     { WIRE_JOB_ID, json_string("job-1") },
     { WIRE_JOB_ID, json_string("run-") },
     { WIRE_JOB_ID, json_integer(4) },
@@ -90,8 +92,8 @@
     { WIRE_DEADLINE, json_string("soon") },
   };
 
-  for (guint i = 0; i < G_N_ELEMENTS(faults); i++)
-    assert_field_is_refused(faults[i].field, faults[i].value);
+  for (guint i = 0; i < G_N_ELEMENTS(cases); i++)
+    assert_field_is_refused(cases[i].field, cases[i].value);
 }
 
 static void
@@ -116,21 +118,21 @@
       "{\"kit\":\"run-000398/0\",\"try\":1,\"mood\":\"ended\",\"cause\":\"no_room\"}]}",
       0, NULL);
   const char *reason = NULL;
-  MmHeartbeat report;
+  MmHeartbeat heartbeat;
   const MmReportedTask *tasks;
 
-  g_assert_true(mm_heartbeat_parse(&report, body, &reason));
-  g_assert_true(report.has_termination_notice && report.is_spot);
-  g_assert_cmpuint(report.fencing_token.v, ==, 41);
-  tasks = (const MmReportedTask *)report.tasks->data;
+  g_assert_true(mm_heartbeat_parse(&heartbeat, body, &reason));
+  g_assert_true(heartbeat.has_termination_notice && heartbeat.is_spot);
+  g_assert_cmpuint(heartbeat.fencing_token.v, ==, 41);
+  tasks = (const MmReportedTask *)heartbeat.tasks->data;
   g_assert_cmpstr(tasks[0].job.s, ==, "run-000412");
   g_assert_cmpuint(tasks[0].number, ==, 3);
   g_assert_cmpint(tasks[1].state, ==, MM_REPORTED_ENDED);
   g_assert_cmpint(tasks[1].cause, ==, MM_CAUSE_NO_RESOURCES);
-  mm_heartbeat_clear(&report);
+  mm_heartbeat_clear(&heartbeat);
   json_object_set_new(json_array_get(json_object_get(body, "kits"), 0), "kit", json_string("x"));
-  g_assert_false(mm_heartbeat_parse(&report, body, &reason));
-  mm_heartbeat_clear(&report);
+  g_assert_false(mm_heartbeat_parse(&heartbeat, body, &reason));
+  mm_heartbeat_clear(&heartbeat);
 }
 
 int
--- a/tests/test-large-capacity.c
+++ b/tests/test-large-capacity.c
@@ -1,4 +1,5 @@
-/* Who gets the resources of a full fleet, and a fleet beyond the largest. */
+/* Tests of how the resources of a full fleet are allocated, and of a fleet larger than the largest
+ * planned one. */
 #include "test-large.h"
 
 #include "base/wire.h"
@@ -6,7 +7,8 @@
 
 #define LARGE_JOBS 6
 
-/* An urgent array each second, and a gang on accelerators each third. */
+/* Submits an urgent array every second, and an urgent gang that needs accelerators every third
+ * second. */
 static void
 submit_small_jobs(World *world, guint second) {
   g_autofree char *team = g_strdup_printf("team-%u", second % 2);
@@ -21,7 +23,7 @@
                  20);
 }
 
-/* Large job `i` of 6: of each of two teams an array, a gang and a service. */
+/* Submits job `i` of the 6 large jobs: an array, a gang and a service of each of two teams. */
 static WorldJob *
 submit_large_job(World *world, guint i) {
   g_autofree char *team = g_strdup_printf("team-%u", i % 2);
@@ -36,12 +38,12 @@
   return world_submit(world, job, 20);
 }
 
-/* More work than resources, in small jobs that come without pause: the largest array, a gang and a
- * wide service of each of two teams begin within four minutes all the same. */
+/* Small jobs arrive continuously and need more resources than there are. The largest array, a gang
+ * and a service spread over zones, of each of two teams, must still start within four minutes. */
 void
 test_large_jobs_do_not_starve(void) {
   World *world = world_new(2);
-  WorldJob *large[LARGE_JOBS];
+  WorldJob *large_jobs[LARGE_JOBS];
 
   world->capacity = 0;
   world->team_cores = 60;
@@ -52,26 +54,26 @@
   for (guint second = 0; second < 300; second++) {
     submit_small_jobs(world, second);
     for (guint i = 0; i < LARGE_JOBS && second == 30; i++)
-      large[i] = submit_large_job(world, i);
+      large_jobs[i] = submit_large_job(world, i);
     world_run(world, 1);
     world_assert_invariants(world);
   }
   for (guint i = 0; i < LARGE_JOBS; i++) {
-    g_test_message("job %u of 6 began after %.0f s", i,
-                   (double)(large[i]->first_start_at_us - large[i]->submitted_at_us)
+    g_test_message("large job %u of 6 started after %.0f s", i,
+                   (double)(large_jobs[i]->first_start_at_us - large_jobs[i]->submitted_at_us)
                        / G_USEC_PER_SEC);
-    g_assert_cmpint(large[i]->first_start_at_us, !=, 0);
-    g_assert_cmpint(large[i]->first_start_at_us - large[i]->submitted_at_us, <,
+    g_assert_cmpint(large_jobs[i]->first_start_at_us, !=, 0);
+    g_assert_cmpint(large_jobs[i]->first_start_at_us - large_jobs[i]->submitted_at_us, <,
                     240 * (gint64)G_USEC_PER_SEC);
   }
   world_free(world);
 }
 
-/* What the big machines are used for. */
+/* Numbers of big machines, which have accelerators, by the kinds of jobs that run on them. */
 typedef struct {
-  guint with_services;
-  guint with_both; /* services and arrays */
-  guint lent;      /* arrays only */
+  guint with_services; /* with or without arrays */
+  guint with_services_and_arrays;
+  guint with_arrays_only;
   guint idle;
 } MachineUses;
 
@@ -88,16 +90,16 @@
       has_arrays = has_arrays || task->job->spec.kind == MM_JOB_KIND_ARRAY;
     }
     uses.with_services += has_services;
-    uses.with_both += has_services && has_arrays;
-    uses.lent += has_arrays && !has_services;
+    uses.with_services_and_arrays += has_services && has_arrays;
+    uses.with_arrays_only += has_arrays && !has_services;
     uses.idle += machine->tasks->len == 0 && strcmp(machine->type, "big") == 0;
   }
   return uses;
 }
 
-/* Accelerated machines that run services, since these had no other place, are filled up with
- * arrays; of the others, four idle ones are reserved for accelerated work, and the rest are lent to
- * arrays. */
+/* Machines with accelerators that run services, because the services fit on no other machine, are
+ * filled up with arrays. Of the other machines with accelerators, four stay idle, reserved for jobs
+ * that need accelerators, and the rest may run arrays. */
 void
 test_accelerated_machines_with_services_are_filled(void) {
   World *world = world_new(12);
@@ -115,7 +117,7 @@
                          WIRE_PRIORITY, "urgent"),
                60);
   world_run(world, 6);
-  /* More than the small machines hold. */
+  /* More replicas than fit on the small machines. */
   world_submit(world,
                json_pack("{s:i, s:s, s:s}", WIRE_TASKS, 10, WIRE_KIND, WIRE_KIND_SERVICE,
                          WIRE_PRIORITY, "critical"),
@@ -124,20 +126,21 @@
   world_submit(world, json_pack("{s:i, s:s}", WIRE_TASKS, 300, WIRE_PRIORITY, "normal"), 90);
   world_run(world, 12);
   uses = count_machine_uses(world);
-  g_test_message("%u with services, %u of these with arrays, %u lent, %u idle", uses.with_services,
-                 uses.with_both, uses.lent, uses.idle);
+  g_test_message("big machines: %u run services, %u of these also arrays, %u only arrays, %u idle",
+                 uses.with_services, uses.with_services_and_arrays, uses.with_arrays_only,
+                 uses.idle);
   g_assert_cmpuint(uses.with_services, >, 0);
-  g_assert_cmpuint(uses.with_both, ==, uses.with_services);
+  g_assert_cmpuint(uses.with_services_and_arrays, ==, uses.with_services);
   g_assert_cmpuint(uses.idle, ==, 4);
-  /* One of the twelve runs the accelerated task. */
-  g_assert_cmpuint(uses.lent, ==, 12 - 1 - uses.idle - uses.with_services);
+  /* One of the twelve big machines runs the task that needs accelerators. */
+  g_assert_cmpuint(uses.with_arrays_only, ==, 12 - 1 - uses.idle - uses.with_services);
   world_assert_invariants(world);
   world_free(world);
 }
 
-/* Half as many machines again as the largest fleet: many fail at once, all nodes end within a
- * second, twice, copies of requests arrive late, and a zone is cut off for a while. The invariants
- * hold and work goes on. */
+/* Half as many machines again as the largest planned fleet. Many machines fail at once, all nodes
+ * stop within a second, twice, duplicates of requests arrive late, and a zone is cut off for a
+ * while. The invariants must hold, and tasks must continue to start. */
 void
 test_oversized_fleet_survives_faults(void) {
   World *world = world_new(13);
--- a/tests/test-large-fixtures.c
+++ b/tests/test-large-fixtures.c
@@ -1,4 +1,4 @@
-/* Fixtures of the tests with hundreds of machines, and more. */
+/* Fixtures of the tests with hundreds of machines or more. */
 #include "test-large.h"
 
 #include "base/wire.h"
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -1,5 +1,5 @@
-/* Fleets of the grown size, over two hundred machines in three zones: what a heartbeat costs, and
- * failovers, cuts and cancellations there. */
+/* Tests of large fleets, with over two hundred machines in three zones: the cost of a heartbeat,
+ * failovers, network partitions and cancellations. Some tests use fewer machines. */
 #include "test-large.h"
 
 #include "base/wire.h"
@@ -8,7 +8,7 @@
 #include "leases/shard-ownership.h"
 #include "scheduler/scheduler.h"
 
-/* One machine of ten is big. */
+/* Returns a started world with this number of machines, of which one in ten is big. */
 static World *
 new_large_world(guint32 seed, guint machines) {
   World *world = world_new(seed);
@@ -41,22 +41,23 @@
 static WorkPerHeartbeat
 measure_work(guint machines) {
   World *world = new_large_world(1, machines);
-  WorkPerHeartbeat per;
+  WorkPerHeartbeat work;
 
   run_under_load(world, machines, 40);
-  per = (WorkPerHeartbeat){ (double)world->n_frames / (double)world->n_heartbeats,
-                            count_machines_scanned(world) / (double)world->n_heartbeats,
-                            (double)world->n_writes / (double)world->n_heartbeats };
-  g_test_message("%u machines: %.2f frames, %.1f machine scans, %.3f writes a heartbeat; %u starts",
-                 machines, per.frames, per.machines_scanned, per.writes, world->n_starts);
+  work = (WorkPerHeartbeat){ (double)world->n_frames / (double)world->n_heartbeats,
+                             count_machines_scanned(world) / (double)world->n_heartbeats,
+                             (double)world->n_writes / (double)world->n_heartbeats };
+  g_test_message(
+      "%u machines: %.2f frames, %.1f machines scanned, %.3f writes per heartbeat; %u task starts",
+      machines, work.frames, work.machines_scanned, work.writes, world->n_starts);
   g_assert_cmpuint(world->n_starts, >, machines * 2);
   world_free(world);
-  return per;
+  return work;
 }
 
-/* What a heartbeat costs does not grow with the number of machines: frames between nodes, keys
- * written. Machines scanned for a task grow with the jobs; a bound a second keeps them at a few a
- * heartbeat. */
+/* The numbers of frames between nodes and of keys written per heartbeat do not grow with the number
+ * of machines. The number of machines scanned to place tasks grows with the number of jobs, but a
+ * limit per second keeps it at a few per heartbeat. */
 static void
 test_work_per_heartbeat_does_not_grow(void) {
   WorkPerHeartbeat few = measure_work(60), many = measure_work(240);
@@ -78,8 +79,8 @@
   return n;
 }
 
-/* A zone is cut off with all that is in it, a node among them. Its tasks run again elsewhere, its
- * machines are not returned, and they are used again afterwards. */
+/* A zone is cut off with all its machines and its node. The zone's tasks are started again in other
+ * zones; its machines are not returned to the cloud and are used again afterwards. */
 static void
 test_cut_zone_keeps_its_machines(void) {
   World *world = new_large_world(2, 210);
@@ -121,41 +122,42 @@
   return n_led == 4;
 }
 
-/* A node ends and the others acquire its shards: most machines acknowledge the new term by their
- * heartbeats; those that would be late get a direct command, each from the node that serves it, and
- * only so many at once as the share of a processor allows. Workers of the node that ended find
- * another after 5 s here. */
+/* A node stops and the others acquire its shards. Most machines acknowledge the new term by their
+ * heartbeats. A machine that would acknowledge it too late gets a direct command from the node that
+ * serves it; a node's share of a processor limits how many of these it sends at once. Workers of
+ * the stopped node find another node after 5 s in this test. */
 static void
 test_few_acknowledgements_are_requested(void) {
   World *world = new_large_world(3, 210);
-  guint64 before, first, most = 0;
-  guint tenths = 0;
+  guint64 n_before_step, n_before, max_per_tenth = 0;
+  guint n_tenths = 0;
 
   run_under_load(world, 210, 15);
   world_kill_node(world, 0, 30);
   while (g_hash_table_size(world->nodes[1].node->replica->live_nodes) == WORLD_NODES)
     world_run(world, 0.1);
-  first = world->n_direct_commands;
-  for (; tenths < 70 && (tenths < 3 || !all_shards_are_ready(world)); tenths++) {
-    before = world->n_direct_commands;
+  n_before = world->n_direct_commands;
+  for (; n_tenths < 70 && (n_tenths < 3 || !all_shards_are_ready(world)); n_tenths++) {
+    n_before_step = world->n_direct_commands;
     world_run(world, 0.1);
-    most = MAX(most, world->n_direct_commands - before);
+    max_per_tenth = MAX(max_per_tenth, world->n_direct_commands - n_before_step);
   }
   world_assert_invariants(world);
-  g_test_message("%" G_GUINT64_FORMAT " direct commands, %" G_GUINT64_FORMAT
-                 " in a tenth, ready after %u tenths",
-                 world->n_direct_commands - first, most, tenths);
-  /* Four a node in a tenth of a second, and the stops of that time. */
-  g_assert_cmpuint(most, <=, 16);
-  /* Not one for each machine, all in all. */
-  g_assert_cmpuint(world->n_direct_commands - first, <,
+  g_test_message("%" G_GUINT64_FORMAT " direct commands, at most %" G_GUINT64_FORMAT
+                 " in a tenth of a second, all shards ready after %u tenths of a second",
+                 world->n_direct_commands - n_before, max_per_tenth, n_tenths);
+  /* Four requests per node in a tenth of a second, and the stop commands sent in the same time. */
+  g_assert_cmpuint(max_per_tenth, <=, 16);
+  /* In total, fewer direct commands than one per machine. */
+  g_assert_cmpuint(world->n_direct_commands - n_before, <,
                    world->nodes[1].node->machine_table->sorted_machines->len);
-  g_assert_cmpuint(tenths, <, 70);
+  g_assert_cmpuint(n_tenths, <, 70);
   world_free(world);
 }
 
-/* Machines that the cloud reclaimed while all nodes were down are not on its list: that they are
- * gone by its word spares the new leaders a whole lease of waiting. */
+/* Machines that the cloud reclaimed while all nodes were down are missing from the cloud's list.
+ * This proves them lost, so that new leaders need not wait until the leases of these machines
+ * expire. */
 static void
 test_machines_reclaimed_in_an_outage_are_lost(void) {
   World *world = new_large_world(4, 60);
@@ -184,7 +186,8 @@
   world_free(world);
 }
 
-/* A node back from a cut does not repeat a transaction that must fail until it has seen why. */
+/* A node that is reconnected after a partition does not repeat a transaction whose conditions
+ * failed until it has read the change that made them fail. */
 static void
 test_failed_transactions_are_not_repeated(void) {
   World *world = new_large_world(5, 12);
@@ -200,8 +203,8 @@
   world_free(world);
 }
 
-/* A cancellation is confirmed only when the shard leader knows it, or cannot start anything any
- * more. */
+/* A cancellation is confirmed only when the shard leader knows of it or can no longer start tasks.
+ */
 static void
 test_cancellation_waits_for_cut_leader(void) {
   World *world = new_large_world(6, 12);
--- a/tests/test-large.h
+++ b/tests/test-large.h
@@ -1,4 +1,4 @@
-/* Fixtures of the tests with hundreds of machines, and more. */
+/* Fixtures of the tests with hundreds of machines or more. */
 #pragma once
 
 #include "world/world.h"
@@ -6,11 +6,11 @@
 /* The zones of the simulated world. */
 extern const char *const zones[3];
 
-/* Services on half of the machines, then arrays that more than fill the rest; checks the
- * invariants each second. */
+/* Submits services that occupy half of `machines` machines, then arrays that need more than the
+ * remaining resources, and runs for that many seconds. Checks the invariants every second. */
 void run_under_load(World *world, guint machines, guint seconds);
 
-/* ---- test-large-capacity.c ---- */
+/* Tests in test-large-capacity.c. */
 
 void test_large_jobs_do_not_starve(void);
 void test_accelerated_machines_with_services_are_filled(void);
--- a/tests/test-layers.sh
+++ b/tests/test-layers.sh
@@ -1,5 +1,7 @@
 #!/usr/bin/env bash
-# The check of the order of folders must be able to fail: test-layers.sh CHECK ROOT
+# Tests .ci/layers, which checks that no folder of src includes headers of a higher layer: it must report
+# each include that is not allowed, and the sources in ROOT must pass it.
+# Usage: test-layers.sh CHECK ROOT
 set -u
 check=$1
 root=$2
@@ -7,12 +9,12 @@
 trap 'rm -rf "$dir"' EXIT
 failed=0
 
-# expect STATUS WORDS: the check of the planted tree ends so, and says so.
+# expect STATUS WORDS: runs the check on the sample tree. It must exit with STATUS and print WORDS.
 expect() {
   out=$("$check" "$dir" 2>&1)
   status=$?
   if [ "$status" -ne "$1" ] || ! grep -qF -- "$2" <<<"$out"; then
-    printf 'status %s, not %s with "%s":\n%s\n' "$status" "$1" "$2" "$out"
+    printf 'exit status %s, expected %s and the output "%s":\n%s\n' "$status" "$1" "$2" "$out"
     failed=1
   fi
 }
@@ -28,7 +30,7 @@
 expect 1 'src/kv/client.h node/node.h: runs upwards'
 printf '# one\nsrc/kv/client.h node/node.h\n' >"$dir/.ci/layers-allowed.txt"
 expect 0 '1 includes run upwards, 1 are allowed'
-# Another file of the same folder isn't covered by that.
+# The allowed include does not cover another file of the same folder.
 printf '  # include "node/node.h"\n' >"$dir/src/kv/replica.cc"
 expect 1 'src/kv/replica.cc node/node.h: runs upwards'
 rm "$dir/src/kv/replica.cc"
@@ -38,7 +40,7 @@
 rm "$dir/.ci/layers-allowed.txt"
 expect 0 '0 includes run upwards'
 
-# What is made of a higher folder's messages belongs to that folder.
+# A header generated from a .proto file belongs to the folder of that file.
 printf 'syntax = "proto3";\n' >"$dir/src/node/frames.proto"
 printf '#include "frames.pb-c.h"\n' >"$dir/src/kv/client.h"
 expect 1 'src/kv/client.h frames.pb-c.h: runs upwards'
--- a/tests/test-machine-health.c
+++ b/tests/test-machine-health.c
@@ -1,4 +1,4 @@
-/* Which machines are quarantined: those at fault, and no others. */
+/* Tests that faulty machines are quarantined, and no others. */
 #include "base/wire.h"
 #include "machines/machine-health.h"
 #include "jobs/job-table.h"
@@ -14,8 +14,8 @@
   MmName jobs[JOBS];
 } HealthFixture;
 
-/* Machines that hang as soon as they are known, so that only the test's own heartbeats come, and
- * jobs that wait. */
+/* Returns a world with pending jobs and with machines that hang as soon as the nodes know them, so
+ * that the only heartbeats are those that the test records. */
 static HealthFixture
 health_fixture(void) {
   HealthFixture f = { world_new(9) };
@@ -53,8 +53,8 @@
   mm_heartbeat_clear(&heartbeat);
 }
 
-/* The machine reports that a task of the job has ended there; the task has the number of the
- * machine. */
+/* Records a heartbeat in which the machine reports that a task of the job has ended. The number of
+ * the task is that of the machine. */
 static void
 report_end(HealthFixture *f, guint machine, guint job, MmEndCause cause) {
   MmReportedTask task = { .job = f->jobs[job],
@@ -71,7 +71,7 @@
   return mm_time_before(mm_node_now(f->node), f->machines[machine]->quarantined_until);
 }
 
-/* Faulty jobs fail on each machine: none is quarantined for them. */
+/* Jobs that fail on every machine do not get any machine quarantined. */
 static void
 test_faulty_jobs_quarantine_no_machine(void) {
   HealthFixture f = health_fixture();
@@ -84,7 +84,8 @@
   world_free(f.world);
 }
 
-/* Jobs that succeed elsewhere, or that ran nowhere else, fail on one machine. */
+/* A machine is quarantined when jobs fail on it that succeed on another machine or ran on no other.
+ */
 static void
 test_failing_machine_is_quarantined(void) {
   HealthFixture f = health_fixture();
@@ -99,9 +100,9 @@
   world_free(f.world);
 }
 
-/* The node that serves a machine ends, and its lease expires just as it finds another node: that is
- * not its fault, however often it happens. One that is answered all the time and still loses its
- * leases is quarantined. */
+/* A machine is not quarantined when the node that serves it stops and the machine's lease expires
+ * just as it finds another node, however often that happens. A machine that loses its leases
+ * although it is always answered is quarantined. */
 static void
 test_losing_leases_though_answered_is_quarantined(void) {
   HealthFixture f = health_fixture();
--- a/tests/test-modulo-priority.c
+++ b/tests/test-modulo-priority.c
@@ -1,6 +1,7 @@
 #include "placement/modulo-priority.h"
 
-/* Worked by hand from equation 1 with n = 6 workers, f = 12 tasks, m = 2 controllers: b = 2. */
+/* The expected values are calculated by hand from equation 1 of the ScalScheduling paper, with
+ * n = 6 workers, f = 12 tasks and m = 2 controllers, so that b = 2. */
 static void
 test_values_match_the_equation(void) {
   /* z = 1: x = 1, y = 1; worker 1: 2 * ((1 + 6 - 1) % 6) + (1 + 2 - 1) % 2 = 0 + 0 */
@@ -12,8 +13,8 @@
   g_assert_cmpint(mm_modulo_priority(7, 12, 6, 6, 2), ==, 2 * ((1 + 6 - 6) % 6) + (2 + 2 - 0) % 2);
 }
 
-/* The reasoning of the paper's Figure 3: workers that hold the same tasks put different ones first.
- * With every task everywhere, no two of the n workers agree on their first choice. */
+/* Workers that hold the same tasks request different ones first, as the paper's Figure 3 explains.
+ * If every worker holds every task, no two of the n workers have the same first choice. */
 static void
 test_first_choices_differ(void) {
   enum { N = 6, F = 12, M = 2 };
@@ -40,7 +41,7 @@
     g_autofree gboolean *seen = g_new0(gboolean, (gsize)(b * n));
     for (guint z = 1; z <= f; z++) {
       gint64 p = mm_modulo_priority(z, f, i, n, m);
-      /* Never negative, though i % m can exceed x + b, and never equal for two tasks. */
+      /* Priorities are never negative, although i % m can exceed x + b, and always distinct. */
       g_assert_cmpint(p, >=, 0);
       g_assert_cmpint(p, <, b * n);
       g_assert_false(seen[p]);
--- a/tests/test-operators.c
+++ b/tests/test-operators.c
@@ -25,8 +25,8 @@
 static void
 test_errors_name_line_and_element(void) {
   const struct {
-    const char *xml, *line, *about;
-  } faults[] = {
+    const char *xml, *line, *expected_text;
+  } cases[] = {
     { "<martenmount>\n<colour>3</colour>\n</martenmount>", "line 2", "colour" },
     { "<martenmount>\n\n<candidates>99</candidates></martenmount>", "line 3", "candidates" },
     { "<martenmount><candidates>two</candidates></martenmount>", "line 1", "candidates" },
@@ -46,22 +46,22 @@
     { "<martenmount><claim-ttl-s>1</claim-ttl-s></martenmount>", "", "claim-renew-s" },
   };
 
-  for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
+  for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
     g_autoptr(GError) error = NULL;
     MmOperators operators;
-    g_assert_false(parse(&operators, faults[i].xml, &error));
+    g_assert_false(parse(&operators, cases[i].xml, &error));
     g_assert_nonnull(strstr(error->message, "ops.xml"));
-    g_assert_nonnull(strstr(error->message, faults[i].line));
-    g_assert_nonnull(strstr(error->message, faults[i].about));
+    g_assert_nonnull(strstr(error->message, cases[i].line));
+    g_assert_nonnull(strstr(error->message, cases[i].expected_text));
   }
 }
 
-/* What names nodes must fit the platform's settings. */
+/* Settings for nodes and groups must be consistent with the platform's settings. */
 static void
 test_node_names_are_checked_against_settings(void) {
   const struct {
-    const char *xml, *about;
-  } faults[] = {
+    const char *xml, *expected_text;
+  } cases[] = {
     { "<martenmount><group-weight node=\"nobody\">1</group-weight></martenmount>", "nobody" },
     { "<martenmount><group-weight node=\"node-0\">0</group-weight></martenmount>", "all nodes" },
     { "<martenmount><groups>2.5</groups></martenmount>", "whole number" },
@@ -72,12 +72,13 @@
   g_autoptr(MmSettings) settings = mm_settings_read(path, &ignored);
   MmOperators operators;
 
-  for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
-    g_autoptr(GError) why = NULL;
-    g_assert_true(parse(&operators, faults[i].xml, &why));
-    g_assert_false(mm_operators_check_against_settings(&operators, settings, "ops.xml", &why));
-    g_assert_nonnull(strstr(why->message, "ops.xml"));
-    g_assert_nonnull(strstr(why->message, faults[i].about));
+  for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
+    g_autoptr(GError) check_error = NULL;
+    g_assert_true(parse(&operators, cases[i].xml, &check_error));
+    g_assert_false(
+        mm_operators_check_against_settings(&operators, settings, "ops.xml", &check_error));
+    g_assert_nonnull(strstr(check_error->message, "ops.xml"));
+    g_assert_nonnull(strstr(check_error->message, cases[i].expected_text));
   }
   g_assert_true(parse(&operators,
                       "<martenmount><groups>256</groups>"
@@ -88,7 +89,8 @@
   g_assert_cmpfloat(mm_operators_group_weight(&operators, "node-9"), ==, 1);
 }
 
-/* docs/operators.md says of each setting what the program does. */
+/* docs/operators.md lists the unit, default, range and meaning of each setting as the program
+ * defines them. */
 static void
 test_page_documents_each_setting(void) {
   g_autofree char *path
@@ -101,7 +103,7 @@
     g_autofree char *row = g_strdup_printf("| `%s` | %s | %g | %g to %g | %s |", element, s->unit,
                                            s->default_value, s->min, s->max, s->meaning);
     if (strstr(page, row) == NULL)
-      g_test_message("docs/operators.md lacks: %s", row);
+      g_test_message("docs/operators.md lacks the row: %s", row);
     g_assert_nonnull(strstr(page, row));
   }
 }
