--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -20,7 +20,7 @@
   MM_TASK_FETCHING,         /* the machine is fetching the image */
   MM_TASK_WAITING_FOR_GANG, /* ready to run; waits for other tasks of its gang */
   MM_TASK_RUNNING,
-  MM_TASK_SAVING, /* saving a checkpoint before it stops */
+  MM_TASK_CHECKPOINTING, /* saving a checkpoint before it stops */
   MM_TASK_DONE
 } MmTaskState;
 
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -10,7 +10,7 @@
 
   g_array_unref(machine->reported_tasks);
   g_array_unref(machine->cached_images);
-  g_array_unref(machine->kept_list);
+  g_array_unref(machine->retained_candidates);
   g_array_unref(machine->queued_commands);
   g_ptr_array_unref(machine->placed_tasks);
   g_free(machine);
@@ -123,7 +123,7 @@
   machine->id = mm_name(machine_id);
   machine->reported_tasks = g_array_new(FALSE, TRUE, sizeof(MmReportedTask));
   machine->cached_images = g_array_new(FALSE, TRUE, sizeof(MmCachedImage));
-  machine->kept_list = g_array_new(FALSE, TRUE, sizeof(MmTaskRef));
+  machine->retained_candidates = g_array_new(FALSE, TRUE, sizeof(MmTaskRef));
   machine->queued_commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
   machine->placed_tasks = g_ptr_array_new_with_free_func(g_free);
   machine->serving_node = MM_SERVING_NODE_NONE;
--- a/src/machines/machine.h
+++ b/src/machines/machine.h
@@ -95,13 +95,13 @@
   MmTime quarantined_until; /* the machine gets no work before this time */
 
   /* Written by the scheduler; about jobs of the shards that this node leads */
-  gboolean needs_task_review; /* apply the reported tasks again even if unchanged */
-  GPtrArray *placed_tasks;    /* elements: MmPlacedTask, owned; tasks that run or may run on it */
-  GArray *kept_list;          /* elements: MmTaskRef; tasks tried first at the next start request */
+  gboolean must_reapply_tasks; /* apply the reported tasks again even if unchanged */
+  GPtrArray *placed_tasks;     /* elements: MmPlacedTask, owned; tasks that run or may run on it */
+  GArray *retained_candidates; /* elements: MmTaskRef; tried first at the next start request */
   MmResources reserved_resources;      /* free or being freed; reserved for urgent work */
   MmTime reserved_until;               /* end of the reservation */
   MmTime acknowledgement_requested_at; /* when a direct command last asked for the term */
-  MmTime full_until; /* no starts before this time: it refused one for lack of resources */
+  MmTime no_starts_until; /* no starts before this time: it refused one for lack of resources */
 
   /* Written by the autoscaler */
   gboolean is_being_terminated;
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -14,9 +14,9 @@
 #include "scheduler/task-state.h"
 #include "scheduler/urgency.h"
 
-/* Maximum length of a machine's kept list: the tasks that are tried first at its next start
+/* Maximum number of retained candidates of a machine, which are tried first at its next start
  * requests. */
-#define KEPT_TASKS_MAX 64
+#define RETAINED_CANDIDATES_MAX 64
 /* Maximum number of tasks of one job that are tried for one request. */
 #define JOB_TASKS_TRIED_MAX 8
 /* How long a pending task does not start on the machine on which it failed last, or from which it
@@ -145,30 +145,30 @@
 }
 
 static void
-add_to_kept_list(MmMachine *machine, const MmTaskRef *task) {
-  for (guint i = 0; i < machine->kept_list->len; i++) {
-    const MmTaskRef *kept = &g_array_index(machine->kept_list, MmTaskRef, i);
-    if (kept->number == task->number && mm_name_equal(&kept->job, &task->job))
+add_to_retained_candidates(MmMachine *machine, const MmTaskRef *task) {
+  for (guint i = 0; i < machine->retained_candidates->len; i++) {
+    const MmTaskRef *retained = &g_array_index(machine->retained_candidates, MmTaskRef, i);
+    if (retained->number == task->number && mm_name_equal(&retained->job, &task->job))
       return;
   }
-  if (machine->kept_list->len < KEPT_TASKS_MAX)
-    g_array_append_val(machine->kept_list, *task);
+  if (machine->retained_candidates->len < RETAINED_CANDIDATES_MAX)
+    g_array_append_val(machine->retained_candidates, *task);
 }
 
-/* Removes the task from the kept list of `list_machine`, and approves it for the request's machine
- * if it may start there. */
+/* Removes the task at `position` from the retained candidates of `retaining_machine`, and approves
+ * it for the request's machine if it may start there. */
 static gboolean
-try_kept_task(MmScheduler *scheduler, const MmStartRequest *request, MmMachine *list_machine,
-              guint position, MmApproval *approval) {
-  MmTaskRef task = g_array_index(list_machine->kept_list, MmTaskRef, position);
+try_retained_candidate(MmScheduler *scheduler, const MmStartRequest *request,
+                       MmMachine *retaining_machine, guint position, MmApproval *approval) {
+  MmTaskRef task = g_array_index(retaining_machine->retained_candidates, MmTaskRef, position);
 
-  g_array_remove_index(list_machine->kept_list, position);
+  g_array_remove_index(retaining_machine->retained_candidates, position);
   return try_start_task(scheduler, mm_job_table_find(scheduler->node->job_table, task.job.s),
                         task.number, request, approval);
 }
 
-/* Tries a random task of the longest kept list. If there is none or it may not start, tries the
- * most urgent pending tasks that fit. */
+/* Tries a random retained candidate of the machine that has most of them. If there is none or it
+ * may not start, tries the most urgent pending tasks that fit. */
 static gboolean
 try_pull(MmScheduler *scheduler, const MmStartRequest *request, GPtrArray *jobs,
          MmApproval *approval) {
@@ -177,14 +177,15 @@
 
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machine_table->sorted_machines, i);
-    if (machine->kept_list->len > (longest != NULL ? longest->kept_list->len : 0))
+    if (machine->retained_candidates->len
+        > (longest != NULL ? longest->retained_candidates->len : 0))
       longest = machine;
   }
   if (longest != NULL
-      && try_kept_task(
-          scheduler, request, longest,
-          (guint)g_rand_int_range(scheduler->node->rand, 0, (gint32)longest->kept_list->len),
-          approval))
+      && try_retained_candidate(scheduler, request, longest,
+                                (guint)g_rand_int_range(scheduler->node->rand, 0,
+                                                        (gint32)longest->retained_candidates->len),
+                                approval))
     return TRUE;
   for (guint i = 0; i < jobs->len; i++)
     if (try_start_any_task(scheduler, g_ptr_array_index(jobs, i), request, approval))
@@ -202,7 +203,7 @@
   return mm_node_lease_is_valid(node->node_lease)
          && mm_machine_is_usable(node->machine_table, machine)
          && !mm_heartbeat_id_is_newer(machine->latest_message_id, request->heartbeat_id)
-         && !mm_time_before(mm_node_now(node), machine->full_until);
+         && !mm_time_before(mm_node_now(node), machine->no_starts_until);
 }
 
 /* Returns the jobs of which a task fits into the free resources and the team's limit, most urgent
@@ -222,20 +223,20 @@
   return jobs;
 }
 
-/* Adds the candidates from index `first` on that are still pending to the machine's kept list. They
- * are tried first at the machine's next requests. */
+/* Adds the candidates from index `first` on that are still pending to the machine's retained
+ * candidates. They are tried first at the machine's next requests. */
 static void
-keep_candidates(const MmScheduler *scheduler, const MmStartRequest *request, guint first) {
+retain_candidates(const MmScheduler *scheduler, const MmStartRequest *request, guint first) {
   for (guint i = first; i < request->n_tasks; i++) {
     const MmTaskRef *candidate = &request->tasks[i];
     const MmJob *job = mm_job_table_find(scheduler->node->job_table, candidate->job.s);
     if (job != NULL && job->tasks != NULL && candidate->number < job->spec.n_tasks
         && job->tasks[candidate->number].state == MM_TASK_PENDING)
-      add_to_kept_list(request->machine, candidate);
+      add_to_retained_candidates(request->machine, candidate);
   }
 }
 
-/* Approves the first candidate that may start, and adds those after it to the kept list. */
+/* Approves the first candidate that may start, and retains those after it. */
 static gboolean
 try_candidates(MmScheduler *scheduler, const MmStartRequest *request, MmApproval *approval) {
   for (guint i = 0; i < request->n_tasks; i++) {
@@ -243,7 +244,7 @@
     MmJob *job = mm_job_table_find(scheduler->node->job_table, candidate->job.s);
     if (!try_start_task(scheduler, job, candidate->number, request, approval))
       continue;
-    keep_candidates(scheduler, request, i + 1);
+    retain_candidates(scheduler, request, i + 1);
     return TRUE;
   }
   return FALSE;
@@ -266,8 +267,8 @@
     return FALSE;
   if (try_precedence_jobs(scheduler, request, jobs, approval))
     return TRUE;
-  while (machine->kept_list->len > 0)
-    if (try_kept_task(scheduler, request, machine, 0, approval))
+  while (machine->retained_candidates->len > 0)
+    if (try_retained_candidate(scheduler, request, machine, 0, approval))
       return TRUE;
   if (try_candidates(scheduler, request, approval))
     return TRUE;
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -33,7 +33,7 @@
 } MmApproval;
 
 /* Places a task on the request's machine, sets `approval` and returns TRUE. Returns FALSE when no
- * task may start there; then no task changes, but tasks may have been removed from kept lists. */
+ * task may start there; then no task changes, but retained candidates may have been removed. */
 gboolean mm_scheduler_approve_start(MmScheduler *scheduler, MmStartRequest *request,
                                     MmApproval *approval);
 /* Answers a start request from the peer with index `peer`. */
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -37,7 +37,7 @@
     if (task->state == MM_TASK_PLACE_RESERVED) {
       /* The machine did not request work in time, for whatever reason: the same place must not be
        * chosen again immediately. */
-      task->machine->full_until
+      task->machine->no_starts_until
           = mm_time_add_ms(mm_node_now(scheduler->node), UNUSED_RESERVATION_PAUSE_MS);
       mm_scheduler_unplace_task(scheduler, job, i);
     } else if (task->machine != NULL && !task->is_stopping) {
@@ -72,7 +72,7 @@
     if (!mm_machine_is_usable(machine_table, place.machine)
         || !mm_placement_allows(job, place.machine)
         || mm_time_ms_since(now, place.machine->last_heartbeat_at) > recent_ms
-        || mm_time_before(now, place.machine->full_until)
+        || mm_time_before(now, place.machine->no_starts_until)
         || (zone != NULL && !mm_name_equal(&place.machine->zone, zone)))
       continue;
     place.free_resources = mm_machine_available_resources(machine_table, place.machine);
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -95,7 +95,7 @@
   case MM_CAUSE_NO_RESOURCES:
     /* This node overestimated the machine's free resources. The heartbeat after the next one shows
      * them correctly. */
-    machine->full_until = mm_time_add_ms(now, mm_scheduler_heartbeat_interval_ms(scheduler));
+    machine->no_starts_until = mm_time_add_ms(now, mm_scheduler_heartbeat_interval_ms(scheduler));
     break;
   case MM_CAUSE_NO_SUCH_TASK:
     /* The user has not uploaded the task yet, or never will. */
@@ -113,7 +113,7 @@
 static MmTaskState
 state_of_reported(guint8 reported_state) {
   static const MmTaskState map[]
-      = { MM_TASK_FETCHING, MM_TASK_WAITING_FOR_GANG, MM_TASK_RUNNING, MM_TASK_SAVING };
+      = { MM_TASK_FETCHING, MM_TASK_WAITING_FOR_GANG, MM_TASK_RUNNING, MM_TASK_CHECKPOINTING };
   return map[MIN(reported_state, MM_REPORTED_CHECKPOINTING)];
 }
 
@@ -156,21 +156,21 @@
 void
 mm_scheduler_apply_reported_tasks(MmScheduler *scheduler, MmMachine *machine,
                                   const char *only_shard) {
-  gboolean needs_review = FALSE;
+  gboolean must_reapply = FALSE;
 
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
     const MmReportedTask *reported = &g_array_index(machine->reported_tasks, MmReportedTask, i);
     MmJob *job = mm_job_table_find(scheduler->node->job_table, reported->job.s);
-    needs_review = needs_review || job == NULL || reported->state == MM_REPORTED_ENDED;
+    must_reapply = must_reapply || job == NULL || reported->state == MM_REPORTED_ENDED;
     if (job == NULL || job->tasks == NULL || reported->number >= job->spec.n_tasks)
       continue;
     if (only_shard == NULL || strcmp(only_shard, job->shard) == 0)
       apply_reported_task(scheduler, machine, job, reported);
-    needs_review = needs_review || job->tasks[reported->number].machine != machine;
+    must_reapply = must_reapply || job->tasks[reported->number].machine != machine;
   }
   /* The same heartbeat must be applied again when a job's record arrives after the heartbeat that
    * reports its tasks, and when a result counts only after another attempt has left its machine. */
-  machine->needs_task_review = needs_review;
+  machine->must_reapply_tasks = must_reapply;
 }
 
 /* Returns whether the heartbeat, which does not report the task, proves that the task's start was
@@ -307,7 +307,7 @@
 
   if (g_hash_table_size(scheduler->led_shards) == 0)
     return;
-  if (tasks_changed || machine->needs_task_review)
+  if (tasks_changed || machine->must_reapply_tasks)
     mm_scheduler_apply_reported_tasks(scheduler, machine, NULL);
   unplace_missing_tasks(scheduler, machine, heartbeat);
   g_hash_table_iter_init(&iter, scheduler->led_shards);
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -115,7 +115,7 @@
   scheduler->n_machines_scanned++;
   if (silent_ms > 2 * heartbeat_interval_ms || machine->addr[0] == '\0'
       || !mm_machine_is_usable(node->machine_table, machine)
-      || mm_time_before(now, machine->full_until)
+      || mm_time_before(now, machine->no_starts_until)
       || !mm_scheduler_constraints_will_allow(scheduler, job, machine))
     return FALSE;
   free_resources = mm_machine_available_resources(node->machine_table, machine);
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -6,10 +6,10 @@
  * term is either reported in that message or will be refused by the machine. The scheduler does not
  * start a task that an unacknowledged machine might already have.
  *
- * The scheduler owns MmScheduler, MmLedShard, the tasks of MmJob and the placed tasks, the kept
- * list and the reserved resources of MmMachine. Only this folder modifies them. State that must
- * survive the process is stored in the job records (job-writer.h); all other state is in memory and
- * is rebuilt after a failover.
+ * The scheduler owns MmScheduler, MmLedShard, the tasks of MmJob and the placed tasks, the
+ * retained candidates and the reserved resources of MmMachine. Only this folder modifies them.
+ * State that must survive the process is stored in the job records (job-writer.h); all other state
+ * is in memory and is rebuilt after a failover.
  *
  * This header declares the types of the scheduler and the functions that create, run and free it;
  * each other header of this folder declares one module. All modules run on the node's main loop and
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -90,7 +90,7 @@
     for (guint k = 0; k < machine->placed_tasks->len; k++) {
       const MmPlacedTask *placed = g_ptr_array_index(machine->placed_tasks, k);
       const MmTask *task = &placed->job->tasks[placed->number];
-      if ((placed->job->is_cancelled || task->is_stopping) && task->state != MM_TASK_SAVING
+      if ((placed->job->is_cancelled || task->is_stopping) && task->state != MM_TASK_CHECKPOINTING
           && mm_time_ms_since(now, task->stop_sent_at) > STOP_RESEND_MS)
         mm_scheduler_stop_task(scheduler, placed->job, placed->number);
     }
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -30,26 +30,26 @@
   SchedulerFixture f = scheduler_fixture(5);
 
   g_assert_cmpint(request_start(&f, 0, 0, 1, FALSE), ==,
-                  0); /* alpha: the first is approved, the second put on the kept list */
-  g_assert_cmpuint(f.machines[0]->kept_list->len, ==, 1);
+                  0); /* alpha: the first is approved, the second retained */
+  g_assert_cmpuint(f.machines[0]->retained_candidates->len, ==, 1);
   g_assert_cmpint(request_start(&f, 0, -1, -1, FALSE), ==,
-                  1); /* no candidates: a task of the kept list is approved */
+                  1); /* no candidates: a retained candidate is approved */
   g_assert_cmpint(request_start(&f, 0, 0, 2, FALSE), ==,
                   2); /* gamma: the first is already started, the second is approved */
   g_assert_cmpint(request_start(&f, 0, 0, 1, FALSE), ==,
-                  -1); /* chi: both are already started, and the kept list is empty */
+                  -1); /* chi: both are already started, and no candidate is retained */
   g_assert_cmpint(request_start(&f, 0, 3, 0, FALSE), ==, 3); /* beta: only the first is pending */
-  g_assert_cmpuint(f.machines[0]->kept_list->len, ==, 0);
+  g_assert_cmpuint(f.machines[0]->retained_candidates->len, ==, 0);
   g_assert_cmpint(request_start(&f, 1, -1, -1, FALSE), ==, -1);
   g_assert_cmpint(request_start(&f, 1, -1, -1, TRUE), ==, 4); /* a pull gets any pending task */
   g_assert_cmpint(request_start(&f, 1, -1, -1, TRUE), ==, -1);
   world_free(f.world);
 }
 
-/* A pull may get a task from another machine's kept list; that machine's next request is then
+/* A pull may get a candidate that another machine retained; that machine's next request is then
  * refused. */
 static void
-test_pull_takes_from_kept_lists(void) {
+test_pull_takes_retained_candidates(void) {
   SchedulerFixture f = scheduler_fixture(2);
 
   g_assert_cmpint(request_start(&f, 0, 0, 1, FALSE), ==, 0);
@@ -124,7 +124,7 @@
   g_test_init(&argc, &argv, NULL);
   g_test_add_func("/scheduler/start-requests-are-answered-as-in-the-paper",
                   test_start_requests_are_answered_as_in_the_paper);
-  g_test_add_func("/scheduler/pull-takes-from-kept-lists", test_pull_takes_from_kept_lists);
+  g_test_add_func("/scheduler/pull-takes-from-kept-lists", test_pull_takes_retained_candidates);
   g_test_add_func("/scheduler/limit-counts-unconfirmed-starts",
                   test_limit_counts_unconfirmed_starts);
   g_test_add_func("/scheduler/reserved-quota-binds-limited-resources-only",
