--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -155,7 +155,7 @@
 
 static void
 placement_job_added(gpointer context, MmJob *job) {
-  mm_placement_note_accelerated_job(context, &job->spec);
+  mm_placement_record_accelerated_job(context, &job->spec);
 }
 
 static void
--- a/src/placement/accelerator-reserve.c
+++ b/src/placement/accelerator-reserve.c
@@ -16,7 +16,7 @@
 #define UNRESERVED_SHARE_DIVISOR 3
 
 void
-mm_placement_note_accelerated_job(MmPlacement *placement, const MmJobSpec *spec) {
+mm_placement_record_accelerated_job(MmPlacement *placement, const MmJobSpec *spec) {
   if (spec->task_resources.accelerators <= 0)
     return;
   placement->has_seen_accelerated_work = TRUE;
@@ -187,7 +187,7 @@
                      g_strdup(((MmMachine *)g_ptr_array_index(idle, i))->id.s));
 }
 
-MmReserveVerdict
+MmReserveEffect
 mm_placement_check_reserve(MmPlacement *placement, const MmJob *job, const MmMachine *machine,
                            MmResources free_resources) {
   gboolean is_unreserved;
@@ -195,18 +195,18 @@
 
   if (machine->type == NULL || machine->type->resources.accelerators <= 0
       || job->spec.task_resources.accelerators > 0)
-    return MM_RESERVE_KEPT;
+    return MM_RESERVE_UNAFFECTED;
   if (!placement->has_seen_accelerated_work && job->spec.kind != MM_JOB_KIND_SERVICE)
-    return MM_RESERVE_KEPT;
+    return MM_RESERVE_UNAFFECTED;
   if (placement->has_seen_accelerated_work && machine->is_spot
       && !placement->accelerated_may_use_spot)
-    return MM_RESERVE_KEPT;
+    return MM_RESERVE_UNAFFECTED;
   if (is_demand_unknown(placement))
     return MM_RESERVE_WOULD_SHRINK;
   taken = taken_by_other_work(placement, machine, free_resources);
   if (fits_largest_accelerated_task(placement, machine,
                                     mm_resources_add(taken, job->spec.task_resources)))
-    return MM_RESERVE_KEPT;
+    return MM_RESERVE_UNAFFECTED;
   is_unreserved = !fits_largest_accelerated_task(placement, machine,
                                                  taken_by_unpreemptible_work(placement, machine));
   /* On an unreserved machine, services leave too little for accelerated jobs anyway, so preemptible
@@ -217,14 +217,14 @@
       return MM_RESERVE_FORBIDDEN;
     update_lent_machines(placement);
     return is_unreserved || g_hash_table_contains(placement->lent_machines, machine->id.s)
-               ? MM_RESERVE_RELEASED
+               ? MM_RESERVE_EXEMPT
                : MM_RESERVE_FORBIDDEN;
   }
-  return is_unreserved ? MM_RESERVE_RELEASED : MM_RESERVE_WOULD_SHRINK;
+  return is_unreserved ? MM_RESERVE_EXEMPT : MM_RESERVE_WOULD_SHRINK;
 }
 
 gboolean
-mm_placement_may_release_machine(MmPlacement *placement, const MmMachine *machine) {
+mm_placement_may_unreserve_machine(MmPlacement *placement, const MmMachine *machine) {
   const MmMachineTable *machine_table = placement->node->machine_table;
   const MmMachine *next = NULL;
   guint n_accelerated = 0, n_unreserved = 0;
--- a/src/placement/accelerator-reserve.h
+++ b/src/placement/accelerator-reserve.h
@@ -17,18 +17,18 @@
 /* The effect that placing a task on a machine would have on the reserve. The order counts: callers
  * compare values with `<`. */
 typedef enum {
-  MM_RESERVE_KEPT,         /* none: enough stays free, or the reserve does not apply */
-  MM_RESERVE_RELEASED,     /* none: the machine is unreserved or lent already */
+  MM_RESERVE_UNAFFECTED,   /* none: enough stays free, or the reserve does not apply */
+  MM_RESERVE_EXEMPT,       /* none: the machine is unreserved or lent already */
   MM_RESERVE_WOULD_SHRINK, /* too little would stay free for accelerated jobs */
   MM_RESERVE_FORBIDDEN     /* the same, and the job's priority is too low to unreserve it */
-} MmReserveVerdict;
+} MmReserveEffect;
 
 /* Returns the effect of placing a task of the job on the machine. `free_resources` are the
  * machine's free resources, less those of starts that are under way. */
-MmReserveVerdict mm_placement_check_reserve(MmPlacement *placement, const MmJob *job,
-                                            const MmMachine *machine, MmResources free_resources);
+MmReserveEffect mm_placement_check_reserve(MmPlacement *placement, const MmJob *job,
+                                           const MmMachine *machine, MmResources free_resources);
 /* Returns whether one more machine may be unreserved and `machine` is that one. Shard leaders that
  * decide at the same time must choose the same machine. */
-gboolean mm_placement_may_release_machine(MmPlacement *placement, const MmMachine *machine);
+gboolean mm_placement_may_unreserve_machine(MmPlacement *placement, const MmMachine *machine);
 /* Records the requirements of a submitted job if it is an accelerated one. */
-void mm_placement_note_accelerated_job(MmPlacement *placement, const MmJobSpec *spec);
+void mm_placement_record_accelerated_job(MmPlacement *placement, const MmJobSpec *spec);
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -27,7 +27,7 @@
 } Ranking;
 
 gboolean
-mm_placement_allows(const MmJob *job, const MmMachine *machine) {
+mm_placement_job_allows_machine(const MmJob *job, const MmMachine *machine) {
   return mm_job_spec_allows_machine(&job->spec, &machine->type_name, &machine->zone,
                                     machine->is_spot);
 }
@@ -60,7 +60,7 @@
 
   return job != NULL && !job->is_cancelled && !mm_job_is_gang(job) && pending->ranges->len > 0
                  && mm_resources_fits(job->spec.task_resources, free_resources)
-                 && mm_placement_allows(job, machine)
+                 && mm_placement_job_allows_machine(job, machine)
                  && mm_placement_check_reserve(placement, job, machine, free_resources)
                         != MM_RESERVE_FORBIDDEN
              ? job
--- a/src/placement/candidates.h
+++ b/src/placement/candidates.h
@@ -23,7 +23,7 @@
                                       MmResources free_resources, const GArray *requested,
                                       guint exhausted_views);
 /* Returns whether the constraints in the job's specification allow the machine. */
-gboolean mm_placement_allows(const MmJob *job, const MmMachine *machine);
+gboolean mm_placement_job_allows_machine(const MmJob *job, const MmMachine *machine);
 /* Removes a task from a view after it was started or its start was refused. */
 void mm_placement_remove_candidate(MmPlacement *placement, guint view, const char *job,
                                    guint number);
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -22,8 +22,8 @@
 /* How long a pending task does not start on the machine on which it failed last, or from which it
  * was moved. */
 #define AVOID_FAILED_MACHINE_MS 60000
-/* How long a task must have waited before a machine with accelerators is released to it. */
-#define RELEASE_MACHINE_AFTER_MS 800
+/* How long a task must have waited before a machine with accelerators is unreserved for it. */
+#define UNRESERVE_MACHINE_AFTER_MS 800
 /* An attempt number has the term in its high bits and a sequence number in these low bits. */
 #define ATTEMPT_SEQUENCE_BITS 24
 #define ATTEMPT_SEQUENCE_MASK 0xffffff
@@ -38,21 +38,21 @@
 }
 
 /* Returns whether the reserve of machines with accelerators permits the start. Such a machine is
- * released only to a task that has waited for RELEASE_MACHINE_AFTER_MS and that no machine could
- * run otherwise, even with preemption. */
+ * unreserved only for a task that has waited for UNRESERVE_MACHINE_AFTER_MS and that no machine
+ * could run otherwise, even with preemption. */
 static gboolean
 reserve_allows(MmScheduler *scheduler, MmJob *job, const MmTask *task,
                const MmStartRequest *request) {
   MmNode *node = scheduler->node;
-  MmReserveVerdict verdict
+  MmReserveEffect effect
       = mm_placement_check_reserve(node->placement, job, request->machine, request->free_resources);
   const MmPlacementEstimate *estimate;
 
-  if (verdict < MM_RESERVE_WOULD_SHRINK)
+  if (effect < MM_RESERVE_WOULD_SHRINK)
     return TRUE;
-  if (verdict == MM_RESERVE_FORBIDDEN
-      || mm_time_ms_since(mm_node_now(node), task->state_since) < RELEASE_MACHINE_AFTER_MS
-      || !mm_placement_may_release_machine(node->placement, request->machine))
+  if (effect == MM_RESERVE_FORBIDDEN
+      || mm_time_ms_since(mm_node_now(node), task->state_since) < UNRESERVE_MACHINE_AFTER_MS
+      || !mm_placement_may_unreserve_machine(node->placement, request->machine))
     return FALSE;
   estimate = mm_scheduler_estimate_placement(scheduler, job);
   return estimate != NULL && !mm_scheduler_can_start(estimate->soonest_delay_s);
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -70,7 +70,7 @@
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     CandidatePlace place = { g_ptr_array_index(machine_table->sorted_machines, i), { 0 } };
     if (!mm_machine_is_usable(machine_table, place.machine)
-        || !mm_placement_allows(job, place.machine)
+        || !mm_placement_job_allows_machine(job, place.machine)
         || mm_time_ms_since(now, place.machine->last_heartbeat_at) > recent_ms
         || mm_time_before(now, place.machine->no_starts_until)
         || (zone != NULL && !mm_name_equal(&place.machine->zone, zone)))
--- a/src/scheduler/start-rules.c
+++ b/src/scheduler/start-rules.c
@@ -28,7 +28,7 @@
                   MmTime reservations_at) {
   guint n_in_zone = 0;
 
-  if (!mm_placement_allows(job, machine))
+  if (!mm_placement_job_allows_machine(job, machine))
     return FALSE;
   if (!job->spec.requires_one_zone && !job->spec.spreads_over_zones)
     return TRUE;
