--- a/src/heartbeat-server/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -136,7 +136,7 @@
 
 static void
 track_leadership_transition(MmHeartbeatServer *server) {
-  if (!mm_shard_ownership_is_unsettled(server->node->shard_ownership))
+  if (!mm_shard_ownership_is_in_transition(server->node->shard_ownership))
     server->leadership_transition_since.us = 0;
   else if (!leadership_was_in_transition(server))
     server->leadership_transition_since = mm_node_now(server->node);
@@ -318,7 +318,7 @@
 
   count_served_machines(server);
   if (leadership_was_in_transition(server)
-      && !mm_shard_ownership_is_unsettled(server->node->shard_ownership))
+      && !mm_shard_ownership_is_in_transition(server->node->shard_ownership))
     mm_heartbeat_server_replica_changed(server);
   while (!g_queue_is_empty(server->deferred_heartbeats)) {
     const DeferredHeartbeat *deferred = g_queue_peek_head(server->deferred_heartbeats);
--- a/src/job-api/user-request.c
+++ b/src/job-api/user-request.c
@@ -33,7 +33,7 @@
 
 gboolean
 mm_user_request_kv_is_unavailable(const MmNode *node) {
-  return mm_kv_client_is_silent(node->kv)
+  return mm_kv_client_is_unresponsive(node->kv)
          || (mm_kv_client_is_refused(node->kv)
              && mm_time_ms_since(mm_node_now(node), node->kv->last_refused_at)
                     < KV_REFUSAL_VALIDITY_MS);
--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -67,7 +67,8 @@
 mm_kv_client_tick(MmKvClient *kv) {
   MmTime now = mm_platform_now(kv->platform);
 
-  if (kv->last_served_at.us != 0 && !mm_kv_client_is_refused(kv) && !mm_kv_client_is_silent(kv))
+  if (kv->last_served_at.us != 0 && !mm_kv_client_is_refused(kv)
+      && !mm_kv_client_is_unresponsive(kv))
     kv->available_us += MIN(now.us - kv->last_tick_at.us, MAX_AVAILABLE_PER_TICK_MS * 1000);
   kv->last_tick_at = now;
   if (kv->unsent_transactions->len > 0)
@@ -264,7 +265,7 @@
 }
 
 gboolean
-mm_kv_client_is_silent(const MmKvClient *kv) {
+mm_kv_client_is_unresponsive(const MmKvClient *kv) {
   MmTime last_response_at = mm_time_max(kv->last_served_at, kv->last_refused_at);
 
   return kv->last_unanswered_at.us > last_response_at.us
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -92,4 +92,4 @@
 gboolean mm_kv_client_is_refused(const MmKvClient *kv);
 /* Returns whether requests have timed out and the store has not responded for some time. That means
  * more likely that this node is cut off from the network than that the store is down. */
-gboolean mm_kv_client_is_silent(const MmKvClient *kv);
+gboolean mm_kv_client_is_unresponsive(const MmKvClient *kv);
--- a/src/kv/replica.c
+++ b/src/kv/replica.c
@@ -77,7 +77,7 @@
 
 static void
 record_node_removal(MmReplica *replica) {
-  replica->node_last_gone_at = mm_platform_now(replica->platform);
+  replica->last_node_lease_loss_at = mm_platform_now(replica->platform);
 }
 
 static void
@@ -92,7 +92,7 @@
     record_node_removal(replica);
   added = g_new0(MmLiveNode, 1);
   added->lease_id = lease_id;
-  added->seen_since = mm_platform_now(replica->platform);
+  added->first_seen_at = mm_platform_now(replica->platform);
   g_hash_table_replace(replica->live_nodes, g_strdup(label), added);
   mm_info("node joined node=%s lease=%" G_GUINT64_FORMAT, label, lease_id);
 }
@@ -343,7 +343,7 @@
   }
   apply_events(replica, events);
   replica->revision = MAX(replica->revision, mm_json_count(body, WIRE_REVISION, 0));
-  replica->fresh_until = mm_time_max(replica->fresh_until, sent_at);
+  replica->current_as_of = mm_time_max(replica->current_as_of, sent_at);
   replica->staleness_at = mm_platform_now(replica->platform);
   replica->staleness_us = replica->staleness_at.us - sent_at.us;
   finish_load_if_caught_up(replica);
--- a/src/kv/replica.h
+++ b/src/kv/replica.h
@@ -33,7 +33,7 @@
 
 typedef struct {
   guint64 lease_id;
-  MmTime seen_since; /* when this node first saw this lease */
+  MmTime first_seen_at; /* when this node first saw this lease */
 } MmLiveNode;
 
 struct MmReplica {
@@ -45,9 +45,9 @@
   gboolean (*has_proved_outage)(gconstpointer context); /* NULL: an outage is never proved */
   gconstpointer has_proved_outage_context;
   gboolean is_loaded;
-  guint64 revision;    /* of the store, up to which the replica shows all changes */
-  MmTime fresh_until;  /* the replica shows all that was written before this time */
-  gint64 staleness_us; /* staleness at staleness_at, not counting time in proved outages */
+  guint64 revision;     /* of the store, up to which the replica shows all changes */
+  MmTime current_as_of; /* the replica shows all that was written before this time */
+  gint64 staleness_us;  /* staleness at staleness_at, not counting time in proved outages */
   MmTime staleness_at;
   MmTerm term;
   MmTerm term_at_start; /* the term that this process loaded first; 0 until then */
@@ -56,7 +56,7 @@
   GHashTable *live_nodes; /* label -> MmLiveNode */
   /* When this node last saw that a node's lease was replaced or gone, or last completed a load,
    * during which leases may have expired without this node seeing it. */
-  MmTime node_last_gone_at;
+  MmTime last_node_lease_loss_at;
   MmTime load_started_at;
   guint64 first_page_revision;   /* 0 until the first page of a load is read */
   guint64 newest_loaded_version; /* the watch must reach it before is_loaded is set */
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -57,7 +57,7 @@
 }
 
 gboolean
-mm_shard_ownership_is_duty(const char *shard_name) {
+mm_shard_ownership_is_singleton_role(const char *shard_name) {
   return shard_name[0] == MM_SHARD_AUTOSCALER[0];
 }
 
@@ -88,7 +88,7 @@
 }
 
 gboolean
-mm_shard_ownership_is_unsettled(const MmShardOwnership *ownership) {
+mm_shard_ownership_is_in_transition(const MmShardOwnership *ownership) {
   const MmReplica *replica = ownership->replica;
 
   for (guint i = 0; i < ownership->shard_names->len; i++) {
@@ -294,7 +294,7 @@
       = g_hash_table_lookup(replica->live_nodes, ownership->settings->label.s);
 
   return distribution->live_labels->len < ownership->settings->node_count && replica->term.v == 0
-         && mm_time_ms_since(mm_platform_now(ownership->platform), own_node->seen_since)
+         && mm_time_ms_since(mm_platform_now(ownership->platform), own_node->first_seen_at)
                 < STARTUP_WAIT_MS;
 }
 
--- a/src/leases/shard-ownership.h
+++ b/src/leases/shard-ownership.h
@@ -55,9 +55,9 @@
 gboolean mm_shard_ownership_leads(const MmShardOwnership *ownership, const char *shard_name);
 /* Returns whether this node expects changes of shard leaders: a shard has no leader, its leader's
  * lease is gone or replaced, or a live peer has not yet announced its lease to this node. */
-gboolean mm_shard_ownership_is_unsettled(const MmShardOwnership *ownership);
+gboolean mm_shard_ownership_is_in_transition(const MmShardOwnership *ownership);
 /* Returns whether the shard is a singleton role rather than a team. */
-gboolean mm_shard_ownership_is_duty(const char *shard_name);
+gboolean mm_shard_ownership_is_singleton_role(const char *shard_name);
 /* Returns the name of the team's shard: the team's name, escaped for use in a key. Free it with
  * g_free. */
 char *mm_shard_ownership_shard_of_team(const MmName *team);
--- a/src/machines/machine-table-leases.c
+++ b/src/machines/machine-table-leases.c
@@ -81,7 +81,7 @@
   for (guint i = 0; i < machine_table->sorted_machines->len; i++) {
     MmMachine *machine = g_ptr_array_index(machine_table->sorted_machines, i);
     MmTime last_possible_response_at
-        = mm_time_max(machine->last_possible_response_at, node->replica->node_last_gone_at);
+        = mm_time_max(machine->last_possible_response_at, node->replica->last_node_lease_loss_at);
     if (machine->lease_has_expired
         || mm_time_ms_since(responses_known_until, last_possible_response_at) < lease_ms)
       continue;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -154,7 +154,7 @@
   if (!node->replica->is_loaded || !mm_instance_types_are_known(node->instance_types)
       || !mm_format_is_supported(node->format))
     return FALSE;
-  if (mm_kv_client_is_silent(node->kv))
+  if (mm_kv_client_is_unresponsive(node->kv))
     return FALSE;
   return !mm_kv_client_is_refused(node->kv)
          || mm_time_ms_since(now, node->kv->last_served_at) < KV_RECENT_RESPONSE_MS
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -120,7 +120,7 @@
 MmTime
 mm_peer_links_responses_known_until(const MmPeerLinks *links) {
   const MmReplica *replica = links->node->replica;
-  MmTime known_until = replica->fresh_until;
+  MmTime known_until = replica->current_as_of;
 
   for (guint i = 0; i < links->n_peers; i++) {
     const MmPeer *peer = &links->peers[i];
--- a/src/scheduler/acknowledgements.c
+++ b/src/scheduler/acknowledgements.c
@@ -31,7 +31,7 @@
   for (guint i = 0; i < node->shard_ownership->shard_names->len; i++) {
     const char *name = g_ptr_array_index(node->shard_ownership->shard_names, i);
     const MmShard *shard = mm_replica_shard(node->replica, name);
-    if (shard != NULL && !mm_shard_ownership_is_duty(name))
+    if (shard != NULL && !mm_shard_ownership_is_singleton_role(name))
       newest.v = MAX(newest.v, shard->term.v);
   }
   return newest;
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -171,7 +171,7 @@
   return own_node == NULL
          || (g_hash_table_size(node->replica->live_nodes) < node->settings->node_count
              && sharing->map->newest_term.v == 0
-             && mm_time_ms_since(mm_node_now(node), own_node->seen_since) < STARTUP_WAIT_MS);
+             && mm_time_ms_since(mm_node_now(node), own_node->first_seen_at) < STARTUP_WAIT_MS);
 }
 
 /* Returns the set of groups that this node should acquire. Free with roaring_bitmap_free. */
