--- a/src/heartbeat-server/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -128,7 +128,7 @@
  * Heartbeats are therefore deferred until the last of the terms is known, but for no longer than
  * DEFER_MAX_MS, because a shard may stay without a leader. */
 gboolean
-mm_heartbeat_server_is_settling(const MmHeartbeatServer *server) {
+mm_heartbeat_server_awaits_leadership_transition(const MmHeartbeatServer *server) {
   return leadership_was_in_transition(server)
          && mm_time_ms_since(mm_node_now(server->node), server->leadership_transition_since)
                 < DEFER_MAX_MS;
@@ -191,7 +191,7 @@
       refuse_heartbeat(exchange, "the term is not known here yet");
     return TRUE;
   }
-  if (mm_heartbeat_server_is_settling(server)
+  if (mm_heartbeat_server_awaits_leadership_transition(server)
       && defer_heartbeat(server, heartbeat, exchange, received_at))
     return TRUE;
   peer = node->sharing->is_active
--- a/src/heartbeat-server/heartbeat-server.h
+++ b/src/heartbeat-server/heartbeat-server.h
@@ -42,6 +42,6 @@
 void mm_heartbeat_server_replica_changed(MmHeartbeatServer *server);
 /* Returns whether heartbeats are being deferred because shards are changing leaders. A term sent to
  * workers now would soon be outdated. */
-gboolean mm_heartbeat_server_is_settling(const MmHeartbeatServer *server);
+gboolean mm_heartbeat_server_awaits_leadership_transition(const MmHeartbeatServer *server);
 /* Returns the number of machines that send their heartbeats to this node. */
 guint mm_heartbeat_server_served_machines(const MmHeartbeatServer *server);
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -228,8 +228,9 @@
 }
 
 void
-mm_machine_table_record_repeat(MmMachineTable *machine_table, const char *machine_id,
-                               MmHeartbeatId heartbeat_id, MmTime received_at, gint serving_node) {
+mm_machine_table_record_repeat_heartbeat(MmMachineTable *machine_table, const char *machine_id,
+                                         MmHeartbeatId heartbeat_id, MmTime received_at,
+                                         gint serving_node) {
   MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
   MmHeartbeat heartbeat = { .heartbeat_id = heartbeat_id };
 
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -70,9 +70,9 @@
                                              gint serving_node);
 /* Records that a peer answered a heartbeat that showed no change since the previous one that the
  * peer forwarded to this node. */
-void mm_machine_table_record_repeat(MmMachineTable *machine_table, const char *machine_id,
-                                    MmHeartbeatId heartbeat_id, MmTime received_at,
-                                    gint serving_node);
+void mm_machine_table_record_repeat_heartbeat(MmMachineTable *machine_table, const char *machine_id,
+                                              MmHeartbeatId heartbeat_id, MmTime received_at,
+                                              gint serving_node);
 /* Records that a node answered the machine. The machine's lease may last for a full lease period
  * after `responded_at`. */
 void mm_machine_table_record_response(MmMachineTable *machine_table, const char *machine_id,
--- a/src/machines/registry.c
+++ b/src/machines/registry.c
@@ -77,7 +77,7 @@
 }
 
 void
-mm_registry_forget_pack(MmRegistry *registry, const char *pack_name) {
+mm_registry_remove_pack(MmRegistry *registry, const char *pack_name) {
   MmRegistryPack *pack = g_hash_table_lookup(registry->packs, pack_name);
   g_autoptr(GArray) previous_entries = NULL;
 
--- a/src/machines/registry.h
+++ b/src/machines/registry.h
@@ -33,7 +33,7 @@
 void mm_registry_apply_pack(MmRegistry *registry, const char *pack_name, const json_t *value,
                             MmKeyVersion version);
 /* Handles the deletion of a pack in the replica. */
-void mm_registry_forget_pack(MmRegistry *registry, const char *pack_name);
+void mm_registry_remove_pack(MmRegistry *registry, const char *pack_name);
 /* Appends the key of each pack to `keys`: `prefix` followed by the name, newly allocated. */
 void mm_registry_list_keys(const MmRegistry *registry, const char *prefix, GPtrArray *keys);
 
--- a/src/node/peer-receiver.c
+++ b/src/node/peer-receiver.c
@@ -87,8 +87,8 @@
   for (size_t i = 0; i < repeats->n_machines; i++) {
     MmHeartbeatId heartbeat_id = { repeats->incarnations[i], repeats->sequences[i] };
     MmMachine *machine = mm_machine_table_find(links->node->machine_table, repeats->machines[i]);
-    mm_machine_table_record_repeat(links->node->machine_table, repeats->machines[i], heartbeat_id,
-                                   now, (gint)peer);
+    mm_machine_table_record_repeat_heartbeat(links->node->machine_table, repeats->machines[i],
+                                             heartbeat_id, now, (gint)peer);
     if (machine != NULL)
       mm_machine_health_count_response(links->node->machine_table, machine,
                                        (MmTerm){ repeats->term });
--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -46,7 +46,7 @@
 
 static void
 remove_registry_pack(gpointer context, const char *pack_name) {
-  mm_registry_forget_pack(context, pack_name);
+  mm_registry_remove_pack(context, pack_name);
 }
 
 static void
--- a/src/scheduler/acknowledgements.c
+++ b/src/scheduler/acknowledgements.c
@@ -83,7 +83,7 @@
   guint requests_left = (guint)CLAMP(node->settings->cpu_share * ACK_REQUESTS_PER_CORE,
                                      ACK_REQUESTS_MIN, ACK_REQUESTS_MAX);
 
-  if (mm_heartbeat_server_is_settling(node->heartbeat_server))
+  if (mm_heartbeat_server_awaits_leadership_transition(node->heartbeat_server))
     return;
   for (guint i = 0; i < node->machine_table->sorted_machines->len && requests_left > 0; i++) {
     MmMachine *machine = g_ptr_array_index(node->machine_table->sorted_machines, i);
