--- a/src/heartbeat-server/heartbeat-response.c
+++ b/src/heartbeat-server/heartbeat-response.c
@@ -54,7 +54,7 @@
     MmCommand command = { reported->state == MM_REPORTED_ENDED ? MM_OP_FORGET : MM_OP_STOP,
                           reported->job, reported->number, reported->attempt, 0 };
     if (job != NULL ? job->is_cancelled && reported->state != MM_REPORTED_ENDED
-                    : mm_job_table_is_over(job_table, reported->job.s))
+                    : mm_job_table_has_ended(job_table, reported->job.s))
       g_array_append_val(commands, command);
     else if (job == NULL)
       confirm_job_is_terminal(server, &reported->job);
--- a/src/heartbeat-server/pending-response.c
+++ b/src/heartbeat-server/pending-response.c
@@ -33,7 +33,7 @@
                                      response->grant_term)
          && shard != NULL && shard->term.v == start->shard_term.v
          && (job != NULL ? !job->is_cancelled
-                         : !mm_job_table_is_over(server->node->job_table, start->command.job.s));
+                         : !mm_job_table_has_ended(server->node->job_table, start->command.job.s));
 }
 
 void
--- a/src/job-api/job-cancellation.c
+++ b/src/job-api/job-cancellation.c
@@ -35,14 +35,14 @@
     return FALSE;
   /* The job record was deleted: the job and all its tasks have ended. */
   if (job == NULL)
-    return mm_job_table_is_over(node->job_table, request->job_id.s);
+    return mm_job_table_has_ended(node->job_table, request->job_id.s);
   /* No task of the job was ever started, and every node derives the cancellation from that of the
    * dependency. */
   if (mm_job_has_cancelled_dependency(job))
     return TRUE;
   if (job->cancel_record_version.v == 0 || node->replica->revision < job->cancel_record_version.v)
     return FALSE;
-  if (node->kv->available_us - job->kv_served_us_at_cancel
+  if (node->kv->available_us - job->kv_available_us_at_cancel
       >= mm_node_lease_max_staleness_us(node->node_lease) * 2)
     return TRUE;
   for (guint i = 0; i < node->peer_links->n_peers; i++)
--- a/src/job-api/submission.c
+++ b/src/job-api/submission.c
@@ -210,7 +210,7 @@
 static gboolean
 is_known_job(const MmNode *node, const char *job_id) {
   return mm_job_table_find(node->job_table, job_id) != NULL
-         || mm_job_table_is_over(node->job_table, job_id);
+         || mm_job_table_has_ended(node->job_table, job_id);
 }
 
 void
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -151,7 +151,7 @@
 }
 
 gboolean
-mm_job_table_is_over(const MmJobTable *job_table, const char *id) {
+mm_job_table_has_ended(const MmJobTable *job_table, const char *id) {
   return g_hash_table_contains(job_table->terminal_states, id)
          || g_hash_table_contains(job_table->removed_ids, id);
 }
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -64,7 +64,7 @@
 
 /* Returns whether the job is known to have ended: its job record was deleted, or its terminal
  * record was added. */
-gboolean mm_job_table_is_over(const MmJobTable *job_table, const char *id);
+gboolean mm_job_table_has_ended(const MmJobTable *job_table, const char *id);
 /* Adds a terminal record that was read from or written to the key-value store. Ignores a value that
  * is not a terminal record. */
 void mm_job_table_add_terminal_record(MmJobTable *job_table, const char *id, const json_t *record);
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -20,7 +20,7 @@
 }
 
 gboolean
-mm_job_fails_everywhere(const MmJob *job) {
+mm_job_is_faulty(const MmJob *job) {
   return job->n_failed_machines == MM_JOB_MAX_FAILED_MACHINES && !job->has_succeeded;
 }
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -77,7 +77,7 @@
 
   /* stop-commands.c, except where another file is named: the cancellation */
   gboolean is_cancelled;
-  gint64 kv_served_us_at_cancel;      /* MmKvClient.available_us when is_cancelled was set */
+  gint64 kv_available_us_at_cancel;   /* MmKvClient.available_us when is_cancelled was set */
   MmKeyVersion cancel_record_version; /* job-table.c: version of the first record that contains it;
                                          0: none seen */
   guint64 cancel_acked_by_peers;      /* job-cancellation.c: bit mask of the peers, by index */
@@ -143,7 +143,7 @@
 void mm_job_add_failed_machine(MmJob *job, const MmName *machine);
 /* Returns whether MM_JOB_MAX_FAILED_MACHINES machines have reported an error of the job and no task
  * of the job has been done. */
-gboolean mm_job_fails_everywhere(const MmJob *job);
+gboolean mm_job_is_faulty(const MmJob *job);
 /* Returns how long the job has waited since waiting_since_ms, in seconds, at the time of day
  * `wall_ms`; never below 0. */
 double mm_job_waiting_time_s(const MmJob *job, gint64 wall_ms);
--- a/src/machines/machine-health.c
+++ b/src/machines/machine-health.c
@@ -51,7 +51,7 @@
 job_is_faulty(const MmMachineTable *machine_table, const MmName *job_id) {
   const MmJob *job = mm_job_table_find(machine_table->node->job_table, job_id->s);
 
-  return job != NULL && mm_job_fails_everywhere(job);
+  return job != NULL && mm_job_is_faulty(job);
 }
 
 /* Counts a failed job against the machine. A faulty job fails on every machine and is not counted;
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -52,11 +52,11 @@
   MmJob *job = mm_job_table_find(scheduler->node->job_table, job_id);
 
   if (job == NULL)
-    return mm_job_table_is_over(scheduler->node->job_table, job_id);
+    return mm_job_table_has_ended(scheduler->node->job_table, job_id);
   if (job->is_cancelled)
     return TRUE;
   job->is_cancelled = TRUE;
-  job->kv_served_us_at_cancel = scheduler->node->kv->available_us;
+  job->kv_available_us_at_cancel = scheduler->node->kv->available_us;
   for (guint i = 0; job->tasks != NULL && i < job->spec.n_tasks; i++) {
     if (job->tasks[i].state == MM_TASK_PLACE_RESERVED)
       mm_scheduler_unplace_task(scheduler, job, i);
