--- a/src/heartbeat-server/pending-response-grants.c
+++ b/src/heartbeat-server/pending-response-grants.c
@@ -61,7 +61,7 @@
     request_grants(response);
     return;
   }
-  if (response->grant_source == MM_GRANTS_HERE)
+  if (response->grant_source == MM_GRANTS_LOCAL)
     grant_locally(response);
   mm_pending_response_send(response);
 }
--- a/src/heartbeat-server/pending-response.c
+++ b/src/heartbeat-server/pending-response.c
@@ -254,7 +254,7 @@
 
   /* If no node can grant resources now, a start request would be useless: the start could not be
    * granted. */
-  if (response->grant_source == MM_GRANTS_NOWHERE)
+  if (response->grant_source == MM_GRANTS_UNAVAILABLE)
     mm_pending_response_send(response);
   else
     request_next_start(response);
--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -301,10 +301,10 @@
 }
 
 static gboolean
-group_count_is_undisputed(gconstpointer context) {
+group_count_has_no_conflict(gconstpointer context) {
   const MmSharing *sharing = context;
 
-  return sharing->conflicting_groups == 0;
+  return sharing->conflicting_group_count == 0;
 }
 
 static void
@@ -320,7 +320,7 @@
       &(MmShardOwnershipCallbacks){ .lease_announced_by_peer = lease_announced_by_peer,
                                     .all_machines_seen_recently = all_machines_seen_recently,
                                     .context = node });
-  mm_versions_set_announce_guard(node->versions, group_count_is_undisputed, node->sharing);
+  mm_versions_set_announce_guard(node->versions, group_count_has_no_conflict, node->sharing);
 }
 
 void
--- a/src/sharing/admin.c
+++ b/src/sharing/admin.c
@@ -57,7 +57,7 @@
   g_autoptr(MmGroupSet) unowned = roaring_bitmap_create();
 
   for (guint group = 0; group < sharing->n_groups; group++)
-    if (mm_group_map_owner(sharing->map, group).holding == NULL)
+    if (mm_group_map_owner(sharing->map, group).record == NULL)
       roaring_bitmap_add(unowned, group);
   return mm_group_set_to_text(unowned);
 }
@@ -151,12 +151,12 @@
     return;
   }
   owner = mm_group_map_owner(sharing->map, group);
-  if (owner.holding == NULL || mm_name_equal(&owner.holding->node, &sharing->node->settings->label))
+  if (owner.record == NULL || mm_name_equal(&owner.record->node, &sharing->node->settings->label))
     respond_move(result, exchange);
-  else if (strcmp(owner.holding->node.s, target) == 0)
+  else if (strcmp(owner.record->node.s, target) == 0)
     respond_move(MM_MOVE_SAME_NODE, exchange);
   else
-    forward_move_order(sharing, owner.holding, group, target, exchange);
+    forward_move_order(sharing, owner.record, group, target, exchange);
 }
 
 /* Parses "/NUMBER/move". Returns FALSE for any other path. */
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -38,7 +38,7 @@
     plan->shares[i].weight
         = mm_operators_group_weight(node->operators, g_ptr_array_index(plan->live_labels, i));
   for (guint group = 0; group < sharing->n_groups; group++) {
-    const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).holding;
+    const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).record;
     for (guint i = 0; record != NULL && i < n; i++)
       plan->shares[i].owned += strcmp(record->node.s, g_ptr_array_index(plan->live_labels, i)) == 0;
   }
@@ -56,7 +56,7 @@
 
 const char *
 mm_share_plan_next_acquirer(MmSharePlan *plan) {
-  guint acquirer = mm_shares_next_taker(plan->shares, plan->targets, plan->live_labels->len);
+  guint acquirer = mm_shares_next_acquirer(plan->shares, plan->targets, plan->live_labels->len);
 
   if (acquirer == G_MAXUINT)
     return NULL;
@@ -120,7 +120,7 @@
   guint under_way = count_moves_under_way(sharing);
 
   for (guint group = 0; group < sharing->n_groups && under_way < max_moves; group++) {
-    const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).holding;
+    const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).record;
     MmShareMove move;
     const char *from;
 
@@ -152,7 +152,7 @@
   for (guint p = 0; p < sharing->node->peer_links->n_peers; p++)
     for (guint k = 0; k < sharing->peer_moves[p]->len; k++) {
       const MmGroupMove *move = &g_array_index(sharing->peer_moves[p], MmGroupMove, k);
-      const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, move->group).holding;
+      const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, move->group).record;
       if (record == NULL || !mm_name_equal(&record->node, &move->from))
         continue;
       for (guint i = 0; i < plan->live_labels->len; i++) {
--- a/src/sharing/group-map.c
+++ b/src/sharing/group-map.c
@@ -195,7 +195,7 @@
 }
 
 guint
-mm_group_map_conflicting_count(const MmGroupMap *map) {
+mm_group_map_conflicting_group_count(const MmGroupMap *map) {
   GHashTableIter iter;
   gpointer value;
 
@@ -208,35 +208,35 @@
 
 /* Builder of an ownership record's JSON. */
 
-struct MmGroupValue {
+struct MmOwnershipRecordBuilder {
   guint n_groups;
   guint64 lease_id;
   MmTerm *terms; /* by group; 0: not listed */
 };
 
-MmGroupValue *
-mm_group_value_new(guint n_groups, guint64 lease_id) {
-  MmGroupValue *value = g_new0(MmGroupValue, 1);
+MmOwnershipRecordBuilder *
+mm_ownership_record_builder_new(guint n_groups, guint64 lease_id) {
+  MmOwnershipRecordBuilder *builder = g_new0(MmOwnershipRecordBuilder, 1);
 
-  value->n_groups = n_groups;
-  value->lease_id = lease_id;
-  value->terms = g_new0(MmTerm, n_groups);
-  return value;
+  builder->n_groups = n_groups;
+  builder->lease_id = lease_id;
+  builder->terms = g_new0(MmTerm, n_groups);
+  return builder;
 }
 
 void
-mm_group_value_free(MmGroupValue *value) {
-  g_free(value->terms);
-  g_free(value);
+mm_ownership_record_builder_free(MmOwnershipRecordBuilder *builder) {
+  g_free(builder->terms);
+  g_free(builder);
 }
 
 void
-mm_group_value_add(MmGroupValue *value, guint group, MmTerm term) {
-  value->terms[group].v = MAX(value->terms[group].v, term.v);
+mm_ownership_record_builder_add(MmOwnershipRecordBuilder *builder, guint group, MmTerm term) {
+  builder->terms[group].v = MAX(builder->terms[group].v, term.v);
 }
 
 typedef struct {
-  MmGroupValue *value;
+  MmOwnershipRecordBuilder *builder;
   const MmGroupSet *without;
   MmTerm term;
 } GroupCopy;
@@ -246,49 +246,49 @@
   const GroupCopy *copy = data;
 
   if (copy->without == NULL || !roaring_bitmap_contains(copy->without, group))
-    mm_group_value_add(copy->value, group, copy->term);
+    mm_ownership_record_builder_add(copy->builder, group, copy->term);
   return true;
 }
 
 void
-mm_group_value_add_all(MmGroupValue *value, const MmOwnershipRecord *record,
-                       const MmGroupSet *without) {
+mm_ownership_record_builder_add_all(MmOwnershipRecordBuilder *builder,
+                                    const MmOwnershipRecord *record, const MmGroupSet *without) {
   for (guint i = 0; i < record->acquisitions->len; i++) {
     const MmGroupAcquisition *acquisition = g_ptr_array_index(record->acquisitions, i);
-    GroupCopy copy = { value, without, acquisition->term };
+    GroupCopy copy = { builder, without, acquisition->term };
     roaring_iterate(acquisition->groups, copy_group, &copy);
   }
 }
 
 void
-mm_group_value_use_one_term(MmGroupValue *value, MmTerm term) {
-  for (guint group = 0; group < value->n_groups; group++)
-    if (value->terms[group].v != 0)
-      value->terms[group] = term;
+mm_ownership_record_builder_set_all_terms(MmOwnershipRecordBuilder *builder, MmTerm term) {
+  for (guint group = 0; group < builder->n_groups; group++)
+    if (builder->terms[group].v != 0)
+      builder->terms[group] = term;
 }
 
 static void
-append_acquisition(json_t *acquisitions, const MmGroupValue *value, MmTerm term) {
+append_acquisition(json_t *acquisitions, const MmOwnershipRecordBuilder *builder, MmTerm term) {
   g_autoptr(MmGroupSet) set = roaring_bitmap_create();
   g_autofree char *ranges = NULL;
 
-  for (guint group = 0; group < value->n_groups; group++)
-    if (value->terms[group].v == term.v)
+  for (guint group = 0; group < builder->n_groups; group++)
+    if (builder->terms[group].v == term.v)
       roaring_bitmap_add(set, group);
   ranges = mm_group_set_to_text(set);
   json_array_append_new(acquisitions, json_pack("[I, s]", (json_int_t)term.v, ranges));
 }
 
 json_t *
-mm_group_value_to_json(const MmGroupValue *value) {
+mm_ownership_record_builder_to_json(const MmOwnershipRecordBuilder *builder) {
   g_autoptr(GHashTable) written_terms = g_hash_table_new(g_int64_hash, g_int64_equal);
   json_t *acquisitions = json_array();
 
-  for (guint group = 0; group < value->n_groups; group++) {
-    if (value->terms[group].v == 0 || !g_hash_table_add(written_terms, &value->terms[group].v))
+  for (guint group = 0; group < builder->n_groups; group++) {
+    if (builder->terms[group].v == 0 || !g_hash_table_add(written_terms, &builder->terms[group].v))
       continue;
-    append_acquisition(acquisitions, value, value->terms[group]);
+    append_acquisition(acquisitions, builder, builder->terms[group]);
   }
-  return json_pack("{s:I, s:i, s:o}", FIELD_LEASE, (json_int_t)value->lease_id, FIELD_GROUP_COUNT,
-                   (int)value->n_groups, FIELD_ACQUISITIONS, acquisitions);
+  return json_pack("{s:I, s:i, s:o}", FIELD_LEASE, (json_int_t)builder->lease_id, FIELD_GROUP_COUNT,
+                   (int)builder->n_groups, FIELD_ACQUISITIONS, acquisitions);
 }
--- a/src/sharing/group-map.h
+++ b/src/sharing/group-map.h
@@ -28,8 +28,8 @@
 } MmOwnershipRecord;
 
 typedef struct {
-  const MmOwnershipRecord *holding; /* the owner's record, borrowed; NULL: the group has no owner */
-  MmTerm term;                      /* under which the owner acquired the group; 0: no owner */
+  const MmOwnershipRecord *record; /* the owner's record, borrowed; NULL: the group has no owner */
+  MmTerm term;                     /* under which the owner acquired the group; 0: no owner */
 } MmGroupOwner;
 
 typedef struct {
@@ -61,20 +61,21 @@
 /* Returns the group's owner. A group number outside the map has none. */
 MmGroupOwner mm_group_map_owner(const MmGroupMap *map, guint group);
 /* Returns a number of groups that some record gives and that differs from this map's; 0: none. */
-guint mm_group_map_conflicting_count(const MmGroupMap *map);
+guint mm_group_map_conflicting_group_count(const MmGroupMap *map);
 
 /* Builder of an ownership record's JSON. */
-typedef struct MmGroupValue MmGroupValue;
-MmGroupValue *mm_group_value_new(guint n_groups, guint64 lease_id);
-void mm_group_value_free(MmGroupValue *value);
+typedef struct MmOwnershipRecordBuilder MmOwnershipRecordBuilder;
+MmOwnershipRecordBuilder *mm_ownership_record_builder_new(guint n_groups, guint64 lease_id);
+void mm_ownership_record_builder_free(MmOwnershipRecordBuilder *builder);
 /* Adds a group below `n_groups`. If it is listed already, the later term is kept. */
-void mm_group_value_add(MmGroupValue *value, guint group, MmTerm term);
+void mm_ownership_record_builder_add(MmOwnershipRecordBuilder *builder, guint group, MmTerm term);
 /* Adds all groups of the record except those in `without`, which may be NULL. The record must have
- * the same number of groups as the value. */
-void mm_group_value_add_all(MmGroupValue *value, const MmOwnershipRecord *record,
-                            const MmGroupSet *without);
+ * the same number of groups as the builder. */
+void mm_ownership_record_builder_add_all(MmOwnershipRecordBuilder *builder,
+                                         const MmOwnershipRecord *record,
+                                         const MmGroupSet *without);
 /* Sets the terms of all listed groups to `term`, which makes the JSON shorter. */
-void mm_group_value_use_one_term(MmGroupValue *value, MmTerm term);
+void mm_ownership_record_builder_set_all_terms(MmOwnershipRecordBuilder *builder, MmTerm term);
 /* Returns the JSON value for the node's key, with a reference that the caller owns. */
-json_t *mm_group_value_to_json(const MmGroupValue *value);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmGroupValue, mm_group_value_free)
+json_t *mm_ownership_record_builder_to_json(const MmOwnershipRecordBuilder *builder);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmOwnershipRecordBuilder, mm_ownership_record_builder_free)
--- a/src/sharing/shares.c
+++ b/src/sharing/shares.c
@@ -72,7 +72,7 @@
 }
 
 guint
-mm_shares_next_taker(const MmShare *shares, const guint *targets, guint n_nodes) {
+mm_shares_next_acquirer(const MmShare *shares, const guint *targets, guint n_nodes) {
   guint acquirer = n_nodes > 0 ? 0 : G_MAXUINT;
 
   for (guint i = 1; i < n_nodes; i++)
--- a/src/sharing/shares.h
+++ b/src/sharing/shares.h
@@ -31,4 +31,4 @@
 
 /* Returns the index of the node that should acquire the next group without an owner: the node
  * furthest below its target, the first among equals. G_MAXUINT: there are no nodes. */
-guint mm_shares_next_taker(const MmShare *shares, const guint *targets, guint n_nodes);
+guint mm_shares_next_acquirer(const MmShare *shares, const guint *targets, guint n_nodes);
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -52,9 +52,9 @@
   const MmNode *node = sharing->node;
   MmGroupOwner owner = mm_group_map_owner(sharing->map, group);
 
-  return owner.holding != NULL && node->node_lease->lease_id != 0
-         && owner.holding->lease_id == node->node_lease->lease_id
-         && mm_name_equal(&owner.holding->node, &node->settings->label);
+  return owner.record != NULL && node->node_lease->lease_id != 0
+         && owner.record->lease_id == node->node_lease->lease_id
+         && mm_name_equal(&owner.record->node, &node->settings->label);
 }
 
 gboolean
@@ -138,7 +138,7 @@
 static void
 update_unowned_since(MmSharing *sharing) {
   for (guint group = 0; group < sharing->n_groups; group++)
-    if (mm_group_map_owner(sharing->map, group).holding == NULL) {
+    if (mm_group_map_owner(sharing->map, group).record == NULL) {
       if (sharing->unowned_since.us == 0)
         sharing->unowned_since = mm_node_now(sharing->node);
       return;
@@ -151,7 +151,7 @@
 static void
 check_stored_group_count(MmSharing *sharing) {
   if (!sharing->is_group_count_checked)
-    sharing->conflicting_groups = mm_group_map_conflicting_count(sharing->map);
+    sharing->conflicting_group_count = mm_group_map_conflicting_group_count(sharing->map);
   sharing->is_group_count_checked = TRUE;
 }
 
@@ -190,7 +190,7 @@
 void
 mm_sharing_tick(MmSharing *sharing) {
   if (sharing->n_groups == 0 || !sharing->node->replica->is_loaded
-      || sharing->conflicting_groups != 0)
+      || sharing->conflicting_group_count != 0)
     return;
   mm_sharing_write(sharing);
   if (sharing->is_active)
@@ -243,8 +243,8 @@
 
   if (sharing->is_active)
     owner = mm_group_map_owner(sharing->map, machine->group);
-  return owner.holding != NULL ? mm_sharing_owns(sharing, machine->group)
-                               : machine->serving_node == MM_SERVING_NODE_SELF;
+  return owner.record != NULL ? mm_sharing_owns(sharing, machine->group)
+                              : machine->serving_node == MM_SERVING_NODE_SELF;
 }
 
 MmTerm
@@ -294,13 +294,13 @@
     return MM_GRANTS_NOT_NEEDED;
   owner = mm_group_map_owner(sharing->map, machine->group);
   *term = owner.term;
-  if (owner.holding == NULL)
-    return MM_GRANTS_NOWHERE;
-  if (mm_name_equal(&owner.holding->node, &sharing->node->settings->label))
-    return mm_sharing_may_grant(sharing, machine) ? MM_GRANTS_HERE : MM_GRANTS_NOWHERE;
-  peer_index = mm_peer_links_find(sharing->node->peer_links, owner.holding->node.s);
+  if (owner.record == NULL)
+    return MM_GRANTS_UNAVAILABLE;
+  if (mm_name_equal(&owner.record->node, &sharing->node->settings->label))
+    return mm_sharing_may_grant(sharing, machine) ? MM_GRANTS_LOCAL : MM_GRANTS_UNAVAILABLE;
+  peer_index = mm_peer_links_find(sharing->node->peer_links, owner.record->node.s);
   if (peer_index < 0 || !sharing->node->peer_links->peers[peer_index].is_up)
-    return MM_GRANTS_NOWHERE;
+    return MM_GRANTS_UNAVAILABLE;
   *peer = (guint)peer_index;
   return MM_GRANTS_AT_PEER;
 }
@@ -352,9 +352,9 @@
   if (machine == NULL)
     return MM_PEER_NONE;
   owner = mm_group_map_owner(sharing->map, machine->group);
-  if (owner.holding == NULL)
+  if (owner.record == NULL)
     return MM_PEER_NONE;
-  peer = mm_peer_links_find(node->peer_links, owner.holding->node.s);
+  peer = mm_peer_links_find(node->peer_links, owner.record->node.s);
   /* A worker that returns within a lease of its redirect could not reach the owner, so this node
    * serves it. */
   if (peer < 0 || !mm_peer_links_peer_serves_workers(node->peer_links, (guint)peer)
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -71,8 +71,8 @@
   gboolean is_active;  /* every node of the settings announces the same number of groups */
   /* A stored number of groups that differed from the settings when this node started; 0: there was
    * none. Otherwise this node must not own groups, and the program exits with an error. */
-  guint conflicting_groups;
-  gboolean is_group_count_checked; /* `conflicting_groups` has been determined */
+  guint conflicting_group_count;
+  gboolean is_group_count_checked; /* `conflicting_group_count` has been determined */
   MmTime unowned_since;            /* since when at least one group has no owner; 0: none */
 
   /* Written by transactions.c. */
@@ -116,9 +116,9 @@
 /* Node that grants a machine's resources. */
 typedef enum {
   MM_GRANTS_NOT_NEEDED, /* sharing is inactive: the shard leader's approval suffices */
-  MM_GRANTS_HERE,
+  MM_GRANTS_LOCAL,
   MM_GRANTS_AT_PEER,
-  MM_GRANTS_NOWHERE /* no node can grant now, so no start is sent */
+  MM_GRANTS_UNAVAILABLE /* no node can grant now, so no start is sent */
 } MmGrantSource;
 /* Returns which node grants the machine's resources. Sets `peer` for MM_GRANTS_AT_PEER, and `term`
  * to the group's term whenever sharing is active. */
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -106,37 +106,38 @@
 
 static void
 put_record(const MmSharing *sharing, MmTransaction *transaction, const char *label,
-           const MmGroupValue *value, guint64 lease_id) {
+           const MmOwnershipRecordBuilder *builder, guint64 lease_id) {
   mm_transaction_require_version(transaction, MM_KEY_MACHINE_GROUPS, label,
                                  key_version(sharing, label));
-  mm_transaction_put(transaction, MM_KEY_MACHINE_GROUPS, label, mm_group_value_to_json(value),
-                     lease_id);
+  mm_transaction_put(transaction, MM_KEY_MACHINE_GROUPS, label,
+                     mm_ownership_record_builder_to_json(builder), lease_id);
 }
 
 static gboolean
-fits_value_limit(const MmSharing *sharing, const MmGroupValue *value) {
-  g_autoptr(json_t) json = mm_group_value_to_json(value);
+fits_value_limit(const MmSharing *sharing, const MmOwnershipRecordBuilder *builder) {
+  g_autoptr(json_t) json = mm_ownership_record_builder_to_json(builder);
 
   return json_dumpb(json, NULL, 0, JSON_COMPACT) <= mm_kv_client_max_value_bytes(sharing->node->kv);
 }
 
-/* Builds a record with the groups of `record` except `without`, and with `added` under `term`. Any
- * of the three may be NULL. If groups are added and the value exceeds the store's size limit, which
- * happens when there are many different terms, all groups are listed under `term`; their owner then
- * has to wait for all machines to acknowledge the new term. Free with mm_group_value_free. */
-static MmGroupValue *
+/* Returns the builder of a record with the groups of `record` except `without`, and with `added`
+ * under `term`. Any of the three may be NULL. If groups are added and the JSON value exceeds the
+ * store's size limit, which happens when there are many different terms, all groups are listed
+ * under `term`; their owner then has to wait for all machines to acknowledge the new term. Free
+ * with mm_ownership_record_builder_free. */
+static MmOwnershipRecordBuilder *
 build_record(const MmSharing *sharing, const MmOwnershipRecord *record, guint64 lease_id,
              const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
-  MmGroupValue *value = mm_group_value_new(sharing->n_groups, lease_id);
+  MmOwnershipRecordBuilder *builder = mm_ownership_record_builder_new(sharing->n_groups, lease_id);
 
   if (record != NULL)
-    mm_group_value_add_all(value, record, without);
+    mm_ownership_record_builder_add_all(builder, record, without);
   for (guint group = 0; group < sharing->n_groups; group++)
     if (added != NULL && roaring_bitmap_contains(added, group))
-      mm_group_value_add(value, group, term);
-  if (added != NULL && !fits_value_limit(sharing, value))
-    mm_group_value_use_one_term(value, term);
-  return value;
+      mm_ownership_record_builder_add(builder, group, term);
+  if (added != NULL && !fits_value_limit(sharing, builder))
+    mm_ownership_record_builder_set_all_terms(builder, term);
+  return builder;
 }
 
 /* Acquisition of groups. */
@@ -145,7 +146,7 @@
 static gboolean
 is_available(const MmSharing *sharing, guint group) {
   const MmNode *node = sharing->node;
-  const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).holding;
+  const MmOwnershipRecord *record = mm_group_map_owner(sharing->map, group).record;
 
   return record == NULL
          || (mm_name_equal(&record->node, &node->settings->label)
@@ -196,7 +197,7 @@
 acquire_groups(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupSet) wanted = NULL;
-  g_autoptr(MmGroupValue) value = NULL;
+  g_autoptr(MmOwnershipRecordBuilder) builder = NULL;
   MmTransaction transaction;
   MmTerm term;
 
@@ -211,9 +212,9 @@
     return FALSE;
   transaction = mm_transaction_begin();
   term = increment_term(sharing, &transaction);
-  value
+  builder
       = build_record(sharing, own_record(sharing), node->node_lease->lease_id, NULL, wanted, term);
-  put_record(sharing, &transaction, node->settings->label.s, value, node->node_lease->lease_id);
+  put_record(sharing, &transaction, node->settings->label.s, builder, node->node_lease->lease_id);
   mm_info("machine group acquisition sent for %u group(s) term=%" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(wanted), term.v);
   commit_write(sharing, &transaction, MM_GROUP_WRITE_ACQUIRE);
@@ -281,7 +282,7 @@
 move_groups(MmSharing *sharing) {
   MmNode *node = sharing->node;
   g_autoptr(MmGroupSet) moved = NULL;
-  g_autoptr(MmGroupValue) own_value = NULL, target_value = NULL;
+  g_autoptr(MmOwnershipRecordBuilder) own_builder = NULL, target_builder = NULL;
   const MmOwnershipRecord *record;
   const MmLiveNode *live_target;
   MmName target;
@@ -300,11 +301,12 @@
     return FALSE; /* the target must first acquire the groups of its previous incarnation */
   transaction = mm_transaction_begin();
   term = increment_term(sharing, &transaction);
-  own_value
+  own_builder
       = build_record(sharing, own_record(sharing), node->node_lease->lease_id, moved, NULL, term);
-  target_value = build_record(sharing, record, live_target->lease_id, NULL, moved, term);
-  put_record(sharing, &transaction, node->settings->label.s, own_value, node->node_lease->lease_id);
-  put_record(sharing, &transaction, target.s, target_value, live_target->lease_id);
+  target_builder = build_record(sharing, record, live_target->lease_id, NULL, moved, term);
+  put_record(sharing, &transaction, node->settings->label.s, own_builder,
+             node->node_lease->lease_id);
+  put_record(sharing, &transaction, target.s, target_builder, live_target->lease_id);
   mm_info("machine group move sent for %u group(s) target=%s term=%" G_GUINT64_FORMAT,
           (guint)roaring_bitmap_get_cardinality(moved), target.s, term.v);
   commit_write(sharing, &transaction, MM_GROUP_WRITE_MOVE);
@@ -317,12 +319,12 @@
 static void
 confirm_move(MmSharing *sharing) {
   MmNode *node = sharing->node;
-  g_autoptr(MmGroupValue) value = NULL;
+  g_autoptr(MmOwnershipRecordBuilder) builder = NULL;
   MmTransaction transaction = mm_transaction_begin();
 
-  value = build_record(sharing, own_record(sharing), node->node_lease->lease_id, NULL, NULL,
-                       (MmTerm){ 0 });
-  put_record(sharing, &transaction, node->settings->label.s, value, node->node_lease->lease_id);
+  builder = build_record(sharing, own_record(sharing), node->node_lease->lease_id, NULL, NULL,
+                         (MmTerm){ 0 });
+  put_record(sharing, &transaction, node->settings->label.s, builder, node->node_lease->lease_id);
   commit_write(sharing, &transaction, MM_GROUP_WRITE_CONFIRM);
 }
 
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -69,11 +69,11 @@
 tick(gpointer data) {
   const MmNode *node = data;
 
-  if (node->sharing->conflicting_groups != 0) {
+  if (node->sharing->conflicting_group_count != 0) {
     fprintf(stderr,
             "martenmount: <groups> is %u, but the state service holds machines divided into"
             " %u groups\n",
-            node->sharing->n_groups, node->sharing->conflicting_groups);
+            node->sharing->n_groups, node->sharing->conflicting_group_count);
     exit(EXIT_USAGE);
   }
   mm_node_tick(data);
--- a/tests/test-sharing-world-settings.c
+++ b/tests/test-sharing-world-settings.c
@@ -72,10 +72,10 @@
   world_run(world, 6);
   restart_with_groups(world, 1, GROUPS / 2);
   world_run(world, 6);
-  g_assert_cmpuint(world->nodes[1].node->sharing->conflicting_groups, ==, GROUPS);
-  g_assert_cmpuint(world->nodes[0].node->sharing->conflicting_groups, ==, 0);
+  g_assert_cmpuint(world->nodes[1].node->sharing->conflicting_group_count, ==, GROUPS);
+  g_assert_cmpuint(world->nodes[0].node->sharing->conflicting_group_count, ==, 0);
   g_assert_true(world->nodes[0].node->sharing->is_active);
-  g_assert_cmpuint(mm_group_map_conflicting_count(world->nodes[0].node->sharing->map), ==, 0);
+  g_assert_cmpuint(mm_group_map_conflicting_group_count(world->nodes[0].node->sharing->map), ==, 0);
   restart_with_groups(world, 1, GROUPS);
   world_finish_day(world);
 }
--- a/tests/test-sharing.c
+++ b/tests/test-sharing.c
@@ -54,27 +54,27 @@
 }
 
 static json_t *
-group_value_json(guint groups, guint64 lease, guint from, guint to, guint64 term) {
-  g_autoptr(MmGroupValue) value = mm_group_value_new(groups, lease);
+ownership_record_json(guint groups, guint64 lease, guint from, guint to, guint64 term) {
+  g_autoptr(MmOwnershipRecordBuilder) builder = mm_ownership_record_builder_new(groups, lease);
 
   for (guint group = from; group < to; group++)
-    mm_group_value_add(value, group, (MmTerm){ term });
-  return mm_group_value_to_json(value);
+    mm_ownership_record_builder_add(builder, group, (MmTerm){ term });
+  return mm_ownership_record_builder_to_json(builder);
 }
 
 static const char *
 owner_label(const MmGroupMap *map, guint group) {
   MmGroupOwner owner = mm_group_map_owner(map, group);
 
-  return owner.holding != NULL ? owner.holding->node.s : NULL;
+  return owner.record != NULL ? owner.record->node.s : NULL;
 }
 
 static void
 test_map_names_owners(void) {
   MmGroupMap *map = mm_group_map_new(GROUPS);
-  g_autoptr(json_t) a = group_value_json(GROUPS, 7, 0, 100, 3),
-                    b = group_value_json(GROUPS, 8, 100, 256, 4);
-  g_autoptr(json_t) with_later_term = group_value_json(GROUPS, 9, 0, 1, 9);
+  g_autoptr(json_t) a = ownership_record_json(GROUPS, 7, 0, 100, 3),
+                    b = ownership_record_json(GROUPS, 8, 100, 256, 4);
+  g_autoptr(json_t) with_later_term = ownership_record_json(GROUPS, 9, 0, 1, 9);
 
   g_assert_true(mm_group_map_put(map, "n-0", a, (MmKeyVersion){ 11 }));
   g_assert_true(mm_group_map_put(map, "n-1", b, (MmKeyVersion){ 12 }));
@@ -96,16 +96,16 @@
 static void
 test_other_group_count_conflicts(void) {
   MmGroupMap *map = mm_group_map_new(GROUPS);
-  g_autoptr(json_t) a = group_value_json(GROUPS, 7, 0, 100, 3),
-                    other = group_value_json(128, 9, 0, 1, 9);
+  g_autoptr(json_t) a = ownership_record_json(GROUPS, 7, 0, 100, 3),
+                    other = ownership_record_json(128, 9, 0, 1, 9);
 
   g_assert_true(mm_group_map_put(map, "n-0", a, (MmKeyVersion){ 11 }));
   /* A key that names a different number of groups makes its node the owner of no group, and the map
    * reports the conflict. */
-  g_assert_cmpuint(mm_group_map_conflicting_count(map), ==, 0);
+  g_assert_cmpuint(mm_group_map_conflicting_group_count(map), ==, 0);
   g_assert_true(mm_group_map_put(map, "n-0", other, (MmKeyVersion){ 15 }));
   g_assert_null(owner_label(map, 0));
-  g_assert_cmpuint(mm_group_map_conflicting_count(map), ==, 128);
+  g_assert_cmpuint(mm_group_map_conflicting_group_count(map), ==, 128);
   mm_group_map_free(map);
 }
 
@@ -122,7 +122,7 @@
                                          "{\"c\":1,\"of\":256,\"g\":[[5]]}",
                                          "{\"c\":1,\"of\":256,\"g\":[7]}" };
   MmGroupMap *map = mm_group_map_new(GROUPS);
-  g_autoptr(json_t) valid = group_value_json(GROUPS, 7, 0, 100, 3);
+  g_autoptr(json_t) valid = ownership_record_json(GROUPS, 7, 0, 100, 3);
 
   for (guint i = 0; i < G_N_ELEMENTS(invalid); i++) {
     g_autoptr(json_t) value = json_loads(invalid[i], 0, NULL);
@@ -142,15 +142,15 @@
  * one, each under a term of its own: all groups are then listed under one term. */
 static void
 test_value_fits_smallest_limit(void) {
-  g_autoptr(MmGroupValue) value = mm_group_value_new(MM_GROUPS_MAX, 1);
+  g_autoptr(MmOwnershipRecordBuilder) builder = mm_ownership_record_builder_new(MM_GROUPS_MAX, 1);
   g_autoptr(json_t) with_many_terms = NULL, with_one_term = NULL;
 
   for (guint group = 0; group < MM_GROUPS_MAX; group += 2)
-    mm_group_value_add(value, group, (MmTerm){ 100000 + group });
-  with_many_terms = mm_group_value_to_json(value);
+    mm_ownership_record_builder_add(builder, group, (MmTerm){ 100000 + group });
+  with_many_terms = mm_ownership_record_builder_to_json(builder);
   g_assert_cmpuint(json_dumpb(with_many_terms, NULL, 0, JSON_COMPACT), >, SMALL_VALUE_BYTES);
-  mm_group_value_use_one_term(value, (MmTerm){ 200000 });
-  with_one_term = mm_group_value_to_json(value);
+  mm_ownership_record_builder_set_all_terms(builder, (MmTerm){ 200000 });
+  with_one_term = mm_ownership_record_builder_to_json(builder);
   g_assert_cmpuint(json_dumpb(with_one_term, NULL, 0, JSON_COMPACT), <, SMALL_VALUE_BYTES);
 }
 
@@ -254,10 +254,10 @@
   MmShare shares[] = { { 1, 3 }, { 2, 0 }, { 1, 0 } };
   guint targets[3] = { 0 };
 
-  g_assert_cmpuint(mm_shares_next_taker(shares, targets, 0), ==, G_MAXUINT);
+  g_assert_cmpuint(mm_shares_next_acquirer(shares, targets, 0), ==, G_MAXUINT);
   mm_shares_targets(shares, 3, 8, targets);
   for (guint left = 5; left > 0; left--)
-    shares[mm_shares_next_taker(shares, targets, 3)].owned++;
+    shares[mm_shares_next_acquirer(shares, targets, 3)].owned++;
   g_assert_cmpuint(shares[0].owned, ==, 3);
   g_assert_cmpuint(shares[1].owned, ==, 4);
   g_assert_cmpuint(shares[2].owned, ==, 1);
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -41,7 +41,7 @@
   g_autofree char *label = g_strdup_printf("n-%u", node);
 
   return machine->fencing_token < owner.term.v
-         || (owner.holding != NULL && strcmp(owner.holding->node.s, label) == 0);
+         || (owner.record != NULL && strcmp(owner.record->node.s, label) == 0);
 }
 
 static void
@@ -206,7 +206,7 @@
 
   g_assert_nonnull(world->nodes[node].node);
   owner = mm_group_map_owner(world->nodes[node].node->sharing->map, group);
-  return owner.holding != NULL ? (guint)(owner.holding->node.s[2] - '0') : WORLD_NODES;
+  return owner.record != NULL ? (guint)(owner.record->node.s[2] - '0') : WORLD_NODES;
 }
 
 guint
