--- a/src/base/types.h
+++ b/src/base/types.h
@@ -108,7 +108,7 @@
 
 /* Returns the element-wise minimum. */
 static inline MmResources
-mm_resources_least(MmResources a, MmResources b) {
+mm_resources_min(MmResources a, MmResources b) {
   return (MmResources){ MIN(a.cores, b.cores), MIN(a.accelerators, b.accelerators),
                         MIN(a.memory_gb, b.memory_gb) };
 }
--- a/src/config/operators.c
+++ b/src/config/operators.c
@@ -8,8 +8,8 @@
 #define WEIGHT_ELEMENT "group-weight"
 #define MAX_GROUP_WEIGHT 1000.0
 
-#define SETTING(name, field, unit, fallback, least, most, meaning)                                 \
-  { name, unit, meaning, G_STRUCT_OFFSET(MmOperators, field), fallback, least, most }
+#define SETTING(name, field, unit, fallback, minimum, maximum, meaning)                            \
+  { name, unit, meaning, G_STRUCT_OFFSET(MmOperators, field), fallback, minimum, maximum }
 
 /* The XML element of a setting has the setting's name with dashes in place of underscores.
  * tests/test-operators.c compares docs/operators.md with this table. */
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -237,7 +237,7 @@
 
   settings->label = mm_name(read_text(validation, root, "", "label"));
   settings->zone = mm_name(read_text(validation, root, "", "zone"));
-  settings->front_address = read_address(validation, root, "", "front");
+  settings->http_listen_address = read_address(validation, root, "", "front");
   settings->peer_listen_address = read_address(validation, root, "", "cluster_listen");
   read_peers(validation, settings, root);
   external_table = read_table(validation, root, "external", "external");
@@ -289,7 +289,7 @@
 mm_settings_free(MmSettings *settings) {
   if (settings == NULL)
     return;
-  g_free(settings->front_address);
+  g_free(settings->http_listen_address);
   g_free(settings->peer_listen_address);
   g_free(settings->cloud_address);
   g_free(settings->kv_address);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -42,7 +42,7 @@
 typedef struct {
   MmName label;
   MmName zone;
-  char *front_address;
+  char *http_listen_address;
   char *peer_listen_address;
   char *cloud_address;
   char *kv_address;
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -260,8 +260,8 @@
   if (mm_scheduler_approve_reserved_start(scheduler, request, approval))
     return TRUE;
   request->free_resources
-      = mm_resources_least(request->free_resources,
-                           mm_machine_available_resources(scheduler->node->machine_table, machine));
+      = mm_resources_min(request->free_resources,
+                         mm_machine_available_resources(scheduler->node->machine_table, machine));
   jobs = list_fitting_jobs(scheduler, request);
   if (jobs->len == 0)
     return FALSE;
--- a/src/transport/groups-command.c
+++ b/src/transport/groups-command.c
@@ -12,23 +12,23 @@
 #define NO_GROUP (-1)
 
 typedef struct {
-  char *front_address;
+  char *node_address;
   char *target_node;
   int group;
 } Arguments;
 
 /* Prints one line on standard error and returns `status`. */
 static int
-print_failure(int status, const char *front_address, const char *reason) {
-  fprintf(stderr, "martenmount groups: %s%s%s\n", front_address != NULL ? front_address : "",
-          front_address != NULL ? ": " : "", reason);
+print_failure(int status, const char *node_address, const char *reason) {
+  fprintf(stderr, "martenmount groups: %s%s%s\n", node_address != NULL ? node_address : "",
+          node_address != NULL ? ": " : "", reason);
   return status;
 }
 
 static SoupMessage *
 new_message(const Arguments *arguments) {
   g_autofree char *list_url
-      = g_strdup_printf("http://%s" MM_ADMIN_GROUPS_PATH, arguments->front_address);
+      = g_strdup_printf("http://%s" MM_ADMIN_GROUPS_PATH, arguments->node_address);
   g_autofree char *move_url = g_strdup_printf("%s/%d/move", list_url, arguments->group);
   gboolean is_move = arguments->group != NO_GROUP;
   SoupMessage *message = soup_message_new(is_move ? "POST" : "GET", is_move ? move_url : list_url);
@@ -105,13 +105,13 @@
   const char *error_text = mm_json_string(body, "error");
 
   if (body == NULL)
-    return print_failure(EXIT_FAILURE, arguments->front_address, reason);
+    return print_failure(EXIT_FAILURE, arguments->node_address, reason);
   if (status == SOUP_STATUS_OK) {
     print_list(body);
     return EXIT_SUCCESS;
   }
   if (status != SOUP_STATUS_ACCEPTED)
-    return print_failure(EXIT_FAILURE, arguments->front_address,
+    return print_failure(EXIT_FAILURE, arguments->node_address,
                          error_text != NULL ? error_text : "refused");
   printf("group %d goes to %s\n", arguments->group, arguments->target_node);
   return EXIT_SUCCESS;
@@ -119,10 +119,10 @@
 
 int
 mm_groups_command(int argc, char **argv) {
-  g_autofree char *front_address = NULL, *target_node = NULL;
+  g_autofree char *node_address = NULL, *target_node = NULL;
   int group = NO_GROUP;
   const GOptionEntry entries[] = {
-    { "front", 'f', 0, G_OPTION_ARG_STRING, &front_address, "A node's address for users",
+    { "front", 'f', 0, G_OPTION_ARG_STRING, &node_address, "A node's address for users",
       "HOST:PORT" },
     { "move", 'm', 0, G_OPTION_ARG_INT, &group, "Move this group", "GROUP" },
     { "to", 't', 0, G_OPTION_ARG_STRING, &target_node, "To this node", "NODE" },
@@ -136,9 +136,9 @@
     return print_failure(EXIT_USAGE, NULL, error->message);
   if (argc > 1)
     return print_failure(EXIT_USAGE, NULL, "stray argument");
-  if (front_address == NULL)
+  if (node_address == NULL)
     return print_failure(EXIT_USAGE, NULL, "--front HOST:PORT is required");
   if ((group == NO_GROUP) != (target_node == NULL))
     return print_failure(EXIT_USAGE, NULL, "--move and --to go together");
-  return run_command(&(Arguments){ front_address, target_node, group });
+  return run_command(&(Arguments){ node_address, target_node, group });
 }
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -91,12 +91,12 @@
   g_autoptr(GError) error = NULL;
 
   if (!mm_peer_sockets_start(transport.peer_sockets, node, &error)
-      || mm_http_server_new(node, settings->front_address, &error) == NULL) {
+      || mm_http_server_new(node, settings->http_listen_address, &error) == NULL) {
     mm_error("node startup failed, cannot listen error=%s", error->message);
     return EXIT_FAILURE;
   }
-  mm_info("node started label=%s front=%s zone=%s", settings->label.s, settings->front_address,
-          settings->zone.s);
+  mm_info("node started label=%s front=%s zone=%s", settings->label.s,
+          settings->http_listen_address, settings->zone.s);
   g_timeout_add_full(G_PRIORITY_HIGH, MM_NODE_TICK_MS, tick, node, NULL);
   mm_node_start(node);
   g_main_loop_run(loop); /* until the process is killed */
