--- a/tests/world/invariants.c
+++ b/tests/world/invariants.c
@@ -74,7 +74,7 @@
     gint64 since = MAX(job->last_answer_at_us, world->faults_ended_at_us);
     if (job->was_accepted && job->user_view != USER_SEES_CANCELLED
         && world->now_us - since > 75 * (gint64)G_USEC_PER_SEC)
-      world_report_violation(world, "unanswered: no request about job %s answered for 75 s",
+      world_report_violation(world, "forgotten: no request about job %s answered for 75 s",
                              job->id);
   }
   for (guint i = 0; i < 4; i++)
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -72,14 +72,12 @@
       world_report_violation(world, "not_done: job %s reported as done with %u of %u tasks done",
                              job->id, job->n_done, job->spec.n_tasks);
     if (job->user_view == USER_SEES_CANCELLED)
-      world_report_violation(world, "state_regressed: job %s changed from cancelled to done",
-                             job->id);
+      world_report_violation(world, "went_back: job %s changed from cancelled to done", job->id);
     job->user_view = USER_SEES_DONE;
   } else if (g_strcmp0(state, WIRE_CANCELLED) == 0) {
     if (!world_job_may_be_cancelled(job) || job->user_view == USER_SEES_DONE)
       world_report_violation(
-          world,
-          "state_regressed: job %s reported as cancelled without a request or after it was done",
+          world, "went_back: job %s reported as cancelled without a request or after it was done",
           job->id);
     if (job->user_view != USER_SEES_CANCELLED)
       job->cancelled_at_us = world->now_us;
@@ -87,7 +85,7 @@
   } else {
     if (request->user_view_when_sent == USER_SEES_DONE
         || request->user_view_when_sent == USER_SEES_CANCELLED)
-      world_report_violation(world, "state_regressed: job %s reported as %s after it had finished",
+      world_report_violation(world, "went_back: job %s reported as %s after it had finished",
                              job->id, state);
     check_ancestor_cancelled(job, state);
     job->user_view = MAX(job->user_view, USER_SEES_ACCEPTED);
@@ -108,7 +106,7 @@
   }
   if (request->was_accepted_when_sent && (status == 400 || status == 422 || status == 404))
     world_report_violation(world,
-                           "job_lost: submission of the accepted job %s answered with status %d",
+                           "forgotten: submission of the accepted job %s answered with status %d",
                            job->id, status);
   g_assert_true(status == 0 || status == 503 || status == 429);
   world_schedule(world, world->now_us + G_USEC_PER_SEC, submit_job, job);
@@ -134,7 +132,7 @@
     record_job_state(request, body);
   else if (status == 400 || status == 422 || status == 404)
     world_report_violation(job->world,
-                           "job_lost: repeated submission of job %s answered with status %d",
+                           "forgotten: repeated submission of job %s answered with status %d",
                            job->id, status);
 }
 
@@ -147,7 +145,7 @@
   if (status == 200)
     record_job_state(request, body);
   else if (status == 404)
-    world_report_violation(world, "job_lost: query of job %s answered with status 404", job->id);
+    world_report_violation(world, "forgotten: query of job %s answered with status 404", job->id);
   /* Users continue to poll finished jobs, but less often, and sometimes submit a job again. */
   if (world_uniform(world, 0, 1) < 0.05)
     world_send_request(world, pick_node(world), NULL, "POST", WIRE_JOBS_PATH,
@@ -205,7 +203,7 @@
 on_unknown_job_response(gpointer data, int status, json_t *body) {
   if (status == 200)
     world_report_violation(
-        data, "unknown_job: query of a job that was never submitted answered with status 200");
+        data, "invented: query of a job that was never submitted answered with status 200");
 }
 
 WorldJob *
