--- a/tests/golden/record.c
+++ b/tests/golden/record.c
@@ -1,8 +1,9 @@
-/* Records what a version stores and sends, for the tests of later ones: see README.md beside this.
+/* Records the data that a version stores and sends, for compatibility tests of later versions; see
+ * README.md in this folder.
  *
- * Built against the sources of the version to be recorded: it uses their simulated world. Prints
- * one JSON object: `keys`, the state service's keys with their values at the end of a short day,
- * and `frames`, a few of each kind that nodes sent, in hexadecimal. */
+ * Built against the sources of the version to be recorded, whose simulated world it uses. Prints
+ * one JSON object: `keys`, the keys and values of the state service at the end of a short run, and
+ * `frames`, up to FRAMES_PER_KIND frames of each kind that nodes sent, in hexadecimal. */
 #include <stdio.h>
 
 #include "base/wire.h"
@@ -10,12 +11,12 @@
 #include "world/world.h"
 
 #define FRAME_KINDS 16
-#define FRAMES_A_KIND 3
+#define FRAMES_PER_KIND 3
 
 static json_t *frames;
-static guint seen[FRAME_KINDS];
+static guint n_recorded[FRAME_KINDS];
 
-/* Linked with --wrap=mm__frame__pack. */
+/* The linker option --wrap=mm__frame__pack redirects all calls to recording_pack(). */
 size_t real_pack(const Mm__Frame *frame, uint8_t *out) __asm__("__real_mm__frame__pack");
 size_t recording_pack(const Mm__Frame *frame, uint8_t *out) __asm__("__wrap_mm__frame__pack");
 
@@ -23,7 +24,7 @@
 recording_pack(const Mm__Frame *frame, uint8_t *out) {
   size_t length = real_pack(frame, out);
 
-  if (frame->body_case < FRAME_KINDS && seen[frame->body_case]++ < FRAMES_A_KIND) {
+  if (frame->body_case < FRAME_KINDS && n_recorded[frame->body_case]++ < FRAMES_PER_KIND) {
     g_autoptr(GString) text = g_string_new(NULL);
     for (size_t i = 0; i < length; i++)
       g_string_append_printf(text, "%02x", out[i]);
@@ -74,7 +75,7 @@
   world_run(world, 6);
   world_cancel(g_ptr_array_index(world->jobs, 1));
   world_run(world, 3);
-  /* One of which some tasks are done, and one just cancelled. */
+  /* A job with only some tasks done, and a job that was just cancelled. */
   world_submit(world, json_pack("{s:i}", WIRE_TASKS, 6), 2)->stagger_s = 4;
   cancelled = world_submit(world, json_pack("{s:i, s:s}", WIRE_TASKS, 3, WIRE_TEAM, "team-3"), 30);
   world_run(world, 12);
--- a/tests/loopback/checker.c
+++ b/tests/loopback/checker.c
@@ -3,35 +3,35 @@
 #include <jansson.h>
 #include <string.h>
 
-#define SLACK 1e-6
-/* A machine drops answers after 4 s, and fetches the image for up to 1.5 s: a start that was under
- * way at a cancellation comes no later. */
-#define UNDER_WAY_S 6.0
+#define CORES_TOLERANCE 1e-6
+/* A machine discards responses that take longer than 4 s and fetches the image for up to 1.5 s: a
+ * start that was in flight at the cancellation happens within this time. */
+#define START_DELAY_MAX_S 6.0
 
 static const char *const kinds[] = { "accepted", "done", "cancelled", "start", "end", "refused" };
 
 typedef struct {
   guint tasks;
   gboolean was_accepted;
-  gint64 cancelled_at_us; /* 0: not */
+  gint64 cancelled_at_us; /* 0: not cancelled */
   gboolean was_answered_done;
-  GHashTable *completed; /* task -> itself */
+  GHashTable *completed; /* set of task number + 1, stored with GUINT_TO_POINTER */
 } Job;
 
-/* One task that is on a machine. */
+/* A task that is running on a machine. */
 typedef struct {
   char machine[32];
   char job[32];
   gint64 since_us;
   double cores;
-} Presence;
+} RunningTask;
 
 typedef struct {
   const HistoryRules *rules;
-  GPtrArray *wrong;
-  GHashTable *jobs;    /* id -> Job */
-  GHashTable *present; /* "job/task" -> Presence */
-  GHashTable *used;    /* machine -> double */
+  GPtrArray *violations;
+  GHashTable *jobs;          /* id -> Job */
+  GHashTable *running_tasks; /* "job/task" -> RunningTask */
+  GHashTable *used_cores;    /* machine -> double */
 } Check;
 
 static void
@@ -41,15 +41,16 @@
 }
 
 static void
-G_GNUC_PRINTF(3, 4) report_wrong(Check *check, const HistoryEvent *event, const char *format, ...) {
+G_GNUC_PRINTF(3, 4)
+    report_violation(Check *check, const HistoryEvent *event, const char *format, ...) {
   g_autofree char *text = NULL;
   va_list args;
 
   va_start(args, format);
   text = g_strdup_vprintf(format, args);
   va_end(args);
-  g_ptr_array_add(check->wrong,
-                  g_strdup_printf("%.3f s: %s", (double)event->us / G_USEC_PER_SEC, text));
+  g_ptr_array_add(check->violations,
+                  g_strdup_printf("%.3f s: %s", (double)event->time_us / G_USEC_PER_SEC, text));
 }
 
 static Job *
@@ -71,57 +72,58 @@
 
 static void
 add_used_cores(Check *check, const HistoryEvent *event, double cores) {
-  double *used = g_hash_table_lookup(check->used, event->machine);
+  double *used = g_hash_table_lookup(check->used_cores, event->machine);
 
   if (used == NULL) {
     used = g_new0(double, 1);
-    g_hash_table_insert(check->used, g_strdup(event->machine), used);
+    g_hash_table_insert(check->used_cores, g_strdup(event->machine), used);
   }
   *used += cores;
-  if (cores > 0 && *used > event->capacity + SLACK)
-    report_wrong(check, event, "%s has %g cores and its tasks take %g", event->machine,
-                 event->capacity, *used);
+  if (cores > 0 && *used > event->capacity + CORES_TOLERANCE)
+    report_violation(check, event, "%s has %g cores but its tasks use %g", event->machine,
+                     event->capacity, *used);
 }
 
 static void
 record_start(Check *check, const HistoryEvent *event, const char *task) {
   const Job *job = find_job(check, event->job);
-  const Presence *elsewhere = g_hash_table_lookup(check->present, task);
-  Presence *presence;
+  const RunningTask *already_running = g_hash_table_lookup(check->running_tasks, task);
+  RunningTask *running;
 
-  if (elsewhere != NULL)
-    report_wrong(check, event, "%s starts on %s while it is on %s", task, event->machine,
-                 elsewhere->machine);
+  if (already_running != NULL)
+    report_violation(check, event, "%s starts on %s while it is running on %s", task,
+                     event->machine, already_running->machine);
   if (job->cancelled_at_us != 0
-      && (double)(event->us - job->cancelled_at_us) > UNDER_WAY_S * G_USEC_PER_SEC)
-    report_wrong(check, event, "%s starts after its job's cancellation was confirmed", task);
-  presence = g_new0(Presence, 1);
-  g_strlcpy(presence->machine, event->machine, sizeof presence->machine);
-  g_strlcpy(presence->job, event->job, sizeof presence->job);
-  presence->since_us = event->us;
-  presence->cores = event->cores;
-  g_hash_table_replace(check->present, g_strdup(task), presence);
+      && (double)(event->time_us - job->cancelled_at_us) > START_DELAY_MAX_S * G_USEC_PER_SEC)
+    report_violation(check, event, "%s starts after its job's cancellation was confirmed", task);
+  running = g_new0(RunningTask, 1);
+  g_strlcpy(running->machine, event->machine, sizeof running->machine);
+  g_strlcpy(running->job, event->job, sizeof running->job);
+  running->since_us = event->time_us;
+  running->cores = event->cores;
+  g_hash_table_replace(check->running_tasks, g_strdup(task), running);
   add_used_cores(check, event, event->cores);
 }
 
 static void
 record_end(Check *check, const HistoryEvent *event, const char *task) {
   Job *job = find_job(check, event->job);
-  const Presence *presence = g_hash_table_lookup(check->present, task);
+  const RunningTask *running = g_hash_table_lookup(check->running_tasks, task);
   gpointer number = GUINT_TO_POINTER(event->task + 1);
 
-  if (presence == NULL || strcmp(presence->machine, event->machine) != 0) {
-    report_wrong(check, event, "%s ends on %s, where it was not", task, event->machine);
+  if (running == NULL || strcmp(running->machine, event->machine) != 0) {
+    report_violation(check, event, "%s ends on %s, where it was not running", task, event->machine);
     return;
   }
-  /* A machine keeps results: a finished task that is started again ends in the same moment. */
-  if (event->completed && presence->since_us < event->us
+  /* A machine keeps results: a finished task that is started again there ends at the same time as
+   * it starts, which is not a second run. */
+  if (event->completed && running->since_us < event->time_us
       && !g_hash_table_add(job->completed, number))
-    report_wrong(check, event, "%s was done before and has run once more", task);
+    report_violation(check, event, "%s ran again after it had completed", task);
   if (event->completed)
     g_hash_table_add(job->completed, number);
-  add_used_cores(check, event, -presence->cores);
-  g_hash_table_remove(check->present, task);
+  add_used_cores(check, event, -running->cores);
+  g_hash_table_remove(check->running_tasks, task);
 }
 
 static void
@@ -133,16 +135,18 @@
     job->tasks = event->tasks;
   } else if (event->kind == HISTORY_DONE) {
     if (!is_complete(job))
-      report_wrong(check, event, "%s is called done with %u of %u tasks", event->job,
-                   g_hash_table_size(job->completed), job->tasks);
+      report_violation(check, event, "%s is reported as done with %u of %u tasks completed",
+                       event->job, g_hash_table_size(job->completed), job->tasks);
     if (job->cancelled_at_us != 0)
-      report_wrong(check, event, "%s is called done after it was called cancelled", event->job);
+      report_violation(check, event, "%s is reported as done after it was reported as cancelled",
+                       event->job);
     job->was_answered_done = TRUE;
   } else {
     if (job->was_answered_done)
-      report_wrong(check, event, "%s is called cancelled after it was called done", event->job);
+      report_violation(check, event, "%s is reported as cancelled after it was reported as done",
+                       event->job);
     if (job->cancelled_at_us == 0)
-      job->cancelled_at_us = event->us;
+      job->cancelled_at_us = event->time_us;
   }
 }
 
@@ -151,21 +155,22 @@
   GHashTableIter iter;
   gpointer task, value;
 
-  g_hash_table_iter_init(&iter, check->present);
+  g_hash_table_iter_init(&iter, check->running_tasks);
   while (g_hash_table_iter_next(&iter, &task, &value)) {
-    const Presence *presence = value;
-    const Job *job = find_job(check, presence->job);
+    const RunningTask *running = value;
+    const Job *job = find_job(check, running->job);
     if (job->cancelled_at_us == 0
-        || (double)(event->us - job->cancelled_at_us) <= check->rules->cancel_s * G_USEC_PER_SEC)
+        || (double)(event->time_us - job->cancelled_at_us)
+               <= check->rules->cancel_s * G_USEC_PER_SEC)
       continue;
-    report_wrong(check, event, "%s is still on %s long after its cancellation", (char *)task,
-                 presence->machine);
+    report_violation(check, event, "%s is still running on %s too long after its cancellation",
+                     (char *)task, running->machine);
     g_hash_table_iter_remove(&iter);
   }
 }
 
 static void
-check_end(Check *check, const HistoryEvent *last) {
+check_final_state(Check *check, const HistoryEvent *last) {
   GHashTableIter iter;
   gpointer id, value;
 
@@ -173,14 +178,14 @@
   while (g_hash_table_iter_next(&iter, &id, &value)) {
     const Job *job = value;
     if (!job->was_accepted && g_hash_table_size(job->completed) > 0)
-      report_wrong(check, last, "%s ran and was never accepted", (char *)id);
+      report_violation(check, last, "%s ran but was never accepted", (char *)id);
     if (!job->was_accepted || job->cancelled_at_us != 0)
       continue;
     if (!is_complete(job))
-      report_wrong(check, last, "%s is lost: %u of %u tasks are done", (char *)id,
-                   g_hash_table_size(job->completed), job->tasks);
+      report_violation(check, last, "%s was lost: %u of %u tasks completed", (char *)id,
+                       g_hash_table_size(job->completed), job->tasks);
     else if (!job->was_answered_done)
-      report_wrong(check, last, "%s is done and its user was not told", (char *)id);
+      report_violation(check, last, "%s is done but its user was not told", (char *)id);
   }
 }
 
@@ -202,7 +207,7 @@
     break;
   case HISTORY_REFUSED:
   default:
-    report_wrong(check, event, "%s was given %s without resources for it", event->machine, task);
+    report_violation(check, event, "%s received %s without resources for it", event->machine, task);
     break;
   }
   check_late_tasks(check, event);
@@ -218,19 +223,19 @@
   for (guint i = 0; i < events->len; i++)
     record_event(&check, &g_array_index(events, HistoryEvent, i));
   if (events->len > 0)
-    check_end(&check, &g_array_index(events, HistoryEvent, events->len - 1));
+    check_final_state(&check, &g_array_index(events, HistoryEvent, events->len - 1));
   g_hash_table_unref(check.jobs);
-  g_hash_table_unref(check.present);
-  g_hash_table_unref(check.used);
-  return check.wrong;
+  g_hash_table_unref(check.running_tasks);
+  g_hash_table_unref(check.used_cores);
+  return check.violations;
 }
 
-/* ---- lines ---- */
+/* Serialization */
 
 char *
 history_event_to_line(const HistoryEvent *event) {
   json_t *json
-      = json_pack("{s:I, s:s, s:s, s:i, s:i, s:s, s:f, s:f, s:b}", "us", (json_int_t)event->us,
+      = json_pack("{s:I, s:s, s:s, s:i, s:i, s:s, s:f, s:f, s:b}", "us", (json_int_t)event->time_us,
                   "kind", kinds[event->kind], "job", event->job, "tasks", (int)event->tasks, "task",
                   (int)event->task, "machine", event->machine, "cores", event->cores, "capacity",
                   event->capacity, "completed", event->completed);
@@ -257,7 +262,7 @@
     json_decref(json);
     return FALSE;
   }
-  event->us = us;
+  event->time_us = us;
   event->tasks = (guint)tasks;
   event->task = (guint)task;
   event->completed = completed;
--- a/tests/loopback/checker.h
+++ b/tests/loopback/checker.h
@@ -1,38 +1,39 @@
-/* Checks the history of a run: what users were answered, and what truly ran on the machines. It
- * shares no code with the scheduler, nor with the simulated machines and users. */
+/* Checks the recorded history of a run: the responses that users received against the tasks that
+ * actually ran on the machines. Independent of the scheduler and of the simulated machines and
+ * users: shares no code with them. */
 #pragma once
 
 #include <glib.h>
 
 typedef enum {
-  HISTORY_ACCEPTED,  /* a user was answered that the job is accepted, */
-  HISTORY_DONE,      /* that it is done, */
-  HISTORY_CANCELLED, /* that it is cancelled */
-  HISTORY_START,     /* a task is on a machine from now on */
-  HISTORY_END,       /* no longer; `completed` says whether it had finished */
-  HISTORY_REFUSED    /* a machine had no resources for a start */
+  HISTORY_ACCEPTED,  /* a user was told that the job is accepted */
+  HISTORY_DONE,      /* a user was told that the job is done */
+  HISTORY_CANCELLED, /* a user was told that the job is cancelled */
+  HISTORY_START,     /* a task starts on a machine */
+  HISTORY_END,       /* a task ends on a machine; `completed` tells whether it finished */
+  HISTORY_REFUSED    /* a machine rejected a start for lack of resources */
 } HistoryKind;
 
 typedef struct {
-  gint64 us;
+  gint64 time_us;
   HistoryKind kind;
   char job[32];
-  guint tasks; /* of an accepted job: how many it has; 0: it runs until it is cancelled */
+  guint tasks; /* HISTORY_ACCEPTED: number of tasks; 0: a service, which runs until cancelled */
   guint task;
   char machine[32];
-  double cores;    /* that the task takes, */
-  double capacity; /* and that the machine has */
+  double cores;    /* that the task uses */
+  double capacity; /* cores of the machine */
   gboolean completed;
 } HistoryEvent;
 
 typedef struct {
-  double cancel_s; /* tasks have ended so long after the cancellation was confirmed */
+  double cancel_s; /* all tasks of a job end within this time of its confirmed cancellation */
 } HistoryRules;
 
-/* `events` (HistoryEvent) in the order in which they happened. Returns what was wrong, as text; the
- * array is empty when all was right. Free with g_ptr_array_unref(). */
+/* Checks `events` (HistoryEvent), which are in chronological order. Returns a description (char *)
+ * of each violation; the array is empty when there is none. Free with g_ptr_array_unref(). */
 GPtrArray *history_check(const GArray *events, const HistoryRules *rules);
-/* A line of JSON. Free with g_free. */
+/* Returns the event as one line of JSON. Free with g_free(). */
 char *history_event_to_line(const HistoryEvent *event);
-/* FALSE when the line is malformed. */
+/* Parses a line of history_event_to_line(). Returns FALSE when it is malformed. */
 gboolean history_event_from_line(HistoryEvent *event, const char *line);
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -10,15 +10,15 @@
 
 static const char *const zones[] = { "a", "b", "c" };
 
-/* Below the ports that the system hands out for outgoing connections: such a connection, of this
- * rig or of anything else on the machine, would else take a node's port while the node is down. */
+/* Below the system's range of ephemeral ports: otherwise an outgoing connection, of this test or of
+ * another program on the machine, could take a node's port while the node is down. */
 #define PORT_MIN 20000
 #define PORT_MAX 32000
-/* Rigs side by side begin apart from one another. */
-#define PORTS_PER_RIG 16
+/* Concurrent test runs start their search for ports at different offsets. */
+#define PORTS_PER_RUN 16
 
 static gboolean
-is_free(guint port) {
+is_port_free(guint port) {
   g_autoptr(GSocket) socket
       = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
   g_autoptr(GSocketAddress) address = g_inet_socket_address_new_from_string("127.0.0.1", port);
@@ -26,17 +26,18 @@
   return g_socket_bind(socket, address, TRUE, NULL);
 }
 
-/* A port of the loopback address that is free as it is asked for; never the same twice in a rig. */
+/* Returns a port of the loopback address that is free at the time of the call. Returns each port at
+ * most once per run, unless the range wraps around. */
 static guint
-free_port(void) {
+find_free_port(void) {
   static guint next;
 
   if (next == 0)
-    next = PORT_MIN + (guint)getpid() * PORTS_PER_RIG % (PORT_MAX - PORT_MIN);
+    next = PORT_MIN + (guint)getpid() * PORTS_PER_RUN % (PORT_MAX - PORT_MIN);
   for (guint tried = PORT_MIN; tried < PORT_MAX; tried++) {
     guint port = next;
     next = next + 1 < PORT_MAX ? next + 1 : PORT_MIN;
-    if (is_free(port))
+    if (is_port_free(port))
       return port;
   }
   g_error("no port of the loopback address is free");
@@ -50,7 +51,7 @@
   g_assert_nonnull(processes->folder);
   for (guint i = 0; i < WORLD_NODES; i++) {
     processes->programs[i] = g_strdup(program);
-    processes->fronts[i] = g_strdup_printf("127.0.0.1:%u", free_port());
+    processes->fronts[i] = g_strdup_printf("127.0.0.1:%u", find_free_port());
   }
   return processes;
 }
@@ -62,16 +63,16 @@
 }
 
 static void
-append_others(GString *text, char *const *links, guint self) {
+append_peer_settings(GString *text, char *const *peer_addresses, guint self) {
   for (guint i = 0; i < WORLD_NODES; i++)
     if (i != self)
       g_string_append_printf(text,
                              "[[others]]\nlabel = \"n-%u\"\nzone = \"%s\"\nendpoint = \"%s\"\n", i,
-                             zones[i], links[i]);
+                             zones[i], peer_addresses[i]);
 }
 
 static void
-append_teams(GString *text, const World *world) {
+append_team_settings(GString *text, const World *world) {
   for (guint i = 0; i < 4; i++)
     g_string_append_printf(text,
                            "[[settings.teams]]\nname = \"team-%u\"\ncpus = 4.0\ngpus = 0.0\n"
@@ -80,20 +81,20 @@
 }
 
 static char *
-settings_of(const Processes *processes, const World *world, char *const *links, guint index,
-            const char *outside) {
+make_settings(const Processes *processes, const World *world, char *const *peer_addresses,
+              guint index, const char *external_address) {
   GString *text = g_string_new(NULL);
 
   g_string_append_printf(text,
                          "label = \"n-%u\"\nzone = \"%s\"\nfront = \"%s\"\n"
                          "cluster_listen = \"%s\"\n",
-                         index, zones[index], processes->fronts[index], links[index]);
-  append_others(text, links, index);
+                         index, zones[index], processes->fronts[index], peer_addresses[index]);
+  append_peer_settings(text, peer_addresses, index);
   g_string_append_printf(text,
                          "[external]\ncloud = \"%s\"\nstate = \"%s\"\n[settings]\ncount = %d\n"
                          "zones = [\"a\", \"b\", \"c\"]\nskew_ms = 100.0\n",
-                         outside, outside, WORLD_NODES);
-  append_teams(text, world);
+                         external_address, external_address, WORLD_NODES);
+  append_team_settings(text, world);
   g_string_append_printf(text,
                          "[settings.workers]\nreport_s = %.1f\nlease_s = %.1f\ngang_wait_s = 20.0\n"
                          "gang_peer_s = 4.0\ncancel_s = %.1f\n"
@@ -113,82 +114,84 @@
 }
 
 void
-processes_write_settings(Processes *processes, World *world, const char *outside,
+processes_write_settings(Processes *processes, World *world, const char *external_address,
                          const char *operators_xml) {
-  char *links[WORLD_NODES];
+  char *peer_addresses[WORLD_NODES];
 
   for (guint i = 0; i < WORLD_NODES; i++)
-    links[i] = g_strdup_printf("127.0.0.1:%u", free_port());
+    peer_addresses[i] = g_strdup_printf("127.0.0.1:%u", find_free_port());
   for (guint i = 0; i < WORLD_NODES; i++) {
     g_autofree char *name = g_strdup_printf("n-%u.toml", i);
-    g_autofree char *text = settings_of(processes, world, links, i, outside);
-    processes->settings[i] = write_file(processes, name, text);
+    g_autofree char *text = make_settings(processes, world, peer_addresses, i, external_address);
+    processes->settings_paths[i] = write_file(processes, name, text);
   }
   for (guint i = 0; i < WORLD_NODES; i++)
-    g_free(links[i]);
+    g_free(peer_addresses[i]);
   if (operators_xml != NULL)
-    processes->operators = write_file(processes, "operators.xml", operators_xml);
+    processes->operators_path = write_file(processes, "operators.xml", operators_xml);
 }
 
 typedef struct {
   Processes *processes;
   guint index;
-} Which;
+} NodeRef;
 
 static void
-ended(GPid pid, gint status, gpointer data) {
-  Which *which = data;
-
-  which->processes->alive--;
-  /* processes_kill() has forgotten the process already. */
-  if (which->processes->pids[which->index] == pid) {
-    fprintf(stderr, "n-%u has ended by itself, status %d\n", which->index, status);
-    which->processes->ends++;
-    which->processes->pids[which->index] = 0;
+on_node_exit(GPid pid, gint status, gpointer data) {
+  NodeRef *node_ref = data;
+
+  node_ref->processes->n_unreaped--;
+  /* For a process that processes_kill() killed, the pid has been cleared already. */
+  if (node_ref->processes->pids[node_ref->index] == pid) {
+    fprintf(stderr, "n-%u exited unexpectedly: status=%d\n", node_ref->index, status);
+    node_ref->processes->n_unexpected_exits++;
+    node_ref->processes->pids[node_ref->index] = 0;
   }
   g_spawn_close_pid(pid);
 }
 
 void
 processes_start(Processes *processes, guint index) {
-  char *arguments[]
-      = { processes->programs[index], "--config", processes->settings[index], NULL, NULL, NULL };
-  Which *which = g_new(Which, 1);
+  char *arguments[] = {
+    processes->programs[index], "--config", processes->settings_paths[index], NULL, NULL, NULL
+  };
+  NodeRef *node_ref = g_new(NodeRef, 1);
   g_autoptr(GError) error = NULL;
 
-  if (processes->operators != NULL) {
+  if (processes->operators_path != NULL) {
     arguments[3] = "--operators";
-    arguments[4] = processes->operators;
+    arguments[4] = processes->operators_path;
   }
   if (!g_spawn_async(NULL, arguments, NULL, G_SPAWN_DO_NOT_REAP_CHILD, NULL, NULL,
                      &processes->pids[index], &error))
     g_error("%s", error->message);
-  processes->alive++;
-  *which = (Which){ processes, index };
-  g_child_watch_add_full(G_PRIORITY_DEFAULT, processes->pids[index], ended, which, g_free);
+  processes->n_unreaped++;
+  *node_ref = (NodeRef){ processes, index };
+  g_child_watch_add_full(G_PRIORITY_DEFAULT, processes->pids[index], on_node_exit, node_ref,
+                         g_free);
 }
 
 static gboolean
-start_again(gpointer data) {
-  Which *which = data;
+on_restart_timer(gpointer data) {
+  NodeRef *node_ref = data;
 
-  which->processes->restarts[which->index] = 0;
-  processes_start(which->processes, which->index);
+  node_ref->processes->restart_timers[node_ref->index] = 0;
+  processes_start(node_ref->processes, node_ref->index);
   return G_SOURCE_REMOVE;
 }
 
 static void
-later(Processes *processes, guint index, guint ms, GSourceFunc call, guint *timer) {
-  Which *which = g_new(Which, 1);
+start_timer(Processes *processes, guint index, guint ms, GSourceFunc callback, guint *timer) {
+  NodeRef *node_ref = g_new(NodeRef, 1);
 
-  *which = (Which){ processes, index };
-  *timer = g_timeout_add_full(G_PRIORITY_DEFAULT, ms, call, which, g_free);
+  *node_ref = (NodeRef){ processes, index };
+  *timer = g_timeout_add_full(G_PRIORITY_DEFAULT, ms, callback, node_ref, g_free);
 }
 
-/* A killed process keeps its ports until it has ended, and another started on them meanwhile would
- * find them in use. The process is left for the child watch to reap. */
+/* Waits until a killed process has exited. It keeps its ports until then, and a process started on
+ * them earlier would find them in use. Leaves the process for the child watch to reap. */
 static void
-wait_for_end(GPid pid) {
+wait_for_exit(GPid pid) {
   siginfo_t info;
 
   while (waitid(P_PID, (id_t)pid, &info, WEXITED | WNOWAIT) < 0 && errno == EINTR)
@@ -199,38 +202,38 @@
 processes_kill(Processes *processes, guint index, guint down_ms) {
   GPid pid = processes->pids[index];
 
-  if (pid == 0 || processes->pauses[index] != 0)
+  if (pid == 0 || processes->resume_timers[index] != 0)
     return;
   processes->pids[index] = 0;
   kill(pid, SIGKILL);
-  wait_for_end(pid);
-  later(processes, index, down_ms, start_again, &processes->restarts[index]);
+  wait_for_exit(pid);
+  start_timer(processes, index, down_ms, on_restart_timer, &processes->restart_timers[index]);
 }
 
 static gboolean
-go_on(gpointer data) {
-  Which *which = data;
+on_resume_timer(gpointer data) {
+  NodeRef *node_ref = data;
 
-  which->processes->pauses[which->index] = 0;
-  kill(which->processes->pids[which->index], SIGCONT);
+  node_ref->processes->resume_timers[node_ref->index] = 0;
+  kill(node_ref->processes->pids[node_ref->index], SIGCONT);
   return G_SOURCE_REMOVE;
 }
 
 void
 processes_pause(Processes *processes, guint index, guint ms) {
-  if (processes->pids[index] == 0 || processes->pauses[index] != 0)
+  if (processes->pids[index] == 0 || processes->resume_timers[index] != 0)
     return;
   kill(processes->pids[index], SIGSTOP);
-  later(processes, index, ms, go_on, &processes->pauses[index]);
+  start_timer(processes, index, ms, on_resume_timer, &processes->resume_timers[index]);
 }
 
 void
 processes_continue_all(Processes *processes) {
   for (guint i = 0; i < WORLD_NODES; i++) {
-    if (processes->pauses[i] == 0)
+    if (processes->resume_timers[i] == 0)
       continue;
-    g_source_remove(processes->pauses[i]);
-    processes->pauses[i] = 0;
+    g_source_remove(processes->resume_timers[i]);
+    processes->resume_timers[i] = 0;
     kill(processes->pids[i], SIGCONT);
   }
 }
@@ -240,14 +243,14 @@
   processes_continue_all(processes);
   for (guint i = 0; i < WORLD_NODES; i++) {
     GPid pid = processes->pids[i];
-    if (processes->restarts[i] != 0)
-      g_source_remove(processes->restarts[i]);
-    processes->restarts[i] = 0;
+    if (processes->restart_timers[i] != 0)
+      g_source_remove(processes->restart_timers[i]);
+    processes->restart_timers[i] = 0;
     processes->pids[i] = 0;
     if (pid != 0)
       kill(pid, SIGKILL);
   }
-  while (processes->alive > 0)
+  while (processes->n_unreaped > 0)
     g_main_context_iteration(NULL, TRUE);
 }
 
@@ -256,18 +259,18 @@
   g_autofree char *other = NULL;
 
   for (guint i = 0; i < WORLD_NODES; i++) {
-    if (processes->settings[i] != NULL)
-      g_unlink(processes->settings[i]);
-    g_free(processes->settings[i]);
+    if (processes->settings_paths[i] != NULL)
+      g_unlink(processes->settings_paths[i]);
+    g_free(processes->settings_paths[i]);
     g_free(processes->fronts[i]);
     g_free(processes->programs[i]);
   }
-  if (processes->operators != NULL)
-    g_unlink(processes->operators);
+  if (processes->operators_path != NULL)
+    g_unlink(processes->operators_path);
   other = g_build_filename(processes->folder, "operators-other.xml", NULL);
   g_unlink(other);
   g_rmdir(processes->folder);
-  g_free(processes->operators);
+  g_free(processes->operators_path);
   g_free(processes->folder);
   g_free(processes);
 }
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -1,6 +1,7 @@
-/* Three nodes as processes on loopback, forty stand-in machines, groups that move every few seconds
- * while nodes are killed, paused and continued; then each job's tasks are counted from the record
- * of what the machines did. README.md, "Test", has the commands. */
+/* End-to-end test with three nodes as processes on loopback and forty simulated machines. A
+ * random machine group is moved every MOVE_EVERY_MS while nodes are killed, paused and resumed.
+ * Afterwards the recorded history of the machines' tasks and of the responses to users is
+ * checked. README.md, "Test", has the commands. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <sys/wait.h>
@@ -13,12 +14,12 @@
 #define EXIT_USAGE 2
 #define MACHINES 40
 #define GROUPS 64
-#define OPERATORS                                                                                  \
+#define OPERATORS_XML                                                                              \
   "<martenmount><groups>64</groups><group-hold-s>1</group-hold-s>"                                 \
   "<rent>0</rent><idle-return-s>100000</idle-return-s></martenmount>"
-#define OPERATORS_OTHER "<martenmount><groups>32</groups></martenmount>"
+#define OPERATORS_XML_32_GROUPS "<martenmount><groups>32</groups></martenmount>"
 #define NEVER_MS 3600000
-#define OPERATORS_WITHOUT                                                                          \
+#define OPERATORS_XML_NO_GROUPS                                                                    \
   "<martenmount><rent>0</rent><idle-return-s>100000</idle-return-s></martenmount>"
 #define MOVE_EVERY_MS 300
 #define FAULT_EVERY_MS 3000
@@ -33,13 +34,13 @@
   StandIns *stand_ins;
   Processes *processes;
   GArray *history;        /* HistoryEvent */
-  GHashTable *seen_views; /* job id -> WorldUserView + 1, as recorded */
+  GHashTable *seen_views; /* job id -> last recorded WorldUserView + 1, GUINT_TO_POINTER */
   GMainLoop *loop;
-  gint64 until_us; /* in the world's time: when faults, moves and jobs end */
-  guint kills;
-  guint pauses;
-  guint programs;       /* that run to their end, */
-  guint wrong_programs; /* and that ended otherwise than they should */
+  gint64 load_end_us; /* simulated time at which faults, moves and submissions end */
+  guint n_kills;
+  guint n_pauses;
+  guint n_running_commands; /* commands that have not exited yet */
+  guint n_failed_commands;  /* commands with an unexpected exit status */
 } Run;
 
 static gint seconds = 15;
@@ -49,13 +50,13 @@
 static gchar *other_binary;
 static gboolean is_takeover;
 
-/* ---- the history ---- */
+/* Recording of the history */
 
 static void
 record_task_event(gpointer data, const WorldMachine *machine, const WorldTask *task,
                   WorldTaskEvent task_event) {
   Run *run = data;
-  HistoryEvent event = { .us = machine->world->now_us,
+  HistoryEvent event = { .time_us = machine->world->now_us,
                          .task = task->number,
                          .cores = task->job->spec.task_resources.cores,
                          .capacity = strcmp(machine->type, "small") == 0 ? 4 : 16,
@@ -76,13 +77,13 @@
                                     : HISTORY_CANCELLED;
 }
 
-/* Records what users have been answered since the last call. */
+/* Records the responses that users have received since the last call. */
 static void
-record_answers(Run *run) {
+record_user_answers(Run *run) {
   for (guint i = 0; i < run->world->jobs->len; i++) {
     const WorldJob *job = world_job_at(run->world, i);
     guint before = GPOINTER_TO_UINT(g_hash_table_lookup(run->seen_views, job->id));
-    HistoryEvent event = { .us = run->world->now_us,
+    HistoryEvent event = { .time_us = run->world->now_us,
                            .tasks = job->spec.kind == MM_JOB_KIND_SERVICE ? 0 : job->spec.n_tasks };
 
     g_strlcpy(event.job, job->id, sizeof event.job);
@@ -97,19 +98,19 @@
   }
 }
 
-/* ---- load and faults ---- */
+/* Load and faults */
 
 static gboolean
-is_before_end(const Run *run) {
-  return run->world->now_us < run->until_us;
+is_load_running(const Run *run) {
+  return run->world->now_us < run->load_end_us;
 }
 
 static gboolean
-submit(gpointer data) {
+submit_job(gpointer data) {
   Run *run = data;
   World *world = run->world;
 
-  if (!is_before_end(run))
+  if (!is_load_running(run))
     return G_SOURCE_REMOVE;
   world_submit(world, world_random_job_body(world), world_uniform(world, 0.5, 4));
   if (world_uniform(world, 0, 1) < CANCELLED_SHARE)
@@ -118,10 +119,10 @@
 }
 
 static gboolean
-move(gpointer data) {
+start_random_move(gpointer data) {
   Run *run = data;
 
-  if (!is_before_end(run))
+  if (!is_load_running(run))
     return G_SOURCE_REMOVE;
   world_random_move(run->world);
   return G_SOURCE_CONTINUE;
@@ -132,22 +133,23 @@
   Run *run = data;
   World *world = run->world;
   guint node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
-  double what = world_uniform(world, 0, 1);
+  double draw = world_uniform(world, 0, 1);
 
-  if (!is_before_end(run))
+  if (!is_load_running(run))
     return G_SOURCE_REMOVE;
-  if (what < 0.4) {
-    run->kills++;
-    processes_kill(run->processes, node, what < 0.2 ? 100 : 2000);
+  if (draw < 0.4) {
+    run->n_kills++;
+    processes_kill(run->processes, node, draw < 0.2 ? 100 : 2000);
   } else {
-    /* Some well beyond the node's lease. */
-    run->pauses++;
+    /* Some pauses are much longer than the node's lease. */
+    run->n_pauses++;
     processes_pause(run->processes, node, (guint)(world_uniform(world, 0.3, 6) * 1000));
   }
   return G_SOURCE_CONTINUE;
 }
 
-/* Kills all nodes, which ran the other binary, and starts the program on what they stored. */
+/* Kills all nodes, which run the other binary, and starts the program on the state that they
+ * stored. */
 static gboolean
 take_over(gpointer data) {
   Run *run = data;
@@ -161,7 +163,7 @@
 }
 
 static gboolean
-is_over(const World *world) {
+are_all_jobs_finished(const World *world) {
   for (guint i = 0; i < world->jobs->len; i++)
     if (((const WorldJob *)g_ptr_array_index(world->jobs, i))->user_view < USER_SEES_CANCELLED)
       return FALSE;
@@ -177,50 +179,52 @@
   }
 }
 
-/* ---- the program's commands, after the faults ---- */
+/* The program's commands, run after the faults */
 
 typedef struct {
   Run *run;
   int expected;
-  char *what;
-} Program;
+  char *arguments;
+} CommandRun;
 
 static void
-program_ended(GPid pid, gint wait_status, gpointer data) {
-  g_autofree Program *program = data;
-  Run *run = program->run;
+on_command_exit(GPid pid, gint wait_status, gpointer data) {
+  g_autofree CommandRun *command = data;
+  Run *run = command->run;
   int status = WIFEXITED(wait_status) ? WEXITSTATUS(wait_status) : -1;
 
-  if (status != program->expected) {
-    fprintf(stderr, "%s: status %d, not %d\n", program->what, status, program->expected);
-    run->wrong_programs++;
+  if (status != command->expected) {
+    fprintf(stderr, "%s: unexpected exit: status=%d expected=%d\n", command->arguments, status,
+            command->expected);
+    run->n_failed_commands++;
   }
-  g_free(program->what);
+  g_free(command->arguments);
   g_spawn_close_pid(pid);
-  if (--run->programs == 0)
+  if (--run->n_running_commands == 0)
     g_main_loop_quit(run->loop);
 }
 
-/* The arguments in one string. */
+/* Runs the program with `arguments`, separated by single spaces, and checks its exit status when it
+ * has exited. The main loop quits when no command is left. */
 static void
 expect_status(Run *run, int expected, const char *arguments) {
-  Program *program = g_new(Program, 1);
+  CommandRun *command = g_new(CommandRun, 1);
   g_autofree char *line = g_strconcat(run->program, " ", arguments, NULL);
   g_auto(GStrv) words = g_strsplit(line, " ", -1);
   g_autoptr(GError) error = NULL;
   GPid pid;
 
-  *program = (Program){ run, expected, g_strdup(arguments) };
+  *command = (CommandRun){ run, expected, g_strdup(arguments) };
   if (!g_spawn_async(NULL, words, NULL, G_SPAWN_DO_NOT_REAP_CHILD, NULL, NULL, &pid, &error))
     g_error("%s", error->message);
-  run->programs++;
-  g_child_watch_add(pid, program_ended, program);
+  run->n_running_commands++;
+  g_child_watch_add(pid, on_command_exit, command);
 }
 
-/* Lists and moves by hand; then the first node comes back with another number of groups, finds what
- * is stored, and ends. */
+/* Checks the exit status of the commands that list and move groups. Then starts the first node with
+ * a number of groups that differs from the stored one, on which it must exit with EXIT_USAGE. */
 static void
-check_programs(Run *run) {
+check_commands(Run *run) {
   Processes *processes = run->processes;
   const char *front = processes->fronts[1];
   g_autofree char *list = g_strdup_printf("groups --front %s", front);
@@ -229,7 +233,7 @@
   g_autofree char *no_node = g_strdup_printf("groups --front %s --move 1 --to nobody", front);
   g_autofree char *other = g_build_filename(processes->folder, "operators-other.xml", NULL);
   g_autofree char *node
-      = g_strdup_printf("--config %s --operators %s", processes->settings[0], other);
+      = g_strdup_printf("--config %s --operators %s", processes->settings_paths[0], other);
 
   expect_status(run, EXIT_SUCCESS, list);
   expect_status(run, EXIT_FAILURE, no_group);
@@ -237,7 +241,7 @@
   expect_status(run, EXIT_FAILURE, "groups --front 127.0.0.1:1");
   expect_status(run, EXIT_USAGE, "groups");
   expect_status(run, EXIT_USAGE, "groups --front 127.0.0.1:1 --move 3");
-  g_assert_true(g_file_set_contents(other, OPERATORS_OTHER, -1, NULL));
+  g_assert_true(g_file_set_contents(other, OPERATORS_XML_32_GROUPS, -1, NULL));
   processes_kill(processes, 0, NEVER_MS);
   expect_status(run, EXIT_USAGE, node);
 }
@@ -246,22 +250,22 @@
 record_periodically(gpointer data) {
   Run *run = data;
 
-  record_answers(run);
+  record_user_answers(run);
   world_check_invariants(run->world);
-  if (is_before_end(run))
+  if (is_load_running(run))
     return G_SOURCE_CONTINUE;
   processes_continue_all(run->processes);
   cancel_services(run->world);
-  if (!is_over(run->world))
+  if (!are_all_jobs_finished(run->world))
     return G_SOURCE_CONTINUE;
   if (without_groups)
     g_main_loop_quit(run->loop);
   else
-    check_programs(run);
+    check_commands(run);
   return G_SOURCE_REMOVE;
 }
 
-/* ---- the outcome ---- */
+/* Outcome */
 
 static void
 write_record(const Run *run) {
@@ -278,18 +282,18 @@
 static int
 print_outcome(const Run *run) {
   HistoryRules rules = { run->world->cancel_s };
-  g_autoptr(GPtrArray) wrong = history_check(run->history, &rules);
+  g_autoptr(GPtrArray) violations = history_check(run->history, &rules);
 
-  for (guint i = 0; i < wrong->len; i++)
-    printf("# wrong: %s\n", (char *)g_ptr_array_index(wrong, i));
+  for (guint i = 0; i < violations->len; i++)
+    printf("# wrong: %s\n", (char *)g_ptr_array_index(violations, i));
   for (guint i = 0; i < run->world->violations->len; i++)
     printf("# broken: %s\n", (char *)g_ptr_array_index(run->world->violations, i));
   printf("# %u jobs, %u events, %u moves begun, %u kills, %u pauses, %u ends unasked\n",
-         run->world->jobs->len, run->history->len, run->world->n_moves_started, run->kills,
-         run->pauses, run->processes->ends);
-  return wrong->len == 0 && run->world->violations->len == 0 && run->processes->ends == 0
-                 && run->wrong_programs == 0 && run->history->len > 0
-                 && (without_groups || run->world->n_moves_started > 0)
+         run->world->jobs->len, run->history->len, run->world->n_moves_started, run->n_kills,
+         run->n_pauses, run->processes->n_unexpected_exits);
+  return violations->len == 0 && run->world->violations->len == 0
+                 && run->processes->n_unexpected_exits == 0 && run->n_failed_commands == 0
+                 && run->history->len > 0 && (without_groups || run->world->n_moves_started > 0)
              ? EXIT_SUCCESS
              : EXIT_FAILURE;
 }
@@ -307,7 +311,7 @@
     stand_ins_add_machine(run->stand_ins, machine);
   }
   processes_write_settings(run->processes, world, stand_ins_address(run->stand_ins),
-                           without_groups ? OPERATORS_WITHOUT : OPERATORS);
+                           without_groups ? OPERATORS_XML_NO_GROUPS : OPERATORS_XML);
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (other_binary != NULL && (i == 0 || is_takeover))
       processes_set_program(run->processes, i, other_binary);
@@ -315,15 +319,15 @@
   }
   if (is_takeover)
     g_timeout_add((guint)seconds * 1000 / 2, take_over, run);
-  g_timeout_add(SUBMIT_EVERY_MS, submit, run);
+  g_timeout_add(SUBMIT_EVERY_MS, submit_job, run);
   if (!without_groups)
-    g_timeout_add(MOVE_EVERY_MS, move, run);
+    g_timeout_add(MOVE_EVERY_MS, start_random_move, run);
   g_timeout_add(FAULT_EVERY_MS, inject_fault, run);
   g_timeout_add(RECORD_EVERY_MS, record_periodically, run);
 }
 
 static int
-play(const char *program) {
+run_scenario(const char *program) {
   g_autoptr(GError) error = NULL;
   Run run = { .program = program,
               .world = world_new((guint32)seed),
@@ -340,7 +344,7 @@
   run.stand_ins = stand_ins_new(run.world, (const char *const *)run.processes->fronts, &error);
   if (run.stand_ins == NULL)
     g_error("%s", error->message);
-  run.until_us = run.world->now_us + (gint64)seconds * G_USEC_PER_SEC;
+  run.load_end_us = run.world->now_us + (gint64)seconds * G_USEC_PER_SEC;
   start_all(&run);
   g_main_loop_run(run.loop);
   status = print_outcome(&run);
@@ -360,15 +364,17 @@
 int
 main(int argc, char **argv) {
   const GOptionEntry entries[] = {
-    { "seconds", 's', 0, G_OPTION_ARG_INT, &seconds, "How long faults and jobs come", "N" },
-    { "seed", 'r', 0, G_OPTION_ARG_INT, &seed, "What is drawn", "N" },
-    { "record", 'o', 0, G_OPTION_ARG_FILENAME, &record_path, "Write the history there", "FILE" },
+    { "seconds", 's', 0, G_OPTION_ARG_INT, &seconds, "Duration of faults and job submissions",
+      "N" },
+    { "seed", 'r', 0, G_OPTION_ARG_INT, &seed, "Seed of the random number generator", "N" },
+    { "record", 'o', 0, G_OPTION_ARG_FILENAME, &record_path, "Write the history to FILE", "FILE" },
     { "without-groups", 0, 0, G_OPTION_ARG_NONE, &without_groups,
-      "Machines are not shared out, for comparison", NULL },
+      "Do not share machines among the nodes, for comparison", NULL },
     { "other-binary", 0, 0, G_OPTION_ARG_FILENAME, &other_binary,
       "Node n-0 runs this build instead of PROGRAM", "FILE" },
     { "take-over", 0, 0, G_OPTION_ARG_NONE, &is_takeover,
-      "All nodes run the other build for half of the time, then PROGRAM on the same store", NULL },
+      "All nodes run the other build for half of the duration, then PROGRAM on the same store",
+      NULL },
     { NULL },
   };
   g_autoptr(GOptionContext) context = g_option_context_new("PROGRAM - three nodes on loopback");
@@ -380,8 +386,8 @@
     return EXIT_USAGE;
   }
   if (is_takeover && other_binary == NULL) {
-    fprintf(stderr, "loopback: --take-over wants --other-binary\n");
+    fprintf(stderr, "loopback: --take-over requires --other-binary\n");
     return EXIT_USAGE;
   }
-  return play(argv[1]);
+  return run_scenario(argv[1]);
 }
--- a/tests/loopback/stand-ins.c
+++ b/tests/loopback/stand-ins.c
@@ -6,7 +6,7 @@
 #include "base/wire.h"
 
 #define STEP_MS 5
-#define CONNECTIONS 400
+#define CONNECTIONS_MAX 400
 
 struct StandIns {
   World *world;
@@ -14,31 +14,31 @@
   SoupSession *session;
   char *address;
   const char *const *fronts;
-  gint64 offset_us; /* of the world's time from the clock */
+  gint64 offset_us; /* simulated time minus monotonic clock */
   guint timer;
-  guint under_way; /* requests to nodes */
+  guint n_requests_in_flight; /* requests to nodes that have no response yet */
 };
 
 void
 stand_ins_catch_up(StandIns *stand_ins) {
   gint64 late_us = mm_clock_now().us + stand_ins->offset_us - stand_ins->world->now_us;
 
-  /* Whatever this process was late for happens in its order before anything new is taken: leases
-   * that have run out meanwhile, first of all. */
+  /* Overdue events, expired leases above all, are processed in their order before any new request
+   * is handled. */
   if (late_us > 0)
     world_run(stand_ins->world, (double)late_us / G_USEC_PER_SEC);
 }
 
 static gboolean
-step(gpointer data) {
+on_step_timer(gpointer data) {
   stand_ins_catch_up(data);
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- requests of nodes ---- */
+/* Requests from nodes */
 
 static void
-answer(SoupServerMessage *message, int status, const json_t *body) {
+send_response(SoupServerMessage *message, int status, const json_t *body) {
   char *text = body != NULL ? json_dumps(body, JSON_COMPACT) : NULL;
 
   soup_server_message_set_status(message, (guint)status, NULL);
@@ -49,17 +49,18 @@
 }
 
 static void
-watch_answered(gpointer data, int status, json_t *body) {
+on_watch_response(gpointer data, int status, json_t *body) {
   SoupServerMessage *message = data;
 
-  answer(message, status, body);
+  send_response(message, status, body);
   soup_server_message_unpause(message);
   g_object_unref(message);
 }
 
-/* "/m-000001/do": the worker of that machine. */
+/* Handles a request to the worker of a machine, such as "/m-000001/do". Returns the HTTP status;
+ * 404 when no machine with this id is up. */
 static int
-ask_worker(World *world, const char *path, const json_t *body, json_t **reply) {
+handle_worker_request(World *world, const char *path, const json_t *body, json_t **reply) {
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = world_machine_at(world, i);
     const char *rest = path + 1 + strlen(machine->id);
@@ -74,16 +75,17 @@
 }
 
 static void
-handle(SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
-       gpointer data) {
+handle_request(SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
+               gpointer data) {
   StandIns *stand_ins = data;
   World *world = stand_ins->world;
   GUri *uri = soup_server_message_get_uri(message);
-  const char *asked = g_uri_get_query(uri);
-  g_autofree char *full = asked != NULL ? g_strdup_printf("%s?%s", path, asked) : g_strdup(path);
-  const SoupMessageBody *sent = soup_server_message_get_request_body(message);
-  g_autoptr(json_t) body = json_loadb(sent->data != NULL ? sent->data : "", (gsize)sent->length,
-                                      JSON_DECODE_ANY, NULL);
+  const char *query_string = g_uri_get_query(uri);
+  g_autofree char *target
+      = query_string != NULL ? g_strdup_printf("%s?%s", path, query_string) : g_strdup(path);
+  const SoupMessageBody *request_body = soup_server_message_get_request_body(message);
+  g_autoptr(json_t) body = json_loadb(request_body->data != NULL ? request_body->data : "",
+                                      (gsize)request_body->length, JSON_DECODE_ANY, NULL);
   const char *method = soup_server_message_get_method(message);
   g_autoptr(json_t) reply = NULL;
   int status;
@@ -91,31 +93,31 @@
   stand_ins_catch_up(stand_ins);
   if (strcmp(path, WIRE_WATCH_PATH) == 0) {
     soup_server_message_pause(message);
-    world_kv_add_watch(world, 0, full, watch_answered, g_object_ref(message));
+    world_kv_add_watch(world, 0, target, on_watch_response, g_object_ref(message));
     return;
   }
   if (g_str_has_prefix(path, WIRE_MACHINES_PATH) || strcmp(path, WIRE_MACHINE_TYPES_PATH) == 0)
-    status = world_cloud_handle(world, method, full, body, &reply);
+    status = world_cloud_handle(world, method, target, body, &reply);
   else if (g_str_has_prefix(path, "/m-"))
-    status = ask_worker(world, path, body, &reply);
+    status = handle_worker_request(world, path, body, &reply);
   else
-    status = world_kv_handle(world, method, full, body, &reply);
-  answer(message, status, reply);
+    status = world_kv_handle(world, method, target, body, &reply);
+  send_response(message, status, reply);
 }
 
-/* ---- requests to nodes ---- */
+/* Requests to nodes */
 
 typedef struct {
   StandIns *stand_ins;
   SoupMessage *message;
   GCancellable *cancellable;
   guint timer;
-  MmResponseCallback answered;
+  MmResponseCallback callback;
   gpointer data;
 } Request;
 
 static void
-request_over(GObject *source, GAsyncResult *result, gpointer data) {
+on_response(GObject *source, GAsyncResult *result, gpointer data) {
   Request *request = data;
   g_autoptr(GBytes) bytes = soup_session_send_and_read_finish(SOUP_SESSION(source), result, NULL);
   g_autoptr(json_t) body = NULL;
@@ -126,17 +128,17 @@
         = json_loadb(g_bytes_get_data(bytes, NULL), g_bytes_get_size(bytes), JSON_DECODE_ANY, NULL);
   if (request->timer != 0)
     g_source_remove(request->timer);
-  request->stand_ins->under_way--;
+  request->stand_ins->n_requests_in_flight--;
   if (request->stand_ins->timer != 0)
     stand_ins_catch_up(request->stand_ins);
-  request->answered(request->data, status, body);
+  request->callback(request->data, status, body);
   g_object_unref(request->message);
   g_object_unref(request->cancellable);
   g_free(request);
 }
 
 static gboolean
-request_timeout(gpointer data) {
+on_request_timeout(gpointer data) {
   Request *request = data;
 
   request->timer = 0;
@@ -145,18 +147,18 @@
 }
 
 static void
-ask_node(World *world, guint index, const char *method, const char *path, json_t *body,
-         gint64 timeout_us, MmResponseCallback answered, gpointer data) {
+send_to_node(World *world, guint index, const char *method, const char *path, json_t *body,
+             gint64 timeout_us, MmResponseCallback callback, gpointer data) {
   StandIns *stand_ins = world->request_handler_data;
   g_autofree char *uri = g_strconcat("http://", stand_ins->fronts[index], path, NULL);
   Request *request = g_new0(Request, 1);
 
-  stand_ins->under_way++;
+  stand_ins->n_requests_in_flight++;
   request->stand_ins = stand_ins;
   request->message = soup_message_new(method, uri);
   request->cancellable = g_cancellable_new();
-  request->timer = g_timeout_add((guint)(timeout_us / 1000), request_timeout, request);
-  request->answered = answered;
+  request->timer = g_timeout_add((guint)(timeout_us / 1000), on_request_timeout, request);
+  request->callback = callback;
   request->data = data;
   if (body != NULL) {
     char *text = json_dumps(body, JSON_COMPACT);
@@ -165,10 +167,10 @@
     json_decref(body);
   }
   soup_session_send_and_read_async(stand_ins->session, request->message, G_PRIORITY_DEFAULT,
-                                   request->cancellable, request_over, request);
+                                   request->cancellable, on_response, request);
 }
 
-/* ---- set-up ---- */
+/* Setup */
 
 StandIns *
 stand_ins_new(World *world, const char *const *fronts, GError **error) {
@@ -179,9 +181,9 @@
   stand_ins->world = world;
   stand_ins->fronts = fronts;
   stand_ins->server = soup_server_new(NULL, NULL);
-  stand_ins->session = soup_session_new_with_options("max-conns", CONNECTIONS, "max-conns-per-host",
-                                                     CONNECTIONS, NULL);
-  soup_server_add_handler(stand_ins->server, NULL, handle, stand_ins, NULL);
+  stand_ins->session = soup_session_new_with_options("max-conns", CONNECTIONS_MAX,
+                                                     "max-conns-per-host", CONNECTIONS_MAX, NULL);
+  soup_server_add_handler(stand_ins->server, NULL, handle_request, stand_ins, NULL);
   if (!soup_server_listen(stand_ins->server, loopback, 0, error)) {
     stand_ins_free(stand_ins);
     return NULL;
@@ -190,9 +192,9 @@
   stand_ins->address = g_strdup_printf("127.0.0.1:%d", g_uri_get_port(uris->data));
   g_slist_free_full(uris, (GDestroyNotify)g_uri_unref);
   stand_ins->offset_us = world->now_us - mm_clock_now().us;
-  stand_ins->timer = g_timeout_add(STEP_MS, step, stand_ins);
+  stand_ins->timer = g_timeout_add(STEP_MS, on_step_timer, stand_ins);
   world->request_handler_data = stand_ins;
-  world->request_handler = ask_node;
+  world->request_handler = send_to_node;
   return stand_ins;
 }
 
@@ -201,7 +203,7 @@
   g_source_remove(stand_ins->timer);
   stand_ins->timer = 0;
   soup_session_abort(stand_ins->session);
-  while (stand_ins->under_way > 0)
+  while (stand_ins->n_requests_in_flight > 0)
     g_main_context_iteration(NULL, TRUE);
 }
 
@@ -223,6 +225,6 @@
 
 void
 stand_ins_add_machine(const StandIns *stand_ins, WorldMachine *machine) {
-  /* One server stands for all workers: the path says which. */
+  /* One server serves all workers; the path identifies the machine. */
   g_snprintf(machine->address, sizeof machine->address, "%s/%s", stand_ins->address, machine->id);
 }
--- a/tests/loopback/stand-ins.h
+++ b/tests/loopback/stand-ins.h
@@ -1,20 +1,25 @@
-/* The simulated key-value store, cloud, workers and users, served over loopback sockets to nodes
- * that are processes. The world's clock is the steady clock. */
+/* Serves the simulated key-value store, cloud and workers over loopback sockets to nodes that run
+ * as processes, and sends the simulated users' requests to them. The simulated time follows the
+ * monotonic clock. */
 #pragma once
 
 #include "world/world.h"
 
 typedef struct StandIns StandIns;
 
-/* `fronts`: where the nodes' users reach them, WORLD_NODES of "HOST:PORT". */
+/* Starts the server. `fronts`: the addresses at which users reach the nodes, WORLD_NODES entries of
+ * "HOST:PORT". The world and `fronts` are not copied: the world must exist until stand_ins_stop(),
+ * `fronts` until no request is sent any more. Returns NULL and sets `error` when the server cannot
+ * listen. Free with stand_ins_free(). */
 StandIns *stand_ins_new(World *world, const char *const *fronts, GError **error);
-/* Ends all requests to nodes and lets time stand still; the world may be freed after it. */
+/* Aborts all requests to nodes and stops the simulated time. The world may be freed afterwards. */
 void stand_ins_stop(StandIns *stand_ins);
-/* After the world, whose watches are answered as it is freed. */
+/* Stops and frees the server. Call it after world_free(), which responds to pending watches. */
 void stand_ins_free(StandIns *stand_ins);
-/* The address of the key-value store and the cloud alike. */
+/* Returns the address, "HOST:PORT", of both the key-value store and the cloud. Owned by
+ * `stand_ins`. */
 const char *stand_ins_address(const StandIns *stand_ins);
-/* Makes the machine's worker reachable. */
+/* Sets the machine's address, at which nodes reach its worker. */
 void stand_ins_add_machine(const StandIns *stand_ins, WorldMachine *machine);
-/* Brings the world's time up to the clock. */
+/* Advances the simulated time to the monotonic clock. */
 void stand_ins_catch_up(StandIns *stand_ins);
--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -1,6 +1,7 @@
-/* What sharing machines out costs, in the simulated world: nodes' messages, bytes, writes and time
- * for each machine, with and without groups, and how long a moving group's machines get no start.
- * Prints rows of a table; with --figure draws them (PLplot). */
+/* Measures the cost of sharing machines among the nodes in the simulated world: messages between
+ * nodes, their bytes, writes and processor time, with and without machine groups, and for how long
+ * the machines of a moving group have no node that grants starts. Prints rows of a table; with
+ * --figure also draws them with PLplot. */
 #include <plplot.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,29 +16,29 @@
 #define SETTLE_S 60
 #define MEASURED_S 60
 #define STEP_S 0.01
-/* A move that has not ended after so long is counted as that long. */
-#define MOVE_MOST_STEPS 2000
+/* A move that has not finished after this many steps is counted with this duration. */
+#define MOVE_STEPS_MAX 2000
 #define MOVES 40
 #define ROUNDS 3
-#define JOBS_A_SECOND 4
+#define JOBS_PER_SECOND 4
 #define NEVER_S 1e6
 
 static const guint sizes[] = { 40, 1241, 6000 };
 #define N_SIZES G_N_ELEMENTS(sizes)
 
 typedef struct {
-  double frames; /* all a machine and second */
+  double frames; /* this and the next two: per machine and second */
   double bytes;
   double heartbeats;
-  double writes; /* a second */
-  double starts; /* a second */
+  double writes; /* per second */
+  double starts; /* per second */
   double processor_s;
 } Cost;
 
 typedef struct {
-  double writes; /* a move, beyond what is written anyway */
+  double writes; /* this and the next: per move, in excess of those without moves */
   double frames;
-  GArray *gaps; /* double, seconds: each moved machine's time without grants, in order */
+  GArray *gaps; /* double, s: each moved machine's time without a granting node, ascending */
 } MoveCost;
 
 static World *
@@ -72,8 +73,8 @@
 }
 
 static void
-submit_some(World *world) {
-  for (guint i = 0; i < JOBS_A_SECOND; i++) {
+submit_jobs(World *world) {
+  for (guint i = 0; i < JOBS_PER_SECOND; i++) {
     g_autofree char *team = g_strdup_printf("team-%u", i % 4);
     world_submit(world,
                  json_pack("{s:s, s:i, s:f}", WIRE_TEAM, team, WIRE_TASKS, 4, WIRE_CORES, 1.0),
@@ -92,7 +93,7 @@
   Cost cost;
 
   for (guint i = 0; i < MEASURED_S; i++) {
-    submit_some(world);
+    submit_jobs(world);
     world_run(world, 1);
   }
   cost = (Cost){ (double)(world->n_frames - frames) * scale,
@@ -105,10 +106,10 @@
   return cost;
 }
 
-/* ---- moves ---- */
+/* Moves */
 
 static gboolean
-some_node_grants(const World *world, const WorldMachine *machine) {
+has_granting_node(const World *world, const WorldMachine *machine) {
   for (guint i = 0; i < WORLD_NODES; i++) {
     const MmNode *node = world->nodes[i].node;
     const MmMachine *known = mm_machine_table_find(node->machine_table, machine->id);
@@ -118,7 +119,8 @@
   return FALSE;
 }
 
-/* The group's machines that some node grants resources of. */
+/* Returns the machines (WorldMachine, borrowed) of the group whose resources a node may grant. Free
+ * with g_ptr_array_unref(). */
 static GPtrArray *
 granted_machines(const World *world, guint group) {
   GPtrArray *machines = g_ptr_array_new();
@@ -126,45 +128,46 @@
   for (guint i = 0; i < world->machines->len; i++) {
     WorldMachine *machine = world_machine_at(world, i);
     if (machine->is_up && world_group_of_machine(world, machine) == group
-        && some_node_grants(world, machine))
+        && has_granting_node(world, machine))
       g_ptr_array_add(machines, machine);
   }
   return machines;
 }
 
-/* Moves the group and notes for how long each of its machines has no node that grants. */
+/* Moves the group and appends to `gaps`, in seconds, for how long each of its machines has no node
+ * that grants its resources. */
 static void
 measure_move(World *world, guint group, GArray *gaps) {
   g_autoptr(GPtrArray) machines = granted_machines(world, group);
-  g_autofree double *without = g_new0(double, machines->len + 1);
+  g_autofree double *without_grants_s = g_new0(double, machines->len + 1);
   guint owner = world_group_owner(world, 0, group);
   guint target = (owner + 1) % WORLD_NODES;
   guint granted = 0;
 
   world_move_group(world, owner, group, target);
-  for (guint steps = 0; steps < MOVE_MOST_STEPS; steps++) {
+  for (guint steps = 0; steps < MOVE_STEPS_MAX; steps++) {
     world_run(world, STEP_S);
     granted = 0;
     for (guint i = 0; i < machines->len; i++)
-      if (some_node_grants(world, g_ptr_array_index(machines, i)))
+      if (has_granting_node(world, g_ptr_array_index(machines, i)))
         granted++;
       else
-        without[i] += STEP_S;
+        without_grants_s[i] += STEP_S;
     if (granted == machines->len && world_group_owner(world, target, group) == target)
       break;
   }
-  g_array_append_vals(gaps, without, machines->len);
+  g_array_append_vals(gaps, without_grants_s, machines->len);
 }
 
 static gint
-smaller_first(gconstpointer a, gconstpointer b) {
+compare_doubles(gconstpointer a, gconstpointer b) {
   double x = *(const double *)a, y = *(const double *)b;
 
   return x < y ? -1 : x > y;
 }
 
-/* Runs side by side, in turns; counts are the same each time, and of the processor's times the
- * middle ratio counts. */
+/* Returns the ratio of processor time with groups to that without. Runs the two alternately ROUNDS
+ * times and takes the median of the ratios; the counts are the same in each round. */
 static double
 measure_ratio(guint size, Cost *without, Cost *with) {
   double ratios[ROUNDS];
@@ -174,7 +177,7 @@
     *with = measure_cost(size, TRUE);
     ratios[i] = with->processor_s / without->processor_s;
   }
-  qsort(ratios, ROUNDS, sizeof *ratios, smaller_first);
+  qsort(ratios, ROUNDS, sizeof *ratios, compare_doubles);
   return ratios[ROUNDS / 2];
 }
 
@@ -187,34 +190,34 @@
   double seconds;
 
   for (guint i = 0; i < MOVES; i++) {
-    submit_some(world);
+    submit_jobs(world);
     world_run(world, 1);
   }
   writes = world->n_writes;
   frames = world->n_frames;
   began_us = world->now_us;
   for (guint i = 0; i < MOVES; i++) {
-    submit_some(world);
+    submit_jobs(world);
     measure_move(world, (i * 37) % GROUPS, cost.gaps);
   }
   seconds = (double)(world->now_us - began_us) / G_USEC_PER_SEC;
   cost.writes = (double)(world->n_writes - writes) / MOVES;
   cost.frames = (double)(world->n_frames - frames) / MOVES;
-  /* The same time again without moves. */
+  /* Subtracts the writes and frames of an equally long period without moves. */
   writes = world->n_writes;
   frames = world->n_frames;
   for (guint i = 0; i < MOVES; i++) {
-    submit_some(world);
+    submit_jobs(world);
     world_run(world, seconds / MOVES);
   }
   cost.writes -= (double)(world->n_writes - writes) / MOVES;
   cost.frames -= (double)(world->n_frames - frames) / MOVES;
-  g_array_sort(cost.gaps, smaller_first);
+  g_array_sort(cost.gaps, compare_doubles);
   world_free(world);
   return cost;
 }
 
-/* ---- what comes out ---- */
+/* Output */
 
 static double
 quantile(const GArray *sorted, double share) {
@@ -245,7 +248,8 @@
     most = MAX(most, MAX(without[i].bytes, with[i].bytes));
   plenv(0, n, 0, most * 1.15, 0, -1);
   plbox("b", 0, 0, "bcnst", 0, 0);
-  pllab("simulated machines", "bytes between nodes", "a machine and second: without, with groups");
+  pllab("simulated machines", "bytes between nodes",
+        "per machine and second: without, with groups");
   for (guint i = 0; i < N_SIZES; i++) {
     g_autofree char *size = g_strdup_printf("%u", sizes[i]);
     const Cost *costs[] = { &without[i], &with[i] };
@@ -268,7 +272,7 @@
     most = MAX(most, quantile(moves[i].gaps, 1));
   plcol0(15);
   plenv(0, most * 1.05, 0, 1.05, 0, 0);
-  pllab("seconds without grants", "share of moved machines", "a group moves");
+  pllab("seconds without grants", "share of moved machines", "move of a group");
   for (guint i = 0; i < N_SIZES; i++) {
     guint n = moves[i].gaps->len;
     g_autofree PLFLT *shares = g_new(PLFLT, n);
@@ -305,15 +309,15 @@
     fprintf(stderr, "measure-sharing: usage: measure-sharing [--figure FILE.svg]\n");
     return EXIT_USAGE;
   }
-  printf("Each pair: without, with groups. A machine and second: messages between nodes, their "
-         "bytes, heartbeats; a second: writes, starts; processor time of the run, as a ratio.\n");
+  printf("Each pair: without, with groups. Per machine and second: messages between nodes, their "
+         "bytes, heartbeats; per second: writes, starts; processor time of the run, as a ratio.\n");
   for (guint i = 0; i < N_SIZES; i++) {
     double ratio = measure_ratio(sizes[i], &without[i], &with[i]);
     print_cost(sizes[i], &without[i], &with[i], ratio);
     fflush(stdout);
   }
-  printf("Moves: machines moved, seconds without grants at the median, nine tenths, the most; "
-         "writes and messages a move.\n");
+  printf("Moves: machines moved; seconds without grants: median, 90th percentile, maximum; "
+         "writes and messages per move.\n");
   for (guint i = 0; i < N_SIZES; i++) {
     moves[i] = measure_moves(sizes[i]);
     print_moves(sizes[i], &moves[i]);
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -1,5 +1,6 @@
-/* What the version in production stores and sends is read by the present code, and what the present
- * code writes of the same jobs is what that version wrote: tests/golden. */
+/* Compatibility with the production version, whose recorded data is in tests/golden: the current
+ * code reads the records and frames of that version and writes the same records for the same jobs.
+ */
 #include "base/wire.h"
 #include "machines/registry.h"
 #include "jobs/job-table.h"
@@ -20,7 +21,7 @@
 }
 
 static json_t *
-recorded(void) {
+load_recorded_state(void) {
   g_autofree char *text = golden_text("production.json");
   json_t *golden = json_loads(text, 0, NULL);
 
@@ -29,14 +30,15 @@
 }
 
 static gboolean
-after_prefix(const char *path, const char *prefix, const char **rest) {
+strip_prefix(const char *path, const char *prefix, const char **rest) {
   *rest = g_str_has_prefix(path, prefix) ? path + strlen(prefix) : NULL;
   return *rest != NULL;
 }
 
-/* A key-value store with the keys that production left, and new nodes that start on it. */
+/* Returns a world whose key-value store holds `keys`, with nodes of the current code that have
+ * started on it. Free with world_free(). */
 static World *
-world_of(json_t *keys) {
+world_with_keys(json_t *keys) {
   World *world = world_new(1);
   const char *path;
   json_t *value;
@@ -81,9 +83,10 @@
   }
 }
 
-/* New fields are beside what the version before reads, and each of its fields is there. */
+/* Checks that the current code writes each field that the production version wrote, with the same
+ * value. Additional fields are allowed. */
 static void
-check_final(const json_t *value) {
+check_terminal_record(const json_t *value) {
   MmTerminalState state;
   g_autoptr(json_t) written = NULL;
   const char *field;
@@ -96,13 +99,14 @@
       g_assert_true(json_equal(json_object_get(written, field), old));
 }
 
-/* New nodes start on the state of production: with the term that was reached, or a later one. */
+/* Nodes of the current code start on the state of the production version, with the recorded term or
+ * a later one. */
 static void
 test_nodes_start_on_production_state(void) {
-  g_autoptr(json_t) golden = recorded();
+  g_autoptr(json_t) golden = load_recorded_state();
   json_t *keys = json_object_get(golden, "keys");
   guint64 term = mm_json_count(json_object_get(keys, MM_KEY_TERM), "t", G_MAXUINT64);
-  World *world = world_of(keys);
+  World *world = world_with_keys(keys);
 
   for (guint i = 0; i < WORLD_NODES; i++) {
     g_assert_true(world->nodes[i].node->replica->is_loaded);
@@ -112,7 +116,7 @@
 }
 
 typedef struct {
-  guint jobs, cancelled, partly_done, packs, finals;
+  guint jobs, cancelled, partly_done, packs, terminal_records;
 } Counts;
 
 static void
@@ -120,28 +124,29 @@
   const MmKeyVersion version = { 1000 };
   const char *rest;
 
-  if (after_prefix(path, MM_KEY_JOB, &rest)) {
+  if (strip_prefix(path, MM_KEY_JOB, &rest)) {
     mm_job_table_put(node->job_table, rest, value, version);
     check_job(node, rest, value);
     counts->jobs++;
     counts->cancelled += mm_json_get(value, "c") != NULL;
     counts->partly_done += mm_json_get(value, "d") != NULL;
-  } else if (after_prefix(path, MM_KEY_REGISTRY_PACK, &rest)) {
+  } else if (strip_prefix(path, MM_KEY_REGISTRY_PACK, &rest)) {
     mm_registry_apply_pack(node->registry, rest, value, version);
     check_pack(node, value);
     counts->packs++;
-  } else if (after_prefix(path, MM_KEY_TERMINAL_RECORD, &rest)) {
-    check_final(value);
-    counts->finals++;
+  } else if (strip_prefix(path, MM_KEY_TERMINAL_RECORD, &rest)) {
+    check_terminal_record(value);
+    counts->terminal_records++;
   }
-  /* No key says what the nodes understand. */
-  g_assert_false(after_prefix(path, MM_KEY_NODE_VERSION, &rest));
+  /* The production version has no keys that announce the nodes' versions. */
+  g_assert_false(strip_prefix(path, MM_KEY_NODE_VERSION, &rest));
 }
 
-/* Jobs, machines and terminal states are read as they were meant, and written as they were. */
+/* Jobs, machines and terminal states of the production version are parsed correctly, and jobs and
+ * terminal states are written as that version wrote them. */
 static void
 test_production_records_round_trip(void) {
-  g_autoptr(json_t) golden = recorded();
+  g_autoptr(json_t) golden = load_recorded_state();
   World *world = world_new(2);
   Counts counts = { 0 };
   const char *path;
@@ -154,13 +159,13 @@
   g_assert_cmpuint(counts.jobs, >=, 3);
   g_assert_cmpuint(counts.cancelled, >=, 1);
   g_assert_cmpuint(counts.partly_done, >=, 1);
-  g_assert_cmpuint(counts.finals, >=, 3);
+  g_assert_cmpuint(counts.terminal_records, >=, 3);
   g_assert_cmpuint(counts.packs, >=, 3);
   world_free(world);
 }
 
 static guint8 *
-from_hex(const char *text, gsize *length) {
+decode_hex(const char *text, gsize *length) {
   guint8 *bytes;
 
   *length = strlen(text) / 2;
@@ -171,18 +176,18 @@
   return bytes;
 }
 
-/* Frames of the version before unpack, and pack to the very bytes again: nothing of them is unknown
- * or lost. */
+/* Frames of the production version unpack without unknown fields and pack to identical bytes again,
+ * so no field is lost. */
 static void
 test_production_frames_round_trip(void) {
-  g_autoptr(json_t) golden = recorded();
+  g_autoptr(json_t) golden = load_recorded_state();
   guint kinds = 0;
   size_t i;
   json_t *item;
 
   json_array_foreach(json_object_get(golden, "frames"), i, item) {
     gsize length;
-    g_autofree guint8 *bytes = from_hex(mm_json_string(item, "bytes"), &length);
+    g_autofree guint8 *bytes = decode_hex(mm_json_string(item, "bytes"), &length);
     g_autofree guint8 *again = g_malloc(length + 1);
     Mm__Frame *frame = mm__frame__unpack(NULL, length, bytes);
     g_assert_nonnull(frame);
@@ -194,11 +199,11 @@
     kinds |= 1u << frame->body_case;
     mm__frame__free_unpacked(frame, NULL);
   }
-  /* All but `gone`, which no machine of that day was. */
+  /* All kinds except `gone` (machine_gone): no machine was lost in the recorded run. */
   g_assert_cmpuint(kinds, ==, 0x1ffe & ~(1u << MM__FRAME__BODY_MACHINE_GONE));
 }
 
-/* ---- messages between nodes ---- */
+/* Message definitions */
 
 static const struct {
   const char *name;
@@ -209,7 +214,8 @@
   { "uint64", PROTOBUF_C_TYPE_UINT64 },
 };
 
-/* The production messages: name -> GPtrArray of their lines, a field or `reserved N;` each. */
+/* Parses the .proto text of the production version. Returns message name -> GPtrArray of lines,
+ * each a field or `reserved N;`. Free with g_hash_table_unref(). */
 static GHashTable *
 parse_messages(const char *text) {
   GHashTable *messages
@@ -235,14 +241,15 @@
 static guint check_message(GHashTable *messages, const char *name,
                            const ProtobufCMessageDescriptor *descriptor);
 
-/* The type may be a message's, which has to agree in turn. */
+/* Checks the type of a field; a message type is checked recursively. Returns the number of fields
+ * checked. */
 static guint
 check_type(GHashTable *messages, const char *type, const ProtobufCFieldDescriptor *field) {
   for (guint i = 0; i < G_N_ELEMENTS(scalar_types); i++) {
     if (strcmp(type, scalar_types[i].name) != 0)
       continue;
     g_assert_cmpint(field->type, ==, scalar_types[i].type);
-    /* Repeated numbers are packed in proto3. */
+    /* proto3 packs repeated numeric fields. */
     if (field->label == PROTOBUF_C_LABEL_REPEATED && field->type != PROTOBUF_C_TYPE_STRING)
       g_assert_true(field->flags & PROTOBUF_C_FIELD_FLAG_PACKED);
     return 1;
@@ -251,9 +258,9 @@
   return 1 + check_message(messages, type, field->descriptor);
 }
 
-/* One line of the production message: the field, by its number, is there with its label and type.
- * Its name isn't sent and may differ. Returns the fields checked, those of its own type included.
- */
+/* Checks one line of a production message: the descriptor has a field with this number, label and
+ * type. The name may differ, since it is not sent. Returns the number of fields checked, including
+ * those of the field's message type. */
 static guint
 check_field(GHashTable *messages, const char *line, const ProtobufCMessageDescriptor *descriptor) {
   g_auto(GStrv) words = g_strsplit(line, " ", -1);
@@ -276,7 +283,8 @@
   return check_type(messages, words[is_repeated ? 1 : 0], field);
 }
 
-/* Each message is checked where it is first met, and taken out of the table. */
+/* Checks a message at its first occurrence and removes it from the table. Returns the number of
+ * fields checked; 0 when the message has been checked before. */
 static guint
 check_message(GHashTable *messages, const char *name,
               const ProtobufCMessageDescriptor *descriptor) {
@@ -291,16 +299,16 @@
   return checked;
 }
 
-/* Each field of the production version's messages is there with its number, label and type, and no
- * reserved number is used again: it reads what is sent now. */
+/* Each field of the production version's messages still exists with its number, label and type, and
+ * no reserved number is used again, so the production version can read current frames. */
 static void
 test_production_message_fields_are_kept(void) {
-  g_autofree char *before = golden_text("production.proto");
-  g_autoptr(GHashTable) messages = parse_messages(before);
+  g_autofree char *production_text = golden_text("production.proto");
+  g_autoptr(GHashTable) messages = parse_messages(production_text);
 
-  g_assert_nonnull(strstr(before, "syntax = \"proto3\";"));
+  g_assert_nonnull(strstr(production_text, "syntax = \"proto3\";"));
   g_assert_cmpuint(check_message(messages, "Frame", &mm__frame__descriptor), >, 60);
-  /* Every message is part of a frame, so all were checked. */
+  /* Every message is reachable from Frame, so all have been checked. */
   g_assert_cmpuint(g_hash_table_size(messages), ==, 0);
 }
 
--- a/tests/test-history-checker.c
+++ b/tests/test-history-checker.c
@@ -1,5 +1,4 @@
-/* The checker of histories finds what is wrong, in each way that something can be, and nothing in a
- * history that is right. */
+/* The history checker reports each kind of violation, and none in a correct history. */
 #include "checker.h"
 
 #include <string.h>
@@ -8,12 +7,13 @@
 
 static const HistoryRules rules = { 25 };
 
-/* One line a step: seconds, kind, and what the kind needs.
+/* Parses a text with one event per line: time in seconds, kind and the arguments of the kind.
+ * Returns an array of HistoryEvent. Free with g_array_unref().
  *   accepted JOB TASKS | done JOB | cancelled JOB
  *   start JOB TASK MACHINE CORES | end JOB TASK MACHINE yes/no | refused JOB TASK MACHINE 0
  * Machines have 4 cores. */
 static GArray *
-history(const char *text) {
+parse_history(const char *text) {
   static const char *const kinds[] = { "accepted", "done", "cancelled", "start", "end", "refused" };
   GArray *events = g_array_new(FALSE, FALSE, sizeof(HistoryEvent));
   g_auto(GStrv) lines = g_strsplit(text, "\n", -1);
@@ -22,7 +22,7 @@
     g_auto(GStrv) words = g_strsplit(lines[i], " ", -1);
     guint n = g_strv_length(words);
     HistoryEvent event
-        = { .us = (gint64)(g_ascii_strtod(words[0], NULL) * (double)SECOND), .capacity = 4 };
+        = { .time_us = (gint64)(g_ascii_strtod(words[0], NULL) * (double)SECOND), .capacity = 4 };
 
     for (guint k = 0; k < G_N_ELEMENTS(kinds); k++)
       if (strcmp(words[1], kinds[k]) == 0)
@@ -41,74 +41,82 @@
   return events;
 }
 
+/* Checks that the history in `text` has exactly one violation and that its description contains
+ * `expected`; NULL: that it has none. */
 static void
-expect(const char *text, const char *about) {
-  g_autoptr(GArray) events = history(text);
-  g_autoptr(GPtrArray) wrong = history_check(events, &rules);
+check_history(const char *text, const char *expected) {
+  g_autoptr(GArray) events = parse_history(text);
+  g_autoptr(GPtrArray) violations = history_check(events, &rules);
 
-  for (guint i = 0; i < wrong->len; i++)
-    g_test_message("%s", (char *)g_ptr_array_index(wrong, i));
-  if (about == NULL) {
-    g_assert_cmpuint(wrong->len, ==, 0);
+  for (guint i = 0; i < violations->len; i++)
+    g_test_message("%s", (char *)g_ptr_array_index(violations, i));
+  if (expected == NULL) {
+    g_assert_cmpuint(violations->len, ==, 0);
     return;
   }
-  g_assert_cmpuint(wrong->len, ==, 1);
-  g_assert_nonnull(strstr(g_ptr_array_index(wrong, 0), about));
+  g_assert_cmpuint(violations->len, ==, 1);
+  g_assert_nonnull(strstr(g_ptr_array_index(violations, 0), expected));
 }
 
 static void
 test_correct_histories_pass(void) {
-  expect("1 accepted a 2\n2 start a 0 m1 2\n2 start a 1 m1 2\n3 end a 0 m1 yes\n4 end a 1 m1 yes\n"
-         "5 done a\n",
-         NULL);
-  /* Stopped and run again elsewhere; lost and run again; a kept result reported once more. */
-  expect("1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m1 no\n4 start a 0 m2 2\n5 end a 0 m2 yes\n"
-         "6 start a 0 m2 2\n6 end a 0 m2 yes\n7 done a\n",
-         NULL);
-  /* Cancelled with a start under way. */
-  expect("1 accepted a 1\n2 cancelled a\n5 start a 0 m1 2\n9 end a 0 m1 no\n", NULL);
-  /* A service. */
-  expect("1 accepted s 0\n2 start s 0 m1 2\n50 cancelled s\n51 end s 0 m1 no\n", NULL);
+  check_history(
+      "1 accepted a 2\n2 start a 0 m1 2\n2 start a 1 m1 2\n3 end a 0 m1 yes\n4 end a 1 m1 yes\n"
+      "5 done a\n",
+      NULL);
+  /* A task is stopped or lost and runs again on another machine; a finished task is started again
+   * and its kept result is reported a second time. */
+  check_history(
+      "1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m1 no\n4 start a 0 m2 2\n5 end a 0 m2 yes\n"
+      "6 start a 0 m2 2\n6 end a 0 m2 yes\n7 done a\n",
+      NULL);
+  /* A job is cancelled while a start is in flight. */
+  check_history("1 accepted a 1\n2 cancelled a\n5 start a 0 m1 2\n9 end a 0 m1 no\n", NULL);
+  /* A service runs until it is cancelled. */
+  check_history("1 accepted s 0\n2 start s 0 m1 2\n50 cancelled s\n51 end s 0 m1 no\n", NULL);
 }
 
 static void
 test_wrong_histories_are_found(void) {
   const struct {
-    const char *text, *about;
+    const char *text, *expected;
   } histories[] = {
     { "1 accepted a 1\n2 start a 0 m1 2\n3 start a 0 m2 2\n4 end a 0 m2 yes\n5 done a\n",
-      "while it is on m1" },
+      "while it is running on m1" },
     { "1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m1 yes\n4 start a 0 m1 2\n5 end a 0 m1 yes\n"
       "6 done a\n",
-      "run once more" },
+      "ran again after it had completed" },
     { "1 accepted a 2\n2 start a 0 m1 2\n3 end a 0 m1 yes\n4 accepted b 0\n5 cancelled b\n",
-      "is lost: 1 of 2" },
+      "was lost: 1 of 2" },
     { "1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m1 yes\n", "its user was not told" },
-    { "1 accepted a 1\n2 start a 0 m1 2\n3 done a\n4 end a 0 m1 yes\n", "done with 0 of 1" },
+    { "1 accepted a 1\n2 start a 0 m1 2\n3 done a\n4 end a 0 m1 yes\n",
+      "reported as done with 0 of 1" },
     { "1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m1 yes\n4 cancelled a\n5 done a\n",
-      "done after it was called cancelled" },
+      "done after it was reported as cancelled" },
     { "1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m1 yes\n4 done a\n5 cancelled a\n",
-      "cancelled after it was called done" },
+      "cancelled after it was reported as done" },
     { "1 accepted a 1\n2 cancelled a\n9 start a 0 m1 2\n10 end a 0 m1 no\n",
       "after its job's cancellation" },
     { "1 accepted a 1\n2 start a 0 m1 2\n3 cancelled a\n29 accepted b 0\n30 cancelled b\n",
-      "long after its cancellation" },
+      "too long after its cancellation" },
     { "1 start a 0 m1 2\n2 end a 0 m1 yes\n", "never accepted" },
-    { "1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m2 yes\n4 cancelled a\n", "where it was not" },
+    { "1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m2 yes\n4 cancelled a\n",
+      "where it was not running" },
     { "1 accepted a 2\n2 start a 0 m1 3\n3 start a 1 m1 3\n4 end a 0 m1 yes\n5 end a 1 m1 yes\n"
       "6 done a\n",
-      "its tasks take 6" },
+      "its tasks use 6" },
     { "1 accepted a 0\n2 refused a 0 m1 0\n3 cancelled a\n", "without resources" },
   };
 
   for (guint i = 0; i < G_N_ELEMENTS(histories); i++)
-    expect(histories[i].text, histories[i].about);
+    check_history(histories[i].text, histories[i].expected);
 }
 
 static void
 test_events_round_trip_as_lines(void) {
-  g_autoptr(GArray) events = history("1.5 accepted a 2\n2 start a 1 m1 2.5\n3 end a 1 m1 yes\n"
-                                     "4 refused a 0 m2 0\n5 done a\n6 cancelled a\n");
+  g_autoptr(GArray) events
+      = parse_history("1.5 accepted a 2\n2 start a 1 m1 2.5\n3 end a 1 m1 yes\n"
+                      "4 refused a 0 m2 0\n5 done a\n6 cancelled a\n");
   HistoryEvent again;
 
   for (guint i = 0; i < events->len; i++) {
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -1,11 +1,12 @@
-/* Prints a digest of seeded days of the simulated world, one line a seed: to show that a change of
- * the sources changes nothing of what they do.
+/* Prints a digest of a simulated day per seed, one line each. Equal digests before and after a
+ * change of the sources show that the change does not alter behaviour.
  *
- *   world-digest [FIRST_SEED [SEEDS]]     seed 1 and 20 seeds unless said otherwise
+ *   world-digest [FIRST_SEED [SEEDS]]     default: seed 1, 20 seeds
  *
  * A digest covers every request to the key-value store and the cloud, every direct command and its
- * answer, every frame between nodes, every start and end of a task, what each user was answered,
- * and the keys of the key-value store at the end. Every other seed shares machine groups out. */
+ * response, every frame between nodes, every start and end of a task, the final state that each
+ * user saw, and the keys of the key-value store at the end. Machines are shared in groups for even
+ * seeds only. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -18,7 +19,7 @@
 #define GROUPS 16
 
 static GChecksum *digest;
-static gboolean day_is_over; /* what comes as the world is freed is left out */
+static gboolean day_is_over; /* excludes events that occur while the world is freed */
 
 static void
 add_bytes(const guint8 *bytes, gsize length) {
@@ -28,7 +29,7 @@
 
 static void
 add_text(const char *text) {
-  /* With its end, so that "ab", "c" differs from "a", "bc". */
+  /* Includes the terminating NUL, so that "ab", "c" differs from "a", "bc". */
   add_bytes((const guint8 *)text, strlen(text) + 1);
 }
 
@@ -47,7 +48,7 @@
   add_text(text);
 }
 
-/* Linked with --wrap for each of these. */
+/* The linker's --wrap option redirects calls of each of these functions to its digest_ variant. */
 size_t real_pack(const Mm__Frame *frame, uint8_t *out) __asm__("__real_mm__frame__pack");
 size_t digest_pack(const Mm__Frame *frame, uint8_t *out) __asm__("__wrap_mm__frame__pack");
 int real_store(World *world, const char *method, const char *path, const json_t *body,
@@ -145,7 +146,7 @@
 }
 
 static void
-play_day(World *world) {
+run_day(World *world) {
   world_start(world);
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
@@ -157,7 +158,7 @@
 }
 
 static void
-add_end(World *world) {
+add_final_state(World *world) {
   g_tree_foreach(world->keys, add_key, NULL);
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = world_job_at(world, i);
@@ -174,9 +175,9 @@
   digest = g_checksum_new(G_CHECKSUM_SHA256);
   day_is_over = FALSE;
   world = new_world(seed);
-  play_day(world);
+  run_day(world);
   world_assert_invariants(world);
-  add_end(world);
+  add_final_state(world);
   day_is_over = TRUE;
   printf("seed %u: %s starts=%u writes=%" G_GUINT64_FORMAT " frames=%" G_GUINT64_FORMAT
          " events=%" G_GUINT64_FORMAT "\n",
