--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -51,7 +51,7 @@
   g_assert_nonnull(processes->folder);
   for (guint i = 0; i < WORLD_NODES; i++) {
     processes->programs[i] = g_strdup(program);
-    processes->fronts[i] = g_strdup_printf("127.0.0.1:%u", find_free_port());
+    processes->http_addresses[i] = g_strdup_printf("127.0.0.1:%u", find_free_port());
   }
   return processes;
 }
@@ -88,7 +88,8 @@
   g_string_append_printf(text,
                          "label = \"n-%u\"\nzone = \"%s\"\nfront = \"%s\"\n"
                          "cluster_listen = \"%s\"\n",
-                         index, zones[index], processes->fronts[index], peer_addresses[index]);
+                         index, zones[index], processes->http_addresses[index],
+                         peer_addresses[index]);
   append_peer_settings(text, peer_addresses, index);
   g_string_append_printf(text,
                          "[external]\ncloud = \"%s\"\nstate = \"%s\"\n[settings]\ncount = %d\n"
@@ -101,7 +102,7 @@
                          "[settings.state]\nrps = 400.0\nwrite_rps = 60.0\nvalue_kb = 4.0\n"
                          "txn_ops = 12\n[settings.cloud]\nrps = 6.0\nlist_lag_s = 2.0\n"
                          "[settings.resources]\ncpu = 1.0\nram_mb = 512.0\nmax_sockets = 1000\n",
-                         world->heartbeat_interval_s, world->lease_s, world->cancel_s);
+                         world->heartbeat_interval_s, world->worker_lease_s, world->cancel_s);
   return g_string_free(text, FALSE);
 }
 
@@ -262,7 +263,7 @@
     if (processes->settings_paths[i] != NULL)
       g_unlink(processes->settings_paths[i]);
     g_free(processes->settings_paths[i]);
-    g_free(processes->fronts[i]);
+    g_free(processes->http_addresses[i]);
     g_free(processes->programs[i]);
   }
   if (processes->operators_path != NULL)
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -8,7 +8,7 @@
   char *programs[WORLD_NODES]; /* binary that each node runs, effective at its next start */
   char *operators_path;        /* path of the operators file; NULL: none */
   char *settings_paths[WORLD_NODES];
-  char *fronts[WORLD_NODES + 1];
+  char *http_addresses[WORLD_NODES + 1];
   GPid pids[WORLD_NODES];            /* 0: the node is down */
   guint resume_timers[WORLD_NODES];  /* GSource id of the timer that resumes it; 0: not paused */
   guint restart_timers[WORLD_NODES]; /* GSource id of the timer that starts it; 0: none */
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -226,11 +226,11 @@
 static void
 check_commands(Run *run) {
   Processes *processes = run->processes;
-  const char *front = processes->fronts[1];
-  g_autofree char *list = g_strdup_printf("groups --front %s", front);
+  const char *address = processes->http_addresses[1];
+  g_autofree char *list = g_strdup_printf("groups --front %s", address);
   g_autofree char *no_group
-      = g_strdup_printf("groups --front %s --move %d --to n-1", front, GROUPS);
-  g_autofree char *no_node = g_strdup_printf("groups --front %s --move 1 --to nobody", front);
+      = g_strdup_printf("groups --front %s --move %d --to n-1", address, GROUPS);
+  g_autofree char *no_node = g_strdup_printf("groups --front %s --move 1 --to nobody", address);
   g_autofree char *other = g_build_filename(processes->folder, "operators-other.xml", NULL);
   g_autofree char *node
       = g_strdup_printf("--config %s --operators %s", processes->settings_paths[0], other);
@@ -341,7 +341,8 @@
   run.world->team_cores = 60;
   run.world->observe_task = record_task_event;
   run.world->observer_data = &run;
-  run.stand_ins = stand_ins_new(run.world, (const char *const *)run.processes->fronts, &error);
+  run.stand_ins
+      = stand_ins_new(run.world, (const char *const *)run.processes->http_addresses, &error);
   if (run.stand_ins == NULL)
     g_error("%s", error->message);
   run.load_end_us = run.world->now_us + (gint64)seconds * G_USEC_PER_SEC;
--- a/tests/loopback/stand-ins.c
+++ b/tests/loopback/stand-ins.c
@@ -13,7 +13,7 @@
   SoupServer *server;
   SoupSession *session;
   char *address;
-  const char *const *fronts;
+  const char *const *http_addresses;
   gint64 offset_us; /* simulated time minus monotonic clock */
   guint timer;
   guint n_requests_in_flight; /* requests to nodes that have no response yet */
@@ -150,7 +150,7 @@
 send_to_node(World *world, guint index, const char *method, const char *path, json_t *body,
              gint64 timeout_us, MmResponseCallback callback, gpointer data) {
   StandIns *stand_ins = world->request_handler_data;
-  g_autofree char *uri = g_strconcat("http://", stand_ins->fronts[index], path, NULL);
+  g_autofree char *uri = g_strconcat("http://", stand_ins->http_addresses[index], path, NULL);
   Request *request = g_new0(Request, 1);
 
   stand_ins->n_requests_in_flight++;
@@ -173,13 +173,13 @@
 /* Setup */
 
 StandIns *
-stand_ins_new(World *world, const char *const *fronts, GError **error) {
+stand_ins_new(World *world, const char *const *http_addresses, GError **error) {
   StandIns *stand_ins = g_new0(StandIns, 1);
   g_autoptr(GSocketAddress) loopback = g_inet_socket_address_new_from_string("127.0.0.1", 0);
   GSList *uris;
 
   stand_ins->world = world;
-  stand_ins->fronts = fronts;
+  stand_ins->http_addresses = http_addresses;
   stand_ins->server = soup_server_new(NULL, NULL);
   stand_ins->session = soup_session_new_with_options("max-conns", CONNECTIONS_MAX,
                                                      "max-conns-per-host", CONNECTIONS_MAX, NULL);
--- a/tests/loopback/stand-ins.h
+++ b/tests/loopback/stand-ins.h
@@ -7,11 +7,11 @@
 
 typedef struct StandIns StandIns;
 
-/* Starts the server. `fronts`: the addresses at which users reach the nodes, WORLD_NODES entries of
- * "HOST:PORT". The world and `fronts` are not copied: the world must exist until stand_ins_stop(),
- * `fronts` until no request is sent any more. Returns NULL and sets `error` when the server cannot
- * listen. Free with stand_ins_free(). */
-StandIns *stand_ins_new(World *world, const char *const *fronts, GError **error);
+/* Starts the server. `http_addresses`: the addresses at which users reach the nodes, WORLD_NODES
+ * entries of "HOST:PORT". The world and `http_addresses` are not copied: the world must exist until
+ * stand_ins_stop(), `http_addresses` until no request is sent any more. Returns NULL and sets
+ * `error` when the server cannot listen. Free with stand_ins_free(). */
+StandIns *stand_ins_new(World *world, const char *const *http_addresses, GError **error);
 /* Aborts all requests to nodes and stops the simulated time. The world may be freed afterwards. */
 void stand_ins_stop(StandIns *stand_ins);
 /* Stops and frees the server. Call it after world_free(), which responds to pending watches. */
--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -13,7 +13,7 @@
 
 #define EXIT_USAGE 2
 #define GROUPS 256
-#define SETTLE_S 60
+#define WARMUP_S 60
 #define MEASURED_S 60
 #define STEP_S 0.01
 /* A move that has not finished after this many steps is counted with this duration. */
@@ -52,7 +52,7 @@
   world->group_hold_s = 1;
   if (size > 100) {
     world->heartbeat_interval_s = 5;
-    world->lease_s = 26.5;
+    world->worker_lease_s = 26.5;
     world->cancel_s = 51.5;
   }
   for (guint i = 0; i < size; i++)
@@ -68,7 +68,7 @@
     world->nodes[i].operators.may_scale_out = 0;
     world->nodes[i].operators.idle_release_s = NEVER_S;
   }
-  world_run(world, SETTLE_S);
+  world_run(world, WARMUP_S);
   return world;
 }
 
--- a/tests/test-concurrent-faults-cancellation.c
+++ b/tests/test-concurrent-faults-cancellation.c
@@ -16,7 +16,7 @@
   for (guint i = 0; i < 12; i++) {
     submit_jobs(world, 2, WIRE_KIND_ARRAY, 1 + i % 3, 1 + i % 4);
     world_run(world, 2);
-    world_send_odd_requests(world);
+    world_send_unusual_requests(world);
   }
   world_run(world, 10);
   for (guint i = 0; i < world->jobs->len; i++) {
@@ -25,7 +25,7 @@
     n_cancelled += world_job_at(world, i)->user_view == USER_SEES_CANCELLED;
   }
   g_test_message("%u jobs cancelled, %u done despite a cancellation request", n_cancelled, n_done);
-  return MIN(world->n_odd_requests_correct, n_cancelled + n_done);
+  return MIN(world->n_unusual_requests_correct, n_cancelled + n_done);
 }
 
 /* The key-value store refuses requests from the leader only, while the other nodes confirm
@@ -85,16 +85,16 @@
   return n_overlaps;
 }
 
-/* The leader is cut off from everything but its workers and users; jobs are cancelled through the
- * other nodes. */
+/* The leader is partitioned from everything but its workers and users; jobs are cancelled through
+ * the other nodes. */
 guint
-leader_is_cut_off_from_cancellation(World *world) {
+leader_is_partitioned_during_cancellation(World *world) {
   guint leader, n_overlaps = 0;
 
   submit_jobs(world, 6, WIRE_KIND_ARRAY, 4, 300);
   world_run(world, 8);
   leader = world_node_leading_most_shards(world);
-  world_cut_node(world, leader, world->cancel_s + 10, FALSE);
+  world_partition_node(world, leader, world->cancel_s + 10, FALSE);
   world_run(world, 1);
   inject_into_machines_with_tasks(world, 4, lose_inbound, 6);
   cancel_all_jobs(world);
@@ -119,25 +119,26 @@
   cancel_all_jobs(world);
   refuse_kv_requests(world, world_node_leading_most_shards(world), 10);
   world_run(world, 2);
-  world_send_odd_requests(world);
+  world_send_unusual_requests(world);
   world_kv_outage(world, world->cancel_s + 10);
   world_run(world, 1);
   n_overlaps = count_jobs_seen_as(world, USER_SEES_CANCELLED) + world_count_cancelled_tasks(world);
-  world_send_odd_requests(world);
+  world_send_unusual_requests(world);
   world_run(world, world->cancel_s + 20);
   return n_overlaps;
 }
 
-/* Many jobs are cancelled within a fifth of a second, and machines that run their tasks hang. */
+/* Many jobs are cancelled within a fifth of a second, and workers that run their tasks are
+ * suspended. */
 guint
-machines_hang_as_jobs_are_cancelled(World *world) {
+workers_are_suspended_as_jobs_are_cancelled(World *world) {
   guint n_overlaps;
 
   submit_jobs(world, 8, WIRE_KIND_ARRAY, 3, 200);
   world_run(world, 10);
   cancel_all_jobs(world);
   world_run(world, 0.1);
-  n_overlaps = inject_into_machines_with_tasks(world, 5, suspend_worker, world->lease_s - 1);
+  n_overlaps = inject_into_machines_with_tasks(world, 5, suspend_worker, world->worker_lease_s - 1);
   world_run(world, world->cancel_s + 10);
   return n_overlaps;
 }
--- a/tests/test-concurrent-faults-failover.c
+++ b/tests/test-concurrent-faults-failover.c
@@ -36,7 +36,7 @@
     if (round % 3 == 1)
       world_kill_node(world, world_node_leading_most_shards(world), 0.3);
     if (round % 3 == 2)
-      inject_into_machines_with_tasks(world, 1, interrupt_network, world->lease_s + 2);
+      inject_into_machines_with_tasks(world, 1, partition_machine, world->worker_lease_s + 2);
     world_run(world, 2);
   }
   world->late_write_rate = 0;
@@ -119,7 +119,7 @@
   static const char *const priorities[] = { "low", "normal", "urgent", "critical" };
   guint n_waiting = 0;
 
-  world->slow_links_s = 1.5;
+  world->max_request_delay_s = 1.5;
   world->capacity = 1;
   for (guint i = 0; i < 36; i++) {
     g_autofree char *team = g_strdup_printf("team-%u", i % 4);
@@ -133,7 +133,7 @@
     n_waiting += world_job_at(world, i)->first_start_at_us == 0;
   world_kill_node(world, world_node_leading_most_shards(world), 0.5);
   world_run(world, 60);
-  world->slow_links_s = 0;
+  world->max_request_delay_s = 0;
   return n_waiting;
 }
 
@@ -147,7 +147,8 @@
   submit_jobs(world, 5, WIRE_KIND_ARRAY, 4, 35);
   world_run(world, 8);
   before = highest_known_term(world);
-  n_overlaps += inject_into_machines_with_tasks(world, 2, interrupt_network, world->lease_s - 2);
+  n_overlaps
+      += inject_into_machines_with_tasks(world, 2, partition_machine, world->worker_lease_s - 2);
   n_overlaps += inject_into_machines_with_tasks(world, 4, lose_inbound, 6);
   world_kill_node(world, world_node_leading_most_shards(world), 15);
   world_run(world, 1);
@@ -187,8 +188,8 @@
   submit_jobs(world, 2, WIRE_KIND_SERVICE, 3, 0);
   world_run(world, 8);
   for (guint i = 0; i < WORLD_NODES; i++)
-    world_kill_node(world, i, world->lease_s + 6);
-  world_run(world, 2 * world->lease_s + 10);
+    world_kill_node(world, i, world->worker_lease_s + 6);
+  world_run(world, 2 * world->worker_lease_s + 10);
   return count_machines_with_lost_lease(world, NULL);
 }
 
@@ -203,7 +204,7 @@
   world_run(world, 10);
   for (guint i = 0; i < 5; i++)
     n_running += world_count_running(world, world_job_at(world, i), NULL);
-  inject_into_machines_with_tasks(world, 3, interrupt_network, world->lease_s + 4);
+  inject_into_machines_with_tasks(world, 3, partition_machine, world->worker_lease_s + 4);
   world_kill_node(world, world_node_leading_most_shards(world), 5);
   world_run(world, 0.5);
   world_cancel(world_job_at(world, 0));
--- a/tests/test-concurrent-faults-fixtures.c
+++ b/tests/test-concurrent-faults-fixtures.c
@@ -66,13 +66,13 @@
 }
 
 void
-interrupt_network(WorldMachine *machine, gint64 until_us) {
-  machine->cut_until_us = until_us;
+partition_machine(WorldMachine *machine, gint64 until_us) {
+  machine->partitioned_until_us = until_us;
 }
 
 void
 suspend_worker(WorldMachine *machine, gint64 until_us) {
-  machine->hung_until_us = until_us;
+  machine->suspended_until_us = until_us;
 }
 
 void
--- a/tests/test-concurrent-faults-network.c
+++ b/tests/test-concurrent-faults-network.c
@@ -9,7 +9,7 @@
 commands_are_delayed(World *world) {
   submit_jobs(world, 4, WIRE_KIND_ARRAY, 4, 30);
   world_run(world, 8);
-  inject_into_machines_with_tasks(world, 3, interrupt_network, 6);
+  inject_into_machines_with_tasks(world, 3, partition_machine, 6);
   cancel_all_jobs(world);
   world_run(world, 2);
   inject_into_machines_with_tasks(world, 6, suspend_worker, 5);
@@ -17,29 +17,29 @@
   return world->n_delayed_commands;
 }
 
-/* A zone that contains a node and workers is cut off for longer than the duration of a worker's
+/* A zone that contains a node and workers is partitioned for longer than the duration of a worker's
  * lease. */
 guint
-zone_is_cut_with_its_node(World *world) {
+zone_is_partitioned_with_its_node(World *world) {
   submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
   world_run(world, 8);
-  world_cut_zone(world, 0, world->lease_s + 8, TRUE);
+  world_partition_zone(world, 0, world->worker_lease_s + 8, TRUE);
   world_run(world, 5);
   submit_jobs(world, 2, WIRE_KIND_ARRAY, 4, 5);
-  world_run(world, world->lease_s + 15);
+  world_run(world, world->worker_lease_s + 15);
   return count_machines_with_lost_lease(world, "a");
 }
 
-/* Like zone_is_cut_with_its_node(), but a node outside the zone restarts. It knows the machines in
- * the zone only from the registry, and proves that their incarnations have ended at the time when
- * the zone is reconnected. */
+/* Like zone_is_partitioned_with_its_node(), but a node outside the zone restarts. It knows the
+ * machines in the zone only from the registry, and proves that their incarnations have ended at the
+ * time when the zone is reconnected. */
 guint
-node_restarts_while_zone_is_cut(World *world) {
+node_restarts_while_zone_is_partitioned(World *world) {
   submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
   submit_jobs(world, 8, WIRE_KIND_ARRAY, 6, 12);
   world_run(world, 6);
-  world_cut_zone(world, 0, 2 * world->lease_s + world_uniform(world, 1, 4), TRUE);
-  world_run(world, world_uniform(world, 2, world->lease_s + 2));
+  world_partition_zone(world, 0, 2 * world->worker_lease_s + world_uniform(world, 1, 4), TRUE);
+  world_run(world, world_uniform(world, 2, world->worker_lease_s + 2));
   world_kill_node(world, 1, world_uniform(world, 0.3, 3));
   for (guint i = 0; i < 12; i++) {
     world_run(world, 3);
@@ -56,8 +56,8 @@
   submit_jobs(world, 6, WIRE_KIND_ARRAY, 3, 12);
   for (guint round = 0; round < 3; round++) {
     world_run(world, 6);
-    inject_into_machines_with_tasks(world, 2, round % 2 == 0 ? interrupt_network : lose_inbound,
-                                    world->lease_s + 3);
+    inject_into_machines_with_tasks(world, 2, round % 2 == 0 ? partition_machine : lose_inbound,
+                                    world->worker_lease_s + 3);
     world_kill_node(world, round, 0.3);
     world_run(world, 8);
   }
@@ -73,11 +73,11 @@
 
   submit_jobs(world, 4, WIRE_KIND_ARRAY, 4, 40);
   world_run(world, 8);
-  inject_into_machines_with_tasks(world, 4, lose_outbound, world->lease_s + 12);
+  inject_into_machines_with_tasks(world, 4, lose_outbound, world->worker_lease_s + 12);
   world_run(world, 0.5);
   world_cancel(world_job_at(world, 0));
   world_cancel(world_job_at(world, 1));
-  world_run(world, world->lease_s + 14);
+  world_run(world, world->worker_lease_s + 14);
   for (guint i = 0; i < world->machines->len; i++)
     n_arrived += world_machine_at(world, i)->n_direct_while_outbound_lost;
   return n_arrived;
@@ -107,12 +107,12 @@
   return highest_known_term(world) > before ? n_overlaps : 0;
 }
 
-/* The node with the active autoscaler is cut off from all workers. Meanwhile the heartbeats of some
- * workers are lost, and these answer requests of the other nodes. The autoscaler must not conclude
- * that machines are silent because its own node reaches no worker: it would return healthy machines
- * to the cloud. */
+/* The node with the active autoscaler is partitioned from all workers. Meanwhile the heartbeats of
+ * some workers are lost, and these answer requests of the other nodes. The autoscaler must not
+ * conclude that machines are silent because its own node reaches no worker: it would return healthy
+ * machines to the cloud. */
 guint
-autoscaler_is_cut_from_workers(World *world) {
+autoscaler_is_partitioned_from_workers(World *world) {
   guint autoscaler_node = 0, n_overlaps, n_up_before = 0, n_up_after = 0;
 
   submit_jobs(world, 6, WIRE_KIND_SERVICE, 2, 0);
@@ -121,9 +121,10 @@
     autoscaler_node++;
   for (guint i = 0; i < 9; i++)
     n_up_before += world_machine_at(world, i)->is_up;
-  world->nodes[autoscaler_node].workers_cut_until_us = world->now_us + 20 * SECOND;
+  world->nodes[autoscaler_node].workers_partitioned_until_us = world->now_us + 20 * SECOND;
   world_run(world, 5);
-  n_overlaps = inject_into_machines_with_tasks(world, 1, lose_outbound, world->lease_s - 1.5);
+  n_overlaps
+      = inject_into_machines_with_tasks(world, 1, lose_outbound, world->worker_lease_s - 1.5);
   world_run(world, 15);
   for (guint i = 0; i < 9; i++)
     n_up_after += world_machine_at(world, i)->is_up;
--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -9,10 +9,10 @@
 } FaultScenario;
 
 static const FaultScenario scenarios[] = {
-  { "autoscaler-is-cut-from-workers", autoscaler_is_cut_from_workers },
+  { "autoscaler-is-cut-from-workers", autoscaler_is_partitioned_from_workers },
   { "commands-are-delayed", commands_are_delayed },
-  { "zone-is-cut-with-its-node", zone_is_cut_with_its_node },
-  { "node-restarts-while-zone-is-cut", node_restarts_while_zone_is_cut },
+  { "zone-is-cut-with-its-node", zone_is_partitioned_with_its_node },
+  { "node-restarts-while-zone-is-cut", node_restarts_while_zone_is_partitioned },
   { "all-nodes-end-and-one-returns", all_nodes_end_and_one_returns },
   { "stale-heartbeats-arrive", stale_heartbeats_arrive },
   { "transactions-are-applied-late", transactions_are_applied_late },
@@ -24,14 +24,14 @@
   { "outage-follows-cancellation", outage_follows_cancellation },
   { "outage-follows-cancellation-without-leader", outage_follows_cancellation_without_leader },
   { "zone-bound-jobs-lose-machines", zone_bound_jobs_lose_machines },
-  { "leader-is-cut-off-from-cancellation", leader_is_cut_off_from_cancellation },
+  { "leader-is-cut-off-from-cancellation", leader_is_partitioned_during_cancellation },
   { "more-work-than-resources", more_work_than_resources },
   { "leader-ends-while-machines-are-unreached", leader_ends_while_machines_are_unreached },
   { "ten-failovers-in-two-minutes", ten_failovers_in_two_minutes },
   { "store-is-slow-then-refuses", store_is_slow_then_refuses },
   { "all-nodes-are-down-beyond-a-lease", all_nodes_are_down_beyond_a_lease },
   { "team-is-at-its-limit-during-failover", team_is_at_its_limit_during_failover },
-  { "machines-hang-as-jobs-are-cancelled", machines_hang_as_jobs_are_cancelled },
+  { "machines-hang-as-jobs-are-cancelled", workers_are_suspended_as_jobs_are_cancelled },
   { "stale-node-misses-cancellation", stale_node_misses_cancellation },
 };
 
--- a/tests/test-concurrent-faults.h
+++ b/tests/test-concurrent-faults.h
@@ -26,8 +26,8 @@
  * Returns the number of machines that it was injected into. */
 guint inject_into_machines_with_tasks(World *world, guint max_machines, MachineFault inject,
                                       double seconds);
-/* Interrupts the machine's network; messages are delivered when the interruption is over. */
-void interrupt_network(WorldMachine *machine, gint64 until_us);
+/* Partitions the machine from the nodes; messages are delivered when the partition ends. */
+void partition_machine(WorldMachine *machine, gint64 until_us);
 void suspend_worker(WorldMachine *machine, gint64 until_us);
 /* Drops the responses and direct commands that are sent to the machine. */
 void lose_inbound(WorldMachine *machine, gint64 until_us);
@@ -39,12 +39,12 @@
 /* Scenarios in test-concurrent-faults-network.c. */
 
 guint commands_are_delayed(World *world);
-guint zone_is_cut_with_its_node(World *world);
-guint node_restarts_while_zone_is_cut(World *world);
+guint zone_is_partitioned_with_its_node(World *world);
+guint node_restarts_while_zone_is_partitioned(World *world);
 guint stale_heartbeats_arrive(World *world);
 guint heartbeats_are_lost_commands_arrive(World *world);
 guint delayed_heartbeat_reaches_new_leader(World *world);
-guint autoscaler_is_cut_from_workers(World *world);
+guint autoscaler_is_partitioned_from_workers(World *world);
 
 /* Scenarios in test-concurrent-faults-failover.c. */
 
@@ -64,7 +64,7 @@
 guint jobs_are_cancelled_as_they_end(World *world);
 guint outage_follows_cancellation(World *world);
 guint outage_follows_cancellation_without_leader(World *world);
-guint leader_is_cut_off_from_cancellation(World *world);
+guint leader_is_partitioned_during_cancellation(World *world);
 guint store_is_slow_then_refuses(World *world);
-guint machines_hang_as_jobs_are_cancelled(World *world);
+guint workers_are_suspended_as_jobs_are_cancelled(World *world);
 guint stale_node_misses_cancellation(World *world);
--- a/tests/test-faulty-nodes.c
+++ b/tests/test-faulty-nodes.c
@@ -3,8 +3,8 @@
 #include "base/wire.h"
 #include "world/world.h"
 
-/* Cuts machines off while all nodes restart, with up to eight seeds. Returns whether an invariant
- * was broken. */
+/* Partitions machines from the nodes while all nodes restart, with up to eight seeds. Returns
+ * whether an invariant was broken. */
 static gboolean
 restarts_break_an_invariant(gboolean ignore_acknowledgements, double configured_lease_s) {
   gboolean is_broken = FALSE;
@@ -22,7 +22,7 @@
       for (guint i = 0; i < 3; i++) {
         WorldMachine *machine
             = g_ptr_array_index(world->machines, (guint)g_rand_int_range(world->rand, 0, 6));
-        machine->cut_until_us
+        machine->partitioned_until_us
             = world->now_us + (gint64)(world_uniform(world, 2, 7) * G_USEC_PER_SEC);
       }
       for (guint i = 0; i < WORLD_NODES; i++)
@@ -144,13 +144,13 @@
   g_assert_cmpuint(n_found, >, 0);
 }
 
-/* Cuts a node off from everything but its workers, for long enough that the other nodes count its
+/* Partitions a node from everything but its workers, for long enough that the other nodes count its
  * machines as lost. If the other nodes still reach the node's workers by direct commands, the
  * workers drop the node's responses because of their lower fencing token. If the node's whole zone
- * is cut off, only the expiry of the node's lease stops it. Returns whether an invariant was
+ * is partitioned, only the expiry of the node's lease stops it. Returns whether an invariant was
  * broken. */
 static gboolean
-cut_node_breaks_an_invariant(gboolean lease_never_expires) {
+partitioned_node_breaks_an_invariant(gboolean lease_never_expires) {
   gboolean is_broken = FALSE;
 
   for (guint seed = 1; seed <= 4 && !is_broken; seed++) {
@@ -165,9 +165,9 @@
     world->cloud_down_until_us = G_MAXINT64;
     for (guint i = 0; i < WORLD_NODES && !is_broken; i++) {
       if (seed % 2 == 0)
-        world_cut_node(world, i, 25, TRUE);
+        world_partition_node(world, i, 25, TRUE);
       else
-        world_cut_zone(world, i, 25, FALSE);
+        world_partition_zone(world, i, 25, FALSE);
       world_run(world, 35);
       is_broken = world->violations->len > 0;
     }
@@ -178,8 +178,8 @@
 
 static void
 test_lease_without_expiry_is_found(void) {
-  g_assert_false(cut_node_breaks_an_invariant(FALSE));
-  g_assert_true(cut_node_breaks_an_invariant(TRUE));
+  g_assert_false(partitioned_node_breaks_an_invariant(FALSE));
+  g_assert_true(partitioned_node_breaks_an_invariant(TRUE));
 }
 
 int
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -15,8 +15,8 @@
   World *world = world_new(17);
 
   world->heartbeat_interval_s = HEARTBEAT_S;
-  world->lease_s = 3 * HEARTBEAT_S;
-  world->cancel_s = world->lease_s + 25;
+  world->worker_lease_s = 3 * HEARTBEAT_S;
+  world->cancel_s = world->worker_lease_s + 25;
   world->capacity = 40;
   world->team_cores = 4 * MACHINES;
   for (guint i = 0; i < MACHINES; i++)
@@ -145,10 +145,10 @@
     world_kill_node(world, i, 0.3 + 0.3 * i);
   world_run(world, HEARTBEAT_S);
   run_until_all_machines_known(world);
-  /* A zone is cut off together with its node, for longer than the duration of a worker's lease. */
-  world_cut_zone(world, 1, world->lease_s + HEARTBEAT_S, FALSE);
+  /* A zone is partitioned with its node, for longer than the duration of a worker's lease. */
+  world_partition_zone(world, 1, world->worker_lease_s + HEARTBEAT_S, FALSE);
   submit_arrays(world, 4, 400);
-  world_run(world, world->lease_s + 2 * HEARTBEAT_S);
+  world_run(world, world->worker_lease_s + 2 * HEARTBEAT_S);
   world_assert_invariants(world);
   run_until_all_machines_known(world);
   submit_arrays(world, 4, 400);
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -73,7 +73,7 @@
   world_set_format(world, NULL);
   run_under_load(world, 10);
   g_assert_cmpint(send_request(world, 1, "GET", "/healthz", NULL), ==, 200);
-  world_finish_day(world);
+  world_finish_run(world);
 }
 
 /* Two nodes support the next format and the third does not. The two acquire the shards of the
@@ -98,7 +98,7 @@
   world_kill_node(world, 2, 0.5);
   run_under_load(world, 6);
   g_assert_cmpint(send_request(world, 2, "GET", "/healthz", NULL), ==, 200);
-  world_finish_day(world);
+  world_finish_run(world);
 }
 
 /* Random workload and faults while the active format changes back and forth and one node supports
@@ -122,7 +122,7 @@
   }
   g_assert_cmpuint(world->n_starts, >, 20);
   world_set_format(world, NULL);
-  world_finish_day(world);
+  world_finish_run(world);
 }
 
 int
--- a/tests/test-large-capacity.c
+++ b/tests/test-large-capacity.c
@@ -139,15 +139,15 @@
 }
 
 /* Half as many machines again as the largest planned fleet. Many machines fail at once, all nodes
- * stop within a second, twice, duplicates of requests arrive late, and a zone is cut off for a
- * while. The invariants must hold, and tasks must continue to start. */
+ * stop within a second, twice, duplicates of requests arrive late, and a zone is partitioned for
+ * a while. The invariants must hold, and tasks must continue to start. */
 void
 test_oversized_fleet_survives_faults(void) {
   World *world = world_new(13);
   guint starts;
 
   world->heartbeat_interval_s = 5;
-  world->lease_s = 26.5;
+  world->worker_lease_s = 26.5;
   world->cancel_s = 51.5;
   world->capacity = 40;
   world->team_cores = 2000;
@@ -167,7 +167,7 @@
   world_assert_invariants(world);
   for (guint i = 0; i < WORLD_NODES; i++)
     g_assert_cmpuint(world->nodes[i].node->machine_table->sorted_machines->len, >=, 1750);
-  world_cut_zone(world, 1, 35, TRUE);
+  world_partition_zone(world, 1, 35, TRUE);
   world_run(world, 40);
   world_assert_invariants(world);
   starts = world->n_starts;
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -14,7 +14,7 @@
   World *world = world_new(seed);
 
   world->heartbeat_interval_s = 2;
-  world->lease_s = 12;
+  world->worker_lease_s = 12;
   world->cancel_s = 37;
   world->capacity = machines / 2;
   world->team_cores = machines * 2;
@@ -79,16 +79,16 @@
   return n;
 }
 
-/* A zone is cut off with all its machines and its node. The zone's tasks are started again in other
- * zones; its machines are not returned to the cloud and are used again afterwards. */
+/* A zone is partitioned with all its machines and its node. The zone's tasks are started again in
+ * other zones; its machines are not returned to the cloud and are used again afterwards. */
 static void
-test_cut_zone_keeps_its_machines(void) {
+test_partitioned_zone_keeps_its_machines(void) {
   World *world = new_large_world(2, 210);
   guint before, starts;
 
   run_under_load(world, 210, 25);
   before = count_up_in_zone(world, "c");
-  world_cut_zone(world, 2, 60, FALSE);
+  world_partition_zone(world, 2, 60, FALSE);
   world_run(world, 58);
   world_assert_invariants(world);
   g_assert_cmpuint(count_up_in_zone(world, "c") + 4, >=, before);
@@ -194,7 +194,7 @@
   guint64 before;
 
   world_run(world, 10);
-  world_cut_node(world, 1, 12, FALSE);
+  world_partition_node(world, 1, 12, FALSE);
   world_run(world, 11);
   before = world->n_conflicts;
   world_run(world, 8);
@@ -206,7 +206,7 @@
 /* A cancellation is confirmed only when the shard leader knows of it or can no longer start tasks.
  */
 static void
-test_cancellation_waits_for_cut_leader(void) {
+test_cancellation_waits_for_partitioned_leader(void) {
   World *world = new_large_world(6, 12);
   gint leader = -1;
   WorldJob *job;
@@ -219,7 +219,7 @@
     if (mm_shard_ownership_leads(world->nodes[i].node->shard_ownership, "team-0"))
       leader = i;
   g_assert_cmpint(leader, >=, 0);
-  world_cut_node(world, (guint)leader, 20, FALSE);
+  world_partition_node(world, (guint)leader, 20, FALSE);
   world_cancel(job);
   for (guint i = 0; i < 200 && job->user_view != USER_SEES_CANCELLED; i++)
     world_run(world, 0.1);
@@ -234,7 +234,7 @@
 main(int argc, char **argv) {
   world_test_init(&argc, &argv);
   g_test_add_func("/large/work-per-heartbeat-does-not-grow", test_work_per_heartbeat_does_not_grow);
-  g_test_add_func("/large/cut-zone-keeps-its-machines", test_cut_zone_keeps_its_machines);
+  g_test_add_func("/large/cut-zone-keeps-its-machines", test_partitioned_zone_keeps_its_machines);
   g_test_add_func("/large/few-acknowledgements-are-requested",
                   test_few_acknowledgements_are_requested);
   g_test_add_func("/large/machines-reclaimed-in-an-outage-are-lost",
@@ -242,7 +242,7 @@
   g_test_add_func("/large/failed-transactions-are-not-repeated",
                   test_failed_transactions_are_not_repeated);
   g_test_add_func("/large/cancellation-waits-for-cut-leader",
-                  test_cancellation_waits_for_cut_leader);
+                  test_cancellation_waits_for_partitioned_leader);
   g_test_add_func("/large/large-jobs-do-not-starve", test_large_jobs_do_not_starve);
   g_test_add_func("/large/accelerated-machines-with-services-are-filled",
                   test_accelerated_machines_with_services_are_filled);
--- a/tests/test-machine-health.c
+++ b/tests/test-machine-health.c
@@ -14,8 +14,8 @@
   MmName jobs[JOBS];
 } HealthFixture;
 
-/* Returns a world with pending jobs and with machines that hang as soon as the nodes know them, so
- * that the only heartbeats are those that the test records. */
+/* Returns a world with pending jobs and with workers that are suspended as soon as the nodes know
+ * them, so that the only heartbeats are those that the test records. */
 static HealthFixture
 health_fixture(void) {
   HealthFixture f = { world_new(9) };
@@ -26,7 +26,7 @@
   f.node = f.world->nodes[0].node;
   for (guint i = 0; i < MACHINES; i++) {
     WorldMachine *machine = world_machine_at(f.world, i);
-    machine->hung_until_us = f.world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+    machine->suspended_until_us = f.world->now_us + 100 * (gint64)G_USEC_PER_SEC;
     f.machines[i] = mm_machine_table_find(f.node->machine_table, machine->id);
     g_assert_nonnull(f.machines[i]);
   }
@@ -115,7 +115,7 @@
       mm_machine_health_count_own_response(f.node->machine_table, f.machines[0]);
       f.world->now_us += second;
     }
-    f.world->now_us += (gint64)(f.world->lease_s * G_USEC_PER_SEC) - second / 10;
+    f.world->now_us += (gint64)(f.world->worker_lease_s * G_USEC_PER_SEC) - second / 10;
     record_heartbeat(&f, 0, incarnation, NULL);
     mm_machine_health_count_own_response(f.node->machine_table, f.machines[0]);
     f.world->now_us += second / 2;
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -43,7 +43,7 @@
 static void
 suspend_workers(World *world) {
   for (guint i = 0; i < world->machines->len; i++)
-    world_machine_at(world, i)->hung_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+    world_machine_at(world, i)->suspended_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
 }
 
 /* Records a heartbeat as if the node received it now. Takes ownership of the heartbeat. */
@@ -124,7 +124,7 @@
   world->nodes[0].kv_refuses_until_us = world->now_us + G_USEC_PER_SEC;
   world_run(world, 0.9);
   mm_kv_client_get(node->kv, MM_KEY_NEVER_WRITTEN, "", NULL, NULL);
-  world_freeze_node(world, 0, 5);
+  world_suspend_node(world, 0, 5);
   world_run(world, 5.02);
   g_assert_cmpint(node->kv->last_refused_at.us, >, 0);
   g_assert_cmpint(mm_time_ms_since(mm_node_now(node), node->kv->last_refused_at), >=, 4900);
@@ -208,7 +208,7 @@
   World *world = new_world_with_two_machines(5);
   const MmPeerLinks *links;
 
-  world->ends_leave_half_open = TRUE;
+  world->node_ends_leave_half_open_links = TRUE;
   world_kill_node(world, 2, 40);
   world_run(world, 39);
   g_assert_cmpuint(world->n_reconnects, >=, 2);
@@ -236,7 +236,7 @@
     if (mm_name_equal(&world->nodes[serving_node].node->peer_links->peers[i].label,
                       &world->nodes[suspended].node->settings->label))
       peer = &world->nodes[serving_node].node->peer_links->peers[i];
-  world_freeze_node(world, suspended, 20);
+  world_suspend_node(world, suspended, 20);
   world_run(world, 12);
   g_assert_cmpuint(world->n_reconnects, >=, 2);
   g_assert_true(peer->is_connected && !peer->is_up);
--- a/tests/test-scheduler-heartbeats.c
+++ b/tests/test-scheduler-heartbeats.c
@@ -102,7 +102,7 @@
   world_run(world, 8);
   silent = world_machine_at(world, 0);
   g_assert_cmpuint(silent->tasks->len, ==, 0);
-  silent->cut_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
+  silent->partitioned_until_us = world->now_us + 100 * (gint64)G_USEC_PER_SEC;
   world_run(world, 7.5);
   g_assert_true(silent->is_terminated);
   world_free(world);
--- a/tests/test-sharing-world-moves.c
+++ b/tests/test-sharing-world-moves.c
@@ -79,7 +79,7 @@
  * meantime are still queued. */
 static void
 suspend_source(Move *move) {
-  world_freeze_node(move->world, move->source, 6);
+  world_suspend_node(move->world, move->source, 6);
 }
 
 static void
@@ -122,7 +122,7 @@
 static void
 duplicate_next_heartbeat(Move *move) {
   move->machine->duplicate_at_us
-      = move->world->now_us + (gint64)(1.5 * move->world->lease_s * (double)SECOND);
+      = move->world->now_us + (gint64)(1.5 * move->world->worker_lease_s * (double)SECOND);
   move->machine->duplicate_node = move->source;
 }
 
@@ -212,7 +212,7 @@
   g_assert_cmpuint(world->n_moves_started, >, 0);
   assert_groups_are_owned(world);
   is_moved = world_group_owner(world, 0, move.group) == move.target;
-  world_finish_day(world);
+  world_finish_run(world);
   return is_moved;
 }
 
--- a/tests/test-sharing-world-settings.c
+++ b/tests/test-sharing-world-settings.c
@@ -59,7 +59,7 @@
   run_under_load(world, 10);
   g_assert_cmpuint(count_active(world), ==, 0);
   g_assert_cmpuint(count_group_keys(world), ==, 0);
-  world_finish_day(world);
+  world_finish_run(world);
 }
 
 /* A node whose settings have a different number of groups detects this before it announces
@@ -77,7 +77,7 @@
   g_assert_true(world->nodes[0].node->sharing->is_active);
   g_assert_cmpuint(mm_group_map_conflicting_group_count(world->nodes[0].node->sharing->map), ==, 0);
   restart_with_groups(world, 1, GROUPS);
-  world_finish_day(world);
+  world_finish_run(world);
 }
 
 /* Smaller limits take effect while groups move all the time. The simulated key-value store fails
@@ -98,7 +98,7 @@
     world_assert_invariants(world);
   }
   g_assert_cmpuint(world->n_moves_started, >, 10);
-  world_finish_day(world);
+  world_finish_run(world);
 }
 
 static void
@@ -146,7 +146,7 @@
     world_run(world, 2);
   }
   g_assert_cmpint(late_gang->user_view, ==, USER_SEES_DONE);
-  world_finish_day(world);
+  world_finish_run(world);
 }
 
 /* All groups leave a node of weight 0, one at a time. When all weights are equal again, the node
@@ -172,5 +172,5 @@
   run_under_load(world, 30);
   g_assert_cmpuint(world->nodes[0].node->sharing->n_moved + world->nodes[2].node->sharing->n_moved,
                    ==, moved);
-  world_finish_day(world);
+  world_finish_run(world);
 }
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -26,8 +26,8 @@
                  " writes; by the current processes %" G_GUINT64_FORMAT
                  " moves completed, %" G_GUINT64_FORMAT " grants, %" G_GUINT64_FORMAT
                  " refusals; %u double owners",
-                 world->n_moves_started, world->n_starts, world->n_no_resources, world->n_writes,
-                 moved, granted, refused, world->n_double_owners);
+                 world->n_moves_started, world->n_starts, world->n_refused_no_resources,
+                 world->n_writes, moved, granted, refused, world->n_double_owners);
 }
 
 static void
@@ -36,15 +36,15 @@
   World *world = new_sharing_world(seed);
 
   world->duplicate_rate = seed % 3 == 0 ? 0 : 0.02;
-  world->stall_rate = seed % 2 == 0 ? 0 : 0.01;
+  world->delayed_response_rate = seed % 2 == 0 ? 0 : 0.01;
   world->cancel_at_end_rate = 0.1;
-  world->ends_leave_half_open = seed % 4 == 0;
+  world->node_ends_leave_half_open_links = seed % 4 == 0;
   world->late_write_rate = seed % 5 == 0 ? 0.1 : 0;
   world->delays_acquisitions = seed % 7 == 3;
   world_start(world);
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
-    world_start_random_second(world, second);
+    world_add_random_activity(world, second);
     world_random_move(world);
     mm_debug("simulated second started second=%u", second);
     world_run(world, 1);
@@ -53,7 +53,7 @@
   print_counts(world);
   g_assert_cmpuint(world->n_moves_started, >, 10);
   g_assert_cmpuint(world->n_starts, >, 20);
-  world_finish_day(world);
+  world_finish_run(world);
 }
 
 /* Faulty owners. */
--- a/tests/test-world-days.c
+++ b/tests/test-world-days.c
@@ -66,13 +66,13 @@
 }
 
 static void
-hang_worker(FaultTarget *target) {
-  target->machine->hung_until_us = random_time(target->world, 1, 20);
+suspend_worker(FaultTarget *target) {
+  target->machine->suspended_until_us = random_time(target->world, 1, 20);
 }
 
 static void
-cut_machine_off(FaultTarget *target) {
-  target->machine->cut_until_us = random_time(target->world, 1, 30);
+partition_machine(FaultTarget *target) {
+  target->machine->partitioned_until_us = random_time(target->world, 1, 30);
 }
 
 static void
@@ -86,13 +86,15 @@
 }
 
 static void
-cut_node_or_zone_off(FaultTarget *target) {
+partition_node_or_zone(FaultTarget *target) {
   World *world = target->world;
 
   if (g_rand_boolean(world->rand))
-    world_cut_node(world, target->node, world_uniform(world, 1, 20), g_rand_boolean(world->rand));
+    world_partition_node(world, target->node, world_uniform(world, 1, 20),
+                         g_rand_boolean(world->rand));
   else
-    world_cut_zone(world, target->node, world_uniform(world, 1, 30), g_rand_boolean(world->rand));
+    world_partition_zone(world, target->node, world_uniform(world, 1, 30),
+                         g_rand_boolean(world->rand));
 }
 
 static void
@@ -107,17 +109,17 @@
 
 static void
 suspend_node(FaultTarget *target) {
-  world_freeze_node(target->world, target->node,
-                    world_uniform(target->world, 0.2, 4 * target->world->lease_s));
+  world_suspend_node(target->world, target->node,
+                     world_uniform(target->world, 0.2, 4 * target->world->worker_lease_s));
 }
 
 static void
 send_termination_notice(FaultTarget *target) {
   WorldMachine *machine = target->machine;
 
-  if (!machine->is_spot || machine->notice_at_us != 0)
+  if (!machine->is_spot || machine->termination_notice_at_us != 0)
     return;
-  machine->notice_at_us = target->world->now_us;
+  machine->termination_notice_at_us = target->world->now_us;
   machine->reclaimed_at_us = target->world->now_us + 5 * SECOND;
   machine->has_changed = TRUE;
 }
@@ -134,8 +136,8 @@
 }
 
 static void
-send_odd_requests(FaultTarget *target) {
-  world_send_odd_requests(target->world);
+send_unusual_requests(FaultTarget *target) {
+  world_send_unusual_requests(target->world);
 }
 
 /* The key-value store refuses one node first, then all nodes. */
@@ -149,13 +151,13 @@
 }
 
 static void
-cancel_jobs_and_hang_worker(FaultTarget *target) {
+cancel_jobs_and_suspend_worker(FaultTarget *target) {
   World *world = target->world;
 
   for (guint i = 0; i < 4; i++)
     world_cancel(world_any_job(world));
   if (target->machine != NULL)
-    target->machine->hung_until_us = world->now_us + 6 * SECOND;
+    target->machine->suspended_until_us = world->now_us + 6 * SECOND;
 }
 
 static void
@@ -174,13 +176,13 @@
   { start_kv_outage, FALSE },
   { refuse_node_kv_requests, FALSE },
   { kill_machine, TRUE },
-  { hang_worker, TRUE },
-  { cut_machine_off, TRUE },
-  { cut_machine_off, TRUE },
+  { suspend_worker, TRUE },
+  { partition_machine, TRUE },
+  { partition_machine, TRUE },
   { start_cloud_outage, FALSE },
   { lose_inbound_messages, TRUE },
   { lose_inbound_messages, TRUE },
-  { cut_node_or_zone_off, FALSE },
+  { partition_node_or_zone, FALSE },
   { restart_machine, TRUE },
   { refuse_peer_links, FALSE },
   { suspend_node, FALSE },
@@ -189,9 +191,9 @@
   /* The first N_BASIC_FAULTS end here. */
   { lose_outbound_messages, TRUE },
   { slow_kv_store, FALSE },
-  { send_odd_requests, FALSE },
+  { send_unusual_requests, FALSE },
   { refuse_one_node_then_all, FALSE },
-  { cancel_jobs_and_hang_worker, FALSE },
+  { cancel_jobs_and_suspend_worker, FALSE },
   { toggle_late_writes, FALSE },
 };
 
@@ -250,10 +252,10 @@
 
   /* On two days of three, late copies of requests arrive as well. */
   world->duplicate_rate = GPOINTER_TO_UINT(data) % 3 == 0 ? 0 : 0.02;
-  world->stall_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.01;
+  world->delayed_response_rate = GPOINTER_TO_UINT(data) % 2 == 0 ? 0 : 0.01;
   world->cancel_at_end_rate = with_all_faults ? 0.2 : 0;
   /* Nodes may be killed without their peers seeing the links closed. */
-  world->ends_leave_half_open = with_all_faults && GPOINTER_TO_UINT(data) % 2 == 0;
+  world->node_ends_leave_half_open_links = with_all_faults && GPOINTER_TO_UINT(data) % 2 == 0;
   world_add_nine_machines(world);
   world_start(world);
   world_run(world, 3);
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -91,7 +91,7 @@
 /* A node that has lost the key-value store and the other nodes answers its users at once, redirects
  * its workers once its lease may have expired, and recovers by itself. */
 static void
-test_cut_node_answers_users_503(void) {
+test_partitioned_node_answers_users_503(void) {
   World *world = world_new(7);
   int submitted = -1, health = -1, polled = -1;
   json_t *body = json_pack("{s:s}", WIRE_JOB_ID, "run-000001");
@@ -103,7 +103,7 @@
   world_run(world, 2);
   json_object_update(body, world_job_at(world, 0)->body);
   json_object_set_new(body, WIRE_JOB_ID, json_string("run-000001"));
-  world_cut_node(world, 1, 20, FALSE);
+  world_partition_node(world, 1, 20, FALSE);
   world_run(world, 4);
   g_assert_false(mm_node_lease_may_answer_workers(world->nodes[1].node->node_lease));
   world_send_request(world, 1, NULL, "POST", WIRE_JOBS_PATH, body, 100000, world_record_status,
@@ -182,7 +182,7 @@
   g_test_add_func("/world/restart-needs-no-cloud", test_restart_needs_no_cloud);
   g_test_add_func("/world/two-refused-nodes-are-no-outage", test_two_refused_nodes_are_no_outage);
   g_test_add_func("/world/leases-hold-in-an-outage", test_leases_hold_in_an_outage);
-  g_test_add_func("/world/cut-node-answers-users-503", test_cut_node_answers_users_503);
+  g_test_add_func("/world/cut-node-answers-users-503", test_partitioned_node_answers_users_503);
   g_test_add_func("/world/load-is-shed-in-order", test_load_is_shed_in_order);
   g_test_add_func("/world/last-term-is-shown-first", test_last_term_is_shown_first);
   add_random_days();
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -19,11 +19,11 @@
 #define GROUPS 16
 
 static GChecksum *digest;
-static gboolean day_is_over; /* excludes events that occur while the world is freed */
+static gboolean day_has_ended; /* excludes events that occur while the world is freed */
 
 static void
 add_bytes(const guint8 *bytes, gsize length) {
-  if (!day_is_over)
+  if (!day_has_ended)
     g_checksum_update(digest, bytes, (gssize)length);
 }
 
@@ -136,9 +136,9 @@
     world->group_hold_s = 2;
   }
   world->duplicate_rate = 0.02;
-  world->stall_rate = seed % 3 == 0 ? 0.01 : 0;
+  world->delayed_response_rate = seed % 3 == 0 ? 0.01 : 0;
   world->cancel_at_end_rate = 0.1;
-  world->ends_leave_half_open = seed % 4 == 0;
+  world->node_ends_leave_half_open_links = seed % 4 == 0;
   world->late_write_rate = seed % 5 == 0 ? 0.1 : 0;
   world->observe_task = add_task_event;
   world_add_nine_machines(world);
@@ -150,7 +150,7 @@
   world_start(world);
   world_run(world, 3);
   for (guint second = 0; second < DAY_S; second++) {
-    world_start_random_second(world, second);
+    world_add_random_activity(world, second);
     if (world->group_count > 0)
       world_random_move(world);
     world_run(world, 1);
@@ -173,12 +173,12 @@
   World *world;
 
   digest = g_checksum_new(G_CHECKSUM_SHA256);
-  day_is_over = FALSE;
+  day_has_ended = FALSE;
   world = new_world(seed);
   run_day(world);
   world_assert_invariants(world);
   add_final_state(world);
-  day_is_over = TRUE;
+  day_has_ended = TRUE;
   printf("seed %u: %s starts=%u writes=%" G_GUINT64_FORMAT " frames=%" G_GUINT64_FORMAT
          " events=%" G_GUINT64_FORMAT "\n",
          seed, g_checksum_get_string(digest), world->n_starts, world->n_writes, world->n_frames,
--- a/tests/world/fault-injection.c
+++ b/tests/world/fault-injection.c
@@ -30,16 +30,16 @@
         = world->now_us + (gint64)(world_uniform(world, 1, 10) * SECOND);
     break;
   case 3:
-    machine->hung_until_us = world->now_us + (gint64)(world_uniform(world, 1, 12) * SECOND);
+    machine->suspended_until_us = world->now_us + (gint64)(world_uniform(world, 1, 12) * SECOND);
     break;
   case 4:
-    machine->cut_until_us = world->now_us + (gint64)(world_uniform(world, 1, 20) * SECOND);
+    machine->partitioned_until_us = world->now_us + (gint64)(world_uniform(world, 1, 20) * SECOND);
     break;
   case 5:
-    world_freeze_node(world, node, world_uniform(world, 0.2, 2 * world->lease_s));
+    world_suspend_node(world, node, world_uniform(world, 0.2, 2 * world->worker_lease_s));
     break;
   case 6:
-    world_cut_zone(world, node, world_uniform(world, 1, 20), g_rand_boolean(world->rand));
+    world_partition_zone(world, node, world_uniform(world, 1, 20), g_rand_boolean(world->rand));
     break;
   case 7:
     world->kv_slow_s = world_uniform(world, 0.1, 1);
@@ -56,7 +56,7 @@
 }
 
 void
-world_start_random_second(World *world, guint second) {
+world_add_random_activity(World *world, guint second) {
   if (second % 3 == 0)
     world_submit(world, world_random_job_body(world), world_uniform(world, 1, 12));
   if (second % 13 == 7)
@@ -109,13 +109,13 @@
 } ExpectedResponse;
 
 static void
-on_odd_response(gpointer data, int status, json_t *body) {
+on_unusual_response(gpointer data, int status, json_t *body) {
   ExpectedResponse *expected = data;
   const char *state = mm_json_string(body, WIRE_STATE);
 
   if (status == expected->status
       && (expected->state == NULL || g_strcmp0(state, expected->state) == 0))
-    expected->world->n_odd_requests_correct++;
+    expected->world->n_unusual_requests_correct++;
   else if (status != 0 && status != 503)
     world_report_violation(expected->world, "odd_request: %s: unexpected response %d %s",
                            expected->description, status, state);
@@ -124,14 +124,14 @@
 }
 
 static void
-send_odd_request(World *world, const char *method, const char *path, json_t *body, int status,
-                 const char *state, const char *description) {
+send_unusual_request(World *world, const char *method, const char *path, json_t *body, int status,
+                     const char *state, const char *description) {
   ExpectedResponse *expected = g_new(ExpectedResponse, 1);
   guint node = (guint)g_rand_int_range(world->rand, 0, WORLD_NODES);
 
   *expected = (ExpectedResponse){ world, status, state, g_strdup(description) };
   world_send_request(world, node, NULL, method, path, body, 2 * (gint64)G_USEC_PER_SEC,
-                     on_odd_response, expected);
+                     on_unusual_response, expected);
 }
 
 static json_t *
@@ -144,35 +144,35 @@
 }
 
 void
-world_send_odd_requests(World *world) {
+world_send_unusual_requests(World *world) {
   WorldJob *template = world_job_at(world, 0);
   json_t *body = copy_body_with_new_id(world, template);
   const char *field;
   json_t *value;
 
   json_object_set_new(body, WIRE_CORES, json_real(17));
-  send_odd_request(world, "POST", WIRE_JOBS_PATH, body, 422, NULL,
-                   "submission of a job that fits no machine");
+  send_unusual_request(world, "POST", WIRE_JOBS_PATH, body, 422, NULL,
+                       "submission of a job that fits no machine");
   json_object_foreach(template->body, field, value) {
     /* These two fields may be null and may therefore also be absent. */
     if (strcmp(field, WIRE_ZONE) == 0 || strcmp(field, WIRE_DEPENDENCIES) == 0)
       continue;
     body = copy_body_with_new_id(world, template);
     json_object_del(body, field);
-    send_odd_request(world, "POST", WIRE_JOBS_PATH, body, 400, NULL, field);
+    send_unusual_request(world, "POST", WIRE_JOBS_PATH, body, 400, NULL, field);
   }
-  send_odd_request(world, "GET", WIRE_JOBS_PATH "/run-555555555", NULL, 404, NULL,
-                   "query of a job that was never submitted");
-  send_odd_request(world, "POST", WIRE_JOBS_PATH "/run-555555555/" WIRE_CANCEL_WORD, NULL, 404,
-                   NULL, "cancellation of a job that was never submitted");
+  send_unusual_request(world, "GET", WIRE_JOBS_PATH "/run-555555555", NULL, 404, NULL,
+                       "query of a job that was never submitted");
+  send_unusual_request(world, "POST", WIRE_JOBS_PATH "/run-555555555/" WIRE_CANCEL_WORD, NULL, 404,
+                       NULL, "cancellation of a job that was never submitted");
   for (guint i = 0; i < world->jobs->len; i++) {
     const WorldJob *job = world_job_at(world, i);
     g_autofree char *path = g_strdup_printf(WIRE_JOBS_PATH "/%s/" WIRE_CANCEL_WORD, job->id);
     if (job->user_view == USER_SEES_DONE)
-      send_odd_request(world, "POST", path, NULL, 200, WIRE_DONE, job->id);
+      send_unusual_request(world, "POST", path, NULL, 200, WIRE_DONE, job->id);
     else if (job->was_accepted)
-      send_odd_request(world, "POST", WIRE_JOBS_PATH, json_deep_copy(job->body), 200, NULL,
-                       job->id);
+      send_unusual_request(world, "POST", WIRE_JOBS_PATH, json_deep_copy(job->body), 200, NULL,
+                           job->id);
   }
 }
 
@@ -187,7 +187,7 @@
 }
 
 void
-world_finish_day(World *world) {
+world_finish_run(World *world) {
   world->late_write_rate = 0;
   world->delays_acquisitions = FALSE;
   /* Faults that are still active may continue for a while; after 45 s the checks assume that all
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -38,9 +38,9 @@
       || world->now_us < world->format_set_at_us + CHANGE_PROPAGATION_US
       || world->format_set_at_us == 0
       || world->now_us < world_node->watches_lost_until_us + CHANGE_PROPAGATION_US
-      || world->now_us < world_node->cut_until_us + CHANGE_PROPAGATION_US
+      || world->now_us < world_node->partitioned_until_us + CHANGE_PROPAGATION_US
       || world->now_us < world_node->kv_refuses_until_us + CHANGE_PROPAGATION_US
-      || world->now_us < world_node->frozen_until_us + CHANGE_PROPAGATION_US
+      || world->now_us < world_node->suspended_until_us + CHANGE_PROPAGATION_US
       || world->now_us < world->outage_until_us + CHANGE_PROPAGATION_US
       || world->now_us < world->kv_slow_until_us + CHANGE_PROPAGATION_US)
     return;
--- a/tests/world/internal.h
+++ b/tests/world/internal.h
@@ -21,7 +21,7 @@
 /* Closes the links of the node; both ends are notified. */
 void world_links_close(World *world, guint index);
 /* Handles the end of the node's process: to the other nodes, their links to it appear closed, or
- * half-open if World.ends_leave_half_open is set. */
+ * half-open if World.node_ends_leave_half_open_links is set. */
 void world_links_node_ended(World *world, guint index);
 /* Implement MmPlatform.send and MmPlatform.reconnect of a node; `data` is its WorldNode. */
 void world_link_send(gpointer data, guint peer, const Mm__Frame *frame);
@@ -35,8 +35,8 @@
 MmTime world_node_now(gpointer data);
 /* Returns TRUE if the node's process `generation` is suspended, and schedules the call for the time
  * when it resumes. Deferred calls run in the order in which they were deferred. */
-gboolean world_defer_while_frozen(const WorldNode *world_node, guint generation,
-                                  WorldCallback callback, gpointer data);
+gboolean world_defer_while_suspended(const WorldNode *world_node, guint generation,
+                                     WorldCallback callback, gpointer data);
 
 /* nodes.c */
 
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -99,7 +99,7 @@
 }
 
 static void
-on_outage_over(gpointer data) {
+on_outage_ended(gpointer data) {
   World *world = data;
   GHashTableIter iter;
   gpointer value;
@@ -113,7 +113,7 @@
 void
 world_kv_outage(World *world, double seconds) {
   world->outage_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
-  world_schedule(world, world->outage_until_us, on_outage_over, world);
+  world_schedule(world, world->outage_until_us, on_outage_ended, world);
 }
 
 /* Returns whether the rate limit (a token bucket that holds the writes of one second) allows this
--- a/tests/world/links.c
+++ b/tests/world/links.c
@@ -35,7 +35,7 @@
   WorldNode *from = &message->world->nodes[message->from];
   WorldNode *to = &message->world->nodes[message->to];
 
-  if (world_defer_while_frozen(to, message->to_generation, deliver_link_message, message))
+  if (world_defer_while_suspended(to, message->to_generation, deliver_link_message, message))
     return;
   if (to->node != NULL && to->generation == message->to_generation
       && from->generation == message->from_generation) {
@@ -56,7 +56,8 @@
   LinkMessage *message;
 
   if (world_node->node == NULL || world->nodes[to].node == NULL || world_node->is_link_half_open[to]
-      || world->now_us < world_node->cut_until_us || world->now_us < world->nodes[to].cut_until_us
+      || world->now_us < world_node->partitioned_until_us
+      || world->now_us < world->nodes[to].partitioned_until_us
       || world->now_us < world->links_refused_until_us)
     return;
   world->n_frames++;
@@ -81,11 +82,12 @@
   WorldNode *from = &message->world->nodes[message->from],
             *to = &message->world->nodes[message->to];
 
-  if (world_defer_while_frozen(from, message->from_generation, on_link_up, message))
+  if (world_defer_while_suspended(from, message->from_generation, on_link_up, message))
     return;
   if (from->node != NULL && to->node != NULL && from->generation == message->from_generation
       && to->generation == message->to_generation && !from->is_link_half_open[message->to]
-      && message->world->now_us >= from->cut_until_us && message->world->now_us >= to->cut_until_us
+      && message->world->now_us >= from->partitioned_until_us
+      && message->world->now_us >= to->partitioned_until_us
       && message->world->now_us >= message->world->links_refused_until_us)
     mm_peer_links_connected(from->node->peer_links, peer_index(message->from, message->to));
   g_free(message);
@@ -145,7 +147,7 @@
     if (i == index || world->nodes[i].node == NULL)
       continue;
     /* Only an established link can become half-open. A link that is being opened is retried. */
-    if (world->ends_leave_half_open
+    if (world->node_ends_leave_half_open_links
         && world->nodes[i].node->peer_links->peers[peer_index(i, index)].is_connected)
       world->nodes[i].is_link_half_open[index] = TRUE;
     else
@@ -154,7 +156,7 @@
 }
 
 static void
-on_link_refusal_over(gpointer data) {
+on_link_refusal_ended(gpointer data) {
   World *world = data;
 
   for (guint i = 0; i < WORLD_NODES; i++)
@@ -173,5 +175,5 @@
     for (guint k = 0; k < WORLD_NODES - 1 && world->nodes[i].node != NULL; k++)
       mm_peer_links_disconnected(world->nodes[i].node->peer_links, k);
   }
-  world_schedule(world, world->links_refused_until_us + 1000, on_link_refusal_over, world);
+  world_schedule(world, world->links_refused_until_us + 1000, on_link_refusal_ended, world);
 }
--- a/tests/world/node-platform.c
+++ b/tests/world/node-platform.c
@@ -2,12 +2,12 @@
 #include "world/internal.h"
 
 gboolean
-world_defer_while_frozen(const WorldNode *world_node, guint generation, WorldCallback callback,
-                         gpointer data) {
+world_defer_while_suspended(const WorldNode *world_node, guint generation, WorldCallback callback,
+                            gpointer data) {
   if (world_node->node == NULL || world_node->generation != generation
-      || world_node->world->now_us >= world_node->frozen_until_us)
+      || world_node->world->now_us >= world_node->suspended_until_us)
     return FALSE;
-  world_schedule(world_node->world, world_node->frozen_until_us, callback, data);
+  world_schedule(world_node->world, world_node->suspended_until_us, callback, data);
   return TRUE;
 }
 
@@ -38,7 +38,7 @@
 on_timer_due(gpointer data) {
   NodeTimer *timer = data;
 
-  if (world_defer_while_frozen(timer->world_node, timer->generation, on_timer_due, timer))
+  if (world_defer_while_suspended(timer->world_node, timer->generation, on_timer_due, timer))
     return;
   if (timer->world_node->node != NULL && timer->world_node->generation == timer->generation)
     timer->callback(timer->data);
--- a/tests/world/node-settings.c
+++ b/tests/world/node-settings.c
@@ -14,10 +14,10 @@
       "label", label, "zone", world_zone_names[index], "front", "127.0.0.1:1", "cluster_listen",
       "127.0.0.1:2", "external", "cloud", "127.0.0.1:3", "state", "127.0.0.1:4", "settings",
       "count", WORLD_NODES, "workers", "report_s", world->heartbeat_interval_s, "lease_s",
-      world->configured_lease_s > 0 ? world->configured_lease_s : world->lease_s, "gang_wait_s",
-      20.0, "gang_peer_s", 4.0, "cancel_s", world->cancel_s, "state", "rps", 200.0, "write_rps",
-      20.0, "value_kb", 4.0, "txn_ops", 12, "cloud", "rps", 6.0, "list_lag_s", 2.0, "resources",
-      "cpu", 0.1, "ram_mb", 64.0, "max_sockets", 1000);
+      world->configured_lease_s > 0 ? world->configured_lease_s : world->worker_lease_s,
+      "gang_wait_s", 20.0, "gang_peer_s", 4.0, "cancel_s", world->cancel_s, "state", "rps", 200.0,
+      "write_rps", 20.0, "value_kb", 4.0, "txn_ops", 12, "cloud", "rps", 6.0, "list_lag_s", 2.0,
+      "resources", "cpu", 0.1, "ram_mb", 64.0, "max_sockets", 1000);
   json_t *others = json_array(), *teams = json_array();
 
   g_assert_nonnull(root);
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -17,7 +17,7 @@
     g_free(timer);
     return;
   }
-  if (world_defer_while_frozen(timer->world_node, timer->generation, tick_node, timer))
+  if (world_defer_while_suspended(timer->world_node, timer->generation, tick_node, timer))
     return;
   world_make_node_faulty(timer->world_node->world, timer->world_node->node,
                          world_node_now(timer->world_node));
@@ -48,11 +48,11 @@
 }
 
 void
-world_freeze_node(World *world, guint index, double seconds) {
+world_suspend_node(World *world, guint index, double seconds) {
   WorldNode *world_node = &world->nodes[index];
 
-  if (world_node->node != NULL && world->now_us >= world_node->frozen_until_us)
-    world_node->frozen_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
+  if (world_node->node != NULL && world->now_us >= world_node->suspended_until_us)
+    world_node->suspended_until_us = world->now_us + (gint64)(seconds * G_USEC_PER_SEC);
 }
 
 void
@@ -66,7 +66,7 @@
   g_ptr_array_add(world->ended_nodes, world_node->node);
   world_node->node = NULL;
   world_node->generation++;
-  world_node->frozen_until_us = 0;
+  world_node->suspended_until_us = 0;
   memset(world_node->is_link_half_open, 0, sizeof world_node->is_link_half_open);
   world_links_node_ended(world, index);
   world_schedule(world, world->now_us + (gint64)(down_s * G_USEC_PER_SEC), world_boot_node,
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -9,7 +9,7 @@
   MmTarget target;
   char address[64];         /* of the worker, if the target is one */
   gboolean is_applied_late; /* a transaction that is applied late and not answered */
-  gboolean was_delayed;     /* a direct command delivered after a partition or hang had ended */
+  gboolean was_delayed;     /* a direct command delivered after a partition or suspension ended */
 } NodeRequest;
 
 static void node_request_arrive(gpointer data);
@@ -19,8 +19,8 @@
   NodeRequest *request = data;
   const WorldRequest *base = &request->base;
 
-  if (!world_defer_while_frozen(&base->world->nodes[base->node], base->generation,
-                                node_request_respond, request))
+  if (!world_defer_while_suspended(&base->world->nodes[base->node], base->generation,
+                                   node_request_respond, request))
     world_request_finish(request, base->status, base->response_body);
 }
 
@@ -29,8 +29,8 @@
   NodeRequest *request = data;
   const WorldRequest *base = &request->base;
 
-  if (!world_defer_while_frozen(&base->world->nodes[base->node], base->generation,
-                                node_request_time_out, request))
+  if (!world_defer_while_suspended(&base->world->nodes[base->node], base->generation,
+                                   node_request_time_out, request))
     world_request_finish(request, 0, NULL);
 }
 
@@ -48,7 +48,7 @@
   World *world = base->world;
   const WorldNode *world_node = &world->nodes[base->node];
 
-  if (!base->is_finished && world->now_us >= world_node->cut_until_us
+  if (!base->is_finished && world->now_us >= world_node->partitioned_until_us
       && world->now_us >= world_node->watches_lost_until_us) {
     base->status = is_sender_alive(base) ? status : 0;
     base->response_body = json_incref(body);
@@ -89,7 +89,7 @@
   if (machine == NULL || world->now_us < machine->inbound_lost_until_us
       || world_is_partitioned(world, base->node, machine))
     return FALSE;
-  delayed_until_us = MAX(machine->cut_until_us, machine->hung_until_us);
+  delayed_until_us = MAX(machine->partitioned_until_us, machine->suspended_until_us);
   if (world->now_us < delayed_until_us) {
     /* The command is executed when it arrives, even if its sender no longer waits for it. */
     request->was_delayed = TRUE;
@@ -133,10 +133,10 @@
   World *world = request->base.world;
   const WorldNode *world_node = &world->nodes[request->base.node];
 
-  if (request->target == MM_TARGET_WORKER || world->now_us >= world_node->cut_until_us)
+  if (request->target == MM_TARGET_WORKER || world->now_us >= world_node->partitioned_until_us)
     return FALSE;
-  if (world_node->cut_delays_messages && request->target == MM_TARGET_KV_STORE)
-    world_request_schedule(request, world_node->cut_until_us + world_network_delay(world),
+  if (world_node->partition_delays_messages && request->target == MM_TARGET_KV_STORE)
+    world_request_schedule(request, world_node->partitioned_until_us + world_network_delay(world),
                            node_request_arrive);
   return TRUE;
 }
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -24,12 +24,12 @@
   World *world = request->base.world;
   gint64 at_us = world->now_us + world_network_delay(world);
 
-  /* While the machine's network is interrupted, the response is delayed. The worker drops it if it
-   * arrives more than 4 s after the heartbeat was sent. */
-  if (request->sender != NULL && world->now_us < request->sender->cut_until_us)
-    at_us = request->sender->cut_until_us + world_network_delay(world);
+  /* While the machine is partitioned, the response is delayed. The worker drops it if it arrives
+   * more than 4 s after the heartbeat was sent. */
+  if (request->sender != NULL && world->now_us < request->sender->partitioned_until_us)
+    at_us = request->sender->partitioned_until_us + world_network_delay(world);
   /* The node has decided that it may respond, but is suspended before the response is sent. */
-  if (world->stall_rate > 0 && world_uniform(world, 0, 1) < world->stall_rate)
+  if (world->delayed_response_rate > 0 && world_uniform(world, 0, 1) < world->delayed_response_rate)
     at_us += (gint64)(world_uniform(world, 0.1, 3.9) * G_USEC_PER_SEC);
   return at_us;
 }
@@ -64,7 +64,7 @@
     return TRUE;
   if (request->sender != NULL)
     return world_is_partitioned(world, base->node, request->sender);
-  return base->node == world->cut_zone && world->now_us < world->zone_cut_until_us;
+  return base->node == world->partitioned_zone && world->now_us < world->zone_partitioned_until_us;
 }
 
 static void
@@ -74,7 +74,8 @@
   World *world = base->world;
   const WorldNode *world_node = &world->nodes[base->node];
 
-  if (world_defer_while_frozen(world_node, world_node->generation, inbound_request_arrive, request))
+  if (world_defer_while_suspended(world_node, world_node->generation, inbound_request_arrive,
+                                  request))
     return;
   if (is_lost_on_arrival(request)) {
     world_request_release(request);
@@ -115,10 +116,10 @@
 
   if (sender == NULL)
     return at_us;
-  if (world->now_us < sender->cut_until_us)
-    at_us = sender->cut_until_us + world_network_delay(world);
-  if (world->slow_links_s > 0)
-    at_us += (gint64)(world_uniform(world, 0, world->slow_links_s) * G_USEC_PER_SEC);
+  if (world->now_us < sender->partitioned_until_us)
+    at_us = sender->partitioned_until_us + world_network_delay(world);
+  if (world->max_request_delay_s > 0)
+    at_us += (gint64)(world_uniform(world, 0, world->max_request_delay_s) * G_USEC_PER_SEC);
   return at_us;
 }
 
--- a/tests/world/service-checks.c
+++ b/tests/world/service-checks.c
@@ -23,8 +23,8 @@
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = world_machine_at(world, i);
     MmName type = mm_name(machine->type);
-    if (machine->is_up && !machine->is_terminated && machine->notice_at_us == 0
-        && world->now_us >= MAX(machine->hung_until_us, machine->cut_until_us)
+    if (machine->is_up && !machine->is_terminated && machine->termination_notice_at_us == 0
+        && world->now_us >= MAX(machine->suspended_until_us, machine->partitioned_until_us)
         && world->now_us >= MAX(machine->inbound_lost_until_us, machine->outbound_lost_until_us)
         && mm_job_spec_allows_type(spec, &type) && (!machine->is_spot || spec->allows_spot)
         && (mm_name_is_empty(&spec->zone) || strcmp(spec->zone.s, machine->zone) == 0)
--- a/tests/world/tasks.c
+++ b/tests/world/tasks.c
@@ -31,8 +31,8 @@
 
 static void end_gang_peers(World *world, const WorldTask *task, guint8 cause);
 
-/* Records that the task is done. All tasks of a gang are done together, even those on a machine
- * that hangs. */
+/* Records that the task is done. All tasks of a gang are done together, even those of a
+ * suspended worker. */
 static void
 record_done(const WorldTask *task) {
   WorldJob *job = task->job;
@@ -144,7 +144,7 @@
   task->number = number;
   task->attempt = attempt;
   task->cause = refusal_cause(machine, job, number);
-  world->n_no_resources += task->cause == MM_CAUSE_NO_RESOURCES;
+  world->n_refused_no_resources += task->cause == MM_CAUSE_NO_RESOURCES;
   if (task->cause == MM_CAUSE_NO_RESOURCES && world->group_count > 0)
     world_report_violation(world, "granted_twice: machine %s lacks the resources for task %s/%u",
                            machine->id, job->id, number);
--- a/tests/world/types.h
+++ b/tests/world/types.h
@@ -32,16 +32,16 @@
   /* Injected faults */
   gint64 kv_refuses_until_us; /* the key-value store responds with 503 to this node only */
   /* The network between the node and all workers drops messages in both directions. */
-  gint64 workers_cut_until_us;
+  gint64 workers_partitioned_until_us;
   /* Responses to the node's watches are lost; its other requests are answered. */
   gint64 watches_lost_until_us;
   /* The node is partitioned from the key-value store, the cloud and the other nodes. */
-  gint64 cut_until_us;
+  gint64 partitioned_until_us;
   /* Requests to the key-value store sent during the partition arrive after it; FALSE: they are
    * lost. */
-  gboolean cut_delays_messages;
+  gboolean partition_delays_messages;
   /* The process is suspended: its clocks continue, and messages queue up in its sockets. */
-  gint64 frozen_until_us;
+  gint64 suspended_until_us;
   /* By index of the other node: frames sent to it are lost although the link appears open. */
   gboolean is_link_half_open[WORLD_NODES];
 } WorldNode;
@@ -106,11 +106,11 @@
   gint64 boots_at_us;
   gboolean is_up; /* the worker runs */
   gboolean has_failed;
-  gboolean is_terminated; /* released or reclaimed; the cloud no longer lists it */
-  GPtrArray *tasks;       /* WorldTask, owned */
-  double failure_rate;    /* share of the tasks on this machine that fail */
-  gint64 notice_at_us;    /* when the cloud gave the termination notice */
-  gint64 reclaimed_at_us; /* when the notice period ends */
+  gboolean is_terminated;          /* released or reclaimed; the cloud no longer lists it */
+  GPtrArray *tasks;                /* WorldTask, owned */
+  double failure_rate;             /* share of the tasks on this machine that fail */
+  gint64 termination_notice_at_us; /* when the cloud gave the termination notice */
+  gint64 reclaimed_at_us;          /* when the notice period ends */
 
   /* Heartbeats */
   guint64 incarnation, sequence, fencing_token;
@@ -123,8 +123,8 @@
   gboolean has_changed; /* since the last heartbeat: the next one may be sent early */
 
   /* Injected faults */
-  gint64 hung_until_us;          /* the worker is suspended */
-  gint64 cut_until_us;           /* its network is interrupted; messages are delivered afterwards */
+  gint64 suspended_until_us;     /* the worker is suspended */
+  gint64 partitioned_until_us;   /* messages to and from it are delivered afterwards */
   gint64 inbound_lost_until_us;  /* heartbeats arrive; responses and direct commands are lost */
   gint64 outbound_lost_until_us; /* heartbeats are lost; direct commands arrive */
   guint n_direct_while_outbound_lost; /* direct commands received while heartbeats were lost */
@@ -179,10 +179,10 @@
   gpointer request_handler_data;
 
   /* Parameters of the workload and of the nodes' settings */
-  double lease_s; /* lease of a worker */
+  double worker_lease_s; /* lease of a worker */
   double heartbeat_interval_s;
   double cancel_s;           /* maximum time until the tasks of a cancelled job have ended */
-  double configured_lease_s; /* lease_s in the nodes' settings; 0: same as `lease_s` */
+  double configured_lease_s; /* lease_s in the nodes' settings; 0: same as `worker_lease_s` */
   /* Maximum number of machines in the cloud, for each type, zone and purchase option (spot or
    * not). */
   guint capacity;
@@ -235,33 +235,36 @@
   gint64 cloud_down_until_us;
 
   /* Users */
-  GPtrArray *jobs;              /* WorldJob */
-  guint last_job_number;        /* number from which the most recent job id was derived */
-  gint avoided_node;            /* index of the node to which no user sends requests; -1: none */
-  double cancel_at_end_rate;    /* share of jobs that are cancelled when their last task ends */
-  guint n_odd_requests_correct; /* requests of world_send_odd_requests() answered as expected */
-  gint64 waiting_checked_at_us; /* time of the last check by world_check_waiting() */
-  gint64 faults_ended_at_us;    /* when the last injected fault ended */
+  GPtrArray *jobs;           /* WorldJob */
+  guint last_job_number;     /* number from which the most recent job id was derived */
+  gint avoided_node;         /* index of the node to which no user sends requests; -1: none */
+  double cancel_at_end_rate; /* share of jobs that are cancelled when their last task ends */
+  guint n_unusual_requests_correct; /* requests of world_send_unusual_requests() answered as
+                                       expected */
+  gint64 waiting_checked_at_us;     /* time of the last check by world_check_waiting() */
+  gint64 faults_ended_at_us;        /* when the last injected fault ended */
 
   /* Network faults */
-  gint64 links_refused_until_us; /* nodes refuse connections from each other */
-  gboolean ends_leave_half_open; /* when a node ends, links to it still appear open to the others */
-  guint cut_zone;                /* index of the node whose zone is partitioned */
-  gint64 zone_cut_until_us;
-  double stall_rate; /* share of responses that are sent 0.1 to 3.9 s after the node created them */
-  double duplicate_rate; /* share of requests of which a copy arrives late */
-  double slow_links_s;   /* maximum additional delay of a request from a worker */
+  gint64 links_refused_until_us;            /* nodes refuse connections from each other */
+  gboolean node_ends_leave_half_open_links; /* when a node ends, links to it still appear open to
+                                               the others */
+  guint partitioned_zone;                   /* index of the node whose zone is partitioned */
+  gint64 zone_partitioned_until_us;
+  double delayed_response_rate; /* share of responses that are sent 0.1 to 3.9 s after the node
+                                   created them */
+  double duplicate_rate;        /* share of requests of which a copy arrives late */
+  double max_request_delay_s;   /* maximum additional delay of a request from a worker */
 
   /* Counters */
-  guint n_starts;             /* tasks that started on a machine */
-  guint n_stops;              /* stop commands executed by workers */
-  double last_stop_grace_s;   /* time for a checkpoint that the latest stop command allowed */
-  guint n_no_resources;       /* starts refused because the machine lacked resources */
-  guint64 n_heartbeats;       /* sent by workers */
-  guint n_stale_incarnations; /* heartbeat copies that arrived after a newer incarnation began */
-  guint64 n_direct_commands;  /* sent by nodes */
-  guint n_delayed_commands;   /* direct commands delivered after a partition or hang had ended */
-  guint64 n_frames;           /* sent between nodes */
+  guint n_starts;               /* tasks that started on a machine */
+  guint n_stops;                /* stop commands executed by workers */
+  double last_stop_grace_s;     /* time for a checkpoint that the latest stop command allowed */
+  guint n_refused_no_resources; /* starts refused because the machine lacked resources */
+  guint64 n_heartbeats;         /* sent by workers */
+  guint n_stale_incarnations;   /* heartbeat copies that arrived after a newer incarnation began */
+  guint64 n_direct_commands;    /* sent by nodes */
+  guint n_delayed_commands; /* direct commands delivered after a partition or suspension ended */
+  guint64 n_frames;         /* sent between nodes */
   guint64 n_frame_bytes;
   guint n_reconnects; /* links that nodes reopened */
 
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -59,7 +59,7 @@
                   machine->zone, WIRE_SPOT, machine->is_spot, WIRE_INCARNATION,
                   (json_int_t)machine->incarnation, WIRE_SEQUENCE, (json_int_t)machine->sequence,
                   WIRE_FENCING_TOKEN, (json_int_t)machine->fencing_token, "kits", tasks);
-  if (machine->notice_at_us != 0)
+  if (machine->termination_notice_at_us != 0)
     json_object_set_new(
         heartbeat, WIRE_TERMINATION_NOTICE,
         json_real((double)(machine->reclaimed_at_us - world->now_us) / G_USEC_PER_SEC));
@@ -193,12 +193,13 @@
   if (!machine->is_up)
     return;
   world_schedule(world, world->now_us + 50000, worker_tick, machine);
-  if (machine->notice_at_us != 0 && world->now_us >= machine->reclaimed_at_us) {
+  if (machine->termination_notice_at_us != 0 && world->now_us >= machine->reclaimed_at_us) {
     world_kill_machine(world, machine);
     machine->is_terminated = TRUE;
     return;
   }
-  if ((double)(world->now_us - machine->lease_renewed_at_us) > world->lease_s * G_USEC_PER_SEC) {
+  if ((double)(world->now_us - machine->lease_renewed_at_us)
+      > world->worker_lease_s * G_USEC_PER_SEC) {
     mm_debug("world: lease expired machine=%s", machine->id);
     world_machine_clear_tasks(machine);
     machine->incarnation++;
@@ -207,7 +208,7 @@
   }
   /* The check above comes first because the lease expires even while the worker is suspended: the
    * tasks of a worker that resumes may run on only within its lease. */
-  if (world->now_us < machine->hung_until_us)
+  if (world->now_us < machine->suspended_until_us)
     return;
   for (guint i = 0; i < machine->tasks->len; i++)
     world_task_advance(machine, g_ptr_array_index(machine->tasks, i));
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -38,7 +38,7 @@
   world->ended_nodes = g_ptr_array_new();
   world->retired_settings = g_ptr_array_new_with_free_func((GDestroyNotify)mm_settings_free);
   world->now_us = G_USEC_PER_SEC;
-  world->lease_s = 8;
+  world->worker_lease_s = 8;
   world->heartbeat_interval_s = 1;
   world->cancel_s = 25;
   world->capacity = 6;
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -44,16 +44,16 @@
 /* Kills the node's process and starts a new one `down_s` seconds later. */
 void world_kill_node(World *world, guint index, double down_s);
 /* Suspends the node's process. Messages to it are delivered in order when it resumes. */
-void world_freeze_node(World *world, guint index, double seconds);
+void world_suspend_node(World *world, guint index, double seconds);
 
 /* Network partitions (network.c) */
 
 /* Partitions the node from the key-value store, the cloud and the other nodes, but not from its
- * workers. `delays_messages`: see WorldNode.cut_delays_messages. */
-void world_cut_node(World *world, guint index, double seconds, gboolean delays_messages);
+ * workers. `delays_messages`: see WorldNode.partition_delays_messages. */
+void world_partition_node(World *world, guint index, double seconds, gboolean delays_messages);
 /* Partitions the node's zone from everything else. The node and the workers in the zone still reach
  * each other. */
-void world_cut_zone(World *world, guint index, double seconds, gboolean delays_messages);
+void world_partition_zone(World *world, guint index, double seconds, gboolean delays_messages);
 /* Returns whether a partition separates the node from the machine. */
 gboolean world_is_partitioned(const World *world, guint index, const WorldMachine *machine);
 /* Closes the links between all nodes and refuses new ones for `seconds`. */
@@ -101,14 +101,14 @@
 /* Generates the random load at the start of the given second of a test run: a job every third
  * second, occasionally a cancellation, and after the first ten seconds a fault in about one second
  * of seven. */
-void world_start_random_second(World *world, guint second);
+void world_add_random_activity(World *world, guint second);
 /* Returns the index of the running node that leads the most shards. */
 guint world_node_leading_most_shards(World *world);
 /* Sends unusual user requests: the submission of a job that fits no machine, submissions that each
  * lack one field, the repeated submission of each accepted job, the cancellation of each finished
  * job, and requests about a job that does not exist. Unexpected responses violate an invariant,
  * expected ones are counted; status 503 and a missing response are neither. */
-void world_send_odd_requests(World *world);
+void world_send_unusual_requests(World *world);
 /* Returns the number of tasks that are still on machines although the cancellation of their job was
  * confirmed to its user. */
 guint world_count_cancelled_tasks(const World *world);
@@ -117,7 +117,7 @@
 void world_add_nine_machines(World *world);
 /* Ends a test run: turns off late transactions, cancels all services, runs for 200 s, asserts that
  * all jobs have finished and no invariant was violated, and frees the world. */
-void world_finish_day(World *world);
+void world_finish_run(World *world);
 
 /* Checks of the service that users get (service-checks.c) */
 
