--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -88,7 +88,7 @@
                                         MmMachineReleasedCallback on_machine_released,
                                         gpointer context);
 /* Follows changes of leadership, updates the cloud's list and, at intervals, runs a round of
- * scale-in and scale-out. To be called every MM_NODE_TICK_MS. */
+ * scale-in and scale-out. Must be called every MM_NODE_TICK_MS. */
 void mm_autoscaler_tick(MmAutoscaler *autoscaler);
 /* Returns the capacity pool, which is added if it does not exist yet. The pointer is valid until
  * the next pool is added. */
--- a/src/autoscaler/cloud-codec.h
+++ b/src/autoscaler/cloud-codec.h
@@ -62,7 +62,7 @@
  * request idempotent: the cloud executes it only once. */
 json_t *mm_launch_request_to_json(const char *request_id, const MmName *type, const MmName *zone,
                                   gboolean is_spot, guint n_machines);
-/* Returns how many machines were launched, as the cloud's response shows. */
+/* Returns how many machines were launched according to the cloud's response. */
 guint mm_launch_response_count(const json_t *body);
 /* Returns the body, newly allocated, of a request to release the machines with these ids. */
 json_t *mm_release_request_to_json(const GPtrArray *machine_ids);
--- a/src/autoscaler/instance-types.h
+++ b/src/autoscaler/instance-types.h
@@ -21,10 +21,10 @@
   MmKeyVersion stored_version; /* version of that record */
 };
 
-/* Returns an object without any types, owned by the caller. The node must outlive it. */
+/* Creates the object, which is owned by the caller and has no types yet. `node` must outlive it. */
 MmInstanceTypes *mm_instance_types_new(MmNode *node);
 void mm_instance_types_free(MmInstanceTypes *instance_types);
-/* Fetches the types from the cloud if a fetch is due and none is in flight. To be called every
+/* Fetches the types from the cloud if a fetch is due and none is in flight. Must be called every
  * MM_NODE_TICK_MS. */
 void mm_instance_types_tick(MmInstanceTypes *instance_types);
 /* Records the content and the version of the stored record. Its types are used if none are known
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -12,9 +12,10 @@
  * UNKNOWN_TYPE_BOOT_TIMEOUT_S where the type is unknown. */
 #define BOOT_TIMEOUT_MIN_S 30
 #define UNKNOWN_TYPE_BOOT_TIMEOUT_S 600
-/* Release timeouts in worker leases: of a machine whose lease has expired, from its last message
- * on, and of a running machine that has never sent a heartbeat, from its first listing on. The
- * third one replaces both in an unreachable zone, whose machines are expected to come back. */
+/* Release timeouts, in worker leases. The first is that of a machine whose lease has expired,
+ * counted from its last message. The second is that of a running machine that has never sent a
+ * heartbeat, counted from its first appearance in the cloud's list. The third replaces both in an
+ * unreachable zone, whose machines are expected to come back. */
 #define EXPIRED_RELEASE_AFTER_LEASES 2
 #define UNREPORTED_RELEASE_AFTER_LEASES 4
 #define UNREACHABLE_ZONE_RELEASE_AFTER_LEASES 20
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -189,7 +189,7 @@
 }
 
 /* Removes all options but those in the zone of the cheapest option that is not in backoff. Removes
- * all if every option is. For jobs whose tasks must all run in the same zone. */
+ * all options if all are in backoff. For jobs whose tasks must all run in the same zone. */
 static void
 keep_cheapest_available_zone(MmAutoscaler *autoscaler, GArray *options) {
   MmTime now = mm_node_now(autoscaler->node);
@@ -260,7 +260,7 @@
   return FALSE;
 }
 
-/* The operators' setting is a number, as all of theirs are: 1 enables scale-out, 0 disables it. */
+/* The operators' on/off settings are stored as numbers: 1 enables scale-out, 0 disables it. */
 static gboolean
 is_scale_out_enabled(const MmOperators *operators) {
   return operators->may_scale_out >= 0.5;
--- a/src/autoscaler/silence.c
+++ b/src/autoscaler/silence.c
@@ -122,9 +122,9 @@
   MmTime now = mm_node_now(autoscaler->node);
 
   /* A registered machine may have been sent starts, whatever it last reported. Newly acquired
-   * shards cannot start tasks until they have heard from it or it is proved to have ended. So an
-   * idle machine that has ended counts too: otherwise each of these shards would wait for a whole
-   * worker lease. */
+   * shards cannot start tasks until the machine has acknowledged their term or is proved to have
+   * ended. So an idle machine that has ended counts too: otherwise each of these shards would wait
+   * for a whole worker lease. */
   if (!machine->is_in_registry && (!machine->has_reported || machine->reported_tasks->len == 0))
     return FALSE;
   if (was_terminated_as_announced(machine, now))
--- a/src/autoscaler/silence.h
+++ b/src/autoscaler/silence.h
@@ -10,7 +10,7 @@
 #include "autoscaler/autoscaler.h"
 
 /* Counts the machines and, as silent, those whose heartbeats are overdue, in total and per zone.
- * Resets the number of probes that may be sent. To be called once per round, before scale-in and
+ * Resets the number of probes that may be sent. Must be called once per round, before scale-in and
  * scale-out. */
 void mm_autoscaler_count_silent_machines(MmAutoscaler *autoscaler);
 /* Returns whether the machine is silent and may be released for this reason. Probes the machine if
--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -31,7 +31,7 @@
   dependencies->callbacks = *callbacks;
 }
 
-/* ---- Graph updates and callbacks ---- */
+/* Graph updates and callbacks */
 
 /* Invokes the callbacks for the jobs that the change cancelled or made ready. */
 static void
@@ -124,7 +124,7 @@
   return job->vertex != NULL && mm_vertex_has_cancelled_dependency(job->vertex);
 }
 
-/* ---- Lookup of terminal records in the key-value store ---- */
+/* Lookup of terminal records in the key-value store */
 
 /* Context of a pending read; freed by its callback. */
 typedef struct {
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -38,10 +38,10 @@
 
 /* Adds a job that was added to the job table. */
 void mm_dependencies_job_added(MmDependencies *dependencies, MmJob *job);
-/* Records the cancellation of a job. To be called once it is stored in the key-value store. */
+/* Records the cancellation of a job. Must be called once it is stored in the key-value store. */
 void mm_dependencies_job_cancelled(MmDependencies *dependencies, const char *job_id);
-/* Records how a job ended. To be called once its terminal record is stored in the key-value store.
- * `done_at_ms` is the time of day of the end, as in MmTerminalState.completed_at_ms. */
+/* Records how a job ended. Must be called once its terminal record is stored in the key-value
+ * store. `done_at_ms` is the time of day of the end, as in MmTerminalState.completed_at_ms. */
 void mm_dependencies_job_ended(MmDependencies *dependencies, const char *job_id,
                                gboolean is_cancelled, gint64 done_at_ms);
 /* Records that the job record was deleted. If the terminal state of the job is known,
@@ -49,7 +49,7 @@
 void mm_dependencies_job_removed(MmDependencies *dependencies, const char *job_id);
 
 /* Returns whether this node does not know the state of some direct or transitive dependency of the
- * job. Until the state is known, users cannot be told whether the job is cancelled. */
+ * job. Until the state is known, responses to users cannot state whether the job is cancelled. */
 gboolean mm_dependencies_has_unknown_dependency(MmDependencies *dependencies, const MmJob *job);
 
 /* Returns whether the dependencies of the job allow its tasks to start: the terminal record of each
--- a/src/heartbeat-server/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -225,8 +225,8 @@
     return machine;
   }
   /* A direct reply with a newer heartbeat id was recorded before this heartbeat. The response still
-   * renews the lease if the worker is waiting for it, so the peers must be told about the response
-   * whatever heartbeat id they have recorded. */
+   * renews the lease if the worker is waiting for it, so the peers must be notified of the
+   * response, whatever heartbeat id they have recorded. */
   machine = mm_machine_table_find(node->machine_table, heartbeat->machine_id.s);
   if (!heartbeat->is_unanswered)
     mm_peer_broadcast_unverified(node->peer_links, &machine->id);
--- a/src/heartbeat-server/pending-response.h
+++ b/src/heartbeat-server/pending-response.h
@@ -34,7 +34,7 @@
   MmHeartbeatId heartbeat_id;
   MmResources available;    /* resources of the machine that are not yet used */
   GArray *approved_starts;  /* elements: MmApprovedStart */
-  GArray *tried_tasks;      /* elements: MmTaskRef; tasks requested without success */
+  GArray *tried_tasks;      /* elements: MmTaskRef; tasks of refused start requests */
   MmPlacementChoice choice; /* current start request */
   guint exhausted_views;    /* bit set of placement views without further tasks */
   guint failed_requests;
--- a/src/job-api/submission.c
+++ b/src/job-api/submission.c
@@ -84,7 +84,7 @@
   mm_kv_client_commit(node->kv, &transaction, on_job_record_written, request);
 }
 
-/* ---- Dependencies of the submitted job ---- */
+/* Dependencies of the submitted job */
 
 static void look_up_dependencies(MmUserRequest *request);
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -93,7 +93,7 @@
                               that was later (initialized by job-table.c) */
 
   /* heartbeats.c: reports of the workers */
-  MmCompletedTasks completed; /* initialized by led-shards.c with the recorded ones */
+  MmCompletedTasks completed; /* initialized by led-shards.c from recorded_completed */
   guint n_consecutive_errors; /* errors since the last success; many suggest a faulty job */
   MmTime paused_until;
   double observed_run_s_sum; /* total run time of n_observed_runs tasks */
@@ -111,7 +111,7 @@
 
   /* quota.c */
   gboolean is_within_quota;      /* together with the team's older jobs it fits the team's quota */
-  gboolean has_quota_precedence; /* likewise, if no objective covers jobs within quota */
+  gboolean has_quota_precedence; /* is_within_quota, and no objective covers jobs within quota */
 
   /* urgency.c */
   MmPriority inherited_priority; /* the highest priority among the job and its dependents */
--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -17,7 +17,7 @@
 /* Limits the time that one tick adds to available_us, see mm_kv_client_tick. */
 #define MAX_AVAILABLE_PER_TICK_MS (4 * MM_NODE_TICK_MS)
 
-/* The callback of a transaction that this node may not send, to be called with status 503. */
+/* The callback of a transaction that this node may not send. It is called with status 503. */
 typedef struct {
   MmResponseCallback on_response;
   gpointer data;
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -75,7 +75,7 @@
 /* Commits the transaction if it has operations; otherwise clears it without calling back. */
 void mm_kv_client_commit_unless_empty(MmKvClient *kv, MmTransaction *transaction,
                                       MmResponseCallback on_response, gpointer data);
-/* Sends any other request; `body` stays the caller's and may be NULL. */
+/* Sends any other request. `body` is borrowed and may be NULL. */
 void mm_kv_client_request(MmKvClient *kv, const char *method, const char *path, const json_t *body,
                           guint timeout_ms, MmResponseCallback on_response, gpointer data);
 
--- a/src/kv/replica.c
+++ b/src/kv/replica.c
@@ -221,7 +221,7 @@
   replica->staleness_us = replica->staleness_at.us - replica->load_started_at.us;
   /* Other nodes' leases may have expired without this node seeing it, and those nodes may have
    * answered workers until then. Without this record, a node that was cut off while it started
-   * would count machines as lost that another node answered a moment ago. */
+   * would count machines as lost that another node has answered recently. */
   record_node_removal(replica);
   if (replica->term_at_start.v == 0)
     replica->term_at_start = replica->term;
--- a/src/kv/replica.h
+++ b/src/kv/replica.h
@@ -21,8 +21,8 @@
   void (*put)(gpointer context, const char *suffix, const json_t *value, MmKeyVersion version);
   void (*removed)(gpointer context, const char *suffix);
   /* Adds all keys that the observer holds to `keys`, as newly allocated strings. After a reload,
-   * `removed` is called for those that no longer exist. If NULL, a reload removes no keys of this
-   * observer. */
+   * `removed` is called for each of these keys that no longer exists. If `list_keys` is NULL, a
+   * reload removes no keys of this observer. */
   void (*list_keys)(gpointer context, const char *prefix, GPtrArray *keys);
   void (*page_loaded)(gpointer context); /* after each page of a load */
   gpointer context;
@@ -54,8 +54,8 @@
   MmKeyVersion term_version;
   GHashTable *shards;     /* name -> MmShard */
   GHashTable *live_nodes; /* label -> MmLiveNode */
-  /* When this node last saw that a node's lease was replaced or gone, or last completed a load,
-   * during which leases may have expired without this node seeing it. */
+  /* When this node last saw that a node's lease was replaced or no longer existed, or last
+   * completed a load, during which leases may have expired without this node seeing it. */
   MmTime last_node_lease_loss_at;
   MmTime load_started_at;
   guint64 first_page_revision;   /* 0 until the first page of a load is read */
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -131,7 +131,7 @@
     request->lease_id = lease_id;
     /* The condition prevents a delayed announcement, carried out after a newer one, from binding
      * the key to the older lease. The key would be deleted when that lease expires, and the other
-     * nodes would consider this node gone while it still answers workers. */
+     * nodes would no longer count this node as live while it still answers workers. */
     mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
                                    lease->node_key_version);
     mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
--- a/src/leases/node-lease.h
+++ b/src/leases/node-lease.h
@@ -44,8 +44,8 @@
                                const MmReplica *replica);
 /* Sets the source of the peers' reports, which is copied. Must be called before the first tick. */
 void mm_node_lease_set_peers(MmNodeLease *lease, const MmLeasePeers *peers);
-/* Frees the lease without revoking it; it expires in the store. May be called only when no request
- * about the lease can be answered any more. */
+/* Frees the lease without revoking it; it expires in the store. Must not be called while the
+ * callback of a request about the lease may still be invoked. */
 void mm_node_lease_free(MmNodeLease *lease);
 /* Acquires or renews the lease when due, and extends it while an outage is proved. */
 void mm_node_lease_tick(MmNodeLease *lease);
--- a/src/leases/shard-ownership.h
+++ b/src/leases/shard-ownership.h
@@ -54,7 +54,8 @@
 /* Returns whether the replica shows this node, with its present lease, as the shard's leader. */
 gboolean mm_shard_ownership_leads(const MmShardOwnership *ownership, const char *shard_name);
 /* Returns whether this node expects changes of shard leaders: a shard has no leader, its leader's
- * lease is gone or replaced, or a live peer has not yet announced its lease to this node. */
+ * lease no longer exists or was replaced, or a live peer has not yet announced its lease to this
+ * node. */
 gboolean mm_shard_ownership_is_in_transition(const MmShardOwnership *ownership);
 /* Returns whether the shard is a singleton role rather than a team. */
 gboolean mm_shard_ownership_is_singleton_role(const char *shard_name);
--- a/src/machines/machine-health.h
+++ b/src/machines/machine-health.h
@@ -27,8 +27,8 @@
  * counted from that time. */
 void mm_machine_health_begin_incarnation(MmMachine *machine, MmTime first_seen_at);
 
-/* Records a response with this term that is about to be sent to the machine, or that a peer has
- * sent. */
+/* Records a response to the machine that carries this term. This node is about to send it, or a
+ * peer has sent it. */
 void mm_machine_health_count_response(const MmMachineTable *machine_table, MmMachine *machine,
                                       MmTerm term);
 /* Records a response by this node with the replica's term. */
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -221,8 +221,8 @@
                                  MmTime responded_at) {
   MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
-  /* For an unknown machine nothing needs to be recorded: a machine that is added later is assumed
-   * to have been answered at that time. */
+  /* Nothing is recorded for an unknown machine: if it is added later, it is assumed to have been
+   * answered at the time of its addition. */
   if (machine != NULL)
     mm_machine_health_record_response(machine_table, machine, responded_at);
 }
--- a/src/machines/machine-table-leases.c
+++ b/src/machines/machine-table-leases.c
@@ -13,7 +13,8 @@
  * ENDED_INCARNATIONS_MIN. */
 #define ENDED_INCARNATIONS_PER_MACHINE 2
 #define ENDED_INCARNATIONS_MIN 4096
-/* Stored as the newest ended incarnation of a terminated machine, which never returns. */
+/* Stored as the newest ended incarnation of a terminated machine. Since the machine never returns,
+ * all its incarnations count as ended. */
 #define EVERY_INCARNATION G_MAXUINT64
 
 /* Ended incarnations */
--- a/src/machines/registry-entering.c
+++ b/src/machines/registry-entering.c
@@ -13,7 +13,8 @@
 registrations_written(gpointer data, int status, json_t *body) {
   MmRegistry *registry = data;
 
-  /* The replica shows which machines were registered. The others are tried again. */
+  /* The replica shows which machines were registered. The registration of the others is tried
+   * again. */
   registry->is_writing = FALSE;
   registry->next_write_at = mm_time_add_ms(mm_node_now(registry->node), WRITE_INTERVAL_MS);
 }
--- a/src/machines/registry.h
+++ b/src/machines/registry.h
@@ -1,6 +1,6 @@
 /* Registry of machines in the key-value store, which records the incarnations that may run tasks.
  * An incarnation is registered before its first start, so that a new shard leader knows which
- * machines it must hear from before it starts their tasks elsewhere.
+ * machines must acknowledge its term before it starts their tasks elsewhere.
  *
  * Entries are grouped into packs, with many entries per key. With one key per machine, a
  * simultaneous change of many incarnations would exhaust the write budget for seconds. Each node
@@ -43,5 +43,6 @@
 void mm_registry_tick(MmRegistry *registry);
 /* Removes ended incarnations, so that the next leader of a shard need not wait for them. Each
  * removal is conditional on the version of its pack, so that a newer incarnation registered in that
- * pack in the meantime is not removed. One registered in another pack is not affected. */
+ * pack in the meantime is not removed. A newer incarnation that is registered in another pack is
+ * not affected. */
 void mm_registry_remove_ended_machines(MmRegistry *registry);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -23,8 +23,8 @@
 #include "upgrade/versions.h"
 #include "node/wiring.h"
 
-/* How long the last request of this node that the key-value store served, or the last request of a
- * peer that it refused, counts as recent, see is_healthy. */
+/* How long is_healthy() counts these requests as recent: the last one of this node that the
+ * key-value store served, and the last one of any peer that it refused. */
 #define KV_RECENT_RESPONSE_MS 2000
 /* Load shedding under overload: status polls are rejected at the smaller tick delay, submissions
  * only at the larger one. Heartbeats, cancellations and health checks are never rejected. */
--- a/src/placement/accelerator-reserve.c
+++ b/src/placement/accelerator-reserve.c
@@ -45,8 +45,8 @@
 
 /* Returns the resources of the machine that jobs other than accelerated ones use: all that are in
  * use less those of the accelerated tasks. Summing up the reported tasks instead would miss starts
- * that are under way, and a single response to a heartbeat could fill the machine with services,
- * which run indefinitely. */
+ * in flight, and a single response to a heartbeat could fill the machine with services, which run
+ * indefinitely. */
 static MmResources
 taken_by_other_work(const MmPlacement *placement, const MmMachine *machine,
                     MmResources free_resources) {
--- a/src/placement/accelerator-reserve.h
+++ b/src/placement/accelerator-reserve.h
@@ -24,7 +24,7 @@
 } MmReserveEffect;
 
 /* Returns the effect of placing a task of the job on the machine. `free_resources` are the
- * machine's free resources, less those of starts that are under way. */
+ * machine's free resources, less those of starts in flight. */
 MmReserveEffect mm_placement_check_reserve(MmPlacement *placement, const MmJob *job,
                                            const MmMachine *machine, MmResources free_resources);
 /* Returns whether one more machine may be unreserved and `machine` is that one. Shard leaders that
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -108,9 +108,9 @@
   return n_tasks;
 }
 
-/* Adds the job's pending tasks that were not requested yet to the ranking, if `is_cached`: the
- * machine may run them and has their image. Counts all pending tasks of the job in
- * `n_tasks_before`. */
+/* If `is_cached`, which means that the machine may run the job's tasks and has their image, adds
+ * the pending tasks that were not requested yet to the ranking. Counts all pending tasks of the job
+ * in `n_tasks_before`. */
 static void
 rank_pending_tasks(Ranking *ranking, guint view, const MmPendingTasks *pending,
                    gboolean is_cached) {
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -17,7 +17,7 @@
   gboolean is_starving;    /* see MmJob.is_starving */
 } MmPendingTasks;
 
-/* Returns an object without any task ranges. Free with mm_pending_tasks_free. */
+/* Creates the object, which has no task ranges yet. Free with mm_pending_tasks_free. */
 MmPendingTasks *mm_pending_tasks_new(const char *job, gboolean has_precedence,
                                      gboolean is_starving);
 void mm_pending_tasks_free(MmPendingTasks *pending);
--- a/src/scheduler/acknowledgements.c
+++ b/src/scheduler/acknowledgements.c
@@ -16,11 +16,11 @@
 /* A machine that reports a higher term before its next regular heartbeat does so half a second
  * after it has received the term. After this time it is expected to wait for that heartbeat. */
 #define TERM_REPORTED_WITHIN_MS 1200
-/* In heartbeat intervals: while the latest heartbeat is more recent than this, the next one is too
- * far in the future to wait for. */
+/* In heartbeat intervals: while the latest heartbeat is more recent than this, waiting for the next
+ * one would take too long. */
 #define RECENT_HEARTBEAT_INTERVALS 0.6
-/* Milliseconds for each second of the heartbeat interval: a machine that has been silent for longer
- * has missed a heartbeat rather than sent it late. */
+/* In milliseconds per second of the heartbeat interval: a machine that has been silent for longer
+ * than this has missed a heartbeat, rather than sent it late. */
 #define SILENT_MS_PER_INTERVAL_S 1500
 
 /* Returns the highest term of all teams' shards, whichever nodes lead them. */
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -11,7 +11,7 @@
 
 /* A request to start one task on a machine. */
 typedef struct {
-  MmMachine *machine;         /* lent */
+  MmMachine *machine;         /* borrowed */
   MmHeartbeatId heartbeat_id; /* of the heartbeat whose response would carry the start */
   /* Reduced by mm_scheduler_approve_start to what this node also considers free. */
   MmResources free_resources;
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -187,7 +187,7 @@
                              || (task->state == MM_TASK_PLACE_RESERVED
                                  && mm_time_ms_since(now, task->state_since) > reservation_ms);
   }
-  /* A gang runs either completely or not at all: it is stopped when some of its tasks are gone
+  /* A gang runs either completely or not at all: it is stopped when some of its tasks are pending
    * while others are on machines, or when a machine did not request a reserved place in time. */
   if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
     release_gang(scheduler, job);
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -287,8 +287,8 @@
 
 /* Returns whether the machine has acknowledged the shard's term, or shows a newer incarnation than
  * the one that was registered when the shard was acquired. In the latter case, the tasks of the old
- * incarnation are gone, and a start for the new one requires a registry entry that only a node that
- * has seen the shard's term can have read. */
+ * incarnation have ended, and a start for the new one requires a registry entry that only a node
+ * that has seen the shard's term can have read. */
 static gboolean
 has_acknowledged_term(const MmLedShard *shard, const MmMachine *machine) {
   gpointer registered_incarnation;
--- a/src/scheduler/led-shards.c
+++ b/src/scheduler/led-shards.c
@@ -166,10 +166,10 @@
     mm_placement_backlog_changed(scheduler->node->placement);
 }
 
-/* Returns whether a task of the job may be on an unacknowledged machine. Earlier leaders observed
- * the same constraints, and the kind of a machine never changes, so a machine that the job may not
- * use has none of its tasks. So a service need not wait for a spot machine that the cloud took
- * back, nor a gang for a machine without accelerators. */
+/* Returns whether a task of the job may be on an unacknowledged machine. A machine that the job may
+ * not use has none of its tasks, because earlier leaders observed the same constraints and the kind
+ * of a machine never changes. For example, a service need not wait for a spot machine that the
+ * cloud has reclaimed, nor a gang for a machine without accelerators. */
 static gboolean
 may_be_on_unacknowledged(const MmLedShard *shard, const MmJob *job) {
   for (guint i = 0; i < shard->unacknowledged_kinds->len; i++) {
--- a/src/scheduler/led-shards.h
+++ b/src/scheduler/led-shards.h
@@ -7,14 +7,14 @@
 void mm_led_shard_free(MmLedShard *shard);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmLedShard, mm_led_shard_free)
 
-/* Returns the job's shard, lent, or NULL when this node does not lead it. */
+/* Returns the job's shard, borrowed, or NULL when this node does not lead it. */
 MmLedShard *mm_scheduler_shard_of_job(const MmScheduler *scheduler, const MmJob *job);
 
 /* Starts and stops leading shards when the replica has changed. */
 void mm_scheduler_replica_changed(MmScheduler *scheduler);
 /* Handles a job that is new or whose record has changed. */
 void mm_scheduler_job_changed(MmScheduler *scheduler, MmJob *job);
-/* Drops all references to a job whose record is gone, before the job is freed. */
+/* Drops all references to a job whose record no longer exists, before the job is freed. */
 void mm_scheduler_job_removed(MmScheduler *scheduler, MmJob *job);
 /* Handles a job of which the last dependency is done: its waiting times count from that time. */
 void mm_scheduler_job_ready(MmScheduler *scheduler, MmJob *job);
--- a/src/scheduler/placement-estimate.c
+++ b/src/scheduler/placement-estimate.c
@@ -7,7 +7,7 @@
 #define COLOCATED_TASKS_UNKNOWN G_MAXUINT
 /* Below this age, an estimate is used without a new scan. */
 #define ESTIMATE_FRESH_MS 400
-/* Below this age, an estimate is used when no scan is left. */
+/* Below this age, an estimate is used when the limit of scans has been reached. */
 #define ESTIMATE_AGE_MAX_MS 2000
 /* A task does not wait for another machine to avoid a fetch that is shorter than this. */
 #define SHORT_FETCH_S 0.5
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -205,8 +205,8 @@
   }
 }
 
-/* Returns the machine on which a task of the job would start soonest, lent, or NULL. For services,
- * COLOCATED_TASK_PENALTY_S is added to the delay for each co-located task. */
+/* Returns the machine on which a task of the job would start soonest, borrowed, or NULL. For
+ * services, COLOCATED_TASK_PENALTY_S is added to the delay for each co-located task. */
 static MmMachine *
 find_soonest_machine(MmScheduler *scheduler, const MmJob *job) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -7,8 +7,8 @@
 
 #include "scheduler/scheduler.h"
 
-/* Updates which jobs are within their team's quota and how much each team uses. Does nothing if
- * called again within a second. */
+/* Updates which jobs are within their team's quota and which resources each team uses. Does nothing
+ * if called again within a second. */
 void mm_scheduler_update_quotas(MmScheduler *scheduler);
 /* Recomputes, for each led shard, how much of the team's limit is used and how much is reserved for
  * the most urgent job. */
--- a/src/scheduler/replica-move.c
+++ b/src/scheduler/replica-move.c
@@ -15,8 +15,8 @@
 /* Maximum time that the image fetch of a moved replica may take. */
 #define REPLICA_MOVE_FETCH_S 5
 
-/* Returns another machine on which a replica that runs on `current` could start shortly, lent, or
- * NULL. */
+/* Returns another machine on which a replica that runs on `current` could start shortly, borrowed,
+ * or NULL. */
 static MmMachine *
 find_machine_for_replica(MmScheduler *scheduler, const MmJob *job, const MmMachine *current,
                          double max_fetch_s) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -37,7 +37,7 @@
   const MmTeamSettings *team;
   MmResources used; /* sum over the tasks that are or may be on machines */
   /* The most urgent job with pending tasks that is starving or whose own priority is at least
-   * MM_PRIORITY_URGENT, lent; NULL: none. */
+   * MM_PRIORITY_URGENT, borrowed; NULL: none. */
   const MmJob *limit_reserved_for;
   MmResources reserved_of_limit; /* the part of the team's limit that is reserved for that job */
   /* Derived from `unacknowledged_machines` by mm_scheduler_update_unacknowledged: */
--- a/src/scheduler/stop-commands.h
+++ b/src/scheduler/stop-commands.h
@@ -1,5 +1,5 @@
 /* Stops single tasks and all tasks of a cancelled job. A stop is sent as a direct command, and is
- * repeated until a heartbeat shows that the task is gone. */
+ * repeated until a heartbeat shows that the task is no longer on the machine. */
 #pragma once
 
 #include "scheduler/scheduler.h"
@@ -9,8 +9,8 @@
 void mm_scheduler_send_stop(MmScheduler *scheduler, MmMachine *machine, const MmName *job,
                             guint number, MmAttempt attempt, double grace_s);
 /* Sends a direct command to stop the task, and marks the task so that the stop is repeated, also in
- * heartbeat responses, until the task is gone. Does nothing for a task that is on no machine or has
- * only a reserved place. */
+ * heartbeat responses, until the task is no longer on the machine. Does nothing for a task that is
+ * on no machine or has only a reserved place. */
 void mm_scheduler_stop_task(MmScheduler *scheduler, MmJob *job, guint number);
 /* Returns the shortest time in seconds in which a task of the job can save a checkpoint before it
  * stops; 0 when the job saves no checkpoints or is cancelled. */
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -57,8 +57,8 @@
   return job->spec.run_estimate_s * CLAMP(ratio, 0.25, 4);
 }
 
-/* Returns in how many successive rounds the pending tasks must run because the team's limit
- * restricts how many can run at once; at least 1. */
+/* Returns the number of successive rounds in which the pending tasks must run, at least 1. The
+ * team's limit restricts how many tasks can run at once. */
 static double
 estimate_rounds(const MmScheduler *scheduler, const MmJob *job) {
   const MmTeamSettings *team = mm_settings_team(scheduler->node->settings, &job->spec.team);
--- a/src/scheduler/urgency.h
+++ b/src/scheduler/urgency.h
@@ -6,8 +6,9 @@
 
 #include "scheduler/scheduler.h"
 
-/* Returns whether the job is tried on every machine it fits on before the tasks that the machine
- * itself prefers: it is starving, is urgent, or has waited for longer than its bound. */
+/* Returns whether the job has precedence because it is starving, is urgent, or has waited for
+ * longer than its bound. Every machine that the job fits on then tries its tasks before those that
+ * the machine would otherwise prefer. */
 gboolean mm_scheduler_has_precedence(const MmScheduler *scheduler, const MmJob *job);
 /* Sets the job's effective priority, and the time by which it must be given machines to meet the
  * earliest objective that can still be met, its own or one of a job that depends on it. */
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -146,8 +146,8 @@
   sharing->unowned_since.us = 0;
 }
 
-/* Compares the stored number of groups with the settings, only once after this node has started:
- * later, a node with a different number is excluded by those that share machines already. */
+/* Compares the stored number of groups with the settings. Does so only once after this node has
+ * started: later, the nodes that already share machines exclude a node with a different number. */
 static void
 check_stored_group_count(MmSharing *sharing) {
   if (!sharing->is_group_count_checked)
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -90,8 +90,8 @@
 /* Creates the state of this folder's modules; the node must outlive it. */
 MmSharing *mm_sharing_new(MmNode *node);
 void mm_sharing_free(MmSharing *sharing);
-/* Starts a transaction that is due, and balances the groups if this node leads the balancing shard;
- * to be called at every tick of the node. */
+/* Starts a transaction that is due, and balances the groups if this node leads the balancing shard.
+ * Must be called at every tick of the node. */
 void mm_sharing_tick(MmSharing *sharing);
 /* Called after the replica has changed. Updates the groups that this node owns. */
 void mm_sharing_replica_changed(MmSharing *sharing);
@@ -128,7 +128,7 @@
 gboolean mm_sharing_grant_is_current(const MmSharing *sharing, const char *machine, MmTerm term);
 /* Returns the peer to which the machine's worker should send its heartbeats, the owner of the
  * machine's group; MM_PEER_NONE: this node serves the machine. Records the redirect: a machine is
- * redirected at most once per worker lease. To be called only while sharing is active. */
+ * redirected at most once per worker lease. Must be called only while sharing is active. */
 gint mm_sharing_redirect_target(MmSharing *sharing, const char *machine);
 /* Returns whether this node should register the machine: it owns the machine's group, or the group
  * has no owner and the machine sends its heartbeats to this node. */
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -161,7 +161,7 @@
          && mm_time_ms_since(mm_node_now(sharing->node), sharing->unowned_since) > UNOWNED_WAIT_MS;
 }
 
-/* Returns whether acquisition must wait: this node's lease is not shown by the replica yet, or the
+/* Returns whether acquisition must wait: the replica does not contain this node's lease yet, or the
  * cluster is new, no group has ever had an owner, and other nodes may be about to become live. */
 static gboolean
 awaits_other_nodes(const MmSharing *sharing) {
--- a/src/upgrade/format.h
+++ b/src/upgrade/format.h
@@ -26,7 +26,7 @@
   gboolean is_known; /* the key has been read or found absent */
 } MmFormat;
 
-/* Creates the state, with the active format not known yet. Free it with mm_format_free. */
+/* Creates the state; the active format is not known yet. Free it with mm_format_free. */
 MmFormat *mm_format_new(void);
 void mm_format_free(MmFormat *format);
 /* Sets the active format from the value of the key in the replica; NULL means that the key is
--- a/tests/loopback/checker.h
+++ b/tests/loopback/checker.h
@@ -6,9 +6,9 @@
 #include <glib.h>
 
 typedef enum {
-  HISTORY_ACCEPTED,  /* a user was told that the job is accepted */
-  HISTORY_DONE,      /* a user was told that the job is done */
-  HISTORY_CANCELLED, /* a user was told that the job is cancelled */
+  HISTORY_ACCEPTED,  /* a response to a user reported the job as accepted */
+  HISTORY_DONE,      /* a response to a user reported the job as done */
+  HISTORY_CANCELLED, /* a response to a user reported the job as cancelled */
   HISTORY_START,     /* a task starts on a machine */
   HISTORY_END,       /* a task ends on a machine; `completed` tells whether it finished */
   HISTORY_REFUSED    /* a machine rejected a start for lack of resources */
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -148,8 +148,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Kills all nodes, which run the other binary, and starts the program on the state that they
- * stored. */
+/* Kills all nodes, which run the binary given by --other-binary, and restarts them with the tested
+ * program and the state that they stored. */
 static gboolean
 take_over(gpointer data) {
   Run *run = data;
--- a/tests/test-concurrent-faults.h
+++ b/tests/test-concurrent-faults.h
@@ -13,7 +13,7 @@
 void submit_jobs(World *world, guint n, const char *kind, guint tasks, double run_s);
 /* Requests the cancellation of each job for which it has not been requested before. */
 void cancel_all_jobs(World *world);
-/* Returns the number of jobs whose user was last told this state. */
+/* Returns the number of jobs whose user last saw them in this state. */
 guint count_jobs_seen_as(const World *world, WorldUserView view);
 /* Returns the number of machines in the zone that have lost a lease. NULL: in all zones. */
 guint count_machines_with_lost_lease(const World *world, const char *zone);
--- a/tests/test-dependency-graph.c
+++ b/tests/test-dependency-graph.c
@@ -160,12 +160,12 @@
 #define JOBS 60
 #define MAX_DEPENDENCIES 4
 
-/* Reference model: the jobs, their dependencies, and the events that the graph was told of. */
+/* Reference model: the jobs, their dependencies, and the events that were reported to the graph. */
 typedef struct {
   guint dependencies[JOBS][MAX_DEPENDENCIES];
   guint n_dependencies[JOBS];
   gboolean added[JOBS], removed[JOBS];
-  gboolean done[JOBS], cancelled[JOBS]; /* told to the graph by a job record or a terminal record */
+  gboolean done[JOBS], cancelled[JOBS]; /* reported by a job record or a terminal record */
 } Model;
 
 static gboolean
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -146,7 +146,8 @@
   g_test_message("%" G_GUINT64_FORMAT " direct commands, at most %" G_GUINT64_FORMAT
                  " in a tenth of a second, all shards ready after %u tenths of a second",
                  world->n_direct_commands - n_before, max_per_tenth, n_tenths);
-  /* Four requests per node in a tenth of a second, and the stop commands sent in the same time. */
+  /* Each node requests at most four acknowledgements in a tenth of a second; the limit also covers
+   * the stop commands sent in the same time. */
   g_assert_cmpuint(max_per_tenth, <=, 16);
   /* In total, fewer direct commands than one per machine. */
   g_assert_cmpuint(world->n_direct_commands - n_before, <,
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -131,10 +131,10 @@
   world_free(world);
 }
 
-/* An incarnation that is seen for the first time counts as answered at that moment and therefore
+/* An incarnation that is seen for the first time counts as answered at that time and therefore
  * lives for one lease, however long ago the machine was last answered. This holds whether a direct
  * reply or only the registry shows the incarnation. Otherwise machines of a zone that reconnects
- * would be counted as lost a moment later, and their tasks would run twice. */
+ * would be counted as lost shortly afterwards, and their tasks would run twice. */
 static void
 test_new_incarnation_lives_for_a_lease(void) {
   World *world = new_world_with_two_machines(7);
--- a/tests/test-pipelines-faults.c
+++ b/tests/test-pipelines-faults.c
@@ -1,4 +1,4 @@
-/* Faults at the moments at which a node could misjudge how a dependency ended. */
+/* Faults at the times at which a node could misjudge how a dependency ended. */
 #include "test-pipelines.h"
 
 #include "base/wire.h"
@@ -55,7 +55,7 @@
   check_and_free_world(world);
 }
 
-/* A dependent is submitted to another node at the moment of the cancellation. */
+/* A dependent is submitted to another node at the time of the cancellation. */
 void
 test_dependent_is_submitted_during_cancellation(void) {
   for (guint32 seed = 1; seed <= 6; seed++) {
@@ -93,8 +93,8 @@
   world_run(world, 6);
   after_done = submit_dependent_array(world, 1, 1, 2, done);
   after_cancelled = submit_dependent_array(world, 2, 1, 2, cancelled);
-  /* The job must never be reported as queued, because the user was told of the cancellation long
-   * before (failure found on random day 124). */
+  /* The job must never be reported as queued, because the cancellation was confirmed to the user
+   * long before (failure found on random day 124). */
   run_until_accepted(world, after_cancelled);
   g_assert_cmpint(after_cancelled->user_view, ==, USER_SEES_CANCELLED);
   run_until_user_sees(world, after_done, USER_SEES_DONE, 30);
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -1,4 +1,4 @@
-/* Jobs with dependencies (pipelines) in the simulated world: the normal path, faults at the moments
+/* Jobs with dependencies (pipelines) in the simulated world: the normal path, faults at the times
  * at which a node could misjudge a dependency, and random days. */
 #include "test-pipelines.h"
 
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,6 +1,6 @@
 /* Rolling upgrades: nodes of the old and the new release run side by side and on each other's data,
- * are restarted a few at a time amid random faults, and the limits of the key-value store fall at a
- * random moment. */
+ * are restarted a few at a time amid random faults, and the limits of the key-value store fall at
+ * a random time. */
 #include "base/wire.h"
 #include "jobs/job-table.h"
 #include "peers.pb-c.h"
@@ -185,8 +185,8 @@
   world_free(world);
 }
 
-/* Nodes are upgraded at random moments. Users submit jobs with dependencies once all nodes are
- * upgraded, and the limits fall at a random moment after that. */
+/* Nodes are upgraded at random times. Users submit jobs with dependencies once all nodes are
+ * upgraded, and the limits fall at a random time after that. */
 static void
 test_rolling_upgrade(gconstpointer data) {
   World *world = new_old_version_world(GPOINTER_TO_UINT(data), 9);
--- a/tests/world/types.h
+++ b/tests/world/types.h
@@ -55,7 +55,8 @@
 } WorldUserView;
 
 typedef struct WorldJob WorldJob;
-/* A job of a user: the submission, what the user was told, and what happened in the simulation. */
+/* A job of a user: the submission, what the responses reported to the user, and what happened in
+ * the simulation. */
 struct WorldJob {
   World *world;
   char id[32];
@@ -149,7 +150,7 @@
 /* Events of a task on a machine. */
 typedef enum {
   WORLD_TASK_STARTS, /* the task occupies the machine from now on */
-  WORLD_TASK_ENDS, /* by itself, by command, or with its machine; in the last case without cause */
+  WORLD_TASK_ENDS,   /* by itself, by command, or with its machine (`cause` is unset then) */
   WORLD_TASK_REFUSED /* the task did not start; `cause` says why */
 } WorldTaskEvent;
 
@@ -193,7 +194,7 @@
   /* Key-value store */
   GTree *keys; /* path -> WorldKey */
   guint64 revision;
-  GPtrArray *changes;    /* KeyChange of kv-watches.c, in order of revision */
+  GPtrArray *changes;    /* elements: KeyChange (kv-watches.c), in order of revision */
   GHashTable *leases;    /* id -> WorldLease */
   guint64 last_lease_id; /* id of the most recent lease */
   GPtrArray *watches;    /* pending watches */
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -240,8 +240,8 @@
 void world_check_invariants(World *world);
 /* Fails the test if an invariant was violated, and prints each violation. */
 void world_assert_invariants(const World *world);
-/* Fails the test if there is a job whose user has not been told that it is done or cancelled, and
- * prints each such job. */
+/* Fails the test if there is a job that no response has reported to its user as done or cancelled,
+ * and prints each such job. */
 void world_assert_all_jobs_finished(const World *world);
 /* Returns the number of running tasks of the job on machines other than `except`, which may be
  * NULL. */
