--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -141,9 +141,9 @@
   autoscaler->next_round_at = mm_time_add_ms(now, ROUND_INTERVAL_MS);
   mm_autoscaler_count_silent_machines(autoscaler);
   mm_autoscaler_scale_in(autoscaler);
-  /* Machines that have ended must not stay in the registry: a node that acquires a shard later
-   * would have to prove again that they have ended, before it could restart their tasks or start
-   * any others. */
+  /* Removes machines that have ended from the registry. Otherwise a node that acquires a shard
+   * later would have to prove again that these machines have ended, before it could restart their
+   * tasks or start any other tasks. */
   mm_registry_remove_ended_machines(node->registry);
   mm_autoscaler_scale_out(autoscaler);
 }
--- a/src/autoscaler/cloud-codec.c
+++ b/src/autoscaler/cloud-codec.c
@@ -4,7 +4,7 @@
 
 #include "base/wire.h"
 
-/* Used for machine types whose description by the cloud lacks these fields. */
+/* Default values for fields that the cloud omits from the description of a machine type. */
 #define DEFAULT_BOOT_S 60
 #define DEFAULT_FETCH_GB_PER_S 1
 /* Lower bound of the fetch rate, whatever the cloud reports. */
--- a/src/autoscaler/cloud-codec.h
+++ b/src/autoscaler/cloud-codec.h
@@ -12,7 +12,7 @@
   MmName type;
   MmName zone;
   gboolean is_spot;
-  gboolean is_running; /* as the cloud reports; FALSE while it boots */
+  gboolean is_running; /* as the cloud reports; FALSE while the machine boots */
   gboolean has_failed; /* as the cloud reports */
   double age_s;
 } MmListedMachine;
@@ -23,14 +23,15 @@
   char *next_after; /* machine id that the next page follows, owned; NULL: this is the last page */
 } MmMachineListPage;
 
-/* Parses a page. Returns FALSE, and leaves nothing to clear, when the body holds no array of
- * machines. Omits machines whose id is missing, empty or longer than MM_NAME_MAX. */
+/* Parses a page. Omits machines whose id is missing, empty or longer than MM_NAME_MAX. Returns
+ * FALSE when the body holds no array of machines; the page then needs no clearing. */
 gboolean mm_machine_list_page_parse(MmMachineListPage *page, const json_t *body);
 /* Frees the contents of the page, not the page itself. */
 void mm_machine_list_page_clear(MmMachineListPage *page);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(MmMachineListPage, mm_machine_list_page_clear)
-/* Returns the request path, newly allocated, of the page of at most `page_size` machines that
- * follows the machine id `after`, or of the first page if `after` is NULL. */
+/* Returns the newly allocated request path for one page of the list of machines. The page holds at
+ * most `page_size` machines and starts after the machine id `after`. If `after` is NULL, it is the
+ * first page. */
 char *mm_machine_list_path(const char *after, guint page_size);
 
 /* A machine type: what a machine of this type has and costs, and where it is available. */
@@ -47,15 +48,16 @@
 
 void mm_instance_type_free(MmInstanceType *type);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmInstanceType, mm_instance_type_free)
-/* Returns the type, newly allocated, or NULL if it has no name. Missing fields get defaults. */
+/* Returns a newly allocated type, or NULL if the JSON contains no name. Fields that the JSON lacks
+ * get default values. */
 MmInstanceType *mm_instance_type_parse(const json_t *json);
-/* Returns the list of types in the cloud's response or in the stored record, borrowed from `body`,
- * or NULL when it holds none. */
+/* Returns the list of types in `body`, which is the cloud's response or the stored record. The list
+ * is borrowed from `body`. Returns NULL when `body` holds no list. */
 const json_t *mm_instance_type_list_of(const json_t *body);
-/* Returns the list as JSON text, newly allocated, without the prices, which may differ from one
- * response of the cloud to the next. */
+/* Returns the list as newly allocated JSON text. The text omits the prices, because these may
+ * differ from one response of the cloud to the next. */
 char *mm_instance_type_list_to_text_without_prices(const json_t *list);
-/* Returns the record, newly allocated, that stores the list in the key-value store. */
+/* Returns the newly allocated record that stores the list in the key-value store. */
 json_t *mm_instance_type_record_to_json(const json_t *list);
 
 /* Returns the body, newly allocated, of a request to launch machines. `request_id` makes the
--- a/src/autoscaler/instance-types.c
+++ b/src/autoscaler/instance-types.c
@@ -6,10 +6,10 @@
 
 #define TYPES_REFRESH_MS 60000
 #define TYPES_RETRY_MS 1000 /* after a failed fetch */
-/* Refresh interval while no stored record of the types is known. */
+/* Refresh interval of the types until this node knows of a stored record of them. */
 #define UNSTORED_TYPES_REFRESH_MS 3000
 #define TYPES_TIMEOUT_MS 3000
-/* Allowance for the size of the record beyond the text of the types without prices. */
+/* Bytes that the record may need in addition to the text of the types without prices. */
 #define RECORD_OVERHEAD_BYTES 512
 
 MmInstanceTypes *
@@ -106,9 +106,9 @@
   load_types(instance_types, list);
 }
 
-/* Stores the list as the cloud sent it, if it differs from the stored one in more than prices. Does
- * nothing while this node may not answer workers, when the record would exceed the maximum size of
- * a value, or when the write budget is used up. */
+/* Stores the list as the cloud sent it, if it differs from the stored list in more than the prices.
+ * Skips the write while this node may not answer workers, when the record would exceed the maximum
+ * size of a value, or when the write budget is used up. */
 static void
 write_types_record(MmInstanceTypes *instance_types, const json_t *list) {
   MmNode *node = instance_types->node;
@@ -126,7 +126,7 @@
                                  instance_types->stored_version);
   mm_transaction_put(&transaction, MM_KEY_INSTANCE_TYPES, "", mm_instance_type_record_to_json(list),
                      0);
-  /* A failed write needs no handling: the next response from the cloud triggers another. */
+  /* A failed write is ignored, because the next response from the cloud triggers another write. */
   mm_kv_client_commit(node->kv, &transaction, NULL, NULL);
 }
 
@@ -143,8 +143,9 @@
     return;
   }
   load_types(instance_types, list);
-  /* Fetches again sooner until the types are stored: this write may be skipped, for example because
-   * the node has no lease yet. */
+  /* Until the types are stored, the next fetch is due sooner. The write below may be skipped,
+   * for example because the node has no lease yet, and only another response from the cloud
+   * repeats it. */
   instance_types->next_fetch_at = mm_time_add_ms(
       now, instance_types->stored_text != NULL ? TYPES_REFRESH_MS : UNSTORED_TYPES_REFRESH_MS);
   write_types_record(instance_types, list);
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -8,14 +8,15 @@
 #define MAX_RELEASES_PER_REQUEST 100
 #define RELEASE_TIMEOUT_MS 5000
 #define RELEASE_RETRY_MS 1500
-/* The boot timeout is derived from the machine's type. It is at least BOOT_TIMEOUT_MIN_S, and
- * UNKNOWN_TYPE_BOOT_TIMEOUT_S where the type is unknown. */
+/* The boot timeout of a machine is derived from its type and is at least BOOT_TIMEOUT_MIN_S. For a
+ * machine of unknown type, the boot timeout is UNKNOWN_TYPE_BOOT_TIMEOUT_S. */
 #define BOOT_TIMEOUT_MIN_S 30
 #define UNKNOWN_TYPE_BOOT_TIMEOUT_S 600
-/* Release timeouts, in worker leases. The first is that of a machine whose lease has expired,
- * counted from its last message. The second is that of a running machine that has never sent a
- * heartbeat, counted from its first appearance in the cloud's list. The third replaces both in an
- * unreachable zone, whose machines are expected to come back. */
+/* Release timeouts, in worker leases. EXPIRED_RELEASE_AFTER_LEASES applies to a machine whose lease
+ * has expired, and counts from the machine's last message. UNREPORTED_RELEASE_AFTER_LEASES applies
+ * to a running machine that has never sent a heartbeat, and counts from the machine's first
+ * appearance in the cloud's list. UNREACHABLE_ZONE_RELEASE_AFTER_LEASES replaces both in an
+ * unreachable zone, because the machines of such a zone are expected to become reachable again. */
 #define EXPIRED_RELEASE_AFTER_LEASES 2
 #define UNREPORTED_RELEASE_AFTER_LEASES 4
 #define UNREACHABLE_ZONE_RELEASE_AFTER_LEASES 20
@@ -45,7 +46,8 @@
   return request->machine_ids->len >= MAX_RELEASES_PER_REQUEST;
 }
 
-/* Ends the backoff of the machine's capacity pool: the release frees capacity there. */
+/* Ends the backoff of the machine's capacity pool, because the release frees capacity in this
+ * pool. */
 static void
 reset_backoff(MmAutoscaler *autoscaler, const MmCloudMachine *cloud_machine) {
   MmCapacityPool *pool = mm_autoscaler_find_or_add_pool(
@@ -93,7 +95,8 @@
 typedef enum {
   RELEASE_NONE,
   RELEASE_FAILED,         /* the cloud reports that the machine has failed */
-  RELEASE_NEVER_REPORTED, /* it did not boot in time, or runs and sends no heartbeat */
+  RELEASE_NEVER_REPORTED, /* did not boot in time, or is running without ever having sent a
+                             heartbeat */
   RELEASE_LEASE_EXPIRED,
   RELEASE_SILENT,
   RELEASE_IDLE
@@ -107,8 +110,8 @@
   [RELEASE_IDLE] = "idle",
 };
 
-/* Returns the duration of `n_leases` worker leases, or of UNREACHABLE_ZONE_RELEASE_AFTER_LEASES if
- * the zone is unreachable. */
+/* Returns the duration of `n_leases` worker leases. If the zone is unreachable, returns the
+ * duration of UNREACHABLE_ZONE_RELEASE_AFTER_LEASES worker leases instead. */
 static gint64
 release_after_ms(MmAutoscaler *autoscaler, const MmName *zone, guint n_leases) {
   gint64 lease_ms = 1000 * (gint64)autoscaler->node->settings->worker_lease_s;
@@ -176,9 +179,10 @@
   return is_idle_and_unneeded(node, machine) ? RELEASE_IDLE : RELEASE_NONE;
 }
 
-/* Adds the registered machines that are silent and not in the cloud's list. The cloud has taken
- * them back, and its response to the release request proves this at once. Without this proof, newly
- * acquired shards could not start any tasks until the worker leases of these machines expire. */
+/* Adds the registered machines that are silent and not in the cloud's list. The cloud has already
+ * taken these machines back, and its response to the release request proves this at once. Without
+ * this proof, newly acquired shards could not start any tasks until the worker leases of these
+ * machines expire. */
 static void
 add_silent_unlisted_machines(MmAutoscaler *autoscaler, ReleaseRequest *request) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
@@ -215,8 +219,8 @@
 }
 
 /* Adds the listed machines that are to be released, and drops the records of machines that the
- * cloud no longer lists. Keeps the record of one that is in the machine table with an unexpired
- * lease, unless its release has been requested. */
+ * cloud no longer lists. The record of an unlisted machine is kept while the machine table holds
+ * the machine with an unexpired lease and no release of the machine has been requested. */
 static void
 add_listed_machines(MmAutoscaler *autoscaler, ReleaseRequest *request) {
   MmNode *node = autoscaler->node;
--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -7,15 +7,15 @@
 #include "placement/placement.h"
 
 #define MAX_MACHINES_PER_REQUEST 50
-/* Exponential backoff of a capacity pool after launch requests that got too few machines. */
+/* Exponential backoff of a capacity pool after launch requests that launched too few machines. */
 #define NO_CAPACITY_BACKOFF_MS 8000
 #define NO_CAPACITY_BACKOFF_MAX_MS 30000
 #define NO_CAPACITY_BACKOFF_MAX_DOUBLINGS 4
 /* Backoff after any other failure of a launch request. */
 #define FAILURE_BACKOFF_MS 1000
 #define LAUNCH_TIMEOUT_MS 5000
-/* In multiples of the cloud's list delay: a launched machine that is not in the list after this
- * time is not waited for any longer. */
+/* In multiples of the cloud's list delay: a launched machine that is still not in the list after
+ * this time is no longer expected to appear there. */
 #define UNLISTED_LAUNCH_TIMEOUT_LIST_DELAYS 3
 #define MAX_SLOTS_PER_MACHINE 1000
 
@@ -29,8 +29,8 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(LaunchRequest, g_free)
 
-/* Returns the backoff after a failed launch request. Status 503, or 200 with too few machines,
- * means that the pool has no capacity left. */
+/* Returns the backoff after a launch request that failed with this HTTP status. Status 503, or
+ * status 200 with too few machines, means that the pool has no capacity left. */
 static gint64
 backoff_ms(const MmCapacityPool *pool, int status) {
   gboolean has_no_capacity = status == 503 || status == 200;
@@ -70,7 +70,7 @@
                guint n_wanted) {
   MmNode *node = autoscaler->node;
   guint n_machines = MIN(n_wanted, MAX_MACHINES_PER_REQUEST);
-  /* Unique across nodes and across restarts of this node. */
+  /* The request id is unique across nodes and across restarts of this node. */
   g_autofree char *request_id
       = g_strdup_printf("%s-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, node->settings->label.s,
                         node->node_lease->lease_id, ++autoscaler->n_launch_requests);
@@ -83,8 +83,8 @@
                          body, LAUNCH_TIMEOUT_MS, on_launch_response, request);
 }
 
-/* Returns how many tasks the available amount of a resource suffices for, at most `limit`. Returns
- * `limit` if a task needs nothing of the resource. */
+/* Returns for how many tasks the available amount of a resource is sufficient, at most `limit`.
+ * Returns `limit` if a task needs none of the resource. */
 static guint
 limit_slots(guint limit, double available, double per_task) {
   if (per_task <= 0)
@@ -92,8 +92,9 @@
   return MIN(limit, (guint)MAX(available / per_task + MM_RESOURCES_SLACK, 0));
 }
 
-/* Returns how many of the job's tasks fit on an empty machine of the type, beside the resources
- * that are kept free there for accelerated jobs (see placement/accelerator-reserve.h). */
+/* Returns how many of the job's tasks fit on an empty machine of the type. Leaves out the
+ * resources that are kept free on such machines for accelerated jobs (see
+ * placement/accelerator-reserve.h). */
 static guint
 slots_per_machine(const MmPlacement *placement, const MmJob *job, const MmInstanceType *type) {
   MmResources need = job->spec.task_resources;
@@ -110,8 +111,9 @@
   return limit_slots(n_slots, free_resources.memory_gb, need.memory_gb);
 }
 
-/* Counts the upcoming machines of each capacity pool: those that are launched and not listed yet,
- * and those that are listed and have not sent a heartbeat yet. */
+/* Counts the upcoming machines of each capacity pool. A machine is upcoming while it has been
+ * launched and is not in the cloud's list yet, or while it is listed and has not sent a heartbeat
+ * yet. */
 static void
 count_upcoming_machines(MmAutoscaler *autoscaler) {
   MmTime now = mm_node_now(autoscaler->node);
@@ -168,7 +170,8 @@
     g_array_append_val(options, spot);
 }
 
-/* Returns the options for the job's tasks, lowest cost per slot first. Free with g_array_unref. */
+/* Returns the launch options for the job's tasks, lowest cost per slot first. Free with
+ * g_array_unref. */
 static GArray *
 list_launch_options(const MmNode *node, const MmJob *job) {
   GArray *options = g_array_new(FALSE, TRUE, sizeof(LaunchOption));
@@ -188,8 +191,9 @@
   return options;
 }
 
-/* Removes all options but those in the zone of the cheapest option that is not in backoff. Removes
- * all options if all are in backoff. For jobs whose tasks must all run in the same zone. */
+/* Keeps only the options in one zone, for jobs whose tasks must all run in the same zone. This is
+ * the zone of the cheapest option whose capacity pool is not in backoff. Removes all options if all
+ * pools are in backoff. */
 static void
 keep_cheapest_available_zone(MmAutoscaler *autoscaler, GArray *options) {
   MmTime now = mm_node_now(autoscaler->node);
@@ -207,9 +211,9 @@
       g_array_remove_index(options, i - 1);
 }
 
-/* Reserves slots for up to `n_tasks` tasks on the pool's upcoming machines, and returns how many it
- * reserved. `reserved_slots` maps the index of a pool, plus 1, to the number of slots that are
- * reserved there in this round. */
+/* Reserves slots for up to `n_tasks` tasks on the upcoming machines of the pool. Returns how many
+ * slots it reserved. `reserved_slots` maps the index of a pool, plus 1, to the number of slots that
+ * have been reserved in this pool in this round. */
 static guint
 reserve_upcoming_slots(GHashTable *reserved_slots, const MmAutoscaler *autoscaler,
                        const MmCapacityPool *pool, guint slots_per_machine, guint n_tasks) {
@@ -224,7 +228,8 @@
   return n_reserved;
 }
 
-/* Sums up the lengths of the ranges, each a pair of the first task's number and a length. */
+/* Returns the total length of the ranges. Each range is a pair: the number of its first task, and
+ * its length. */
 static guint
 count_pending_tasks(const MmPendingTasks *pending) {
   guint n_tasks = 0;
@@ -234,8 +239,8 @@
   return n_tasks;
 }
 
-/* Requests machines for those of the `n_tasks` tasks that get no slot on upcoming machines. Returns
- * TRUE if a request was sent. */
+/* Reserves slots on upcoming machines for the `n_tasks` tasks, and requests new machines for the
+ * tasks that get no slot. Returns TRUE if a request was sent. */
 static gboolean
 launch_for_job(MmAutoscaler *autoscaler, const MmJob *job, guint n_tasks,
                GHashTable *reserved_slots) {
--- a/src/autoscaler/silence.c
+++ b/src/autoscaler/silence.c
@@ -2,27 +2,29 @@
 
 #include "base/wire.h"
 
-/* A heartbeat is overdue after this many heartbeat intervals, and not before
+/* A heartbeat is overdue after this many heartbeat intervals, but at the earliest after
  * HEARTBEAT_OVERDUE_MIN_S. */
 #define HEARTBEAT_OVERDUE_PERIODS 1.25
 #define HEARTBEAT_OVERDUE_MIN_S 1.75
-/* Once its heartbeat is overdue, a machine is probed for as long again, but at most for this long.
- * It is enough for UNANSWERED_PROBES_MIN probes, however long the heartbeat interval is. */
+/* Maximum time for probing a machine whose heartbeat is overdue. The probing time is as long as the
+ * time after which a heartbeat is overdue, but not longer than this maximum. The maximum is
+ * sufficient for UNANSWERED_PROBES_MIN probes, however long the heartbeat interval is. If the
+ * operators have set silent_release_s, the maximum does not apply. */
 #define PROBING_MAX_S 2.5
 #define UNANSWERED_PROBES_MIN 3
 #define PROBE_INTERVAL_MS 900
 #define PROBE_TIMEOUT_MS 1500
-/* Bounds the number of connections. A round takes place every half second, each probe opens a
- * connection, and those to silent machines stay open until PROBE_TIMEOUT_MS. */
+/* Limits the number of open connections. A round takes place every half second, and each probe
+ * opens a connection. Connections to silent machines stay open until PROBE_TIMEOUT_MS. */
 #define MAX_PROBES_PER_ROUND 16
-/* While more machines are silent than MASS_SILENCE_MIN, and more than 1/MASS_SILENCE_DIVISOR of all
- * machines, none is released for its silence. */
+/* No machine is released for its silence while the number of silent machines exceeds both
+ * MASS_SILENCE_MIN and 1/MASS_SILENCE_DIVISOR of all machines. */
 #define MASS_SILENCE_MIN 2
 #define MASS_SILENCE_DIVISOR 8
-/* Zones with fewer silent machines are never considered unreachable. */
+/* A zone with fewer silent machines than this is never considered unreachable. */
 #define UNREACHABLE_ZONE_MIN_SILENT 4
-/* How long ago the announced termination and the last message must be for a machine to be
- * considered terminated. */
+/* A machine with a termination notice is considered terminated when its announced termination and
+ * its last message are both longer ago than this. */
 #define TERMINATED_SILENCE_MS 1500
 
 static void
@@ -40,8 +42,8 @@
     machine->unanswered_probes = 0;
 }
 
-/* Sends the machine a status request, at most every PROBE_INTERVAL_MS and while this round may send
- * more probes. */
+/* Sends the machine a probe, at most one every PROBE_INTERVAL_MS and only while `probes_left`
+ * allows it in this round. */
 static void
 probe_machine(MmAutoscaler *autoscaler, MmMachine *machine) {
   MmNode *node = autoscaler->node;
@@ -58,8 +60,9 @@
                          WIRE_STATUS_PATH, NULL, PROBE_TIMEOUT_MS, on_probe_response, autoscaler);
 }
 
-/* Returns how long after its last message a machine's heartbeat is overdue. This is half of
- * silent_release_s where the operators have set it; the other half is for probing. */
+/* Returns the time after a machine's last message at which its heartbeat is overdue. If the
+ * operators have set silent_release_s, this is half of it, because the other half is for
+ * probing. */
 static gint64
 heartbeat_overdue_ms(const MmAutoscaler *autoscaler) {
   const MmNode *node = autoscaler->node;
@@ -72,7 +75,8 @@
                                HEARTBEAT_OVERDUE_MIN_S)));
 }
 
-/* Returns how long after its last message a machine is silent if it has answered no probe. */
+/* Returns the time after a machine's last message at which the machine is silent if it has answered
+ * no probe. */
 static gint64
 silence_timeout_ms(const MmAutoscaler *autoscaler) {
   gint64 overdue_limit_ms = heartbeat_overdue_ms(autoscaler);
@@ -84,16 +88,17 @@
 }
 
 /* Returns whether this node has received a heartbeat or a response from any worker since it last
- * probed the machine. A node without a connection to the workers gets no responses, and must not
- * release healthy machines whose heartbeats reach only its peers. */
+ * probed the machine. Without this check, a node that has lost its connection to the workers, and
+ * so gets no responses, would release healthy machines whose heartbeats reach only its peers. */
 static gboolean
 has_worker_contact_since_probe(const MmAutoscaler *autoscaler, const MmMachine *machine) {
   return mm_time_before(machine->last_probed_at,
                         autoscaler->node->machine_table->last_worker_contact_at);
 }
 
-/* Probes the machine that was seen most recently by any node. If few machines report to this node,
- * has_worker_contact_since_probe() may otherwise return FALSE for a long time. */
+/* Probes the machine that any node has seen most recently. Its response lets
+ * has_worker_contact_since_probe() return TRUE, which could take a long time if few machines report
+ * to this node. */
 static void
 probe_most_recently_seen_machine(MmAutoscaler *autoscaler) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
@@ -108,8 +113,8 @@
     probe_machine(autoscaler, last_seen);
 }
 
-/* Returns whether the machine has been terminated as its termination notice announced. It needs no
- * probing, as the cloud can confirm the termination at once. */
+/* Returns whether the machine has been terminated as its termination notice announced. Such a
+ * machine needs no probes, because the cloud can confirm the termination at once. */
 static gboolean
 was_terminated_as_announced(const MmMachine *machine, MmTime now) {
   return machine->has_termination_notice
@@ -121,10 +126,10 @@
 mm_autoscaler_machine_is_silent(MmAutoscaler *autoscaler, MmMachine *machine) {
   MmTime now = mm_node_now(autoscaler->node);
 
-  /* A registered machine may have been sent starts, whatever it last reported. Newly acquired
-   * shards cannot start tasks until the machine has acknowledged their term or is proved to have
-   * ended. So an idle machine that has ended counts too: otherwise each of these shards would wait
-   * for a whole worker lease. */
+  /* Registered machines are checked even if they last reported no tasks, because starts may have
+   * been sent to them since. Newly acquired shards cannot start tasks until each registered machine
+   * has acknowledged their term or is proved to have ended. Without this check, an idle machine
+   * that has ended would delay each of these shards by a whole worker lease. */
   if (!machine->is_in_registry && (!machine->has_reported || machine->reported_tasks->len == 0))
     return FALSE;
   if (was_terminated_as_announced(machine, now))
@@ -141,8 +146,8 @@
       return TRUE;
     probe_most_recently_seen_machine(autoscaler);
   }
-  /* The node that the machine reported to may have crashed, and the machine may be about to report
-   * to another node. In this case it answers the probe. */
+  /* The node that received the machine's heartbeats may have crashed, and the machine may be about
+   * to report to another node. In this case, the machine answers the probe. */
   probe_machine(autoscaler, machine);
   return FALSE;
 }
@@ -171,8 +176,8 @@
 }
 
 /* Counts as silent the machines that the cloud lists as running and that this node does not know.
- * Lost machines are among them: they are removed from the machine table once they are removed from
- * the registry. */
+ * Lost machines are among them, because the machine table drops a machine once the machine is
+ * removed from the registry. */
 static void
 count_unknown_machines(MmAutoscaler *autoscaler) {
   GHashTableIter iter;
@@ -197,8 +202,9 @@
 mm_autoscaler_count_silent_machines(MmAutoscaler *autoscaler) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
   MmTime now = mm_node_now(autoscaler->node);
-  /* Counts machines from when their heartbeats are overdue, long before silence_timeout_ms(). When
-   * many machines become silent together, all must be counted before the timeout of the first. */
+  /* A machine counts as soon as its heartbeat is overdue, long before silence_timeout_ms(). When
+   * many machines become silent together, all of them must be counted before the first one reaches
+   * this timeout. */
   gint64 overdue_ms = heartbeat_overdue_ms(autoscaler);
 
   g_array_set_size(autoscaler->zone_machine_counts, 0);
@@ -217,9 +223,9 @@
 mm_autoscaler_zone_is_unreachable(MmAutoscaler *autoscaler, const MmName *zone_name) {
   const MmZoneMachineCounts *counts = find_or_add_zone_counts(autoscaler, zone_name);
 
-  /* A network partition is more likely than that most machines of the zone have ended. The machines
-   * will be reachable again, and to launch as many new ones takes longer than most partitions
-   * last. */
+  /* When most machines of a zone are silent, a network partition is a more likely cause than the
+   * end of these machines. After a partition, the machines are reachable again. Launching as many
+   * new machines takes longer than most partitions last. */
   return counts->n_silent >= UNREACHABLE_ZONE_MIN_SILENT
          && 2 * counts->n_silent > counts->n_machines;
 }
--- a/src/autoscaler/silence.h
+++ b/src/autoscaler/silence.h
@@ -1,17 +1,17 @@
-/* Detects silent machines: their heartbeats are overdue, and they do not answer probes either. A
- * probe is a status request that a node sends to a worker.
+/* Detects silent machines. A machine is silent when its heartbeats are overdue and it does not
+ * answer probes either. A probe is a status request that a node sends to a worker.
  *
- * A machine that is silent while the others are not is released: the cloud's confirmation proves at
- * once that the machine's tasks have ended, whereas its worker lease proves it only when it
- * expires. When many machines become silent at the same time, the cause is unlikely to be the
- * machines themselves, and none is released. */
+ * A silent machine is released, because the cloud's confirmation proves at once that the machine's
+ * tasks have ended. Without this confirmation, only the expiry of the machine's worker lease proves
+ * it. When many machines become silent at the same time, the cause is unlikely to be the machines
+ * themselves, and no machine is released for its silence. */
 #pragma once
 
 #include "autoscaler/autoscaler.h"
 
-/* Counts the machines and, as silent, those whose heartbeats are overdue, in total and per zone.
- * Resets the number of probes that may be sent. Must be called once per round, before scale-in and
- * scale-out. */
+/* Counts all machines, and as silent the machines whose heartbeats are overdue. Both are counted in
+ * total and per zone. Resets the number of probes that may be sent. Must be called once per round,
+ * before scale-in and scale-out. */
 void mm_autoscaler_count_silent_machines(MmAutoscaler *autoscaler);
 /* Returns whether the machine is silent and may be released for this reason. Probes the machine if
  * its heartbeat is overdue. */
--- a/src/placement/accelerator-reserve.c
+++ b/src/placement/accelerator-reserve.c
@@ -3,15 +3,16 @@
 #include "placement/backlog.h"
 
 #define UNRESERVE_CHECK_INTERVAL_MS 100
-/* For this long after the start of a node, it does not conclude from the absence of accelerated
- * jobs that there are none. */
+/* For this long after its start, a node that has seen no accelerated job does not conclude that
+ * there is none. */
 #define ACCELERATED_DEMAND_UNKNOWN_MS 20000
 #define LENDING_UPDATE_INTERVAL_MS 200
-/* A sixth of all accelerated machines, and at least four, are kept idle while others are lent. */
+/* A sixth of all accelerated machines, and at least four of them, are kept idle and are not
+ * lent. */
 #define IDLE_RESERVE_DIVISOR 6
 #define IDLE_RESERVE_MIN 4
-/* With at least UNRESERVE_MIN_MACHINES accelerated machines, a third of them may be unreserved, and
- * at least one. */
+/* With at least UNRESERVE_MIN_MACHINES accelerated machines, up to a third of the machines may be
+ * unreserved, and always at least one. */
 #define UNRESERVE_MIN_MACHINES 2
 #define UNRESERVED_SHARE_DIVISOR 3
 
@@ -43,10 +44,10 @@
          && (!machine->is_spot || placement->accelerated_may_use_spot);
 }
 
-/* Returns the resources of the machine that jobs other than accelerated ones use: all that are in
- * use less those of the accelerated tasks. Summing up the reported tasks instead would miss starts
- * in flight, and a single response to a heartbeat could fill the machine with services, which run
- * indefinitely. */
+/* Returns the resources of the machine that are used by jobs other than accelerated ones. These are
+ * all resources in use, less those of the accelerated tasks. The sum over the reported tasks would
+ * miss starts in flight: a single response to a heartbeat could then fill the machine with
+ * services, which run indefinitely. */
 static MmResources
 taken_by_other_work(const MmPlacement *placement, const MmMachine *machine,
                     MmResources free_resources) {
@@ -61,8 +62,9 @@
   return taken;
 }
 
-/* Returns whether the job is not accelerated and its priority is too high for accelerated jobs to
- * preempt it. Until this node has seen an accelerated job, these are assumed to be urgent. */
+/* Returns whether the job is not accelerated and has a priority too high for accelerated jobs to
+ * preempt it. Until this node has seen an accelerated job, accelerated jobs are assumed to be
+ * urgent. */
 static gboolean
 is_unpreemptible(const MmPlacement *placement, const MmJob *job) {
   MmPriority max_accelerated_priority = placement->has_seen_accelerated_work
@@ -73,10 +75,10 @@
          && job->effective_priority > max_accelerated_priority;
 }
 
-/* Returns the resources of the machine that are used by jobs which accelerated jobs could not
- * preempt. Preemptible arrays do not count: otherwise every accelerated machine would become
- * unreserved at the start of a day, when arrays fill it, and services would start there and run
- * indefinitely. */
+/* Returns the resources of the machine that are used by jobs which accelerated jobs cannot preempt.
+ * Preemptible arrays do not count, because arrays fill every accelerated machine at the start of a
+ * day. If arrays counted, all these machines would become unreserved, and services would start
+ * there and run indefinitely. */
 static MmResources
 taken_by_unpreemptible_work(const MmPlacement *placement, const MmMachine *machine) {
   MmResources taken = { 0 };
@@ -96,8 +98,8 @@
   return taken;
 }
 
-/* Returns whether this node has not been running long enough to conclude from the absence of
- * accelerated jobs that there are none. */
+/* Returns whether it is too early to conclude that there are no accelerated jobs: this node has
+ * seen none, but has not been running for long enough. */
 static gboolean
 is_demand_unknown(const MmPlacement *placement) {
   return !placement->has_seen_accelerated_work
@@ -106,9 +108,9 @@
 }
 
 /* Returns whether the largest accelerated task would fit on the machine if `taken` of its resources
- * are in use. Before this node has seen an accelerated job since its start, this is FALSE for a
+ * are in use. Until this node has seen an accelerated job since its start, returns FALSE for every
  * machine with any other task. Otherwise, after a restart of all nodes, a second machine would be
- * unreserved, because no node would know that the first one is already. */
+ * unreserved, because no node would know that the first machine is already unreserved. */
 static gboolean
 fits_largest_accelerated_task(const MmPlacement *placement, const MmMachine *machine,
                               MmResources taken) {
@@ -145,9 +147,9 @@
   return FALSE;
 }
 
-/* Returns the machines that accelerated jobs could use at once, or after preempting the jobs that
- * the machines are lent to. Free with g_ptr_array_unref. Sets `n_all` to the number of all machines
- * that accelerated jobs may use. */
+/* Returns the accelerated machines that accelerated jobs could use at once, or after they have
+ * preempted the jobs that the machines are lent to. Free with g_ptr_array_unref. Sets `n_all` to
+ * the number of all machines that accelerated jobs may use. */
 static GPtrArray *
 list_idle_accelerated_machines(const MmPlacement *placement, guint *n_all) {
   const GPtrArray *machines = placement->node->machine_table->sorted_machines;
@@ -167,8 +169,9 @@
   return idle;
 }
 
-/* Determines the machines to be lent, at most every LENDING_UPDATE_INTERVAL_MS. The idle machines
- * that come first by id are kept, so that all nodes lend the same ones. */
+/* Determines the machines to be lent, at most every LENDING_UPDATE_INTERVAL_MS. The first idle
+ * machines in the order of ids are kept idle and the others are lent, so that all nodes lend the
+ * same machines. */
 static void
 update_lent_machines(MmPlacement *placement) {
   MmTime now = mm_node_now(placement->node);
@@ -209,9 +212,9 @@
     return MM_RESERVE_UNAFFECTED;
   is_unreserved = !fits_largest_accelerated_task(placement, machine,
                                                  taken_by_unpreemptible_work(placement, machine));
-  /* On an unreserved machine, services leave too little for accelerated jobs anyway, so preemptible
-   * jobs take nothing from them. Forbidding preemptible jobs there would leave a large part of the
-   * machines idle while arrays wait. */
+  /* Preemptible jobs may use an unreserved machine, because services there leave too little for
+   * accelerated jobs anyway. If preemptible jobs were forbidden there, a large part of the machines
+   * would be idle while arrays wait. */
   if (job->effective_priority <= placement->max_accelerated_priority) {
     if (job->effective_priority == placement->max_accelerated_priority)
       return MM_RESERVE_FORBIDDEN;
--- a/src/placement/accelerator-reserve.h
+++ b/src/placement/accelerator-reserve.h
@@ -1,8 +1,9 @@
 /* The reserve of machines with accelerators ("accelerated machines").
  *
  * Accelerated machines are reserved for accelerated jobs, whose tasks request accelerators. Other
- * jobs may use only the resources that the largest accelerated task seen so far leaves free, except
- * on machines where accelerated jobs may not run anyway. Two exceptions improve utilization:
+ * jobs may use only the resources that the largest accelerated task seen so far leaves free. This
+ * does not apply to machines where accelerated jobs may not run anyway. Two exceptions improve
+ * utilization:
  *
  * - Unreserved machines: a machine may be taken out of the reserve for a job of higher priority
  *   that can start on no other machine. This is done for one machine at a time, and for at most a
@@ -14,21 +15,21 @@
 
 #include "placement/placement.h"
 
-/* The effect that placing a task on a machine would have on the reserve. The order counts: callers
- * compare values with `<`. */
+/* The effect that placing a task on a machine would have on the reserve. The order of the values
+ * matters, because callers compare them with `<`. */
 typedef enum {
   MM_RESERVE_UNAFFECTED,   /* none: enough stays free, or the reserve does not apply */
   MM_RESERVE_EXEMPT,       /* none: the machine is unreserved or lent already */
   MM_RESERVE_WOULD_SHRINK, /* too little would stay free for accelerated jobs */
-  MM_RESERVE_FORBIDDEN     /* the same, and the job's priority is too low to unreserve it */
+  MM_RESERVE_FORBIDDEN /* the same, but the job's priority is too low to unreserve the machine */
 } MmReserveEffect;
 
 /* Returns the effect of placing a task of the job on the machine. `free_resources` are the
- * machine's free resources, less those of starts in flight. */
+ * machine's free resources, without those needed by starts in flight. */
 MmReserveEffect mm_placement_check_reserve(MmPlacement *placement, const MmJob *job,
                                            const MmMachine *machine, MmResources free_resources);
-/* Returns whether one more machine may be unreserved and `machine` is that one. Shard leaders that
- * decide at the same time must choose the same machine. */
+/* Returns whether one more machine may be unreserved and `machine` is the machine to choose. All
+ * shard leaders must choose the same machine when they decide at the same time. */
 gboolean mm_placement_may_unreserve_machine(MmPlacement *placement, const MmMachine *machine);
-/* Records the requirements of a submitted job if it is an accelerated one. */
+/* Records the requirements of a submitted job if the job is accelerated. */
 void mm_placement_record_accelerated_job(MmPlacement *placement, const MmJobSpec *spec);
--- a/src/placement/backlog.c
+++ b/src/placement/backlog.c
@@ -3,7 +3,8 @@
 #include "peers/peer-links.h"
 #include "scheduler/pending-tasks.h"
 
-/* The shortest interval between announcements, and the interval without a change. */
+/* Shortest interval between two announcements, and interval of announcements while nothing
+ * changes. */
 #define BACKLOG_SEND_INTERVAL_MS 50
 #define BACKLOG_RESEND_INTERVAL_MS 1000
 
@@ -60,8 +61,8 @@
   MmTime now = mm_node_now(placement->node);
   gint64 announced_ms_ago = mm_time_ms_since(now, placement->announced_at);
 
-  /* The precedence of jobs depends on how long they have waited, so it may have changed even if the
-   * backlog is not marked as changed. */
+  /* The backlog is announced at intervals even if it is not marked as changed. The precedence of
+   * jobs depends on how long they have waited, and may have changed. */
   if (!(placement->is_backlog_changed && announced_ms_ago >= BACKLOG_SEND_INTERVAL_MS)
       && announced_ms_ago < BACKLOG_RESEND_INTERVAL_MS)
     return;
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -5,8 +5,8 @@
 #include "placement/modulo-priority.h"
 #include "scheduler/urgency.h"
 
-/* Bounds the cost of a choice: of longer backlogs only this many tasks are ranked, taken view by
- * view and most urgent first within a view. */
+/* Limits the cost of a choice: at most this many tasks are ranked. The tasks are taken from one
+ * view after the other, and most urgent first within a view. */
 #define RANKED_TASKS_MAX 512
 
 typedef struct {
@@ -17,9 +17,9 @@
 
 /* The state of ranking the announced tasks for one machine. */
 typedef struct {
-  const GArray *requested; /* MmTaskRef to be left out */
-  guint n_tasks;           /* in all views */
-  guint n_tasks_before;    /* those of n_tasks already processed */
+  const GArray *requested; /* MmTaskRef of tasks to leave out */
+  guint n_tasks;           /* number of pending tasks in all views */
+  guint n_tasks_before;    /* how many of these tasks have already been processed */
   guint machine_index;     /* MmMachine.sorted_index */
   guint n_machines;
   guint n_controllers;
@@ -51,8 +51,8 @@
 }
 
 /* Returns the job if its tasks may be requested for the machine, else NULL. Tasks of gangs are
- * never requested: they are in the backlog for the autoscaler only, and the leader of their shard
- * chooses their machines. */
+ * never requested, because the leader of their shard chooses their machines. The backlog lists them
+ * for the autoscaler only. */
 static const MmJob *
 find_startable_job(MmPlacement *placement, const MmPendingTasks *pending, const MmMachine *machine,
                    MmResources free_resources) {
@@ -67,7 +67,8 @@
              : NULL;
 }
 
-/* Chooses a task of the most urgent job that has precedence. Returns FALSE if there is none. */
+/* Chooses a task of the most urgent job among the jobs that have precedence. Returns FALSE if there
+ * is no such job. */
 static gboolean
 choose_precedence(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
                   const GArray *requested, guint exhausted_views, MmPlacementChoice *choice) {
@@ -108,9 +109,9 @@
   return n_tasks;
 }
 
-/* If `is_cached`, which means that the machine may run the job's tasks and has their image, adds
- * the pending tasks that were not requested yet to the ranking. Counts all pending tasks of the job
- * in `n_tasks_before`. */
+/* Adds the job's pending tasks that were not requested yet to the ranking, if `is_cached`.
+ * `is_cached` means that the machine may run the job's tasks and has their image. In either case,
+ * adds all pending tasks of the job to the count `n_tasks_before`. */
 static void
 rank_pending_tasks(Ranking *ranking, guint view, const MmPendingTasks *pending,
                    gboolean is_cached) {
@@ -130,7 +131,8 @@
   }
 }
 
-/* Chooses the first task of the ranking and the next ones of the same view, up to `max_tasks`. */
+/* Chooses the first ranked task and the next ranked tasks of the same view, up to `max_tasks` in
+ * total. */
 static void
 take_candidates(const GArray *ranked, guint max_tasks, MmPlacementChoice *choice) {
   choice->view = (gint)g_array_index(ranked, RankedTask, 0).view;
@@ -141,8 +143,8 @@
   }
 }
 
-/* Chooses tasks whose image the machine has cached, in the order of mm_modulo_priority for this
- * machine. This is the common case. Returns FALSE if there are none. */
+/* Chooses tasks whose image is cached on the machine, in the order of mm_modulo_priority for this
+ * machine. This is the common case. Returns FALSE if there are no such tasks. */
 static gboolean
 choose_cached(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
               const GArray *requested, MmPlacementChoice *choice) {
@@ -171,8 +173,8 @@
   return TRUE;
 }
 
-/* Chooses a node to pull any task from, at random and weighted by the number of pending tasks.
- * Returns FALSE if no node has a job that fits. */
+/* Chooses a node at random, weighted by its number of pending tasks, to request any task from that
+ * node (a pull). Returns FALSE if no node has a job that fits. */
 static gboolean
 choose_pull(MmPlacement *placement, const MmMachine *machine, MmResources free_resources,
             guint exhausted_views, MmPlacementChoice *choice) {
@@ -202,8 +204,8 @@
 }
 
 /* Chooses the node that has reserved resources of the machine for a task of a gang. This request
- * does not depend on other pending tasks: otherwise a machine for which nothing else can be
- * requested would never get the start that is reserved for it. */
+ * does not depend on other pending tasks. Otherwise, a machine for which no other task can be
+ * requested would never get the start of the gang's task. */
 static gboolean
 choose_reserved(MmPlacement *placement, const MmMachine *machine, guint exhausted_views,
                 MmPlacementChoice *choice) {
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,5 +1,6 @@
 /* Placement: proposes pending tasks for the machines whose heartbeats this node answers. The leader
- * of a task's shard decides whether the task starts there (scheduler/admission.h).
+ * of a task's shard decides whether the task starts on the proposed machine
+ * (scheduler/admission.h).
  *
  * MmPlacement owns the latest known backlogs of all nodes (backlog.h) and the known requirements of
  * accelerated jobs (accelerator-reserve.h). Both are kept in memory only and may be out of date. */
@@ -13,21 +14,23 @@
 typedef struct {
   MmName job;
   GArray *ranges;          /* owned; pairs of guint: number of the first task, number of tasks */
-  gboolean has_precedence; /* proposed before others, for any machine where it fits */
+  gboolean has_precedence; /* proposed before other jobs, for any machine where its tasks fit */
   gboolean is_starving;    /* see MmJob.is_starving */
 } MmPendingTasks;
 
-/* Creates the object, which has no task ranges yet. Free with mm_pending_tasks_free. */
+/* Returns a new MmPendingTasks for the job, without any task ranges. Free with
+ * mm_pending_tasks_free. */
 MmPendingTasks *mm_pending_tasks_new(const char *job, gboolean has_precedence,
                                      gboolean is_starving);
 void mm_pending_tasks_free(MmPendingTasks *pending);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmPendingTasks, mm_pending_tasks_free)
 
-/* The backlog of one node, as this node knows it: the pending tasks of the shards that it leads. */
+/* The backlog of one node, which may be this node or a peer: the pending tasks of the shards that
+ * the node leads, as it last announced them. */
 typedef struct {
   GPtrArray *pending;        /* MmPendingTasks, owned, most urgent first */
   GArray *reserved_machines; /* MmName of machines with resources reserved for tasks of gangs */
-  guint n_pending_tasks;     /* of ready jobs, including those that are not in `pending` */
+  guint n_pending_tasks;     /* of all ready jobs, also of jobs that are not in `pending` */
 } MmBacklogView;
 
 /* Indexes of views: this node's own backlog has view 0, that of peer k has view k + 1. */
@@ -53,7 +56,7 @@
   MmPriority max_accelerated_priority;
 };
 
-/* Returns a new object, owned by the caller. The node must outlive it. */
+/* Returns a new MmPlacement, owned by the caller. The node must outlive the MmPlacement. */
 MmPlacement *mm_placement_new(MmNode *node);
 void mm_placement_free(MmPlacement *placement);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmPlacement, mm_placement_free)
