--- a/src/scheduler/acknowledgements.c
+++ b/src/scheduler/acknowledgements.c
@@ -7,20 +7,23 @@
 #include "scheduler/direct-commands.h"
 #include "sharing/sharing.h"
 
-/* Minimum time between two requests to the same machine. */
+/* Minimum time between two acknowledgement requests to the same machine. */
 #define ACK_REQUEST_INTERVAL_MS 3000
-/* Limits on the requests in one slow tick. Each request takes about half a millisecond. */
+/* Limits on the acknowledgement requests in one slow tick. Each request takes about half a
+ * millisecond. */
 #define ACK_REQUESTS_PER_CORE 40
 #define ACK_REQUESTS_MIN 2
 #define ACK_REQUESTS_MAX 64
-/* A machine that reports a higher term before its next regular heartbeat does so half a second
- * after it has received the term. After this time it is expected to wait for that heartbeat. */
+/* A machine may report a higher term before its next regular heartbeat. In this case, it reports
+ * the term half a second after receiving it. A machine that has not reported a received term within
+ * this time is expected to wait for its next regular heartbeat. */
 #define TERM_REPORTED_WITHIN_MS 1200
-/* In heartbeat intervals: while the latest heartbeat is more recent than this, waiting for the next
- * one would take too long. */
+/* In heartbeat intervals: if the latest heartbeat of a machine is more recent than this, waiting
+ * for the next heartbeat would take too long. */
 #define RECENT_HEARTBEAT_INTERVALS 0.6
-/* In milliseconds per second of the heartbeat interval: a machine that has been silent for longer
- * than this has missed a heartbeat, rather than sent it late. */
+/* In milliseconds per second of the heartbeat interval: a machine that has been silent for
+ * longer than this has missed a heartbeat. A shorter silence may be due to a heartbeat that was
+ * sent late. */
 #define SILENT_MS_PER_INTERVAL_S 1500
 
 /* Returns the highest term of all teams' shards, whichever nodes lead them. */
@@ -37,8 +40,8 @@
   return newest;
 }
 
-/* Returns whether a shard led by this node, or this node as owner of the machine's group, waits for
- * the machine to acknowledge a term. */
+/* Returns whether this node waits for the machine to acknowledge a term, either for a shard that
+ * this node leads or as the owner of the machine's group. */
 static gboolean
 is_unacknowledged(const MmScheduler *scheduler, const MmMachine *machine) {
   GHashTableIter iter;
@@ -51,10 +54,13 @@
   return mm_sharing_awaits_acknowledgement(scheduler->node->sharing, machine);
 }
 
-/* Returns whether the machine's heartbeats alone would acknowledge the newest term late: its next
- * heartbeat is far in the future, or it has received the term but may not report it before its next
- * regular heartbeat. Only the node that answers the machine's heartbeats requests such an
- * acknowledgement, on behalf of all nodes. */
+/* Returns whether the newest term would be acknowledged late if only the machine's heartbeats
+ * acknowledged it. This is the case in two situations: the machine's next heartbeat is far in the
+ * future, or the machine has received the term but may not report it before its next regular
+ * heartbeat.
+ *
+ * Returns TRUE only on the node that answers the machine's heartbeats. This node requests the
+ * acknowledgement on behalf of all nodes. */
 static gboolean
 acknowledgement_would_be_late(const MmNode *node, const MmMachine *machine, MmTerm newest) {
   MmTime now = mm_node_now(node);
@@ -71,9 +77,9 @@
          < (gint64)(node->settings->heartbeat_interval_s * 1000 * RECENT_HEARTBEAT_INTERVALS);
 }
 
-/* An empty command carries the term, and the reply to it acknowledges the term. The number of
- * requests in a tick is limited in proportion to the node's processor share: requests to hundreds
- * of machines at once would take so long that leases expire. */
+/* An empty command carries the term, and the reply to this command acknowledges the term. The
+ * number of requests in a tick is limited in proportion to the node's processor share. Requests to
+ * hundreds of machines at once would take so long that leases expire. */
 void
 mm_scheduler_request_acknowledgements(MmScheduler *scheduler) {
   MmNode *node = scheduler->node;
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -14,15 +14,16 @@
 #include "scheduler/task-state.h"
 #include "scheduler/urgency.h"
 
-/* Maximum number of retained candidates of a machine, which are tried first at its next start
- * requests. */
+/* Maximum number of retained candidates of a machine. They are tried first when start requests for
+ * this machine follow. */
 #define RETAINED_CANDIDATES_MAX 64
 /* Maximum number of tasks of one job that are tried for one request. */
 #define JOB_TASKS_TRIED_MAX 8
-/* How long a pending task does not start on the machine on which it failed last, or from which it
- * was moved. */
+/* How long a pending task is not started again on the machine on which it last failed, or from
+ * which it was moved. */
 #define AVOID_FAILED_MACHINE_MS 60000
-/* How long a task must have waited before a machine with accelerators is unreserved for it. */
+/* How long a task must have waited before a machine with accelerators is unreserved for this
+ * task. */
 #define UNRESERVE_MACHINE_AFTER_MS 800
 /* An attempt number has the term in its high bits and a sequence number in these low bits. */
 #define ATTEMPT_SEQUENCE_BITS 24
@@ -30,16 +31,16 @@
 
 MmAttempt
 mm_scheduler_next_attempt(MmScheduler *scheduler, const MmLedShard *shard) {
-  /* Terms are never reused. The sequence restarts with the process, but a new process acquires a
-   * new term before it approves any start. So no attempt number is used twice, and starts need not
-   * be recorded in the key-value store to ensure this. */
+  /* No attempt number is ever used twice, because terms are never reused. The sequence restarts
+   * with the process, but a new process acquires a new term before it approves any start. Starts
+   * therefore need not be recorded in the key-value store to make attempt numbers unique. */
   return (MmAttempt){ shard->term.v << ATTEMPT_SEQUENCE_BITS
                       | (++scheduler->attempt_sequence & ATTEMPT_SEQUENCE_MASK) };
 }
 
-/* Returns whether the reserve of machines with accelerators permits the start. Such a machine is
- * unreserved only for a task that has waited for UNRESERVE_MACHINE_AFTER_MS and that no machine
- * could run otherwise, even with preemption. */
+/* Returns whether the reserve of machines with accelerators permits the start. A machine of the
+ * reserve is unreserved only for a task that has waited for UNRESERVE_MACHINE_AFTER_MS and that no
+ * other machine could run, even with preemption. */
 static gboolean
 reserve_allows(MmScheduler *scheduler, MmJob *job, const MmTask *task,
                const MmStartRequest *request) {
@@ -58,7 +59,8 @@
   return estimate != NULL && !mm_scheduler_can_start(estimate->soonest_delay_s);
 }
 
-/* Checks the conditions that are the same for all tasks of the job. */
+/* Returns whether the request meets the start conditions that are the same for all tasks of the
+ * job. */
 static gboolean
 job_may_start(MmScheduler *scheduler, const MmJob *job, const MmStartRequest *request) {
   return mm_resources_fits(job->spec.task_resources, request->free_resources)
@@ -111,7 +113,8 @@
 }
 
 /* Approves the first pending task of the job that may start on the machine, in the order of task
- * numbers. Returns FALSE when none of the first JOB_TASKS_TRIED_MAX pending tasks may. */
+ * numbers. Returns FALSE when none of the first JOB_TASKS_TRIED_MAX pending tasks may start
+ * there. */
 static gboolean
 try_start_any_task(MmScheduler *scheduler, MmJob *job, const MmStartRequest *request,
                    MmApproval *approval) {
@@ -131,7 +134,8 @@
   return FALSE;
 }
 
-/* Tries the jobs that have precedence on every machine they fit on, most urgent first. */
+/* Tries the jobs that have precedence, most urgent first. Such a job is preferred on every machine
+ * that it fits on. */
 static gboolean
 try_precedence_jobs(MmScheduler *scheduler, const MmStartRequest *request, GPtrArray *jobs,
                     MmApproval *approval) {
@@ -155,8 +159,8 @@
     g_array_append_val(machine->retained_candidates, *task);
 }
 
-/* Removes the task at `position` from the retained candidates of `retaining_machine`, and approves
- * it for the request's machine if it may start there. */
+/* Removes the task at `position` from the retained candidates of `retaining_machine`. Approves this
+ * task for the request's machine if the task may start there. */
 static gboolean
 try_retained_candidate(MmScheduler *scheduler, const MmStartRequest *request,
                        MmMachine *retaining_machine, guint position, MmApproval *approval) {
@@ -167,8 +171,9 @@
                         task.number, request, approval);
 }
 
-/* Tries a random retained candidate of the machine that has most of them. If there is none or it
- * may not start, tries the most urgent pending tasks that fit. */
+/* Finds the machine with the most retained candidates and tries a random one of these candidates.
+ * If there is no candidate or the candidate may not start, tries the most urgent pending tasks that
+ * fit. */
 static gboolean
 try_pull(MmScheduler *scheduler, const MmStartRequest *request, GPtrArray *jobs,
          MmApproval *approval) {
@@ -193,8 +198,9 @@
   return FALSE;
 }
 
-/* Returns whether the request may be granted at all: this node's lease is valid, and the machine is
- * usable, has sent no newer message, and has not recently refused a start for lack of resources. */
+/* Returns whether the request may be granted at all. This node's lease must be valid. The machine
+ * must be usable, must have sent no newer message, and must not have recently refused a start for
+ * lack of resources. */
 static gboolean
 is_admissible(const MmScheduler *scheduler, const MmStartRequest *request) {
   const MmNode *node = scheduler->node;
@@ -206,8 +212,8 @@
          && !mm_time_before(mm_node_now(node), machine->no_starts_until);
 }
 
-/* Returns the jobs of which a task fits into the free resources and the team's limit, most urgent
- * first. The caller owns the array. */
+/* Returns the jobs of which a task fits into the request's free resources and into the team's
+ * limit, most urgent first. The caller owns the array. */
 static GPtrArray *
 list_fitting_jobs(MmScheduler *scheduler, const MmStartRequest *request) {
   const GPtrArray *by_urgency = mm_scheduler_jobs_by_urgency(scheduler);
@@ -223,8 +229,9 @@
   return jobs;
 }
 
-/* Adds the candidates from index `first` on that are still pending to the machine's retained
- * candidates. They are tried first at the machine's next requests. */
+/* Adds candidates of the request to the machine's retained candidates, which are tried first at
+ * the machine's next requests. Adds only the candidates from index `first` on that are still
+ * pending. */
 static void
 retain_candidates(const MmScheduler *scheduler, const MmStartRequest *request, guint first) {
   for (guint i = first; i < request->n_tasks; i++) {
@@ -236,7 +243,7 @@
   }
 }
 
-/* Approves the first candidate that may start, and retains those after it. */
+/* Approves the first candidate that may start, and retains the candidates after this one. */
 static gboolean
 try_candidates(MmScheduler *scheduler, const MmStartRequest *request, MmApproval *approval) {
   for (guint i = 0; i < request->n_tasks; i++) {
@@ -290,7 +297,8 @@
   return request;
 }
 
-/* Fills in the message. Its strings point into the approval, which must outlive it. */
+/* Fills in the message. The strings of the message point into the approval, which must outlive the
+ * message. */
 static void
 approval_to_message(MmApproval *approval, Mm__Approval *message) {
   message->job = approval->job.s;
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -13,9 +13,11 @@
 typedef struct {
   MmMachine *machine;         /* borrowed */
   MmHeartbeatId heartbeat_id; /* of the heartbeat whose response would carry the start */
-  /* Reduced by mm_scheduler_approve_start to what this node also considers free. */
+  /* Input: what the requesting node considers free. mm_scheduler_approve_start reduces it to what
+   * this node also considers free. */
   MmResources free_resources;
-  /* Made by this node, which has already subtracted the resources reserved for gangs. */
+  /* The request was made by this node, which has already subtracted the resources reserved for
+   * gangs. */
   gboolean is_local;
   gboolean is_pull; /* asks for any task, not only the candidates */
   guint n_tasks;
@@ -29,15 +31,17 @@
   MmAttempt attempt;
   MmName shard;
   MmTerm term;           /* of the shard */
-  gboolean was_reserved; /* a place was reserved for the task, as a member of a gang */
+  gboolean was_reserved; /* the task is of a gang and had a reserved place */
 } MmApproval;
 
 /* Places a task on the request's machine, sets `approval` and returns TRUE. Returns FALSE when no
- * task may start there; then no task changes, but retained candidates may have been removed. */
+ * task may start there. In this case no task has changed, but retained candidates may have been
+ * removed. */
 gboolean mm_scheduler_approve_start(MmScheduler *scheduler, MmStartRequest *request,
                                     MmApproval *approval);
 /* Answers a start request from the peer with index `peer`. */
 void mm_scheduler_peer_start_request(MmScheduler *scheduler, guint peer,
                                      const Mm__StartRequest *message);
-/* Returns an attempt number under the shard's term that no node has ever used. */
+/* Returns an attempt number that no node has ever used. The number contains the term of the
+ * shard. */
 MmAttempt mm_scheduler_next_attempt(MmScheduler *scheduler, const MmLedShard *shard);
--- a/src/scheduler/direct-commands.c
+++ b/src/scheduler/direct-commands.c
@@ -7,13 +7,14 @@
 #include "peers/peer-broadcast.h"
 
 #define DIRECT_COMMAND_TIMEOUT_MS 2000
-/* OK: the commands were carried out. Conflict: they were not, because the machine has seen a higher
- * term or has another incarnation. Both replies contain a heartbeat. */
+/* Statuses of replies that contain a heartbeat. OK: the machine has executed the commands.
+ * Conflict: the machine has not executed them, because it has seen a higher term or has another
+ * incarnation. */
 #define HTTP_OK 200
 #define HTTP_CONFLICT 409
 
-/* Records the reply to a direct command, which has the form of a heartbeat and shows the machine's
- * term. Other replies are ignored. */
+/* Records the reply to a direct command. The reply has the form of a heartbeat and shows the
+ * machine's term. Replies of any other form are ignored. */
 static void
 direct_command_answered(gpointer data, int status, json_t *body) {
   MmScheduler *scheduler = data;
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -9,34 +9,35 @@
 #include "scheduler/task-state.h"
 #include "scheduler/urgency.h"
 
-/* How long a place stays reserved, in heartbeat intervals. Every machine requests work within this
- * time. */
+/* How long a place stays reserved, in heartbeat intervals. Every machine requests work at least
+ * once in this time. */
 #define RESERVATION_HEARTBEAT_INTERVALS 3
-/* How long a machine is given no starts after it has not requested a reserved place in time. */
+/* How long a machine gets no starts after it has failed to request a reserved place in time. */
 #define UNUSED_RESERVATION_PAUSE_MS 10000
-/* Milliseconds for each second of the heartbeat interval: no place is reserved on a machine whose
- * latest heartbeat is older. */
+/* In milliseconds per second of the heartbeat interval: no place is reserved on a machine whose
+ * latest heartbeat is older than this. */
 #define RECENT_MS_PER_INTERVAL_S 2500
-/* Other work does not yield to a gang that has waited for longer than YIELD_TO_GANG_MAX_MS. It
- * yields to a gang that is not starving only while at most YIELD_TO_GANG_JOBS_MAX jobs with
- * accelerators are waiting. */
+/* Limits on yielding to a gang. Other work yields to a gang only until the gang has waited for
+ * YIELD_TO_GANG_MAX_MS. If the gang is not starving, other work yields only while at most
+ * YIELD_TO_GANG_JOBS_MAX jobs with accelerators are waiting. */
 #define YIELD_TO_GANG_MAX_MS 240000
 #define YIELD_TO_GANG_JOBS_MAX 3
 
-/* A machine and the resources on it that are not yet chosen for a task of the gang. */
+/* A machine, and the resources on this machine that no task of the gang has been assigned yet. */
 typedef struct {
   MmMachine *machine;
   MmResources free_resources;
 } CandidatePlace;
 
-/* Cancels the reservations of the gang and stops its tasks that are or may be on machines. */
+/* Cancels the reservations of the gang, and stops the tasks of the gang that are or may be on
+ * machines. */
 static void
 release_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++) {
     MmTask *task = &job->tasks[i];
     if (task->state == MM_TASK_PLACE_RESERVED) {
-      /* The machine did not request work in time, for whatever reason: the same place must not be
-       * chosen again immediately. */
+      /* The machine did not request work in time. Whatever the reason is, the same place must not
+       * be chosen again immediately. */
       task->machine->no_starts_until
           = mm_time_add_ms(mm_node_now(scheduler->node), UNUSED_RESERVATION_PAUSE_MS);
       mm_scheduler_unplace_task(scheduler, job, i);
@@ -46,10 +47,11 @@
   }
 }
 
-/* Makes all tasks of a gang pending again when some are done and the others were lost with their
- * machines before they could report that they were done. A task of a gang cannot run alone, so the
- * whole gang is started again. Results are kept: a task whose result exists ends as done
- * immediately. */
+/* Makes all tasks of a gang pending again when some tasks are done and the other tasks were lost.
+ * The machines of the lost tasks failed before they could report the tasks as done.
+ *
+ * The whole gang is started again, because a task of a gang cannot run alone. Results are kept: a
+ * task whose result exists ends as done immediately. */
 static void
 restart_gang(MmScheduler *scheduler, MmJob *job) {
   for (guint i = 0; i < job->spec.n_tasks; i++)
@@ -57,8 +59,8 @@
       mm_scheduler_unplace_task(scheduler, job, i);
 }
 
-/* Returns the machines with free resources for a task of the gang as an array of CandidatePlace,
- * owned by the caller. `zone`: only machines of this zone; NULL: of all zones. */
+/* Returns the machines with free resources for a task of the gang, as an array of CandidatePlace
+ * that the caller owns. If `zone` is not NULL, returns only machines of this zone. */
 static GArray *
 free_places(MmScheduler *scheduler, const MmJob *job, const MmName *zone) {
   MmMachineTable *machine_table = scheduler->node->machine_table;
@@ -82,7 +84,8 @@
   return places;
 }
 
-/* Returns whether one more task may be placed in the zone, given the machines already chosen. */
+/* Returns whether one more task of the gang may be placed in the zone, given the machines that are
+ * already in `chosen`. */
 static gboolean
 zone_allows_task(const MmJob *job, const GPtrArray *chosen, const MmName *zone) {
   guint n_in_zone = 0;
@@ -96,7 +99,7 @@
   return n_in_zone < mm_job_spec_max_tasks_per_zone(&job->spec);
 }
 
-/* Adds a machine to `chosen` for each task, until all tasks have one or no place is left. */
+/* Adds a machine to `chosen` for each task, until every task has a machine or no place is left. */
 static void
 choose_places(const MmJob *job, GArray *places, gboolean needs_cached_image, GPtrArray *chosen) {
   for (guint i = 0; i < places->len; i++) {
@@ -112,8 +115,8 @@
   }
 }
 
-/* Reserves places for all tasks of the gang, in one zone unless `zone` is NULL. Returns FALSE, with
- * nothing reserved, when there are too few places. */
+/* Reserves places for all tasks of the gang. If `zone` is not NULL, all places are in this zone.
+ * Returns FALSE and reserves nothing when there are too few places. */
 static gboolean
 reserve_gang(MmScheduler *scheduler, MmLedShard *shard, MmJob *job, const MmName *zone) {
   g_autoptr(GArray) places = free_places(scheduler, job, zone);
@@ -139,9 +142,9 @@
       || !mm_scheduler_limit_allows(scheduler, shard, job, job->spec.n_tasks))
     return;
   if (!job->spec.requires_one_zone) {
-    /* Preempts only for gangs with accelerators. For others, the places become free one by one and
-     * other work would take them; machines with accelerators are not lent to other work while such
-     * a gang waits. */
+    /* Preempts only for gangs with accelerators. For a gang without accelerators, the places become
+     * free one by one, and other work would take them. Machines with accelerators are not lent to
+     * other work while a gang with accelerators waits. */
     if (!reserve_gang(scheduler, shard, job, NULL) && job->spec.task_resources.accelerators > 0)
       mm_scheduler_preempt_for_gang(scheduler, job, job->spec.n_tasks);
     return;
@@ -168,8 +171,8 @@
   return jobs;
 }
 
-/* Reserves places for a gang that has none, stops an incomplete gang, and restarts one of which
- * some tasks are done and the others are lost. */
+/* Reserves places for a gang that has none, and stops a gang that is incomplete. Restarts a gang
+ * when some of its tasks are done and its other tasks are lost. */
 static void
 advance_gang(MmScheduler *scheduler, MmJob *job) {
   MmTime now = mm_node_now(scheduler->node);
@@ -187,8 +190,9 @@
                              || (task->state == MM_TASK_PLACE_RESERVED
                                  && mm_time_ms_since(now, task->state_since) > reservation_ms);
   }
-  /* A gang runs either completely or not at all: it is stopped when some of its tasks are pending
-   * while others are on machines, or when a machine did not request a reserved place in time. */
+  /* A gang runs either completely or not at all. The gang is stopped in two cases: some of its
+   * tasks are pending while others are on machines, or a machine did not request a reserved place
+   * in time. */
   if (is_reservation_expired || (n_started > 0 && job->n_pending > 0))
     release_gang(scheduler, job);
   else if (!is_paused && job->n_maybe_on_machines == 0 && job->n_pending < job->spec.n_tasks)
@@ -213,8 +217,9 @@
     MmTask *task = &placed->job->tasks[placed->number];
     MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, placed->job);
     MmResources need = placed->job->spec.task_resources;
-    /* A local request has the reserved resources already subtracted. If they were not added back,
-     * no gang would start on a machine whose heartbeats are answered by the leader of its shard. */
+    /* For a local request, the reserved resources have already been subtracted from the free ones,
+     * and are added back here. Otherwise, no gang would start on a machine whose heartbeats are
+     * answered by the leader of the gang's shard. */
     MmResources free_resources = request->is_local ? mm_resources_add(request->free_resources, need)
                                                    : request->free_resources;
 
@@ -235,7 +240,8 @@
   return FALSE;
 }
 
-/* Returns the job with these pending tasks if it uses accelerators and still waits, else NULL. */
+/* Returns the job of these pending tasks if the job uses accelerators and is still waiting, else
+ * NULL. */
 static const MmJob *
 find_waiting_accelerated_job(const MmScheduler *scheduler, const MmPendingTasks *pending) {
   const MmJob *job = mm_job_table_find(scheduler->node->job_table, pending->job.s);
@@ -246,8 +252,8 @@
              : NULL;
 }
 
-/* Returns whether other work may have to yield to the job: it is a gang that has waited for at
- * least the operators' bound and at most YIELD_TO_GANG_MAX_MS. */
+/* Returns whether other work may have to yield to the job. This is the case if the job is a gang
+ * that has waited for at least the operators' bound and at most YIELD_TO_GANG_MAX_MS. */
 static gboolean
 is_yield_candidate(const MmScheduler *scheduler, const MmJob *job) {
   gint64 waited_ms = mm_node_wall_ms(scheduler->node) - job->waiting_since_ms;
@@ -256,10 +262,12 @@
   return mm_job_is_gang(job) && waited_ms >= wait_bound_ms && waited_ms <= YIELD_TO_GANG_MAX_MS;
 }
 
-/* A gang needs several places at once, so while one waits, less urgent work does not take them one
- * by one. Places that are held back for a gang stay idle until it has all of them, so while many
- * jobs wait, other work yields only to a starving gang. It yields to no gang forever, since the
- * gang may find no places for another reason. */
+/* A gang needs several places at once. Less urgent work yields to a waiting gang, because it would
+ * otherwise take these places one by one.
+ *
+ * The places stay idle until the gang has all of them. For this reason, other work yields only to a
+ * starving gang while many jobs wait. Other work yields to no gang forever, because the gang may
+ * find no places for another reason. */
 void
 mm_scheduler_choose_gang_to_yield_to(MmScheduler *scheduler) {
   const MmPlacement *placement = scheduler->node->placement;
--- a/src/scheduler/gang.h
+++ b/src/scheduler/gang.h
@@ -1,15 +1,17 @@
 /* Gang scheduling: either all tasks of a gang are given places at once, or none is. The places are
- * reserved, and each start is sent when its machine next requests work. A gang that is not complete
- * in time is stopped and planned again. A gang of one task is treated as an ordinary job. */
+ * reserved. The start of each task is sent when the machine of its place next requests work. A gang
+ * that is not complete in time is stopped and planned again. A gang of one task is treated as an
+ * ordinary job. */
 #pragma once
 
 #include "scheduler/admission.h"
 #include "scheduler/scheduler.h"
 
-/* Reserves places for gangs, most urgent first, and stops those that are incomplete. */
+/* Reserves places for gangs, most urgent first, and stops gangs that are incomplete. */
 void mm_scheduler_plan_gangs(MmScheduler *scheduler);
 /* Approves the start of a task that has a reserved place on the request's machine, and sets
- * `approval`. Returns FALSE when there is no such task or its resources are not free. */
+ * `approval`. Returns FALSE when there is no such task or when the resources for the task are not
+ * free. */
 gboolean mm_scheduler_approve_reserved_start(MmScheduler *scheduler, const MmStartRequest *request,
                                              MmApproval *approval);
 /* Sets MmScheduler.yield_to_gang, based on the backlogs of all nodes. */
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -6,26 +6,26 @@
 #include "scheduler/stop-commands.h"
 #include "scheduler/task-state.h"
 
-/* Factor for the sums of a job class each time one more of its tasks has completed. */
+/* When a task completes, the previous sums of its job class are multiplied by this factor. */
 #define ESTIMATE_ERROR_DECAY 0.98
-/* Pause of a task after an error: doubled with each error, up to a maximum. Errors beyond
- * TASK_ERRORS_MAX are not counted. */
+/* Pause of a task after an error. The pause is doubled with each further error, up to a maximum.
+ * Errors beyond TASK_ERRORS_MAX are not counted. */
 #define TASK_ERRORS_MAX 10
 #define TASK_RETRY_MIN_MS 500
 #define TASK_RETRY_MAX_MS 30000
-/* Pause of a whole job after JOB_ERRORS_BEFORE_PAUSE errors with no success between them: doubled
- * with each further error, up to a maximum. */
+/* Pause of a whole job after JOB_ERRORS_BEFORE_PAUSE errors without a success between them. The
+ * pause is doubled with each further error, up to a maximum. */
 #define JOB_ERRORS_BEFORE_PAUSE 4
 #define JOB_PAUSE_MIN_MS 2000
 #define JOB_PAUSE_MAX_MS 60000
 #define JOB_PAUSE_DOUBLINGS_MAX 5
-/* Pause of a task that its machine did not find. */
+/* Pause of a task that its machine reported as not found. */
 #define MISSING_TASK_RETRY_MS 2000
 /* A stop is repeated in a heartbeat response only when it was last sent longer ago than this. */
 #define STOP_REPEAT_MS 500
 
-/* Adds the run time of a completed task to the sums of its job class. Older tasks count less, since
- * users' estimates may be too high on one day and too low on the next. */
+/* Adds the run time of a completed task to the sums of its job class. Older tasks count less,
+ * because users' estimates may be too high on one day and too low on the next. */
 static void
 update_estimate_error(MmScheduler *scheduler, const MmJob *job, double ran_s) {
   MmEstimateError *estimate_error
@@ -75,13 +75,13 @@
       = mm_time_add_ms(now, MIN(TASK_RETRY_MIN_MS << task->n_errors, TASK_RETRY_MAX_MS));
   if (++job->n_consecutive_errors < JOB_ERRORS_BEFORE_PAUSE)
     return;
-  /* A job that fails on every machine must not occupy all machines. */
+  /* A job that fails on every machine is paused, because it must not occupy all machines. */
   n_doublings = MIN(job->n_consecutive_errors - JOB_ERRORS_BEFORE_PAUSE, JOB_PAUSE_DOUBLINGS_MAX);
   job->paused_until = mm_time_add_ms(now, MIN(JOB_PAUSE_MIN_MS << n_doublings, JOB_PAUSE_MAX_MS));
 }
 
-/* Makes a task pending that has ended on the machine without a result. How soon it may start again,
- * and where, depends on the cause. */
+/* Makes a task pending that has ended on the machine without a result. The cause of the end
+ * determines how soon and on which machines the task may start again. */
 static void
 task_ended(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
   MmTask *task = &job->tasks[number];
@@ -93,8 +93,8 @@
     pause_after_error(job, task, machine, now);
     break;
   case MM_CAUSE_NO_RESOURCES:
-    /* This node overestimated the machine's free resources. The heartbeat after the next one shows
-     * them correctly. */
+    /* This node overestimated the machine's free resources. The machine gets no starts until the
+     * heartbeat after its next one, which shows the free resources correctly. */
     machine->no_starts_until = mm_time_add_ms(now, mm_scheduler_heartbeat_interval_ms(scheduler));
     break;
   case MM_CAUSE_NO_SUCH_TASK:
@@ -140,8 +140,8 @@
                             state_of_reported(reported->state), reported->attempt);
     return;
   }
-  /* A newer attempt is approved only when the older one has certainly ended. So when two attempts
-   * are reported, the report of the older one comes from a late heartbeat. */
+  /* A newer attempt is approved only when the older attempt has certainly ended. If two attempts
+   * are reported, the report of the older attempt therefore comes from a late heartbeat. */
   if (reported->attempt.v > task->attempt.v) {
     mm_info("task %s/%u reported with newer attempt machine=%s replaced=%s", job->spec.id.s,
             reported->number, machine->id.s, task->machine->id.s);
@@ -168,15 +168,18 @@
       apply_reported_task(scheduler, machine, job, reported);
     must_reapply = must_reapply || job->tasks[reported->number].machine != machine;
   }
-  /* The same heartbeat must be applied again when a job's record arrives after the heartbeat that
-   * reports its tasks, and when a result counts only after another attempt has left its machine. */
+  /* The same report must be applied again in two cases. A job's record may arrive after the
+   * heartbeat that reports the job's tasks. A result may count only after another attempt of the
+   * task has left its machine. */
   machine->must_reapply_tasks = must_reapply;
 }
 
-/* Returns whether the heartbeat, which does not report the task, proves that the task's start was
- * not carried out: it is from a newer incarnation, or it was sent after the heartbeat whose
- * response carried the start. A direct reply from the same incarnation proves nothing, since the
- * start may still be in flight. */
+/* Returns whether the heartbeat proves that the machine did not execute the task's start. The
+ * heartbeat does not report the task. It is a proof if it is from a newer incarnation, or if it was
+ * sent after the heartbeat whose response carried the start.
+ *
+ * A direct reply from the same incarnation proves nothing, because the start may still be in
+ * flight. */
 static gboolean
 is_start_refused(const MmTask *task, const MmHeartbeat *heartbeat) {
   return heartbeat->heartbeat_id.incarnation > task->start_heartbeat_id.incarnation
@@ -184,8 +187,8 @@
              && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
 }
 
-/* Makes the tasks pending that are placed on the machine but that the heartbeat does not report,
- * unless their starts may still be in flight. */
+/* Makes tasks pending that are placed on the machine but missing from the heartbeat. Leaves out
+ * tasks whose starts may still be in flight. */
 static void
 unplace_missing_tasks(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   for (guint i = machine->placed_tasks->len; i > 0; i--) {
@@ -209,8 +212,8 @@
   }
 }
 
-/* Returns whether the machine may discard its entry of the ended task. A result that still counts
- * must be in the key-value store first. */
+/* Returns whether the machine may discard its entry of the ended task. If the result of the task
+ * still counts, the key-value store must contain the result first. */
 static gboolean
 may_forget_ended_task(const MmJob *job, const MmReportedTask *reported) {
   return reported->cause != MM_CAUSE_DONE || job->spec.kind == MM_JOB_KIND_SERVICE
@@ -218,8 +221,7 @@
          || job->is_cancelled;
 }
 
-/* Returns whether the response must stop a task that the heartbeat reports and that has not ended.
- */
+/* Returns whether the response must stop a task that the heartbeat reports as not ended. */
 static gboolean
 must_stop_task(const MmScheduler *scheduler, const MmMachine *machine, const MmJob *job,
                const MmReportedTask *reported) {
@@ -232,8 +234,9 @@
              && reported->state != MM_REPORTED_CHECKPOINTING);
 }
 
-/* Sets `command` to the command that follows from the reported task, and marks a task as stopping
- * when it is stopped because of a termination notice. Returns FALSE when no command follows. */
+/* Sets `command` to the command that the reported task requires. If the task is stopped because
+ * of a termination notice, also marks the task as stopping. Returns FALSE when no command is
+ * required. */
 static gboolean
 command_for_reported_task(MmScheduler *scheduler, const MmMachine *machine,
                           const MmReportedTask *reported, MmCommand *command) {
@@ -255,15 +258,16 @@
   task = &job->tasks[reported->number];
   if (!machine->has_termination_notice || task->is_stopping || task->machine != machine)
     return FALSE;
-  /* The cloud is about to take the machine back. If the task is stopped now, it can save a
-   * checkpoint, or at least starts sooner on another machine. */
+  /* The cloud is about to take the machine back. A task that is stopped now can save a checkpoint,
+   * or at least starts sooner on another machine. */
   task->is_stopping = TRUE;
   task->stop_sent_at = mm_node_now(scheduler->node);
   return TRUE;
 }
 
-/* Queues the commands that follow from the newest heartbeat for the next response to the machine,
- * on this node or on the peer that answers its heartbeats. */
+/* Queues the commands that the tasks in the newest heartbeat require. The commands are sent in the
+ * next heartbeat response to the machine, by this node or by the peer that answers the machine's
+ * heartbeats. */
 static void
 queue_commands(MmScheduler *scheduler, MmMachine *machine) {
   g_autoptr(GArray) commands = g_array_new(FALSE, TRUE, sizeof(MmCommand));
@@ -285,10 +289,10 @@
                                 commands);
 }
 
-/* Returns whether the machine has acknowledged the shard's term, or shows a newer incarnation than
- * the one that was registered when the shard was acquired. In the latter case, the tasks of the old
- * incarnation have ended, and a start for the new one requires a registry entry that only a node
- * that has seen the shard's term can have read. */
+/* Returns whether the machine has acknowledged the shard's term. A machine whose incarnation is
+ * newer than the one registered when the shard was acquired also counts, for two reasons. The tasks
+ * of the old incarnation have ended. A start for the new incarnation requires its registry entry,
+ * and only a node that has seen the shard's term can have read this entry. */
 static gboolean
 has_acknowledged_term(const MmLedShard *shard, const MmMachine *machine) {
   gpointer registered_incarnation;
--- a/src/scheduler/job-writer.c
+++ b/src/scheduler/job-writer.c
@@ -5,12 +5,13 @@
 #include "kv/kv-client.h"
 #include "scheduler/led-shards.h"
 
-/* How long a completed task waits to be written together with later ones of its job, and the
- * minimum time between two writes of a job. */
+/* JOB_WRITE_DELAY_MS: how long the write of a completed task is delayed, to combine it with
+ * later completed tasks of the same job. JOB_WRITE_INTERVAL_MS: minimum time between two writes
+ * of a job. */
 #define JOB_WRITE_DELAY_MS 300
 #define JOB_WRITE_INTERVAL_MS 1000
 #define TERMINAL_WRITE_INTERVAL_MS 100
-/* Size of a record beyond its fields and the text of its completed tasks. */
+/* Bytes that a record needs in addition to its fields and the text of its completed tasks. */
 #define RECORD_MARGIN_BYTES 64
 /* Maximum number of conditions in a transaction of the key-value store, as a multiple of its
  * maximum number of operations. */
@@ -23,7 +24,7 @@
 
 typedef struct {
   MmName id;
-  char *completed_text;    /* completed tasks as written; NULL with a terminal record */
+  char *completed_text;    /* completed tasks as written; NULL: the job gets a terminal record */
   json_t *terminal_record; /* NULL: the job has not ended */
 } WrittenJob;
 
@@ -55,8 +56,8 @@
 }
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(JobWrite, job_write_free)
 
-/* Applies the outcome of the transaction to one of its jobs. After a failure, the job counts as
- * unwritten from now on. */
+/* Applies the outcome of the transaction to one of its jobs. After a failed transaction, the job
+ * counts as unwritten from now on. */
 static void
 job_written(const MmNode *node, const WrittenJob *written_job, int status, guint64 revision) {
   MmJob *job = mm_job_table_find(node->job_table, written_job->id.s);
@@ -77,9 +78,9 @@
   }
 }
 
-/* Applies the outcome of the transaction. After a conflict, its jobs are written one per
- * transaction, so that a job that was changed elsewhere does not prevent the others from being
- * written. */
+/* Applies the outcome of the transaction to all of its jobs. After a conflict, each of these jobs
+ * is written in a transaction of its own. Otherwise, a job that was changed elsewhere would prevent
+ * the other jobs from being written. */
 static void
 jobs_written(gpointer data, int status, json_t *body) {
   g_autoptr(JobWrite) write = data;
@@ -102,8 +103,8 @@
   return job->spec.kind != MM_JOB_KIND_SERVICE && job->completed.n_completed == job->spec.n_tasks;
 }
 
-/* Returns the longest text of completed tasks that fits into the record with its other fields. Free
- * with g_free. */
+/* Returns the text of the completed tasks, cut to the longest text that fits into the record
+ * together with the other fields. Free with g_free. */
 static char *
 completed_tasks_text(const MmScheduler *scheduler, const MmJob *job) {
   g_autoptr(json_t) bare_record
@@ -148,15 +149,15 @@
 }
 
 /* Returns whether the job's record must be written now. A write that can be delayed is due only
- * when the write budget allows it, and is deducted from the budget. */
+ * when the write budget allows the write. In this case, the write is deducted from the budget. */
 static gboolean
 is_write_due(const MmScheduler *scheduler, const MmJob *job, gboolean is_terminal) {
   MmKvClient *kv = scheduler->node->kv;
   MmTime now = mm_node_now(scheduler->node);
 
   if (is_terminal) {
-    /* Dependents of a cancelled job are reported as cancelled even without a terminal record. There
-     * may be thousands of them, so their records wait for the write budget. */
+    /* Jobs that depend on a cancelled job are reported as cancelled even without a terminal record.
+     * There may be thousands of such jobs. Their records therefore wait for the write budget. */
     if (mm_job_has_cancelled_dependency(job)
         && !mm_kv_client_try_spend_writes(kv, OPERATIONS_PER_JOB))
       return FALSE;
--- a/src/scheduler/led-shards.c
+++ b/src/scheduler/led-shards.c
@@ -24,8 +24,8 @@
 
 /* Jobs */
 
-/* Frees the job's tasks and removes them from their machines and from the resources used by the
- * shard: this node no longer leads the shard, or the job has ended. */
+/* Frees the job's tasks, because this node no longer leads the shard or because the job has ended.
+ * Removes the tasks from their machines and from the resources used by the shard. */
 static void
 discard_job_tasks(MmScheduler *scheduler, MmJob *job) {
   MmLedShard *shard = mm_scheduler_shard_of_job(scheduler, job);
@@ -47,7 +47,7 @@
   mm_placement_backlog_changed(scheduler->node->placement);
 }
 
-/* Creates the job's tasks. Those whose results are recorded are done, all others are pending until
+/* Creates the job's tasks. Tasks with recorded results are done. All other tasks are pending until
  * heartbeats show that they are on machines. */
 static void
 init_job_tasks(MmScheduler *scheduler, MmLedShard *shard, MmJob *job) {
@@ -82,8 +82,9 @@
 
   if (shard != NULL && job->tasks == NULL) {
     init_job_tasks(scheduler, shard, job);
-    /* The watch delivers changes in order. A job whose record is newer than the shard's was
-     * submitted after the shard was acquired, so no earlier leader can have started its tasks. */
+    /* The watch delivers changes in order. A job whose record is newer than the shard's record was
+     * submitted after the shard was acquired. No earlier leader can have started tasks of such a
+     * job. */
     job->submitted_after_acquire
         = job->record_version.v > shard->version.v && scheduler->node->replica->is_loaded;
   }
@@ -125,7 +126,7 @@
 
 static void
 add_unacknowledged_kind(MmLedShard *shard, const MmMachine *machine) {
-  /* An unknown machine may have any properties. */
+  /* An unknown machine may have any properties, which the empty kind stands for. */
   MmMachineKind kind = machine != NULL
                            ? (MmMachineKind){ machine->type_name, machine->zone, machine->is_spot }
                            : (MmMachineKind){ 0 };
@@ -167,9 +168,11 @@
 }
 
 /* Returns whether a task of the job may be on an unacknowledged machine. A machine that the job may
- * not use has none of its tasks, because earlier leaders observed the same constraints and the kind
- * of a machine never changes. For example, a service need not wait for a spot machine that the
- * cloud has reclaimed, nor a gang for a machine without accelerators. */
+ * not use has none of the job's tasks, because earlier leaders observed the same constraints and
+ * the kind of a machine never changes.
+ *
+ * For example, a service need not wait for a spot machine that the cloud has reclaimed, and a gang
+ * need not wait for a machine without accelerators. */
 static gboolean
 may_be_on_unacknowledged(const MmLedShard *shard, const MmJob *job) {
   for (guint i = 0; i < shard->unacknowledged_kinds->len; i++) {
@@ -221,10 +224,12 @@
   return shard;
 }
 
-/* Applies the newest messages of the registered machines that have acknowledged the shard's term,
- * and adds the other registered machines to the unacknowledged ones. A machine that is registered
- * after the shard was acquired can only receive starts of this term or a later one: a node that
- * answers its heartbeats has seen its registration, and therefore the term, in its replica. */
+/* Applies the newest messages of the registered machines that have acknowledged the shard's term.
+ * Adds the other registered machines to the unacknowledged machines.
+ *
+ * A machine that is registered after the shard was acquired can only receive starts of this term or
+ * a later term. The reason: a node that answers the machine's heartbeats has seen the machine's
+ * registration in its replica, and therefore also the term. */
 static void
 classify_registered_machines(MmScheduler *scheduler, MmLedShard *shard) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
--- a/src/scheduler/led-shards.h
+++ b/src/scheduler/led-shards.h
@@ -14,16 +14,18 @@
 void mm_scheduler_replica_changed(MmScheduler *scheduler);
 /* Handles a job that is new or whose record has changed. */
 void mm_scheduler_job_changed(MmScheduler *scheduler, MmJob *job);
-/* Drops all references to a job whose record no longer exists, before the job is freed. */
+/* Drops all references to a job whose record no longer exists. Must be called before the job is
+ * freed. */
 void mm_scheduler_job_removed(MmScheduler *scheduler, MmJob *job);
-/* Handles a job of which the last dependency is done: its waiting times count from that time. */
+/* Handles a job whose last dependency is done. The waiting times of the job count from now on. */
 void mm_scheduler_job_ready(MmScheduler *scheduler, MmJob *job);
 
 /* Marks the shard as ready if it has no unacknowledged machine. */
 void mm_scheduler_check_shard_ready(MmScheduler *scheduler, MmLedShard *shard);
-/* Updates the fields that are derived from the unacknowledged machines, if these have changed. */
+/* Updates the fields that are derived from the unacknowledged machines, if these machines have
+ * changed. */
 void mm_scheduler_update_unacknowledged(MmScheduler *scheduler, MmLedShard *shard);
-/* Returns whether every start of the job that an earlier leader may have sent is known, because
- * each machine that the job was ever allowed on is acknowledged. This node must lead the job's
- * shard. */
+/* Returns whether this node knows every start of the job that an earlier leader may have sent. This
+ * is the case once each machine that the job was ever allowed on is acknowledged. This node must
+ * lead the job's shard. */
 gboolean mm_scheduler_knows_all_starts(MmScheduler *scheduler, const MmJob *job);
--- a/src/scheduler/pending-tasks.c
+++ b/src/scheduler/pending-tasks.c
@@ -10,8 +10,9 @@
 #define BACKLOG_TASKS_MAX 512
 #define BACKLOG_RANGES_MAX 16 /* for each job */
 
-/* Adds a task number that is higher than all numbers in the ranges. `ranges` holds guint pairs:
- * first number, length. Returns FALSE when that would exceed BACKLOG_RANGES_MAX. */
+/* Adds a task number to the ranges. The number must be higher than all numbers in the ranges.
+ * `ranges` holds guint pairs: first number, length. Returns FALSE when the result would exceed
+ * BACKLOG_RANGES_MAX. */
 static gboolean
 append_to_ranges(GArray *ranges, guint number) {
   guint new_range[2] = { number, 1 };
@@ -29,8 +30,8 @@
   return TRUE;
 }
 
-/* Adds to `list` the ranges of the job's pending tasks that need not wait for a retry, at most
- * `tasks_left` tasks, and reduces `tasks_left`. */
+/* Adds the ranges of the job's pending tasks to `list`. Leaves out tasks that must wait for a
+ * retry. Adds at most `tasks_left` tasks, and reduces `tasks_left` by the number of added tasks. */
 static void
 add_pending_tasks(MmScheduler *scheduler, MmJob *job, GPtrArray *list, guint *tasks_left) {
   MmTime now = mm_node_now(scheduler->node);
@@ -54,8 +55,8 @@
     g_ptr_array_add(list, g_steal_pointer(&pending));
 }
 
-/* Adds the machines with reserved places. Looks at the gang's tasks rather than at all machines,
- * since gangs have few reserved places while thousands of machines have tasks. */
+/* Adds the machines with places reserved for the gang. Looks at the gang's tasks rather than at all
+ * machines, because gangs have few reserved places while thousands of machines have tasks. */
 static void
 add_reserved_machines(const MmJob *job, GArray *machines) {
   for (guint i = 0; i < job->spec.n_tasks; i++)
@@ -73,8 +74,8 @@
     MmJob *job = g_ptr_array_index(job_table->by_submission, i);
     if (job->tasks != NULL && mm_job_is_gang(job))
       add_reserved_machines(job, reserved_machines);
-    /* Tasks that the team's limit prevents from starting are left out, so that no node requests
-     * their starts or rents machines for them. */
+    /* Leaves out tasks that the team's limit prevents from starting. Otherwise, nodes would request
+     * the starts of these tasks or rent machines for them. */
     if (job->tasks != NULL && job->n_pending > 0 && mm_scheduler_job_is_schedulable(scheduler, job)
         && mm_scheduler_limit_allows(scheduler, job->led_shard, job,
                                      mm_job_is_gang(job) ? job->spec.n_tasks : 1))
--- a/src/scheduler/pending-tasks.h
+++ b/src/scheduler/pending-tasks.h
@@ -1,5 +1,5 @@
-/* Lists the pending tasks of the led shards, as the backlog that this node announces to its peers
- * and uses itself (placement/backlog.h). */
+/* Lists the pending tasks of the led shards. The list is the backlog that this node announces to
+ * its peers and uses itself (placement/backlog.h). */
 #pragma once
 
 #include "scheduler/scheduler.h"
@@ -9,6 +9,6 @@
  * with a place reserved for a gang. The caller owns the added items. */
 void mm_scheduler_list_backlog(MmScheduler *scheduler, GPtrArray *pending,
                                GArray *reserved_machines);
-/* Returns the number of pending tasks of jobs whose dependencies are done and that are not
- * cancelled, whether the tasks may start now or not. */
+/* Returns the number of pending tasks of all jobs whose dependencies are done and that are not
+ * cancelled. Also counts tasks that may not start now. */
 guint mm_scheduler_count_pending_tasks(const MmScheduler *scheduler);
--- a/src/scheduler/placement-estimate.c
+++ b/src/scheduler/placement-estimate.c
@@ -2,17 +2,20 @@
 
 #include "scheduler/preemption.h"
 
-/* Value of MmPlacementEstimate.fewest_colocated_tasks when the tasks of no machine were counted.
- * Larger than any number of tasks. */
+/* Value of MmPlacementEstimate.fewest_colocated_tasks before the tasks of any machine have been
+ * counted. The value is larger than any number of tasks, and the first count therefore replaces
+ * it. */
 #define COLOCATED_TASKS_UNKNOWN G_MAXUINT
-/* Below this age, an estimate is used without a new scan. */
+/* An estimate of a lower age is used without a new scan. */
 #define ESTIMATE_FRESH_MS 400
-/* Below this age, an estimate is used when the limit of scans has been reached. */
+/* An estimate of a lower age is used when the limit of scans has been reached. */
 #define ESTIMATE_AGE_MAX_MS 2000
-/* A task does not wait for another machine to avoid a fetch that is shorter than this. */
+/* A task does not wait for another machine to avoid an image fetch that takes less time than
+ * this. */
 #define SHORT_FETCH_S 0.5
-/* In heartbeat intervals: how long a pending task waits for a machine that has its image, and a
- * task of a service for a machine with fewer co-located tasks. */
+/* In heartbeat intervals. AVOID_FETCH_HEARTBEAT_INTERVALS: how long a pending task waits for a
+ * machine that has its image. SPREAD_SERVICE_HEARTBEAT_INTERVALS: how long a task of a service
+ * waits for a machine with fewer co-located tasks. */
 #define AVOID_FETCH_HEARTBEAT_INTERVALS 1.5
 #define SPREAD_SERVICE_HEARTBEAT_INTERVALS 0.7
 
@@ -41,7 +44,7 @@
          && mm_time_ms_since(now, estimate->estimated_at) < max_age_ms;
 }
 
-/* Updates the estimate with a machine that could run a task of the job after `delay_s`. */
+/* Updates the estimate with a machine on which a task of the job could run after `delay_s`. */
 static void
 add_machine_to_estimate(MmPlacementEstimate *estimate, const MmMachine *machine, double delay_s) {
   if (!mm_scheduler_can_start(estimate->soonest_delay_s) || delay_s < estimate->soonest_delay_s) {
@@ -92,11 +95,14 @@
   return estimate;
 }
 
-/* A task does not fetch its image on one machine if another machine could run it sooner, even after
- * a preemption. It waits for the other machine no longer than the fetch itself would take. A task
- * of a service that must fetch its image anyway goes to the machine with the fewest co-located
- * tasks. This distributes the image for later tasks of the service, leaves work on the same machine
- * that can be preempted for them, and limits how many tasks the loss of a machine affects. */
+/* A task does not fetch its image on one machine if another machine could run the task sooner, even
+ * after a preemption. The task waits for the other machine no longer than the fetch itself would
+ * take.
+ *
+ * A task of a service that must fetch its image anyway goes to the machine with the fewest
+ * co-located tasks. This distributes the image for later tasks of the service, and leaves
+ * preemptible work on the same machine that can be preempted for these tasks. It also limits how
+ * many tasks the loss of a machine affects. */
 gboolean
 mm_scheduler_starts_sooner_elsewhere(MmScheduler *scheduler, MmJob *job, const MmTask *task,
                                      const MmMachine *here) {
@@ -112,8 +118,8 @@
   if (fetch_s < SHORT_FETCH_S
       || waited_s > MIN(fetch_s, heartbeat_interval_s * AVOID_FETCH_HEARTBEAT_INTERVALS))
     return FALSE;
-  /* Work was preempted on this machine for this task, so choosing another machine would only lose
-   * time. */
+  /* Other work was preempted on this machine for this task. Choosing another machine would only
+   * lose time. */
   if (mm_time_before(mm_node_now(node), task->preempting_until)
       && mm_name_equal(&task->preempting_on, &here->id))
     return FALSE;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -10,21 +10,24 @@
 #include "scheduler/stop-commands.h"
 #include "scheduler/urgency.h"
 
-/* Limits of one preemption round: pending tasks tried, and tries that scan the machines. */
+/* Limits of one preemption round: TASKS_PER_ROUND for the pending tasks tried,
+ * PREEMPTIONS_PER_ROUND for the tries that scan the machines. */
 #define TASKS_PER_ROUND 16
 #define PREEMPTIONS_PER_ROUND 6
-/* The part of PREEMPTIONS_PER_ROUND for jobs that are neither urgent nor within a quota. */
+/* The part of PREEMPTIONS_PER_ROUND that jobs may use which are neither urgent nor within a
+ * quota. */
 #define ORDINARY_PREEMPTIONS_PER_ROUND 2
 /* Added to the start delay for each task that must be stopped. */
 #define STOP_DELAY_PER_TASK_S 0.05
-/* How much longer a service would wait for a machine with one co-located task fewer. */
+/* How much longer a service would wait for a machine if this machine has one co-located task
+ * fewer. */
 #define COLOCATED_TASK_PENALTY_S 0.25
-/* How long a task of a job that is not urgent must have waited before work is preempted for it. */
+/* How long a task of a job that is not urgent must have waited before work is preempted for the
+ * task. */
 #define QUOTA_RECLAIM_AFTER_MS 2800
 /* Maximum number of tasks considered for preemption on one machine for one task. */
 #define VICTIMS_MAX 32
-/* A job that starts after a long wait keeps all its running tasks while it has at most this many.
- */
+/* A job that has waited for long and has at most this many running tasks keeps all of them. */
 #define PROTECTED_TASKS_MAX 2
 
 /* A task that is or may be preempted. */
@@ -49,8 +52,8 @@
   return (int)y->reported->number - (int)x->reported->number;
 }
 
-/* Returns whether no task of the job may be preempted, because the job has waited for longer than
- * the operators' bound for starvation and has only just begun to run. */
+/* Returns whether no task of the job may be preempted, because the job has only just begun to run
+ * after waiting for longer than the operators' bound for starvation. */
 static gboolean
 is_protected_from_preemption(const MmScheduler *scheduler, const MmJob *job) {
   return mm_job_waiting_time_s(job, mm_node_wall_ms(scheduler->node))
@@ -59,8 +62,8 @@
                 <= PROTECTED_TASKS_MAX;
 }
 
-/* Returns whether the reported task of the job `victim` may be preempted for `job`. `victim` may be
- * NULL when its job is unknown. */
+/* Returns whether the reported task may be preempted for `job`. `victim` is the job of the reported
+ * task, or NULL when this job is unknown. */
 static gboolean
 is_preemptible(const MmScheduler *scheduler, const MmJob *job, const MmReportedTask *reported,
                const MmJob *victim) {
@@ -71,8 +74,8 @@
          && !is_protected_from_preemption(scheduler, victim);
 }
 
-/* Chooses the tasks to preempt on the machine so that a task of the job fits; none if it fits
- * already. Returns FALSE when it does not fit even with preemption. */
+/* Chooses the tasks to preempt on the machine so that a task of the job fits. Chooses none if a
+ * task of the job fits already. Returns FALSE when it does not fit even with preemption. */
 static gboolean
 choose_victims(const MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
                MmResources free_resources, StartPlan *plan) {
@@ -143,9 +146,9 @@
 }
 
 /* Returns the time in seconds that a task of `victim` is given to save a checkpoint before `job`
- * takes its place. Work of the lowest priority gets no time if preempted for work of the highest
- * priority: it restarts from its last checkpoint, which costs it less than waiting for the save
- * would cost the other job. */
+ * takes the place of the task. Work of the lowest priority gets no time if preempted for work of
+ * the highest priority. Such work restarts from its last checkpoint. The restart costs less than
+ * waiting for a new checkpoint would cost `job`. */
 static double
 victim_grace_s(const MmJob *job, const MmJob *victim) {
   if (job->effective_priority == MM_PRIORITY_CRITICAL
@@ -205,8 +208,8 @@
   }
 }
 
-/* Returns the machine on which a task of the job would start soonest, borrowed, or NULL. For
- * services, COLOCATED_TASK_PENALTY_S is added to the delay for each co-located task. */
+/* Returns the machine on which a task of the job would start soonest, borrowed, or NULL if there is
+ * none. For services, COLOCATED_TASK_PENALTY_S is added to the delay for each co-located task. */
 static MmMachine *
 find_soonest_machine(MmScheduler *scheduler, const MmJob *job) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
@@ -230,8 +233,8 @@
   return best;
 }
 
-/* Preempts, if necessary, on the machine on which the task would start soonest, and reserves the
- * resources there. Returns FALSE when there is no such machine. */
+/* Finds the machine on which the task would start soonest. Preempts work there if necessary, and
+ * reserves the resources for the task. Returns FALSE when there is no such machine. */
 static gboolean
 preempt_for_task(MmScheduler *scheduler, const MmJob *job, MmTask *task) {
   MmMachine *machine = find_soonest_machine(scheduler, job);
@@ -245,9 +248,11 @@
 }
 
 /* Preempts for pending tasks of the job, for each task at most once in a heartbeat interval.
- * Several tasks are handled in one call, since a large service that has lost a zone would otherwise
- * wait for each replica in turn. This is possible because the job's zone constraints also count the
- * machines with reserved resources. Returns the number of tasks tried. */
+ * Returns the number of tasks tried.
+ *
+ * One call handles several tasks. Otherwise, a large service that has lost a zone would wait for
+ * each replica in turn. Handling several tasks is possible because the job's zone constraints also
+ * count the machines with reserved resources. */
 static guint
 preempt_for_job(MmScheduler *scheduler, MmJob *job, guint max_tries) {
   MmNode *node = scheduler->node;
@@ -270,9 +275,9 @@
   return tries;
 }
 
-/* Returns whether any work of the lowest priority runs that may be preempted. Without such work,
- * nothing can be preempted for jobs that are only one priority higher, and scanning all machines
- * for each such job would take all of the node's time. */
+/* Returns whether preemptible work of the lowest priority is running. Without such work, nothing
+ * can be preempted for jobs that are only one priority higher. Scanning all machines for each of
+ * these jobs would take all of the node's time. */
 static gboolean
 is_low_priority_work_running(const MmScheduler *scheduler) {
   const MmJobTable *job_table = scheduler->node->job_table;
@@ -294,8 +299,8 @@
   return job->effective_priority < MM_PRIORITY_URGENT && !job->is_within_quota;
 }
 
-/* Each try scans all machines, so a round tries only a few tasks. After a round that reached a
- * limit, the next round continues with the job after the last one visited. */
+/* A round tries only a few tasks, because each try scans all machines. After a round that reached a
+ * limit, the next round continues with the job after the last visited job. */
 void
 mm_scheduler_preempt(MmScheduler *scheduler) {
   const GPtrArray *jobs = mm_scheduler_jobs_by_urgency(scheduler);
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -6,12 +6,12 @@
 #include "scheduler/urgency.h"
 
 #define QUOTA_UPDATE_INTERVAL_MS 1000
-/* Maximum number of tasks of the most urgent job for which a part of the limit is reserved, unless
- * the job is a gang. */
+/* A part of the team's limit is reserved for at most this many tasks of the most urgent job. For a
+ * gang, the part covers all tasks instead. */
 #define RESERVED_LIMIT_TASKS 4
 
-/* Returns whether a job with this specification is within its team's quota. `team_sum`: the
- * resources needed by the job and the team's older unfinished jobs together. */
+/* Returns whether a job with this specification is within its team's quota. `team_sum` is the sum
+ * of the resources needed by the job and by the team's older unfinished jobs. */
 static gboolean
 fits_quota(const MmResources *quota, const MmResources *team_sum, const MmJobSpec *spec) {
   /* A quota of 0 guarantees nothing. */
@@ -31,9 +31,10 @@
   return FALSE;
 }
 
-/* Updates which jobs are within their team's quota: the oldest unfinished jobs of the team, as far
- * as the quota suffices. If the settings contain an objective for such jobs, their urgency follows
- * from the objective; otherwise they have precedence over other jobs of the same priority. */
+/* Updates which jobs are within their team's quota. These are the oldest unfinished jobs of the
+ * team, as far as the quota suffices. If the settings contain an objective for such jobs, their
+ * urgency follows from this objective. Otherwise, they have precedence over other jobs of the same
+ * priority. */
 static void
 update_jobs_within_quota(const MmScheduler *scheduler) {
   const MmNode *node = scheduler->node;
@@ -56,7 +57,8 @@
   }
 }
 
-/* Computes what each team uses, from the tasks that the machines' newest messages report. */
+/* Computes the resources that each team uses, from the tasks that the newest messages of the
+ * machines report. */
 static void
 update_team_used(MmScheduler *scheduler) {
   const MmNode *node = scheduler->node;
@@ -107,8 +109,8 @@
 
 /* Returns whether the limit of one resource allows the additional need. A job that does not need
  * the resource is not restricted, however much of the limit is used or reserved. Otherwise,
- * accelerators reserved for a waiting gang would prevent the team's arrays from using idle
- * machines. */
+ * accelerators reserved for a waiting gang would prevent the arrays of the same team from using
+ * idle machines. */
 static gboolean
 is_within_limit(double limit, double used, double need) {
   return limit <= 0 || need <= 0 || used + need <= limit + MM_RESOURCES_SLACK;
@@ -128,9 +130,9 @@
   if (shard->has_unacknowledged_of_unknown_type)
     return FALSE;
   used = mm_resources_add(shard->used, shard->unacknowledged_resources);
-  /* Without the reservation, small jobs would take the rest of the limit one by one, so that a
-   * large job would never start, and jobs of higher priority would wait for jobs of lower priority.
-   */
+  /* Adds the part of the limit that is reserved for a more urgent job. Otherwise, small jobs would
+   * take the rest of the limit one by one. A large job would then never start, and jobs of higher
+   * priority would wait for jobs of lower priority. */
   if (shard->limit_reserved_for != NULL && shard->limit_reserved_for != job
       && mm_scheduler_compare_urgency(&shard->limit_reserved_for, &job) < 0)
     used = mm_resources_add(used, shard->reserved_of_limit);
@@ -139,8 +141,8 @@
                             n_tasks * job->spec.task_resources.accelerators);
 }
 
-/* Reserves a part of the team's limit for the job if the job is starving or urgent, and more urgent
- * than the job for which a part is reserved now. */
+/* Reserves a part of the team's limit for the job if the job is starving or urgent. Does nothing if
+ * a part is already reserved for a more urgent job. */
 static void
 reserve_part_of_limit(MmScheduler *scheduler, MmLedShard *shard, const MmJob *job) {
   gboolean is_urgent_or_starving = job->is_starving || job->spec.priority >= MM_PRIORITY_URGENT;
@@ -157,8 +159,8 @@
                                             n_tasks * job->spec.task_resources.accelerators, 0 };
 }
 
-/* The sums that task-state.c maintains accumulate rounding errors, since the amounts are fractions.
- * They are recomputed here. */
+/* Recomputes the sums that task-state.c maintains. These sums accumulate rounding errors, because
+ * the amounts are fractions. */
 void
 mm_scheduler_recount_resources(MmScheduler *scheduler) {
   const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
--- a/src/scheduler/replica-move.c
+++ b/src/scheduler/replica-move.c
@@ -5,18 +5,20 @@
 #include "scheduler/start-rules.h"
 #include "scheduler/stop-commands.h"
 
-/* How long a task must have waited before a replica is moved for it. */
+/* How long a task must have waited before a replica of another service is moved to make room for
+ * the task. */
 #define REPLICA_MOVE_AFTER_MS 1500
-/* Minimum time between two attempts to move a replica, of all jobs together. */
+/* Minimum time between two attempts to move a replica. The attempts for all jobs count together. */
 #define REPLICA_MOVE_INTERVAL_MS 1500
-/* Maximum number of replicas tried in one attempt. Each one costs a scan of all machines: without
- * this limit, an attempt takes 200 ms of processor time when no replica can run elsewhere. */
+/* Maximum number of replicas tried in one attempt. Each tried replica costs a scan of all
+ * machines. Without this limit, an attempt takes 200 ms of processor time when no replica can
+ * run elsewhere. */
 #define REPLICA_MOVE_SCANS_MAX 4
 /* Maximum time that the image fetch of a moved replica may take. */
 #define REPLICA_MOVE_FETCH_S 5
 
-/* Returns another machine on which a replica that runs on `current` could start shortly, borrowed,
- * or NULL. */
+/* Returns another machine on which a replica that now runs on `current` could start shortly. The
+ * machine is borrowed. Returns NULL if there is no such machine. */
 static MmMachine *
 find_machine_for_replica(MmScheduler *scheduler, const MmJob *job, const MmMachine *current,
                          double max_fetch_s) {
@@ -36,8 +38,8 @@
   return NULL;
 }
 
-/* Returns whether the machine could run a task of the job once a replica has left it, provided that
- * the resources suffice. */
+/* Returns whether the machine could run a task of the job after a replica has left the machine.
+ * Assumes that the resources suffice then. */
 static gboolean
 could_host_task_after_move(MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
                            MmResources free_resources) {
@@ -50,8 +52,9 @@
                 < MM_RESERVE_WOULD_SHRINK;
 }
 
-/* Returns whether the placed task is a running replica of another service that has no higher
- * priority, and whose resources together with the free ones suffice for a task of the job. */
+/* Returns whether moving the placed task would make room for a task of the job. The placed task
+ * must be a running replica of another service of the same or a lower priority. Its resources and
+ * the free resources together must suffice. */
 static gboolean
 is_movable_replica(const MmJob *job, const MmPlacedTask *placed, MmResources free_resources) {
   const MmJob *other = placed->job;
@@ -64,9 +67,9 @@
                               mm_resources_add(free_resources, other->spec.task_resources));
 }
 
-/* Stops a replica on the machine that could run elsewhere, and reserves its place for the task.
- * Subtracts 1 from `scans_left` for each replica tried. Returns FALSE when no replica was stopped.
- */
+/* Stops a replica on the machine if the replica could run elsewhere, and reserves the place of the
+ * replica for the task. Subtracts 1 from `scans_left` for each replica tried. Returns FALSE when no
+ * replica was stopped. */
 static gboolean
 move_replica_off_machine(MmScheduler *scheduler, const MmJob *job, MmTask *task, MmMachine *machine,
                          MmResources free_resources, double max_fetch_s, guint *scans_left) {
@@ -99,8 +102,8 @@
   const GPtrArray *machines = node->machine_table->sorted_machines;
   MmTime now = mm_node_now(node);
   gint64 waited_ms = mm_time_ms_since(now, task->state_since);
-  /* A moved replica may fetch its image only once the task has waited for longer than the fetch may
-   * take. */
+  /* A moved replica may fetch its image only if the task has already waited for longer than the
+   * fetch may take. */
   double max_fetch_s = waited_ms > REPLICA_MOVE_FETCH_S * 1000 ? REPLICA_MOVE_FETCH_S : 0;
   guint scans_left = REPLICA_MOVE_SCANS_MAX, first_index;
 
--- a/src/scheduler/replica-move.h
+++ b/src/scheduler/replica-move.h
@@ -1,6 +1,7 @@
-/* Moves of service replicas, as a last resort for a service with a pending task that can start on
- * no machine in its zones: a replica of another service that could start on another machine shortly
- * is stopped, and its place is reserved for the task. */
+/* Moves of service replicas. A move is the last resort for a service with a pending task that
+ * can start on no machine in the zones of the service. A replica of another service is stopped
+ * if it could start on another machine shortly, and the place of this replica is reserved for
+ * the task. */
 #pragma once
 
 #include "scheduler/scheduler.h"
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -37,8 +37,8 @@
   g_free(scheduler);
 }
 
-/* Returns whether the job has waited for longer than the operators' bound for starvation, with no
- * task started or completed. */
+/* Returns whether the job has waited for longer than the operators' bound for starvation, and no
+ * task of the job has started or completed. */
 static gboolean
 is_starving(const MmScheduler *scheduler, const MmJob *job) {
   return job->n_maybe_on_machines == 0 && job->completed.n_completed == 0 && !job->is_cancelled
@@ -51,8 +51,8 @@
 update_urgency_of_jobs(MmScheduler *scheduler) {
   const GPtrArray *by_submission = scheduler->node->job_table->by_submission;
 
-  /* Goes from the newest job to the oldest: a job inherits urgency from its dependents, which are
-   * submitted after it and must be updated before it. */
+  /* Goes from the newest job to the oldest job. A job inherits urgency from its dependents, which
+   * were submitted after the job and must be updated before the job. */
   for (guint i = by_submission->len; i > 0; i--) {
     MmJob *job = g_ptr_array_index(by_submission, i - 1);
     mm_scheduler_update_urgency(scheduler, job);
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,27 +1,28 @@
 /* The scheduler: places, starts and stops the tasks of the teams whose shards this node leads.
  *
- * The unfinished jobs of a team form one shard. The leader of a shard learns where tasks are from
- * the machines' heartbeats. A machine counts as acknowledged for a shard once one of its heartbeats
- * or direct replies shows the shard's term. From then on, every start that was sent under an older
- * term is either reported in that message or will be refused by the machine. The scheduler does not
- * start a task that an unacknowledged machine might already have.
+ * The unfinished jobs of a team form one shard. The leader of a shard learns from the machines'
+ * heartbeats which tasks are on which machines. A machine counts as acknowledged for a shard once
+ * one of its heartbeats or direct replies shows the shard's term. This message settles every start
+ * that was sent under an older term: either the message reports the start, or the machine will
+ * refuse the start. The scheduler does not start a task that an unacknowledged machine might
+ * already have.
  *
- * The scheduler owns MmScheduler, MmLedShard, the tasks of MmJob and the placed tasks, the
- * retained candidates and the reserved resources of MmMachine. Only this folder modifies them.
- * State that must survive the process is stored in the job records (job-writer.h); all other state
+ * The scheduler owns MmScheduler, MmLedShard and the tasks of MmJob. In MmMachine, it owns the
+ * placed tasks, the retained candidates and the reserved resources. Only this folder modifies them.
+ * State that must survive the process is stored in the job records (job-writer.h). All other state
  * is in memory and is rebuilt after a failover.
  *
- * This header declares the types of the scheduler and the functions that create, run and free it;
- * each other header of this folder declares one module. All modules run on the node's main loop and
- * none blocks. */
+ * This header declares the types of the scheduler and the functions that create, run and free it.
+ * Each other header of this folder declares one module. All modules run on the node's main loop,
+ * and none blocks. */
 #pragma once
 
 #include "jobs/job-table.h"
 #include "machines/machine-table.h"
 #include "node/node.h"
 
-/* The properties of a machine that job constraints refer to. An empty type stands for a machine of
- * which nothing is known. */
+/* The properties of a machine that job constraints refer to. An empty type stands for a machine
+ * whose properties are not known. */
 typedef struct {
   MmName type;
   MmName zone;
@@ -36,18 +37,21 @@
   MmTime acquired_at;
   const MmTeamSettings *team;
   MmResources used; /* sum over the tasks that are or may be on machines */
-  /* The most urgent job with pending tasks that is starving or whose own priority is at least
-   * MM_PRIORITY_URGENT, borrowed; NULL: none. */
+  /* The job for which a part of the team's limit is reserved, borrowed; NULL: no job. It is the
+   * most urgent job with pending tasks that is starving or whose own priority is at least
+   * MM_PRIORITY_URGENT. */
   const MmJob *limit_reserved_for;
   MmResources reserved_of_limit; /* the part of the team's limit that is reserved for that job */
   /* Derived from `unacknowledged_machines` by mm_scheduler_update_unacknowledged: */
   MmResources unacknowledged_resources; /* total resources of the machines whose type is known */
-  /* Some machine's type is unknown, so the total resources have no known upper bound. */
+  /* The type of at least one of these machines is unknown. The total resources then have no known
+   * upper bound. */
   gboolean has_unacknowledged_of_unknown_type;
   gboolean unacknowledged_changed; /* the derived fields are out of date */
   GArray *unacknowledged_kinds;    /* MmMachineKind, without duplicates */
-  /* Machine id -> incarnation that was registered when the shard was acquired, stored with
-   * GSIZE_TO_POINTER. These machines may have tasks that this node does not know of. */
+  /* Maps the id of a machine to its incarnation that was registered when the shard was acquired,
+   * stored with GSIZE_TO_POINTER. Each of these machines may have tasks that this node does not
+   * know of. */
   GHashTable *unacknowledged_machines;
   gboolean is_ready; /* set once no machine is unacknowledged */
 };
@@ -65,12 +69,12 @@
   GHashTable *estimate_errors; /* job class -> MmEstimateError */
   guint64 attempt_sequence;    /* number of the latest attempt, see mm_scheduler_next_attempt */
   gboolean is_writing;         /* a transaction of job-writer.c is in flight */
-  guint single_job_writes;     /* how many of the next transactions may carry only one job each */
+  guint single_job_writes;     /* how many of the next transactions must carry only one job each */
   GPtrArray *jobs_by_urgency;  /* MmJob of the led shards except gangs, most urgent first */
   gboolean is_urgency_order_stale;
   MmResources *team_used; /* by team index: used on all machines, as of the latest quota update */
   MmTime next_quota_update_at;
-  /* The gang for which less urgent jobs with accelerators hold back their starts; NULL: none. */
+  /* The gang for whose benefit less urgent jobs with accelerators start no tasks; NULL: no gang. */
   const MmJob *yield_to_gang;
   guint64 n_machines_scanned; /* machines examined by all scans since the process started */
   guint machine_scans_left;   /* scans left for placement estimates until the next slow tick */
@@ -84,12 +88,13 @@
   return (gint64)(scheduler->node->settings->heartbeat_interval_s * 1000);
 }
 
-/* Returns a new scheduler. Free it with mm_scheduler_free. The node must outlive it. */
+/* Returns a new scheduler. Free it with mm_scheduler_free. The node must outlive the scheduler. */
 MmScheduler *mm_scheduler_new(MmNode *node);
-/* Frees the scheduler. May be called only when no request that it sent can still be answered. */
+/* Frees the scheduler. Must be called only when no response callback of the scheduler's requests
+ * can be invoked any more. */
 void mm_scheduler_free(MmScheduler *scheduler);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmScheduler, mm_scheduler_free)
-/* Writes changes that are due to the job records. Every 100 ms (the slow tick), also updates
+/* Writes changes that are due to the job records. In each slow tick, every 100 ms, also updates
  * urgency and quotas, requests acknowledgements, resends stops, plans gangs and preempts. Does
  * nothing while the node's lease is not valid. */
 void mm_scheduler_tick(MmScheduler *scheduler);
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -26,9 +26,9 @@
                          mm_scheduler_stop_grace_s(job));
 }
 
-/* Stops the job's tasks that are reported by machines whose heartbeats this node answers, except
- * those that this node itself has placed there. The leader of the shard may be unreachable, or the
- * shard may have no leader. */
+/* Stops the job's tasks that are reported by machines whose heartbeats this node answers. Leaves
+ * out the tasks that this node itself has placed there. This is needed because the leader of the
+ * shard may be unreachable, or the shard may have no leader. */
 static void
 stop_reported_tasks(MmScheduler *scheduler, const MmJob *job) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
--- a/src/scheduler/task-state.h
+++ b/src/scheduler/task-state.h
@@ -1,6 +1,6 @@
-/* The states and machines of the tasks of the led shards. All changes go through these functions,
- * which keep the counters of the job, the resources used by its shard and the machine's list of
- * placed tasks consistent with the tasks. */
+/* The states and machines of the tasks of the led shards. All changes of a task go through these
+ * functions. The functions keep the counters of the job, the resources used by its shard and the
+ * machine's list of placed tasks consistent with the task. */
 #pragma once
 
 #include "scheduler/scheduler.h"
@@ -14,13 +14,13 @@
 
 /* Sets the state of the task and leaves its machine unchanged. */
 void mm_scheduler_set_task_state(MmScheduler *scheduler, MmJob *job, guint number, guint8 state);
-/* Places the task, which is or is about to be on the machine, and removes it from any other
- * machine. */
+/* Places the task, which is on the machine or is about to start there, and removes the task from
+ * any other machine. */
 void mm_scheduler_place_task(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine,
                              MmTaskState state, MmAttempt attempt);
-/* Removes the task from its machine and makes it pending. May be called only when the task is
+/* Removes the task from its machine and makes the task pending. May be called only when the task is
  * certainly on no machine. */
 void mm_scheduler_unplace_task(MmScheduler *scheduler, MmJob *job, guint number);
-/* Removes the task from the machine's list of placed tasks, and changes nothing in the task. The
- * machine may be NULL. */
+/* Removes the task from the machine's list of placed tasks, and changes nothing in the task.
+ * `machine` may be NULL. */
 void mm_scheduler_remove_from_machine(MmMachine *machine, const MmJob *job, guint number);
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -4,14 +4,15 @@
 
 #include "dependencies/dependencies.h"
 
-/* A job within its team's quota has precedence after it has waited for this long. */
+/* A job within its team's quota has precedence after the job has waited for this long. */
 #define QUOTA_START_WITHIN_S 1
-/* Time from the end of a job's last task to the start of its dependents' tasks. It covers
+/* Time from the end of a job's last task to the start of its dependents' tasks. This time covers
  * heartbeats, the write of the terminal record and the fetch of an image. */
 #define DEPENDENCY_STAGE_MS 3000
-/* A job has the full priority of its dependents from this long before its inherited deadline. */
+/* How long before its inherited deadline a job begins to have the full priority of its
+ * dependents. */
 #define INHERITED_DEADLINE_MARGIN_MS 15000
-/* Start time of an objective that does not apply to the job. */
+/* Start time that is returned for an objective that does not apply to the job. */
 #define DOES_NOT_APPLY_S (-1.0)
 #define NO_DUE_TIME_MS G_MAXINT64
 
@@ -23,8 +24,9 @@
                                         : scheduler->node->operators->wait_bound_s);
 }
 
-/* Returns by when the last task must have started to meet the objective, in seconds from the time
- * from which the objective counts; below 0: the objective does not apply or cannot be met. */
+/* Returns by when the last task must have started to meet the objective. The result is in seconds
+ * from the time from which the objective counts. A result below 0 means that the objective does not
+ * apply or cannot be met. */
 static double
 objective_start_s(const MmJob *job, const MmObjective *objective, double run_s) {
   switch (objective->kind) {
@@ -41,9 +43,9 @@
   }
 }
 
-/* Returns the estimated run time of a task in seconds: the mean of the run times observed for tasks
- * of the job or, while there are none, the user's estimate, corrected by the error of the estimates
- * for the job class. */
+/* Returns the estimated run time of a task in seconds. This is the mean of the run times observed
+ * for tasks of the job. While there are none, it is the user's estimate, corrected by the error of
+ * the estimates for the job class. */
 static double
 estimate_run_s(const MmScheduler *scheduler, const MmJob *job) {
   const MmEstimateError *estimate_error
@@ -57,8 +59,8 @@
   return job->spec.run_estimate_s * CLAMP(ratio, 0.25, 4);
 }
 
-/* Returns the number of successive rounds in which the pending tasks must run, at least 1. The
- * team's limit restricts how many tasks can run at once. */
+/* Returns in how many successive rounds the pending tasks must run, at least 1. Several rounds are
+ * needed when the team's limit restricts how many tasks can run at once. */
 static double
 estimate_rounds(const MmScheduler *scheduler, const MmJob *job) {
   const MmTeamSettings *team = mm_settings_team(scheduler->node->settings, &job->spec.team);
@@ -72,8 +74,8 @@
   return MAX(ceil((double)job->n_pending / MAX(n_parallel, 1)), 1);
 }
 
-/* Returns the time of day by which the job must be given machines to meet the earliest of its own
- * objectives that it can still meet. */
+/* Returns the time of day by which the job must be given machines. By this time, the job can still
+ * meet the earliest of its own objectives that it is not too late for. */
 static gint64
 own_due_ms(const MmScheduler *scheduler, const MmJob *job, double run_s) {
   const MmSettings *settings = scheduler->node->settings;
@@ -98,7 +100,8 @@
     if (start_s >= 0 && start_ms >= now_ms && start_ms < due_ms)
       due_ms = start_ms;
   }
-  /* A job without an objective of its own is due by its deadline or, without one, by its age. */
+  /* A job without an objective of its own is due by its deadline. Without a deadline, the job is
+   * ordered by the time since which it has been waiting. */
   if (!has_own_objective && job->spec.deadline_s >= 0)
     due_ms = job->submitted_at_ms + (gint64)(MAX(job->spec.deadline_s - run_s, 0) * 1000);
   else if (!has_own_objective)
@@ -106,17 +109,17 @@
   return due_ms;
 }
 
-/* Returns the time of day by which the dependent must be given machines to meet a deadline, its own
- * or an inherited one; NO_DUE_TIME_MS: it has none. */
+/* Returns the time of day by which the dependent must be given machines to meet its own deadline or
+ * an inherited one. Returns NO_DUE_TIME_MS if it has no deadline. */
 static gint64
 deadline_due_ms(const MmJob *job) {
   return job->spec.deadline_s >= 0 ? MIN(job->due_at_ms, job->inherited_due_at_ms)
                                    : job->inherited_due_at_ms;
 }
 
-/* Sets the priority and the deadline that the job inherits from the unfinished jobs that depend on
- * it. For dependents that are updated after this job, the values of the previous slow tick are
- * used. */
+/* Sets the priority and the deadline that the job inherits from its dependents, the unfinished jobs
+ * that depend on it. If a dependent is updated after this job, its values of the previous slow tick
+ * are used. */
 static void
 inherit_from_dependents(const MmScheduler *scheduler, MmJob *job, double run_s) {
   const MmJobTable *job_table = scheduler->node->job_table;
@@ -138,9 +141,9 @@
 }
 
 /* Returns the priority that applies to the job. Long before an inherited deadline, the inherited
- * priority is capped: the job is ordered by its due time but does not preempt ordinary work of
- * other teams or classes. Such a preemption would cost that work more than the dependents gain,
- * which complete long before their deadlines anyway. */
+ * priority is capped. The job is then ordered by its due time, but does not preempt ordinary work
+ * of other teams or classes. Such a preemption would cost the other work more than the dependents
+ * gain, because the dependents complete long before their deadlines anyway. */
 static MmPriority
 effective_priority(const MmScheduler *scheduler, const MmJob *job) {
   gint64 slack_ms = job->inherited_due_at_ms - mm_node_wall_ms(scheduler->node);
