--- a/src/placement/accelerator-reserve.c
+++ b/src/placement/accelerator-reserve.c
@@ -108,9 +108,9 @@
 }
 
 /* Returns whether the largest accelerated task would fit on the machine if `taken` of its resources
- * are in use. Until this node has seen an accelerated job since its start, returns FALSE for every
- * machine with any other task. Otherwise, after a restart of all nodes, a second machine would be
- * unreserved, because no node would know that the first machine is already unreserved. */
+ * are in use. As long as this node has seen no accelerated job since its start, returns FALSE for
+ * every machine with any other task. Otherwise, after a restart of all nodes, a second machine
+ * would be unreserved, because no node would know that the first machine is already unreserved. */
 static gboolean
 fits_largest_accelerated_task(const MmPlacement *placement, const MmMachine *machine,
                               MmResources taken) {
--- a/src/placement/candidates.h
+++ b/src/placement/candidates.h
@@ -11,7 +11,7 @@
 /* The next start request to send: to which node, and for which tasks. */
 typedef struct {
   gint view;        /* backlog view of the node to ask, or MM_PLACEMENT_VIEW_NONE: no request */
-  gboolean is_pull; /* names no tasks; the node that is asked chooses any that fits */
+  gboolean is_pull; /* the request names no tasks; the node that is asked chooses any that fits */
   guint n_tasks;    /* 0 for a pull, and for a place reserved for a gang */
   MmTaskRef tasks[MM_PLACEMENT_CANDIDATES_MAX]; /* in order of preference */
 } MmPlacementChoice;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -26,7 +26,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmPendingTasks, mm_pending_tasks_free)
 
 /* The backlog of one node, which may be this node or a peer: the pending tasks of the shards that
- * the node leads, as it last announced them. */
+ * the node leads, as far as this node knows them. */
 typedef struct {
   GPtrArray *pending;        /* MmPendingTasks, owned, most urgent first */
   GArray *reserved_machines; /* MmName of machines with resources reserved for tasks of gangs */
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -14,8 +14,8 @@
 #include "scheduler/task-state.h"
 #include "scheduler/urgency.h"
 
-/* Maximum number of retained candidates of a machine. They are tried first when start requests for
- * this machine follow. */
+/* Maximum number of retained candidates of a machine. These candidates are tried first at the
+ * machine's next start requests. */
 #define RETAINED_CANDIDATES_MAX 64
 /* Maximum number of tasks of one job that are tried for one request. */
 #define JOB_TASKS_TRIED_MAX 8
@@ -40,7 +40,7 @@
 
 /* Returns whether the reserve of machines with accelerators permits the start. A machine of the
  * reserve is unreserved only for a task that has waited for UNRESERVE_MACHINE_AFTER_MS and that no
- * other machine could run, even with preemption. */
+ * machine could run otherwise, not even after a preemption. */
 static gboolean
 reserve_allows(MmScheduler *scheduler, MmJob *job, const MmTask *task,
                const MmStartRequest *request) {
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -23,7 +23,7 @@
 #define YIELD_TO_GANG_MAX_MS 240000
 #define YIELD_TO_GANG_JOBS_MAX 3
 
-/* A machine, and the resources on this machine that no task of the gang has been assigned yet. */
+/* A machine, and the resources on this machine that are not chosen for a task of the gang yet. */
 typedef struct {
   MmMachine *machine;
   MmResources free_resources;
@@ -265,9 +265,9 @@
 /* A gang needs several places at once. Less urgent work yields to a waiting gang, because it would
  * otherwise take these places one by one.
  *
- * The places stay idle until the gang has all of them. For this reason, other work yields only to a
- * starving gang while many jobs wait. Other work yields to no gang forever, because the gang may
- * find no places for another reason. */
+ * The places stay idle until the gang has all of them. For this reason, other work yields only to
+ * a starving gang while many jobs wait. After some time, other work stops yielding to a gang,
+ * because the gang may find no places for another reason. */
 void
 mm_scheduler_choose_gang_to_yield_to(MmScheduler *scheduler) {
   const MmPlacement *placement = scheduler->node->placement;
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -174,9 +174,9 @@
   machine->must_reapply_tasks = must_reapply;
 }
 
-/* Returns whether the heartbeat proves that the machine did not execute the task's start. The
- * heartbeat does not report the task. It is a proof if it is from a newer incarnation, or if it was
- * sent after the heartbeat whose response carried the start.
+/* Returns whether a heartbeat that does not report the task proves that the machine did not execute
+ * the task's start. The heartbeat is a proof if it is from a newer incarnation, or if it was sent
+ * after the heartbeat whose response carried the start.
  *
  * A direct reply from the same incarnation proves nothing, because the start may still be in
  * flight. */
--- a/src/scheduler/pending-tasks.c
+++ b/src/scheduler/pending-tasks.c
@@ -75,7 +75,7 @@
     if (job->tasks != NULL && mm_job_is_gang(job))
       add_reserved_machines(job, reserved_machines);
     /* Leaves out tasks that the team's limit prevents from starting. Otherwise, nodes would request
-     * the starts of these tasks or rent machines for them. */
+     * the starts of these tasks, or request machines from the cloud for them. */
     if (job->tasks != NULL && job->n_pending > 0 && mm_scheduler_job_is_schedulable(scheduler, job)
         && mm_scheduler_limit_allows(scheduler, job->led_shard, job,
                                      mm_job_is_gang(job) ? job->spec.n_tasks : 1))
--- a/src/scheduler/start-rules.c
+++ b/src/scheduler/start-rules.c
@@ -21,8 +21,9 @@
          && mm_scheduler_compare_urgency(&gang, &job) < 0;
 }
 
-/* Counts the tasks that are or may be on machines. If `reservations_at` is not 0, it is the current
- * time. In this case, also counts the machines on which resources are being freed for pending
+/* Returns whether the job's constraints allow one more task of the job on the machine. Always
+ * counts the tasks that are or may be on machines. `reservations_at` is 0 or the current time. If
+ * it is the current time, also counts the machines on which resources are being freed for pending
  * tasks. */
 static gboolean
 constraints_allow(const MmMachineTable *machine_table, const MmJob *job, const MmMachine *machine,
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -74,8 +74,8 @@
   return MAX(ceil((double)job->n_pending / MAX(n_parallel, 1)), 1);
 }
 
-/* Returns the time of day by which the job must be given machines. By this time, the job can still
- * meet the earliest of its own objectives that it is not too late for. */
+/* Returns the time of day by which the job must be given machines to meet one of its own
+ * objectives. This is the earliest of the objectives that the job can still meet. */
 static gint64
 own_due_ms(const MmScheduler *scheduler, const MmJob *job, double run_s) {
   const MmSettings *settings = scheduler->node->settings;
