--- a/src/heartbeat-server/heartbeat-response.c
+++ b/src/heartbeat-server/heartbeat-response.c
@@ -5,7 +5,8 @@
 #include "jobs/job-table.h"
 #include "kv/kv-client.h"
 
-/* Maximum number of terminal records that are read at the same time. */
+/* Maximum number of terminal records that this node reads from the key-value store at the same
+ * time. */
 #define CONFIRMATIONS_MAX 16
 
 typedef struct {
@@ -38,11 +39,14 @@
                    confirmation);
 }
 
-/* Tasks of cancelled jobs are stopped without involving the leader of their shard. Every heartbeat
- * response renews the worker's lease, so a response without stop commands would let these tasks
- * continue if the key-value store refuses only the leader and no other node can acquire its shards.
- * A job without a record has ended unless the replica is out of date, so its tasks are removed only
- * after its terminal record has been read. */
+/* Tasks of cancelled jobs are stopped without involving the leader of their shard. The reason: the
+ * key-value store may refuse only that leader, and then no other node can acquire its shards. Every
+ * heartbeat response renews the worker's lease, so responses without stop commands would let these
+ * tasks run on.
+ *
+ * A job that is missing from the job table has normally ended, but the replica may be out of date.
+ * The tasks of such a job are therefore removed only after the job's terminal record has been
+ * read. */
 void
 mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
                                            GArray *commands) {
--- a/src/heartbeat-server/heartbeat-response.h
+++ b/src/heartbeat-server/heartbeat-response.h
@@ -1,12 +1,13 @@
-/* Heartbeat responses: the cleanup commands they contain, and sending them. */
+/* Sends heartbeat responses and determines the cleanup commands that they contain. */
 #pragma once
 
 #include "heartbeat-server/heartbeat-server.h"
 
-/* Appends a stop or discard command (MmCommand) for each of the tasks (elements: MmReportedTask)
- * that must stop or whose result is no longer needed, regardless of which node leads their
- * shards. */
+/* Appends a command (MmCommand) for each reported task that needs cleanup: a stop command for a
+ * task that must stop, a discard command for a task whose result is no longer needed. `tasks` has
+ * elements of type MmReportedTask. Works regardless of which node leads the shards of the tasks. */
 void mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
                                                 GArray *commands);
-/* Sends status 200 with the term as fencing token and the commands (elements: MmCommand). */
+/* Responds with status 200 and a body that contains the term as the fencing token and the commands
+ * (elements: MmCommand). */
 void mm_heartbeat_response_send(MmHttpExchange *exchange, MmTerm term, const GArray *commands);
--- a/src/heartbeat-server/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -13,15 +13,15 @@
 #include "kv/replica.h"
 #include "upgrade/versions.h"
 
-/* Maximum time for which a heartbeat is deferred. The worker waits for its response during that
- * time, so the worker's lease must be longer. */
+/* Maximum time for which a heartbeat is deferred. Must be shorter than the worker's lease, because
+ * the worker waits for the response while its heartbeat is deferred. */
 #define DEFER_MAX_MS 800
 /* Minimum capacity of the queue of deferred heartbeats; see defer_heartbeat(). */
 #define DEFERRED_HEARTBEATS_MIN 256
-/* Minimum time between two redirects for load balancing. */
+/* Minimum time between two redirects that this node sends for load balancing. */
 #define REDIRECT_INTERVAL_MS 400
-/* A machine is redirected only if this node serves at least this many machines more than the
- * peer. */
+/* A machine is redirected for load balancing only if this node serves at least this many machines
+ * more than the target peer. */
 #define LOAD_DIFFERENCE_TO_REDIRECT 4
 #define MACHINE_COUNT_INTERVAL_MS 500
 
@@ -77,9 +77,10 @@
     mm_http_exchange_respond(exchange, 503, mm_json_error("not entitled to answer"), 0);
 }
 
-/* Returns the peer to which this machine should move for load balancing, or MM_PEER_NONE. One
- * machine is moved at a time. The locally known machine counts are adjusted at once and corrected
- * by the peer's next pong. */
+/* Returns the peer to which the sender of the current heartbeat should move for load balancing, or
+ * MM_PEER_NONE. At most one machine is moved per REDIRECT_INTERVAL_MS. The machine counts of this
+ * node and of the peer are adjusted here at once; the peer's next pong corrects the peer's
+ * count. */
 static gint
 less_loaded_peer(MmHeartbeatServer *server) {
   MmTime now = mm_node_now(server->node);
@@ -98,9 +99,9 @@
   return peer;
 }
 
-/* Queues the heartbeat to be processed again later. Returns FALSE if it has been deferred for
- * DEFER_MAX_MS or the queue is full. Each machine has at most one heartbeat in flight, so the limit
- * grows with the number of machines. */
+/* Queues the heartbeat to be processed again later. Returns FALSE if the heartbeat has been
+ * deferred for DEFER_MAX_MS already or the queue is full. The queue's limit grows with the number
+ * of machines, because each machine has at most one heartbeat in flight. */
 static gboolean
 defer_heartbeat(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmHttpExchange *exchange,
                 MmTime received_at) {
@@ -123,10 +124,10 @@
 }
 
 /* While shards change leaders, the term is raised several times within a second. A worker
- * acknowledges the first of these terms at once, but the next one only with its following
- * heartbeat, so new leaders would wait two heartbeat intervals for their acknowledgements.
- * Heartbeats are therefore deferred until the last of the terms is known, but for no longer than
- * DEFER_MAX_MS, because a shard may stay without a leader. */
+ * acknowledges the first of these terms at once, but acknowledges the next term only with its
+ * following heartbeat. New leaders would therefore wait two heartbeat intervals for their
+ * acknowledgements. To avoid that, heartbeats are deferred until the last of the terms is known,
+ * but for at most DEFER_MAX_MS, because a shard may stay without a leader. */
 gboolean
 mm_heartbeat_server_awaits_leadership_transition(const MmHeartbeatServer *server) {
   return leadership_was_in_transition(server)
@@ -147,10 +148,10 @@
   mm_http_exchange_respond(exchange, 503, mm_json_error(reason), 0);
 }
 
-/* Answers an unverified heartbeat with the current term, so that the machine can acknowledge it,
- * and with stop commands, which are always safe. If the machine acknowledges none of several
- * responses, the heartbeat is refused with status 503, because each status 200 renews the machine's
- * lease. */
+/* Answers an unverified heartbeat with the current term, so that the machine can acknowledge the
+ * term, and with stop commands, which are always safe. If the machine has acknowledged none of
+ * several responses, the heartbeat is refused with status 503 instead, because each status 200
+ * renews the machine's lease. */
 static void
 respond_unverified(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                    MmHttpExchange *exchange) {
@@ -170,8 +171,9 @@
   mm_heartbeat_response_send(exchange, node->replica->term, commands);
 }
 
-/* Handles heartbeats that this node may not answer, or not yet. Returns TRUE if the exchange has
- * been answered or deferred. */
+/* Handles heartbeats that this node must not answer at all or cannot answer yet. Returns TRUE if
+ * the exchange has been answered (with an error, a redirect or a response to an unverified
+ * heartbeat) or the heartbeat has been deferred. */
 static gboolean
 reject_or_defer(MmHeartbeatServer *server, const MmHeartbeat *heartbeat, MmHttpExchange *exchange,
                 MmTime received_at) {
@@ -184,9 +186,9 @@
     return TRUE;
   }
   if (heartbeat->fencing_token.v > node->replica->term.v) {
-    /* A worker ignores a status 200 that contains a lower term than its own and keeps sending its
-     * heartbeats to this node. Such a heartbeat must wait until the replica contains the newer term
-     * and the shard leaders that belong to it. */
+    /* A worker ignores a status 200 whose term is lower than the worker's own, and keeps sending
+     * heartbeats to this node. The heartbeat therefore waits until the replica contains the
+     * worker's term and the shard leaders that belong to that term. */
     if (!defer_heartbeat(server, heartbeat, exchange, received_at))
       refuse_heartbeat(exchange, "the term is not known here yet");
     return TRUE;
@@ -213,7 +215,7 @@
 }
 
 /* Records the heartbeat and broadcasts it to the peers. Must be called before the heartbeat is
- * answered. */
+ * answered, because the response renews the machine's lease. */
 static MmMachine *
 record_and_broadcast(MmHeartbeatServer *server, const MmHeartbeat *heartbeat) {
   MmNode *node = server->node;
@@ -224,18 +226,18 @@
     mm_peer_broadcast_heartbeat(node->peer_links, machine, !heartbeat->is_unanswered);
     return machine;
   }
-  /* A direct reply with a newer heartbeat id was recorded before this heartbeat. The response still
-   * renews the lease if the worker is waiting for it, so the peers must be notified of the
-   * response, whatever heartbeat id they have recorded. */
+  /* A direct reply with a newer heartbeat id was recorded before this heartbeat. The worker may
+   * still be waiting for the response to this heartbeat, and that response renews the lease. The
+   * peers must therefore be notified of the response, whatever heartbeat id they have recorded. */
   machine = mm_machine_table_find(node->machine_table, heartbeat->machine_id.s);
   if (!heartbeat->is_unanswered)
     mm_peer_broadcast_unverified(node->peer_links, &machine->id);
   return machine;
 }
 
-/* Answers the heartbeat. A machine that ignores responses gets status 503: with status 200 its
- * lease would never provably expire, and leaders that have acquired shards since would wait
- * indefinitely for its acknowledgement. */
+/* Answers the heartbeat. A machine that ignores responses gets status 503. Each status 200 would
+ * postpone the time at which the machine's lease has certainly expired. Leaders that acquired
+ * shards in the meantime would then wait indefinitely for the machine's acknowledgement. */
 static void
 respond_to_heartbeat(MmHeartbeatServer *server, MmHeartbeat *heartbeat, MmHttpExchange *exchange) {
   MmMachineTable *machine_table = server->node->machine_table;
--- a/src/heartbeat-server/pending-response-grants.c
+++ b/src/heartbeat-server/pending-response-grants.c
@@ -1,4 +1,5 @@
-/* Requests the machine's resources for approved starts from the owner of the machine's group. */
+/* Obtains the grants for the approved starts of a response. A grant permits the start to use the
+ * machine's resources and comes from the owner of the machine's group. */
 #include "heartbeat-server/pending-response-private.h"
 
 #include "peers/peer-links.h"
@@ -53,8 +54,8 @@
   }
 }
 
-/* While sharing is active, an approved start is sent only if the owner of the machine's group
- * grants its resources. */
+/* While sharing is active, an approved start is sent to the machine only if the owner of the
+ * machine's group grants the resources for this start. */
 void
 mm_pending_response_obtain_grants(MmPendingResponse *response) {
   if (response->approved_starts->len > 0 && response->grant_source == MM_GRANTS_AT_PEER) {
--- a/src/heartbeat-server/pending-response.c
+++ b/src/heartbeat-server/pending-response.c
@@ -7,10 +7,11 @@
 #include "peers/peer-links.h"
 #include "scheduler/admission.h"
 
-/* Maximum number of unsuccessful start requests for one response. */
+/* Maximum number of refused or unsendable start requests for one response. When it is reached, the
+ * response requests no further starts. */
 #define FAILED_REQUESTS_MAX 4
-/* Indexes of placement views. A negative index means that no view was chosen. The view of peer k
- * has index VIEW_OF_FIRST_PEER + k. */
+/* Indexes of placement views. A negative index means that no view was chosen. The view of the peer
+ * with index k has the index VIEW_OF_FIRST_PEER + k. */
 #define VIEW_OF_THIS_NODE 0
 #define VIEW_OF_FIRST_PEER 1
 
@@ -43,8 +44,8 @@
   MmMachine *machine = mm_machine_table_find(node->machine_table, response->machine_id.s);
   g_autoptr(GArray) commands = NULL;
 
-  /* Without the machine's table entry, this node does not know which tasks must be stopped
-   * there. */
+  /* Without an entry in the machine table, this node does not know which tasks must be stopped on
+   * the machine. */
   if (!mm_node_lease_may_answer_workers(node->node_lease) || machine == NULL) {
     mm_http_exchange_respond(response->exchange, 503, mm_json_error("not entitled to answer"), 0);
     pending_response_free(response);
@@ -127,8 +128,8 @@
   mm_peer_links_send(server->node->peer_links, chosen_peer(response), &frame);
 }
 
-/* Sends the chosen start request to the peer that owns the chosen view. Returns FALSE if the link
- * to the peer is down. */
+/* Sends the chosen start request to the peer whose placement view was chosen. Returns FALSE if the
+ * link to that peer is down. */
 static gboolean
 request_start_from_peer(MmPendingResponse *response) {
   const MmPeerLinks *links = response->server->node->peer_links;
@@ -168,8 +169,8 @@
          && mm_time_before(mm_node_now(node), response->deadline);
 }
 
-/* Returns whether the response answers the machine's newest message and the machine may be given
- * work. */
+/* Returns whether the machine may be given work and has sent no newer message than the heartbeat
+ * that this response answers. */
 static gboolean
 machine_may_start_tasks(const MmPendingResponse *response, const MmMachine *machine) {
   return machine != NULL
@@ -178,7 +179,7 @@
 }
 
 /* Sends one start request after another until no task fits, a limit is reached or the deadline has
- * passed. Then obtains the grants. */
+ * passed. After the last request, obtains the grants for the approved starts. */
 static void
 request_next_start(MmPendingResponse *response) {
   MmNode *node = response->server->node;
@@ -206,8 +207,8 @@
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
-  /* The reply is too late. The response was sent without the start, and the machine's next
-   * heartbeat will show that the task was not started. */
+  /* The reply is ignored because it came too late. The response was sent without the start, and the
+   * machine's next heartbeat will show that the task was not started. */
   if (response == NULL || response->awaits_grants || response->choice.view < VIEW_OF_FIRST_PEER
       || chosen_peer(response) != peer)
     return;
@@ -252,8 +253,8 @@
                           MmMachine *machine, MmHttpExchange *exchange) {
   MmPendingResponse *response = pending_response_new(server, heartbeat, machine, exchange);
 
-  /* If no node can grant resources now, a start request would be useless: the start could not be
-   * granted. */
+  /* If no node can grant resources now, no start could be granted, so start requests are
+   * skipped. */
   if (response->grant_source == MM_GRANTS_UNAVAILABLE)
     mm_pending_response_send(response);
   else
--- a/src/heartbeat-server/pending-response.h
+++ b/src/heartbeat-server/pending-response.h
@@ -1,14 +1,14 @@
-/* Heartbeat responses under construction. A response collects the starts that shard leaders approve
- * for the machine, one start request after another, the grants of the machine's resources by the
- * owner of its group, and further commands.
+/* Heartbeat responses under construction. A response collects three things: the starts for the
+ * machine, which shard leaders approve one start request after another; the grants of the machine's
+ * resources, given by the owner of the machine's group; and further commands.
  *
- * Starts are sent only in heartbeat responses, never as direct commands: a worker never executes a
- * heartbeat response late, but it may execute a direct command late. An approval is valid only for
- * the response for which it was requested.
+ * Starts are sent only in heartbeat responses, never as direct commands. The reason is that a
+ * worker never executes a heartbeat response late but may execute a direct command late. An
+ * approval is valid only for the response for which it was requested.
  *
- * A pending response frees itself when it answers its exchange, which happens exactly once. While
- * it waits for a peer it is listed in MmHeartbeatServer.pending_responses, until its deadline at
- * the latest. */
+ * A pending response answers its exchange exactly once and frees itself then. While a pending
+ * response waits for a peer, it is listed in MmHeartbeatServer.pending_responses. The wait ends at
+ * the response's deadline at the latest. */
 #pragma once
 
 #include "heartbeat-server/heartbeat-server.h"
@@ -32,17 +32,17 @@
   MmHttpExchange *exchange;
   MmName machine_id;
   MmHeartbeatId heartbeat_id;
-  MmResources available;    /* resources of the machine that are not yet used */
+  MmResources available;    /* the machine's resources left for further starts */
   GArray *approved_starts;  /* elements: MmApprovedStart */
   GArray *tried_tasks;      /* elements: MmTaskRef; tasks of refused start requests */
   MmPlacementChoice choice; /* current start request */
-  guint exhausted_views;    /* bit set of placement views without further tasks */
+  guint exhausted_views;    /* bit k is set if placement view k has no further tasks */
   guint failed_requests;
   guint64 request_id; /* id of the current request to a peer */
   MmTime deadline;
   MmGrantSource grant_source; /* which node grants the machine's resources */
   guint grant_peer;           /* index of the granting peer; see mm_sharing_grant_source() */
-  MmTerm grant_term;          /* term under which that node owns the machine's group */
+  MmTerm grant_term;          /* term under which the granting node owns the machine's group */
   gboolean awaits_grants;     /* the current request is a grant request */
 } MmPendingResponse;
 
@@ -54,13 +54,13 @@
  * ignored. */
 void mm_pending_response_handle_start_response(MmHeartbeatServer *server, guint peer,
                                                const Mm__StartResponse *reply);
-/* Handles the response of the group's owner, which says which approved starts are granted
- * resources. Responses that are no longer expected are ignored. */
+/* Handles a grant response of the group's owner. The response says for each approved start whether
+ * the start is granted resources. Responses that are no longer expected are ignored. */
 void mm_pending_response_handle_grant_response(MmHeartbeatServer *server, guint peer,
                                                const Mm__GrantResponse *reply);
 /* Ends the wait of each pending response whose deadline has passed. A response that waits for an
- * approval continues with the starts approved so far; one that waits for grants is sent without
- * starts. */
+ * approval continues with the starts approved so far. A response that waits for grants is sent
+ * without starts. */
 void mm_pending_responses_expire(MmHeartbeatServer *server);
-/* Answers all pending responses with status 503, when the node shuts down. */
+/* Answers and frees all pending responses, with status 503. Called when the node shuts down. */
 void mm_pending_responses_refuse_all(MmHeartbeatServer *server);
--- a/src/heartbeat/heartbeat.c
+++ b/src/heartbeat/heartbeat.c
@@ -25,8 +25,8 @@
   return FALSE;
 }
 
-/* Sets the end cause. An unknown cause of an ended task is read as MM_CAUSE_STOPPED, because the
- * task no longer runs on the machine. */
+/* Sets the end cause of the task. If an ended task reports an unknown cause, MM_CAUSE_STOPPED is
+ * set, because the task no longer runs on the machine. */
 static void
 parse_cause(MmReportedTask *task, const char *word) {
   task->cause = task->state == MM_REPORTED_ENDED ? MM_CAUSE_STOPPED : MM_CAUSE_NONE;
--- a/src/heartbeat/heartbeat.h
+++ b/src/heartbeat/heartbeat.h
@@ -1,5 +1,5 @@
-/* Heartbeats of workers, the commands sent to workers, and the codec for both. No other module
- * depends on their wire format. */
+/* Heartbeats of workers and commands to workers, and the encoding and decoding of both. No other
+ * module depends on the wire format of heartbeats and commands. */
 #pragma once
 
 #include "base/json.h"
@@ -46,15 +46,16 @@
   gboolean has_termination_notice;
   /* Time until the cloud may reclaim the machine, in seconds. */
   double termination_notice_s;
-  /* The message replies to a direct command. It does not show whether starts in a pending heartbeat
-   * response were executed. */
+  /* TRUE if the message is the reply to a direct command. A direct reply does not show whether the
+   * starts in a pending heartbeat response were executed. */
   gboolean is_direct_reply;
-  /* The node that received the heartbeat does not answer it with status 200. */
+  /* TRUE if the node that received the heartbeat does not answer it with status 200. */
   gboolean is_unanswered;
   GArray *tasks; /* elements: MmReportedTask */
 } MmHeartbeat;
 
-/* A command for a worker. MM_OP_FORGET makes the worker discard the result of an ended task. */
+/* Kind of a command for a worker. MM_OP_FORGET makes the worker discard the result of an ended
+ * task. */
 typedef enum { MM_OP_START, MM_OP_STOP, MM_OP_FORGET } MmCommandOp;
 typedef struct {
   MmCommandOp op;
@@ -64,15 +65,15 @@
   double grace_s; /* MM_OP_STOP: time allowed for saving a checkpoint, in seconds */
 } MmCommand;
 
-/* Parses a heartbeat from the body of a request. `body` is borrowed. Returns FALSE and sets
- * `reason` to a static string if the body is not a valid heartbeat. The caller clears the heartbeat
- * in both cases. */
+/* Parses a heartbeat from the body of a request. `body` is borrowed. If the body is not a valid
+ * heartbeat, returns FALSE and sets `reason` to a static string. The caller must clear the
+ * heartbeat whether or not parsing succeeded. */
 gboolean mm_heartbeat_parse(MmHeartbeat *heartbeat, const json_t *body, const char **reason);
 /* Frees the heartbeat's tasks. The MmHeartbeat itself stays owned by the caller. */
 void mm_heartbeat_clear(MmHeartbeat *heartbeat);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(MmHeartbeat, mm_heartbeat_clear)
 /* Returns the command as JSON, as a new reference. */
 json_t *mm_command_to_json(const MmCommand *command);
-/* Returns the body of a heartbeat response as a new reference. It contains the term as fencing
- * token and the commands (elements: MmCommand) in the given order. */
+/* Returns the body of a heartbeat response as a new reference. The body contains the term as the
+ * fencing token, and the commands (elements: MmCommand) in the given order. */
 json_t *mm_heartbeat_response_to_json(MmTerm term, const GArray *commands);
--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -5,19 +5,21 @@
 #include "base/wire.h"
 
 #define REQUEST_TIMEOUT_MS 2000
-/* About two lease renewal intervals. */
+/* The store counts as unresponsive if it has not responded for longer than this. About two lease
+ * renewal intervals. */
 #define UNRESPONSIVE_AFTER_MS 1500
-/* The fraction of the store's write rate that one node may use for deferrable writes. All nodes
- * rarely write at the same time, so the fractions may add up to more than one; the store enforces
- * the actual limit with 429 responses. Lease requests and writes that users wait for are not
- * limited by this budget. */
+/* The fraction of the store's write rate that one node may use for deferrable writes. The fractions
+ * of all nodes may add up to more than one, because all nodes rarely write at the same time. The
+ * store enforces the actual limit with 429 responses. Lease requests and writes that users wait for
+ * do not use this budget. */
 #define NODE_WRITE_SHARE 0.3
-/* For how long deferrable writes pause after a 429 response. */
+/* For how long deferrable writes pause after a 429 response, in seconds. */
 #define RATE_LIMIT_BACKOFF_S 0.25
-/* Limits the time that one tick adds to available_us, see mm_kv_client_tick. */
+/* Maximum time that one tick adds to available_us; see mm_kv_client_tick. */
 #define MAX_AVAILABLE_PER_TICK_MS (4 * MM_NODE_TICK_MS)
 
-/* The callback of a transaction that this node may not send. It is called with status 503. */
+/* The callback of a transaction that was not sent, because this node may not write. The callback is
+ * called with status 503 at the next tick. */
 typedef struct {
   MmResponseCallback on_response;
   gpointer data;
@@ -55,7 +57,8 @@
 mm_kv_client_fail_unsent(MmKvClient *kv) {
   g_autoptr(GArray) unsent = kv->unsent_transactions;
 
-  /* A callback may commit another transaction, which may be withheld and added to the new array. */
+  /* A callback may commit another transaction. If that transaction is not sent either, its callback
+   * is added to the new array, not to the one that is being processed. */
   kv->unsent_transactions = g_array_new(FALSE, FALSE, sizeof(UnsentTransaction));
   for (guint i = 0; i < unsent->len; i++) {
     const UnsentTransaction *transaction = &g_array_index(unsent, UnsentTransaction, i);
@@ -78,17 +81,18 @@
 typedef struct {
   MmKvClient *kv;
   MmTime sent_at;
-  json_t *transaction; /* owned; NULL for other requests */
+  json_t *transaction; /* owned; NULL if the request is not a transaction */
   MmResponseCallback on_response;
   gpointer data;
 } Request;
 
-/* Lower bounds of the learned limits, whatever the store refuses. Two operations are needed to end
- * a job: one writes its terminal record, one deletes its record. A lower limit on values would only
- * make the node reject most jobs. */
+/* Lower bounds of the learned limits. They apply even if the store refuses transactions of this
+ * size. Two operations are needed to end a job: one writes its terminal record, and one deletes its
+ * job record. A lower limit on the size of values would only make the node reject most jobs. */
 #define MIN_LEARNED_OPERATIONS 2
 #define MIN_LEARNED_VALUE_BYTES 1024
-/* The error of a 400 response to a transaction that names an expired lease, whatever its size. */
+/* Error text of a 400 response to a transaction that names an expired lease. This response says
+ * nothing about the transaction's size. */
 #define LEASE_EXPIRED_ERROR "no such lease"
 
 static guint
@@ -102,10 +106,11 @@
   return (guint)largest;
 }
 
-/* Lowers the learned limits after the store refused a transaction as too large, which happens when
- * the store's limits fall earlier or further than announced. A refused transaction must not be sent
- * again unchanged. So the limit on operations becomes half of what the transaction had; if it had
- * no more than MIN_LEARNED_OPERATIONS, the limit on values becomes half of its largest value. */
+/* Lowers a learned limit after the store refused a transaction as too large. The store may refuse
+ * such a transaction because its limits were lowered earlier or further than announced. The refused
+ * transaction must not be sent again unchanged. The limit on operations becomes half of the
+ * transaction's number of operations. If the transaction had no more than MIN_LEARNED_OPERATIONS,
+ * the limit on the size of values becomes half of the transaction's largest value instead. */
 static void
 learn_transaction_limits(MmKvClient *kv, const json_t *transaction, const json_t *response) {
   const json_t *operations = json_object_get(transaction, WIRE_OPERATIONS);
@@ -140,8 +145,8 @@
   return kv->settings->kv_writes_per_s * NODE_WRITE_SHARE;
 }
 
-/* Pauses deferrable writes, so that the store's write rate is left to lease requests and to writes
- * that users wait for. */
+/* Pauses deferrable writes. The store's whole write rate is then available to lease requests and to
+ * writes that users wait for. */
 static void
 pause_deferrable_writes(MmKvClient *kv) {
   mm_info("deferrable writes paused: key-value store limits the request rate status=429");
@@ -153,9 +158,9 @@
 on_request_done(gpointer data, int status, json_t *body) {
   Request *request = data;
 
-  /* A refusal counts from when its request was sent: if this process was paused, the response may
-   * have been waiting unread for that long, and the proof of an outage depends on the refusal's age
-   * (see leases/node-lease.h). */
+  /* A refusal counts from the time at which its request was sent. If this process was paused, the
+   * response may have waited unread for the length of the pause. The age of a refusal must not be
+   * underestimated, because the proof of an outage depends on it (see leases/node-lease.h). */
   if (status == 503) {
     if (!mm_kv_client_is_refused(request->kv))
       request->kv->refused_since = request->sent_at;
@@ -226,8 +231,8 @@
   g_autoptr(json_t) body = json_pack("{s:o, s:o}", WIRE_CONDITIONS, transaction->conditions,
                                      WIRE_OPERATIONS, transaction->operations);
 
-  /* The guard is checked here, the only place where transactions are sent, so that no module can
-   * bypass it. */
+  /* The guard is checked in this function because all transactions are sent here. No module can
+   * bypass the check. */
   if (!mm_kv_client_may_write(kv)) {
     *transaction = (MmTransaction){ 0 };
     if (on_response != NULL) {
--- a/src/kv/read-barrier.c
+++ b/src/kv/read-barrier.c
@@ -12,21 +12,22 @@
 
 /* Value of Waiter.revision_read until a revision read is sent on behalf of the waiter. */
 #define NO_REVISION_READ 0
-/* Value of Waiter.required_revision until that read is answered. */
+/* Value of Waiter.required_revision until the revision read sent on behalf of the waiter is
+ * answered. */
 #define REVISION_UNKNOWN 0
 
 typedef struct {
   MmCurrentCallback on_current;
   gpointer data;
   MmTime deadline;
-  guint64 revision_read;     /* serial number of the read that yields required_revision */
-  guint64 required_revision; /* the replica must reach it */
+  guint64 revision_read;     /* serial number of the revision read that yields required_revision */
+  guint64 required_revision; /* revision that the replica must reach */
 } Waiter;
 
 struct MmReadBarrier {
   MmReplica *replica;
   GQueue *waiters;          /* of Waiter, oldest first */
-  guint64 n_revision_reads; /* sent so far; the serial number of the latest */
+  guint64 n_revision_reads; /* number of revision reads sent; serial number of the latest */
   gboolean is_reading_revision;
   MmTime next_revision_read_at;
 };
@@ -93,7 +94,7 @@
     if (status == 404 && revision != 0)
       waiter->required_revision = revision;
     else if (status == 429)
-      waiter->revision_read = NO_REVISION_READ; /* rate limited; retried with the next read */
+      waiter->revision_read = NO_REVISION_READ; /* status 429: try again with the next read */
     else
       finish_waiter(barrier, link, FALSE);
   }
@@ -113,7 +114,7 @@
     Waiter *waiter = link->data;
     if (waiter->revision_read != NO_REVISION_READ)
       continue;
-    waiter->revision_read = barrier->n_revision_reads + 1; /* the one started below */
+    waiter->revision_read = barrier->n_revision_reads + 1; /* the read started below */
     has_waiters = TRUE;
   }
   if (!has_waiters)
@@ -121,7 +122,8 @@
   barrier->n_revision_reads++;
   barrier->is_reading_revision = TRUE;
   barrier->next_revision_read_at = mm_time_add_ms(now, interval_ms);
-  /* Reads a key that is never written, since the 404 response carries the store's revision. */
+  /* Reads a key that is never written. The response is a 404, and it carries the store's
+   * revision. */
   mm_kv_client_get(barrier->replica->kv, MM_KEY_NEVER_WRITTEN, "", on_revision_read, barrier);
 }
 
--- a/src/kv/records.h
+++ b/src/kv/records.h
@@ -2,8 +2,8 @@
  *
  * All keys under MM_KEY_ROOT are watched and held in the replica (kv/replica.h). The codecs of job,
  * machine and machine group records are in the folders of those modules. Decoders don't take
- * ownership of the value, and read a field that is missing or has another type as empty or 0.
- * Encoders return a new reference. */
+ * ownership of the value. Decoders read a field that is missing or has the wrong type as empty or
+ * 0. Encoders return a new reference. */
 #pragma once
 
 #include <jansson.h>
@@ -11,41 +11,44 @@
 #include "base/types.h"
 
 #define MM_KEY_ROOT "mm/r/"
-/* First in key order, so that a node reads the format before any record in that format. */
+/* The first watched key in key order. A node therefore reads the format before it reads any record
+ * in that format. */
 #define MM_KEY_FORMAT MM_KEY_ROOT "a-format"
-/* Second in key order, so that the machine types are known when machines are read. */
+/* The second watched key in key order. A node therefore knows the machine types when it reads
+ * machines. */
 #define MM_KEY_INSTANCE_TYPES MM_KEY_ROOT "a-types"
 #define MM_KEY_TERM MM_KEY_ROOT "term"
 #define MM_KEY_LIVE_NODE MM_KEY_ROOT "n/"
 #define MM_KEY_SHARD MM_KEY_ROOT "p/"
 #define MM_KEY_REGISTRY_PACK MM_KEY_ROOT "m/"
 #define MM_KEY_JOB MM_KEY_ROOT "j/"
-#define MM_KEY_NODE_VERSION MM_KEY_ROOT "v/"   /* the version that each node supports */
-#define MM_KEY_MACHINE_GROUPS MM_KEY_ROOT "g/" /* the machine groups that each node owns */
+#define MM_KEY_NODE_VERSION MM_KEY_ROOT "v/"   /* per node: the version that the node supports */
+#define MM_KEY_MACHINE_GROUPS MM_KEY_ROOT "g/" /* per node: machine groups that the node owns */
 #define MM_KEY_NEVER_WRITTEN "mm/none"         /* read to learn the store's revision */
-#define MM_KEY_TERMINAL_RECORD "mm/f/"         /* of a job; not watched */
+#define MM_KEY_TERMINAL_RECORD "mm/f/"         /* per ended job; not watched */
 
 /* The lease id that stands for no lease. */
 #define MM_NO_LEASE 0
 
-/* A shard's record: the node that leads it, and the term in which that node acquired it. The key is
- * bound to the leader's lease. */
+/* A shard's record: the node that leads the shard, and the term in which that node acquired the
+ * shard. The shard's key is bound to the leader's lease. */
 typedef struct {
   MmName leader;
   guint64 lease_id;
   MmTerm term;
-  MmKeyVersion version; /* of the key; not part of the encoded value */
+  MmKeyVersion version; /* version of the shard's key; not part of the encoded value */
 } MmShard;
 
 json_t *mm_record_encode_shard(const MmShard *shard);
-/* Decodes all fields but `version`, which is set to 0. */
+/* Decodes all fields except `version`, which is set to 0. */
 MmShard mm_record_decode_shard(const json_t *value);
 
 /* Codec of the global term, the value of MM_KEY_TERM. */
 json_t *mm_record_encode_term(MmTerm term);
 MmTerm mm_record_decode_term(const json_t *value);
 
-/* Codec of a live node's record: the id of the node's lease, to which the key is bound. */
+/* Codec of a live node's record, which contains the id of the node's lease. The record's key is
+ * bound to that lease. */
 json_t *mm_record_encode_live_node(guint64 lease_id);
 guint64 mm_record_decode_live_node(const json_t *value);
 
@@ -55,8 +58,8 @@
   guint group_count; /* machine groups in the node's settings; 0: none */
 } MmNodeVersionRecord;
 
-/* Encodes the record. A group count of 0 is left out, so that the value is identical, byte for
- * byte, to the one that older nodes write. */
+/* Encodes the record. A group count of 0 is left out. The value is then identical, byte for byte,
+ * to the value that older nodes write. */
 json_t *mm_record_encode_node_version(const MmNodeVersionRecord *record);
 MmNodeVersionRecord mm_record_decode_node_version(const json_t *value);
 
--- a/src/kv/replica.c
+++ b/src/kv/replica.c
@@ -4,8 +4,8 @@
 #include "base/log.h"
 #include "base/wire.h"
 
-/* Kept short, because every response, with or without changes, shows that the replica is current.
- */
+/* How long the store waits for a change before it answers a watch. Kept short, because every
+ * response, with or without changes, shows that the replica is current. */
 #define WATCH_WAIT_MS 1500
 #define RETRY_AFTER_MS 200
 #define KEYS_PER_PAGE 400
@@ -185,8 +185,8 @@
   mm_platform_call_after(replica->platform, RETRY_AFTER_MS, start_load, replica);
 }
 
-/* Removes the keys that were known before a reload but not read by it: they have been deleted in
- * the meantime. */
+/* Removes the keys that were known before a reload but were not read by the reload, because these
+ * keys have been deleted in the meantime. */
 static void
 remove_keys_missing_after_reload(MmReplica *replica) {
   g_autoptr(GPtrArray) known_keys = g_ptr_array_new_with_free_func(g_free);
@@ -210,8 +210,8 @@
 }
 
 /* Marks the replica as loaded once the watch has reached the newest version that any page showed.
- * Pages are read one after another, so a later page may show a term that is newer than the shards
- * on an earlier one. */
+ * The reason: pages are read one after another, so a later page may show a term that is newer than
+ * the shards on an earlier page. */
 static void
 finish_load_if_caught_up(MmReplica *replica) {
   if (replica->is_loaded || replica->revision < replica->newest_loaded_version)
@@ -220,8 +220,9 @@
   replica->staleness_at = mm_platform_now(replica->platform);
   replica->staleness_us = replica->staleness_at.us - replica->load_started_at.us;
   /* Other nodes' leases may have expired without this node seeing it, and those nodes may have
-   * answered workers until then. Without this record, a node that was cut off while it started
-   * would count machines as lost that another node has answered recently. */
+   * answered workers until their leases expired. The completion of the load is therefore recorded
+   * like the loss of a lease. Otherwise a node that was cut off while it started would count
+   * machines as lost that another node has answered recently. */
   record_node_removal(replica);
   if (replica->term_at_start.v == 0)
     replica->term_at_start = replica->term;
@@ -258,7 +259,7 @@
     schedule_load(replica);
     return;
   }
-  /* The watch starts at the first page's revision, so it may repeat changes that later pages
+  /* The watch starts at the first page's revision, so the watch may repeat changes that later pages
    * already contain. */
   if (replica->first_page_revision == 0)
     replica->first_page_revision = mm_json_count(body, WIRE_REVISION, 0);
@@ -309,8 +310,8 @@
   }
 }
 
-/* Starts the next watch. After a response with events it is delayed to limit the request rate, so
- * that changes in quick succession arrive in one response. */
+/* Starts the next watch. After a response with events, the watch is delayed to limit the request
+ * rate. Changes in quick succession then arrive in one response. */
 static void
 start_next_watch(MmReplica *replica, MmTime sent_at, gboolean had_events) {
   double min_interval_ms = 1000 / (replica->settings->kv_requests_per_s * WATCH_RATE_SHARE);
--- a/src/kv/replica.h
+++ b/src/kv/replica.h
@@ -1,10 +1,10 @@
-/* This node's replica of all keys under MM_KEY_ROOT, loaded in pages and then kept up to date by a
- * watch.
+/* This node's replica of all keys under MM_KEY_ROOT. The replica is loaded in pages and then kept
+ * up to date by a watch.
  *
  * One watch covers the term, shards, live nodes, machines and unfinished jobs, and delivers changes
- * in the order in which they were made. So once the replica shows a term, it also shows every
- * earlier change of a shard's leader. Fencing relies on this: a node must not adopt a term without
- * the leaders that belong to it. */
+ * in the order in which they were made. Therefore, once the replica shows a term, it also shows
+ * every change of a shard's leader that was made before that term. Fencing relies on this: a node
+ * must not adopt a term without the leaders that belong to that term. */
 #pragma once
 
 #include "kv/read-barrier.h"
@@ -13,18 +13,18 @@
 #include "kv/kv-client.h"
 #include "platform/platform.h"
 
-/* Receives the changes of the keys with a prefix, in order, as they enter the replica. `suffix` is
- * the part of the key after the prefix. Values are valid only during the call. Functions may be
- * NULL. */
+/* Receives the changes of the keys with a prefix, in the order in which the changes enter the
+ * replica. `suffix` is the part of the key after the prefix. Values are valid only during the call.
+ * Each function pointer may be NULL. */
 typedef struct {
-  const char *prefix; /* ends in '/', or is one whole key; must outlive the replica */
+  const char *prefix; /* a prefix that ends in '/', or one whole key; must outlive the replica */
   void (*put)(gpointer context, const char *suffix, const json_t *value, MmKeyVersion version);
   void (*removed)(gpointer context, const char *suffix);
   /* Adds all keys that the observer holds to `keys`, as newly allocated strings. After a reload,
-   * `removed` is called for each of these keys that no longer exists. If `list_keys` is NULL, a
-   * reload removes no keys of this observer. */
+   * `removed` is called for each of these keys that no longer exists in the store. If `list_keys`
+   * is NULL, a reload removes no keys of this observer. */
   void (*list_keys)(gpointer context, const char *prefix, GPtrArray *keys);
-  void (*page_loaded)(gpointer context); /* after each page of a load */
+  void (*page_loaded)(gpointer context); /* called after each page of a load */
   gpointer context;
 } MmReplicaObserver;
 
@@ -40,26 +40,28 @@
   const MmPlatform *platform;
   const MmSettings *settings;
   MmKvClient *kv;
-  GArray *observers;        /* of MmReplicaObserver */
-  GArray *change_listeners; /* of ChangeListener, in the order of the calls */
+  GArray *observers;        /* elements: MmReplicaObserver */
+  GArray *change_listeners; /* elements: ChangeListener, in the order of the calls */
   gboolean (*has_proved_outage)(gconstpointer context); /* NULL: an outage is never proved */
   gconstpointer has_proved_outage_context;
+  /* Set once the watch has reached newest_loaded_version. Cleared when a load starts. */
   gboolean is_loaded;
-  guint64 revision;     /* of the store, up to which the replica shows all changes */
+  guint64 revision;     /* store revision up to which the replica shows all changes */
   MmTime current_as_of; /* the replica shows all that was written before this time */
   gint64 staleness_us;  /* staleness at staleness_at, not counting time in proved outages */
   MmTime staleness_at;
   MmTerm term;
-  MmTerm term_at_start; /* the term that this process loaded first; 0 until then */
+  MmTerm term_at_start; /* the term shown by this process's first complete load; 0 until then */
   MmKeyVersion term_version;
   GHashTable *shards;     /* name -> MmShard */
   GHashTable *live_nodes; /* label -> MmLiveNode */
-  /* When this node last saw that a node's lease was replaced or no longer existed, or last
-   * completed a load, during which leases may have expired without this node seeing it. */
+  /* Time at which this node last saw that another lease replaced a node's lease or that a node's
+   * lease no longer existed, or last completed a load. Completing a load counts because leases may
+   * have expired during the load without this node seeing it. */
   MmTime last_node_lease_loss_at;
   MmTime load_started_at;
   guint64 first_page_revision;   /* 0 until the first page of a load is read */
-  guint64 newest_loaded_version; /* the watch must reach it before is_loaded is set */
+  guint64 newest_loaded_version; /* highest version of a loaded key; see is_loaded */
   GHashTable *loaded_keys;       /* set of the keys read by the latest load */
   char *last_loaded_key;
   MmReadBarrier *read_barrier;
@@ -67,26 +69,28 @@
 
 /* Creates a replica. All arguments must outlive it. */
 MmReplica *mm_replica_new(const MmPlatform *platform, const MmSettings *settings, MmKvClient *kv);
-/* Frees the replica, after calling back the callers that wait for a current replica. May be called
- * only when no request of the replica can be answered any more. */
+/* Calls back the callers that wait for a current replica, then frees the replica. Must not be
+ * called while a response callback of the replica's requests may still be invoked. */
 void mm_replica_free(MmReplica *replica);
 /* Adds an observer, which is copied. Must be called before mm_replica_start. */
 void mm_replica_add_observer(MmReplica *replica, const MmReplicaObserver *observer);
 /* Adds a listener; listeners are called in the order in which they were added. Must be called
  * before mm_replica_start. */
 void mm_replica_add_change_listener(MmReplica *replica, MmReplicaChanged changed, gpointer context);
-/* Sets the function that returns whether an outage of the key-value store is proved at present. */
+/* Sets the function that returns whether an outage of the key-value store is proved at present.
+ * While an outage is proved, the replica's staleness does not grow. */
 void mm_replica_set_outage_proof(MmReplica *replica, gboolean (*has_proved_outage)(gconstpointer),
                                  gconstpointer context);
 /* Starts the load. Loading, watching and retrying then continue until the process ends. */
 void mm_replica_start(MmReplica *replica);
-/* Updates the staleness, and calls back the callers of mm_replica_when_current that are due. */
+/* Updates the staleness. Calls back the callers of mm_replica_when_current whose wait has ended. */
 void mm_replica_tick(MmReplica *replica);
-/* Calls `on_current` once the replica shows everything written before this call, see
- * kv/read-barrier.h. If the replica is not loaded, calls it immediately with FALSE. */
+/* Calls `on_current` once the replica shows everything that was written before this call; see
+ * kv/read-barrier.h. If the replica is not loaded, calls `on_current` with FALSE before
+ * returning. */
 void mm_replica_when_current(MmReplica *replica, MmCurrentCallback on_current, gpointer data);
-/* Returns the replica's staleness in microseconds: for how long changes may have gone unread, not
- * counting time in proved outages. */
+/* Returns the replica's staleness in microseconds: the longest time for which changes in the
+ * key-value store may have gone unread. Time in proved outages does not count. */
 gint64 mm_replica_staleness_us(const MmReplica *replica);
 /* Returns the shard's record, owned by the replica, or NULL if the shard has no leader. */
 const MmShard *mm_replica_shard(const MmReplica *replica, const char *name);
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -4,18 +4,20 @@
 #include "base/log.h"
 #include "base/wire.h"
 
-/* A monotonic clock drifts by at most 0.05%. The constant is twice that, because two clocks are
- * compared, plus a safety margin. */
+/* The assumed clock drift between a node and the store. A monotonic clock drifts by at most 0.05%.
+ * The constant is twice that, because two clocks are compared, plus a safety margin. */
 #define CLOCK_DRIFT 0.002
 /* Deducted from the validity of a lease in addition to the drift. */
 #define VALIDITY_MARGIN_MS 20
 #define REQUEST_TIMEOUT_MS 1000
 /* Delay after an attempt to acquire the lease has failed. */
 #define ACQUIRE_RETRY_MS 150
-/* Delay after a renewal that failed other than by expiry; at most half of the renewal interval. */
+/* Maximum delay after a renewal that failed for another reason than expiry of the lease. The delay
+ * is also at most half of the renewal interval. */
 #define RENEW_RETRY_MAX_MS 300
 #define OUTAGE_PROOF_MAX_AGE_MS 1000
-/* The limit on the replica's staleness, in lease times to live. */
+/* The limit on the replica's staleness while this node answers workers, as a multiple of the
+ * lease's time to live. */
 #define MAX_STALENESS_TTLS 2
 
 MmNodeLease *
@@ -129,14 +131,16 @@
   if (status == 200 && lease_id != MM_NO_LEASE) {
     MmTransaction transaction = mm_transaction_begin();
     request->lease_id = lease_id;
-    /* The condition prevents a delayed announcement, carried out after a newer one, from binding
-     * the key to the older lease. The key would be deleted when that lease expires, and the other
-     * nodes would no longer count this node as live while it still answers workers. */
+    /* The condition prevents a delayed announcement of an older lease from overwriting the
+     * announcement of a newer lease. The node's key would then be bound to the older lease, and the
+     * store would delete the key when the older lease expires. The other nodes would no longer
+     * count this node as live although it still answers workers. */
     mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
                                    lease->node_key_version);
     mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
                        mm_record_encode_live_node(lease_id), lease_id);
-    /* `sent_at` remains the time of the grant request, since the lease runs from the grant. */
+    /* `sent_at` remains the time at which the grant was requested, because the lease runs from the
+     * grant. */
     mm_kv_client_commit(lease->kv, &transaction, on_lease_announced, request);
     return;
   }
@@ -182,9 +186,10 @@
 }
 
 /* Extends the lease if an outage of the key-value store is proved: this node and a peer have both
- * been refused (503) within the last second. In an outage the store expires no leases, and after it
- * each lease has its full time to live again. The proof has the time of the older of the two
- * refusals; a lease that may have expired before that time is not extended. */
+ * been refused (503) within the last second. During an outage the store expires no leases, and
+ * after the outage each lease has its full time to live again. The time of the proof is the time of
+ * the older of the two refusals. A lease that may have expired before the time of the proof is not
+ * extended. */
 static void
 extend_lease_in_outage(MmNodeLease *lease) {
   MmTime now = mm_platform_now(lease->platform);
@@ -195,8 +200,8 @@
   if (proved_at.us == 0 || mm_time_ms_since(now, proved_at) > OUTAGE_PROOF_MAX_AGE_MS
       || !mm_time_before(proved_at, lease->valid_until))
     return;
-  /* If the store has served any node meanwhile, there is no outage: it refuses only some nodes, and
-   * their leases do expire. */
+  /* If the store has served any node in the meantime, there is no outage. The store then refuses
+   * only some nodes, and the leases of these nodes do expire. */
   if (!mm_time_before(lease->kv->last_served_at, proved_at)
       || !mm_time_before(lease->peers.last_served_at(lease->peers.context),
                          lease->kv->refused_since))
@@ -205,9 +210,10 @@
   lease->valid_until = mm_time_max(lease->valid_until, lease_valid_until(lease, proved_at));
 }
 
-/* Returns whether the replica is as new as the announcement of this node's lease, but the node's
- * key is absent or names another lease. Renewing the lease would then be pointless, since a lease
- * that the replica does not show entitles the node to nothing. */
+/* Returns whether the node's key was deleted or overwritten after this node announced its lease.
+ * That is the case if the replica is at least as new as the announcement, but the node's key is
+ * absent or names another lease. Renewing the lease would then be pointless, because a lease that
+ * the replica does not show entitles the node to nothing. */
 static gboolean
 node_key_is_overwritten(const MmNodeLease *lease) {
   const MmReplica *replica = lease->replica;
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -2,12 +2,13 @@
 
 #include "base/log.h"
 
-/* After this time without a leader, any node may acquire a shard, not only the node that leads the
- * fewest. */
+/* Once a shard has had no leader for this time, any node may acquire it, not only the node that
+ * leads the fewest shards. */
 #define LEADERLESS_TIMEOUT_MS 1500
 /* For how long a node waits for the other nodes to join before the first assignment of shards. */
 #define STARTUP_WAIT_MS 1000
-/* For how long the shards must be unbalanced before any is released. */
+/* For how long the shards must be unevenly distributed among the nodes before this node releases
+ * any. */
 #define IMBALANCE_TIMEOUT_MS 10000
 #define CHECK_INTERVAL_MS 100
 /* Delay after a transaction that failed. */
@@ -70,8 +71,8 @@
          && mm_name_equal(&shard->leader, &ownership->settings->label);
 }
 
-/* Returns whether the replica shows a lease of a live peer that the peer has not yet announced over
- * its connection to this node. */
+/* Returns whether some live peer has a lease in the replica that the peer has not yet announced
+ * over its connection to this node. */
 static gboolean
 any_peer_lease_is_unannounced(const MmShardOwnership *ownership) {
   const MmShardOwnershipCallbacks *callbacks = &ownership->callbacks;
@@ -109,8 +110,8 @@
   if (status != 200)
     ownership->next_check_at = mm_time_add_ms(mm_platform_now(ownership->platform), RETRY_AFTER_MS);
   if (status == 409) {
-    /* Every attempt uses up part of the store's write rate, which other work needs. So the next one
-     * waits until the watch shows what has changed. */
+    /* Every attempt uses up part of the store's write rate, which other work needs. The next
+     * attempt therefore waits until the watch shows what has changed. */
     mm_debug("shard transaction failed: version conflict revision=%" G_GUINT64_FORMAT,
              ownership->replica->revision);
     ownership->conflict_revision = ownership->replica->revision;
@@ -127,8 +128,8 @@
              && shard->lease_id != ownership->node_lease->lease_id);
 }
 
-/* Records whether the shard has no leader at present. Returns for how long that has been so, in
- * milliseconds, or 0 if the shard has a leader. */
+/* Records whether the shard has no leader at present. Returns for how long the shard has had no
+ * leader, in milliseconds, or 0 if the shard has a leader. */
 static gint64
 update_leaderless_ms(MmShardOwnership *ownership, const char *shard_name, gboolean is_leaderless) {
   MmTime now = mm_platform_now(ownership->platform);
@@ -171,8 +172,9 @@
   mm_kv_client_commit(ownership->kv, &transaction, on_shards_committed, ownership);
 }
 
-/* Releases `surplus` shards, as far as the limit on operations permits, in a single transaction:
- * released one by one, they would be acquired one by one, each with a new term. */
+/* Releases `surplus` shards, or as many as the limit on operations permits, in a single
+ * transaction. If the shards were released one by one, they would be acquired one by one, each with
+ * a new term. */
 static void
 release_shards(MmShardOwnership *ownership, guint surplus) {
   MmTransaction transaction = mm_transaction_begin();
@@ -193,10 +195,10 @@
   mm_kv_client_commit(ownership->kv, &transaction, on_shards_committed, ownership);
 }
 
-/* How many shards each live node leads, according to the replica. */
+/* The number of shards that each live node leads, according to the replica. */
 typedef struct {
   GPtrArray *live_labels; /* labels of the nodes that have a lease, sorted */
-  guint *n_led;           /* for each of live_labels, the number of shards that it leads */
+  guint *n_led;           /* n_led[i]: number of shards led by the node live_labels[i] */
   guint own_index;        /* this node's index in live_labels, or NOT_LIVE */
 } ShardDistribution;
 
@@ -239,7 +241,7 @@
 }
 
 /* Returns the names of the shards that this node should acquire. Each leaderless shard is assigned
- * to the node that leads the fewest. The caller frees the array but not the names. */
+ * to the node that leads the fewest shards. The caller frees the array but not the names. */
 static GPtrArray *
 shards_to_acquire(MmShardOwnership *ownership, ShardDistribution *distribution) {
   GPtrArray *shard_names = g_ptr_array_new();
@@ -265,9 +267,10 @@
   return shard_names;
 }
 
-/* Releases shards if this node has led too many for a while. It releases none while a machine is
- * silent: the next leader needs a heartbeat of every machine before it starts tasks of the team, so
- * no task would start until that machine is known to be lost. */
+/* Releases shards if this node has led too many for IMBALANCE_TIMEOUT_MS. Releases none while any
+ * machine is silent. The reason: the next leader of a team's shard needs a heartbeat of every
+ * machine before it starts tasks of that team. If a machine were silent, no task would start until
+ * the machine is known to be lost. */
 static void
 rebalance_shards(MmShardOwnership *ownership, const ShardDistribution *distribution) {
   MmTime now = mm_platform_now(ownership->platform);
@@ -285,8 +288,8 @@
   }
 }
 
-/* Returns whether to wait because the whole cluster is starting, so that the other nodes may be
- * about to announce their leases. */
+/* Returns whether to wait before the first assignment of shards. While the whole cluster is
+ * starting, the other nodes may be about to announce their leases. */
 static gboolean
 waits_for_other_nodes(const MmShardOwnership *ownership, const ShardDistribution *distribution) {
   const MmReplica *replica = ownership->replica;
--- a/src/machines/machine-health.c
+++ b/src/machines/machine-health.c
@@ -3,20 +3,22 @@
 #include "jobs/job-table.h"
 #include "kv/replica.h"
 
-/* Consecutive failed jobs, without a successful task between them, after which a machine is
- * quarantined. Errors of this many different jobs are attributed to the machine. */
+/* Number of consecutive failed jobs, without a successful task between them, after which a machine
+ * is quarantined. Errors in this many different jobs are attributed to the machine, not to the
+ * jobs. */
 #define FAILED_JOBS_TO_QUARANTINE 2
 #define FAILED_JOBS_QUARANTINE_MS 60000
 #define REFUSED_STARTS_TO_QUARANTINE 3
 #define LOST_LEASES_TO_QUARANTINE 2
-/* Quarantine for reasons other than failed jobs: QUARANTINE_FIRST_MS, doubled with each repetition
- * at most QUARANTINE_DOUBLINGS_MAX times, up to QUARANTINE_MAX_MS. */
+/* Duration of a quarantine for reasons other than failed jobs. The duration starts at
+ * QUARANTINE_FIRST_MS and is doubled with each repetition. It is doubled at most
+ * QUARANTINE_DOUBLINGS_MAX times and never exceeds QUARANTINE_MAX_MS. */
 #define QUARANTINE_FIRST_MS 5000
 #define QUARANTINE_MAX_MS 60000
 #define QUARANTINE_DOUBLINGS_MAX 4
-/* A machine is considered to ignore responses after IGNORED_RESPONSES_MIN unacknowledged responses
- * over more than the longer of IGNORED_RESPONSES_MIN_MS and IGNORED_RESPONSES_MIN_INTERVALS
- * heartbeat intervals. */
+/* A machine is considered to ignore responses after at least IGNORED_RESPONSES_MIN unacknowledged
+ * responses. In addition, the first of these responses must be older than both
+ * IGNORED_RESPONSES_MIN_MS and IGNORED_RESPONSES_MIN_INTERVALS heartbeat intervals. */
 #define IGNORED_RESPONSES_MIN 4
 #define IGNORED_RESPONSES_MIN_MS 4000
 #define IGNORED_RESPONSES_MIN_INTERVALS 3
@@ -45,8 +47,8 @@
   return previous != NULL && previous->state == MM_REPORTED_ENDED;
 }
 
-/* Returns whether the job failed on every machine where it was tried and succeeded on none, which
- * says nothing about the machines. */
+/* Returns whether the job failed on every machine where it was tried and succeeded on none. Such a
+ * failure says nothing about the machines. */
 static gboolean
 job_is_faulty(const MmMachineTable *machine_table, const MmName *job_id) {
   const MmJob *job = mm_job_table_find(machine_table->node->job_table, job_id->s);
@@ -54,9 +56,9 @@
   return job != NULL && mm_job_is_faulty(job);
 }
 
-/* Counts a failed job against the machine. A faulty job fails on every machine and is not counted;
- * otherwise two such jobs would quarantine every healthy machine that tried both. The job counted
- * last is no longer counted once it proves to be faulty. */
+/* Counts a failed job against the machine. A faulty job fails on every machine and is not counted.
+ * Otherwise two faulty jobs would quarantine every healthy machine that tried both. If the job
+ * counted last proves to be faulty later, its count is taken back here. */
 static void
 count_failed_job(MmMachineTable *machine_table, MmMachine *machine, const MmName *job_id) {
   if (machine->consecutive_failed_jobs > 0
@@ -120,10 +122,10 @@
       = mm_time_max(machine->last_possible_response_at, responded_at);
 }
 
-/* A new incarnation began no later than it was first seen, and it keeps its lease for a full lease
- * period even if no node answers it. Its lease must not be counted from the last response to the
+/* A new incarnation began no later than it was first seen. It keeps its lease for a full lease
+ * period even if no node answers it, so its lease must not be counted from the last response to the
  * previous incarnation. Otherwise a machine that returns after an outage would be considered lost
- * at once and removed from the registry, its tasks would run a second time elsewhere, and its
+ * at once and removed from the registry. Its tasks would run a second time elsewhere, and its
  * heartbeats would be treated as stale from then on. */
 void
 mm_machine_health_begin_incarnation(MmMachine *machine, MmTime first_seen_at) {
@@ -132,10 +134,10 @@
   machine->steady_responses_since = first_seen_at;
 }
 
-/* A worker that is answered regularly keeps its incarnation. When the node that serves a worker
- * fails, the worker may find another node so late that its lease expires just as the first response
- * arrives. That is not the machine's fault, so a lost lease is counted only after a full lease
- * period of regular responses. */
+/* A worker that is answered regularly keeps its incarnation, so a new incarnation suggests a fault
+ * of the machine. There is one exception. When the node that serves a worker fails, the worker may
+ * find another node so late that its lease expires just as the first response arrives. A lost lease
+ * is therefore counted only after a full lease period of regular responses. */
 void
 mm_machine_health_record_incarnation(const MmMachineTable *machine_table, MmMachine *machine) {
   MmTime now = mm_node_now(machine_table->node);
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -101,8 +101,8 @@
 static void
 update_message_ids(MmMachine *machine, const MmHeartbeat *heartbeat, MmTime received_at,
                    gint serving_node) {
-  /* A direct reply proves that commands reach the machine; a higher fencing token proves that a
-   * response did. */
+  /* A direct reply proves that commands reach the machine. A higher fencing token proves that a
+   * response reached the machine. */
   if (heartbeat->is_direct_reply || heartbeat->fencing_token.v > machine->acknowledged_term.v)
     mm_machine_health_record_acknowledgement(machine);
   machine->latest_message_id = heartbeat->heartbeat_id;
@@ -139,8 +139,8 @@
   }
 }
 
-/* Records a heartbeat that arrived after a direct reply with a newer heartbeat id. The worker may
- * still be waiting for the response to this heartbeat. */
+/* Records a heartbeat that arrived after a direct reply with a newer heartbeat id. The heartbeat is
+ * still recorded because the worker may be waiting for its response. */
 static void
 record_overtaken_heartbeat(MmMachine *machine, MmTime received_at, gint serving_node) {
   machine->has_unsent_changes
@@ -159,9 +159,10 @@
   }
 }
 
-/* Returns whether the message is the newest heartbeat that has reached any node; if so, its
- * response is recorded. Any other heartbeat is a late copy: no worker receives the response to it,
- * so it must not renew the lease again. */
+/* Returns whether the message is a heartbeat that is newer than all others that have reached any
+ * node. If the message is the newest heartbeat and is answered with status 200, its response is
+ * recorded. Any other heartbeat is a late copy. No worker receives the response to a late copy, so
+ * a late copy must not renew the lease again. */
 static gboolean
 record_newest_heartbeat(const MmMachineTable *machine_table, MmMachine *machine,
                         const MmHeartbeat *heartbeat, MmTime received_at) {
@@ -174,7 +175,7 @@
   return TRUE;
 }
 
-/* Replaces the state of the machine by that in its newest message. */
+/* Replaces the recorded state of the machine by the state in its newest message. */
 static void
 apply_message(MmMachineTable *machine_table, MmMachine *machine, const MmHeartbeat *heartbeat,
               MmTime received_at, gint serving_node) {
@@ -221,8 +222,8 @@
                                  MmTime responded_at) {
   MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
-  /* Nothing is recorded for an unknown machine: if it is added later, it is assumed to have been
-   * answered at the time of its addition. */
+  /* Nothing is recorded for an unknown machine. If the machine is added later, it is assumed to
+   * have been answered at the time of its addition. */
   if (machine != NULL)
     mm_machine_health_record_response(machine_table, machine, responded_at);
 }
--- a/src/machines/machine-table-leases.c
+++ b/src/machines/machine-table-leases.c
@@ -9,12 +9,13 @@
 /* Maximum drift between a worker's clock and this node's, as a fraction. */
 #define CLOCK_DRIFT 0.002
 #define LEASE_EXPIRY_MARGIN_MS 250
-/* Maximum number of ended incarnations remembered: this many per known machine, but at least
+/* Maximum number of machines whose newest ended incarnation is remembered:
+ * ENDED_INCARNATIONS_PER_MACHINE times the number of known machines, but at least
  * ENDED_INCARNATIONS_MIN. */
 #define ENDED_INCARNATIONS_PER_MACHINE 2
 #define ENDED_INCARNATIONS_MIN 4096
-/* Stored as the newest ended incarnation of a terminated machine. Since the machine never returns,
- * all its incarnations count as ended. */
+/* Stored as the newest ended incarnation of a terminated machine. All incarnations of a terminated
+ * machine count as ended, because the machine never returns. */
 #define EVERY_INCARNATION G_MAXUINT64
 
 /* Ended incarnations */
@@ -27,8 +28,8 @@
   return newest_ended != NULL && incarnation <= *newest_ended;
 }
 
-/* Without this record, a late copy of a heartbeat would add the machine again after its table entry
- * has been removed. */
+/* Without this record, a late copy of a heartbeat would add the machine to the table again after
+ * the machine's entry has been removed. */
 void
 mm_machine_table_remember_ended_incarnation(MmMachineTable *machine_table,
                                             const MmMachine *machine) {
@@ -68,10 +69,11 @@
   end_lease(machine_table, machine);
 }
 
-/* Ends the leases that have certainly expired. A lease has expired if no node can have answered the
- * machine with status 200 for a full lease period, up to the time until which this node knows all
- * responses of all nodes. A node whose own lease has ended may have answered the machine until
- * then, so the period starts no earlier than that. */
+/* Ends the leases that have certainly expired. A lease has certainly expired if no node can have
+ * answered the machine with status 200 during a full lease period. That period must end no later
+ * than `responses_known_until`, the time until which this node knows all responses of all nodes.
+ * The period must start no earlier than the time at which any node last lost its own lease, because
+ * that node may have answered the machine until then. */
 static void
 expire_leases(MmMachineTable *machine_table) {
   MmNode *node = machine_table->node;
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -163,8 +163,9 @@
 mm_machine_table_record_registration(MmMachineTable *machine_table, const MmRegistryEntry *entry) {
   MmMachine *machine = mm_machine_table_find_or_add(machine_table, entry->machine_id.s);
 
-  /* Another node has seen an incarnation newer than any known here. That incarnation may run tasks
-   * even if the lease of the previous one has expired. */
+  /* Another node has seen an incarnation that is newer than every incarnation known to this node.
+   * The newer incarnation may run tasks even if the lease of the previous incarnation has
+   * expired. */
   if (!machine->is_terminated && entry->incarnation > mm_machine_newest_incarnation(machine)) {
     machine->lease_has_expired = FALSE;
     mm_machine_health_begin_incarnation(machine, mm_node_now(machine_table->node));
@@ -189,9 +190,9 @@
   machine->is_in_registry = FALSE;
   if (machine->has_reported && !machine->is_terminated
       && machine->latest_message_id.incarnation > machine->registered_incarnation)
-    /* The machine has reported a new incarnation. Nothing has been started in it, because that
-     * requires the new incarnation to be registered. All tasks placed on the machine belong to the
-     * old incarnation. */
+    /* The machine has reported a new incarnation that is not registered. Nothing has been started
+     * in the new incarnation, because a start requires that the incarnation is registered. All
+     * tasks placed on the machine therefore belong to the old incarnation, which has ended. */
     mm_machine_table_notify_machine_ended(machine_table, machine);
   else
     mm_machine_table_remove(machine_table, machine);
--- a/src/machines/machine.c
+++ b/src/machines/machine.c
@@ -69,8 +69,8 @@
              machine->registered_incarnation);
 }
 
-/* If the incarnation's lease has certainly expired, the message was delayed in transit and the
- * tasks that it reports have stopped. */
+/* A message of an incarnation whose lease has certainly expired was delayed in transit. The tasks
+ * that such a message reports have stopped. */
 gboolean
 mm_machine_lease_has_ended(const MmMachine *machine, MmHeartbeatId heartbeat_id) {
   return machine->is_terminated
--- a/src/machines/machine.h
+++ b/src/machines/machine.h
@@ -1,9 +1,9 @@
-/* State of one machine, derived from its newest heartbeats, the registry and the decisions of this
- * node.
+/* State of one machine. The state is derived from the machine's newest heartbeats, the registry and
+ * the decisions of this node.
  *
  * Every node keeps an MmMachine for every machine, regardless of which node receives the machine's
- * heartbeats. The machine table (machine-table.h) owns them. Other modules must drop their pointers
- * to a machine in mm_scheduler_machine_gone() and mm_sharing_machine_gone().
+ * heartbeats. The machine table (machine-table.h) owns every MmMachine. Other modules must drop
+ * their pointers to a machine in mm_scheduler_machine_gone() and mm_sharing_machine_gone().
  *
  * Invariants: `latest_heartbeat_id` and `latest_message_id` never decrease. While
  * `lease_has_expired` or `is_terminated` is set, the machine has no reported tasks. */
@@ -25,7 +25,8 @@
   guint number;
 } MmTaskRef;
 
-/* A task of a job whose shard this node leads, placed on a machine where it runs or may run. */
+/* A task placed on a machine where it runs or may run. This node leads the shard of the task's
+ * job. */
 typedef struct {
   MmJob *job; /* borrowed */
   guint number;
@@ -36,7 +37,7 @@
 
 /* Values of MmMachine.serving_node other than the index of a peer. */
 enum {
-  MM_SERVING_NODE_NONE = -2, /* no heartbeat to any node is known, only direct replies */
+  MM_SERVING_NODE_NONE = -2, /* no node is known to have received a heartbeat of the machine */
   MM_SERVING_NODE_SELF = -1,
 };
 
@@ -53,7 +54,7 @@
 
   /* Heartbeats and registration; written by the machine table. The autoscaler also writes
    * `last_seen_at` when the machine replies to a probe. */
-  gboolean has_reported; /* otherwise known only from the registry or an unverified heartbeat */
+  gboolean has_reported; /* FALSE: known only from the registry or an unverified heartbeat */
   MmHeartbeatId latest_message_id;   /* of the newest heartbeat or direct reply */
   MmHeartbeatId latest_heartbeat_id; /* of the newest heartbeat that reached any node */
   MmTerm acknowledged_term;          /* fencing token of the newest message */
@@ -61,20 +62,20 @@
   MmTime last_seen_at;               /* time of the newest message of any kind */
   MmTime last_heartbeat_at;          /* time of the newest heartbeat that reached any node */
   gboolean has_termination_notice;   /* the cloud has announced that it will reclaim the machine */
-  MmTime termination_at;             /* earliest time of that; valid with has_termination_notice */
-  gboolean is_in_registry;           /* according to the replica */
-  guint64 registered_incarnation;    /* starts require that the current incarnation is registered */
-  gboolean lease_has_expired;  /* certainly expired: the machine's tasks may be started elsewhere */
+  MmTime termination_at;   /* earliest time of the reclaim; valid with has_termination_notice */
+  gboolean is_in_registry; /* according to the replica */
+  guint64 registered_incarnation; /* starts require that the current incarnation is registered */
+  gboolean lease_has_expired;  /* the lease has certainly expired; tasks may be started elsewhere */
   gboolean is_terminated;      /* reported by the cloud; final */
   GArray *reported_tasks;      /* elements: MmReportedTask of the newest message */
   gboolean has_live_task;      /* some reported task has not ended */
-  MmTime idle_since;           /* when it last had a live task, or when it was first known */
-  gboolean has_unsent_changes; /* not yet sent to the peers; cleared by peer-broadcast */
+  MmTime idle_since;           /* time when the machine last had a live task or was first known */
+  gboolean has_unsent_changes; /* changes not yet sent to peers; cleared by peer-broadcast */
 
   /* Derived by machine.c. The scheduler resets `available_generation` when it moves tasks. */
   GArray *cached_images;           /* elements: MmCachedImage; inferred from tasks, only a hint */
   MmResources available_resources; /* cached result of mm_machine_available_resources() */
-  guint64 available_generation;    /* job table generation of that result, or MM_GENERATION_NONE */
+  guint64 available_generation;    /* generation of available_resources, or MM_GENERATION_NONE */
 
   /* Health; written by machine-health. The machine table sets `last_possible_response_at` and
    * `steady_responses_since` of a new entry. The scheduler resets `consecutive_refused_starts` when
@@ -98,15 +99,15 @@
   gboolean must_reapply_tasks; /* apply the reported tasks again even if unchanged */
   GPtrArray *placed_tasks;     /* elements: MmPlacedTask, owned; tasks that run or may run on it */
   GArray *retained_candidates; /* elements: MmTaskRef; tried first at the next start request */
-  MmResources reserved_resources;      /* free or being freed; reserved for urgent work */
+  MmResources reserved_resources;      /* reserved for urgent work; free or being freed */
   MmTime reserved_until;               /* end of the reservation */
-  MmTime acknowledgement_requested_at; /* when a direct command last asked for the term */
-  MmTime no_starts_until; /* no starts before this time: it refused one for lack of resources */
+  MmTime acknowledgement_requested_at; /* last direct command asking for an acknowledgement */
+  MmTime no_starts_until; /* no starts before this time; set when a start lacked resources */
 
   /* Written by the autoscaler */
   gboolean is_being_terminated;
-  MmTime last_probed_at;   /* when a direct request last asked the machine for a reply */
-  guint unanswered_probes; /* number of such requests since the last reply */
+  MmTime last_probed_at;   /* time of the last direct request that asked the machine for a reply */
+  guint unanswered_probes; /* number of such direct requests since the machine's last reply */
 
   /* Written by sharing */
   MmTime last_redirected_at; /* when the worker was last redirected to the owner of its group */
@@ -116,22 +117,23 @@
   guint64 queued_incarnation; /* incarnation for which the commands are valid */
 };
 
-/* Returns the resources that are used neither by reported tasks nor by tasks that this node has
- * placed as shard leader. Returns zero while the machine's type is unknown or a reported task
- * belongs to an unknown job. The result is cached for the current generation of the job table. */
+/* Returns the machine's free resources: those used neither by reported tasks nor by tasks that this
+ * node has placed as shard leader. Returns zero while the machine's type is unknown or a reported
+ * task belongs to an unknown job. The result is cached for the current generation of the job
+ * table. */
 MmResources mm_machine_available_resources(const MmMachineTable *machine_table, MmMachine *machine);
-/* Returns the task as reported in the newest message, or NULL. Borrowed; valid until the next
- * message is applied. */
+/* Returns the task as reported in the newest message, or NULL if the message does not contain it.
+ * The result is borrowed and valid until the next message is applied. */
 const MmReportedTask *mm_machine_find_reported_task(const MmMachine *machine, const MmName *job_id,
                                                     guint number, MmAttempt attempt);
-/* Records that the machine has this image now. If the cache exceeds the size of its machine type,
- * the least recently used images are removed. */
+/* Records that the machine has this image in its cache now. If the images exceed the cache size of
+ * the machine's type, the least recently used images are removed from the record. */
 void mm_machine_record_image(MmMachine *machine, MmTime now, const MmName *image, double image_gb);
 gboolean mm_machine_has_cached_image(const MmMachine *machine, const MmName *image);
-/* Returns whether the machine's incarnation is in the registry. Only then may the machine be given
- * starts. */
+/* Returns whether the machine's current incarnation is in the registry. Starts may be sent to the
+ * machine only if it is. */
 gboolean mm_machine_has_registered_incarnation(const MmMachine *machine);
-/* Returns the newest incarnation known from a message or the registry. */
+/* Returns the newest incarnation of the machine that is known from a message or the registry. */
 guint64 mm_machine_newest_incarnation(const MmMachine *machine);
 /* Returns whether the message belongs to an incarnation whose lease has certainly expired, or to a
  * terminated machine. */
--- a/src/machines/registry-entering.c
+++ b/src/machines/registry-entering.c
@@ -13,8 +13,8 @@
 registrations_written(gpointer data, int status, json_t *body) {
   MmRegistry *registry = data;
 
-  /* The replica shows which machines were registered. The registration of the others is tried
-   * again. */
+  /* The status is not checked, because the replica shows which machines were registered. The
+   * registration of the other machines is tried again. */
   registry->is_writing = FALSE;
   registry->next_write_at = mm_time_add_ms(mm_node_now(registry->node), WRITE_INTERVAL_MS);
 }
@@ -35,8 +35,8 @@
   return unregistered;
 }
 
-/* Appends the entries of the pack, except those replaced by a newer incarnation that is registered
- * in another pack or about to be registered. */
+/* Appends the entries of the pack. Skips an entry if a newer incarnation of its machine is
+ * registered in another pack or is about to be registered. */
 static void
 append_current_entries(const MmRegistry *registry, const MmRegistryPack *pack,
                        GPtrArray *unregistered, GArray *entries) {
@@ -64,9 +64,9 @@
   return entry;
 }
 
-/* Returns the entries to write to the pack (NULL: a new pack), owned by the caller: its current
- * entries and as many machines from `unregistered` as fit. These are removed from the end of
- * `unregistered`. */
+/* Returns the entries to write to the pack, owned by the caller. They are the pack's current
+ * entries and as many machines from `unregistered` as fit. `pack` is NULL for a new pack. The
+ * machines that fit are removed from the end of `unregistered`. */
 static GArray *
 fill_pack(const MmRegistry *registry, const MmRegistryPack *pack, GPtrArray *unregistered) {
   GArray *entries = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
--- a/src/machines/registry-pack.c
+++ b/src/machines/registry-pack.c
@@ -2,16 +2,16 @@
 
 #include "kv/kv-client.h"
 
-/* Maximum size of a pack. All nodes read a whole pack whenever it changes, so a pack is limited to
- * a few dozen machines. */
+/* Maximum size of a pack in bytes, which limits a pack to a few dozen machines. The limit is low
+ * because all nodes read a whole pack whenever the pack changes. */
 #define PACK_MAX_BYTES 4096
 /* Upper bounds on the encoded size of a pack without its entries, and of an entry without its
  * strings. */
 #define PACK_OVERHEAD_BYTES 64
 #define ENTRY_OVERHEAD_BYTES 40
 
-/* Format of the record: an object with a list of entries, each of which is an array in the order of
- * EntryField. */
+/* Format of the record: an object with a list of entries. Each entry is an array whose elements are
+ * in the order of EntryField. */
 #define RECORD_ENTRIES "v"
 typedef enum {
   ENTRY_MACHINE_ID,
--- a/src/machines/registry-pack.h
+++ b/src/machines/registry-pack.h
@@ -1,7 +1,7 @@
-/* A pack of the registry, which is the value of one key and contains the entries of several
- * machines, and the codec for packs.
+/* A pack of the registry, and the codec for packs. A pack is the value of one key and contains the
+ * entries of several machines.
  *
- * An entry permits one incarnation of a machine to run tasks and describes the machine. */
+ * An entry describes a machine and permits one incarnation of that machine to run tasks. */
 #pragma once
 
 #include "node/node.h"
@@ -30,7 +30,7 @@
 GArray *mm_registry_entries_from_json(const json_t *value);
 /* Returns the entry of the machine, borrowed, or NULL. */
 const MmRegistryEntry *mm_registry_entries_find(const GArray *entries, const char *machine_id);
-/* Returns an upper bound on the encoded size. */
+/* Returns an upper bound on the encoded size in bytes. */
 gsize mm_registry_entry_bytes(const MmRegistryEntry *entry);
 gsize mm_registry_entries_bytes(const GArray *entries);
 /* Returns the maximum total size in bytes of the entries in one pack. */
--- a/src/machines/registry-removal.c
+++ b/src/machines/registry-removal.c
@@ -27,7 +27,7 @@
 }
 
 /* Returns the name of another pack that contains the same incarnation of the machine, borrowed, or
- * NULL. Sets `version` to the version of that pack. */
+ * NULL if there is none. If a pack is found, sets `version` to the version of that pack. */
 static const char *
 find_copy_in_other_pack(const MmRegistry *registry, const MmRegistryPack *excluded_pack,
                         const MmRegistryEntry *entry, MmKeyVersion *version) {
@@ -63,8 +63,9 @@
 
 /* Returns the entries that remain in the pack, owned by the caller. Ended incarnations are left
  * out. If the pack was written under a larger size limit, entries that have been copied to another
- * pack are left out too. In that case a condition is added to `copy_conditions` that the other pack
- * has not changed when this one is written, so that at least one of the two copies remains. */
+ * pack are left out too. For each of these, a condition is added to `copy_conditions`: the other
+ * pack must not have changed when this pack is written. The condition ensures that at least one of
+ * the two copies remains. */
 static GArray *
 entries_to_keep(MmRegistry *registry, const MmRegistryPack *pack, MmTransaction *copy_conditions) {
   GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
@@ -98,9 +99,9 @@
   }
 }
 
-/* Copies entries from the end of the pack, which exceeds the current size limit, to a new pack.
- * They are removed from the old pack only after the replica contains the copies, so that every
- * reader finds each machine in at least one pack. */
+/* Copies entries from the end of a pack that exceeds the current size limit to a new pack. The
+ * copied entries are removed from the old pack only after the replica contains the copies. Every
+ * reader therefore finds each machine in at least one pack. */
 static void
 copy_overflow(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
               const GArray *remaining, MmTransaction *transaction) {
@@ -136,8 +137,8 @@
 }
 
 /* Adds the removal of ended entries from the pack to the transaction. If the removal needs
- * conditions on other packs, or entries must be copied, it is added only to an empty
- * transaction. */
+ * conditions on other packs or entries must be copied, the removal is added only to an empty
+ * transaction; otherwise nothing is added in this call. */
 static void
 remove_ended_entries(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
                      MmTransaction *transaction) {
--- a/src/machines/registry.c
+++ b/src/machines/registry.c
@@ -33,7 +33,8 @@
   return newest_entry;
 }
 
-/* Updates the machine table for entries that are no longer in a pack. */
+/* Updates the machine table for the entries of `previous` that are not in `current`. `current` is
+ * NULL if the pack was deleted. */
 static void
 process_removed_entries(MmRegistry *registry, const GArray *previous, const GArray *current) {
   for (guint i = 0; i < previous->len; i++) {
