--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -7,7 +7,8 @@
  * node's request rate to the key-value store (kv_requests_per_s) they may use. */
 #define MAX_CONCURRENT_LOOKUPS 4
 #define LOOKUP_REQUEST_SHARE 0.1
-/* Delay between the response to a read of a terminal record and the next read of the same one. */
+/* Delay between the response to a read of a terminal record and the next read of the same record.
+ */
 #define LOOKUP_RETRY_DELAY_MS 500
 
 MmDependencies *
@@ -59,8 +60,8 @@
     mm_dependency_graph_cancel_job(dependencies->graph, job->spec.id.s, change);
 }
 
-/* Updates the graph with the terminal states and jobs that this node already knows among the
- * dependencies of a new job. */
+/* Updates the graph with what this node already knows about the dependencies of a new job: their
+ * terminal states, and those jobs that are in the job table. */
 static void
 add_known_dependencies(MmDependencies *dependencies, const MmJob *job, MmDependencyChange *change) {
   MmJobTable *job_table = dependencies->node->job_table;
--- a/src/dependencies/dependency-graph.h
+++ b/src/dependencies/dependency-graph.h
@@ -2,18 +2,19 @@
  * determines which jobs become ready or cancelled when a job ends or is cancelled.
  *
  * The graph is a pure data structure that performs no I/O. It owns its vertices. A vertex
- * represents an unfinished job that has dependencies, or a job that an unfinished job depends on;
- * it is freed when neither is the case any longer. The graph has no cycles, because a job can
- * depend only on jobs that were accepted before it, and ids are never reused. No function is
- * recursive, so the length of a chain of dependencies does not affect the stack depth. */
+ * represents an unfinished job that has dependencies, or a job that an unfinished job depends on. A
+ * vertex is freed once its job record was deleted and no unfinished job depends on its job. The
+ * graph has no cycles, because a job can depend only on jobs that were accepted before it, and ids
+ * are never reused. No function is recursive, so the length of a chain of dependencies does not
+ * affect the stack depth. */
 #pragma once
 
 #include "base/types.h"
 
 typedef enum {
   MM_VERTEX_UNKNOWN,    /* no job record is present, and no terminal record has been seen */
-  MM_VERTEX_UNFINISHED, /* its job record is present, and it is not known to be cancelled */
-  MM_VERTEX_DONE,       /* its terminal record has been seen, with the outcome done */
+  MM_VERTEX_UNFINISHED, /* the job record is present, and the job is not known to be cancelled */
+  MM_VERTEX_DONE,       /* the terminal record has been seen, with the outcome done */
   MM_VERTEX_CANCELLED   /* the job or a direct or transitive dependency is cancelled */
 } MmVertexState;
 
@@ -21,32 +22,35 @@
 struct MmVertex {
   MmName job_id;
   MmVertexState state;
-  gint64 done_at_ms; /* time of day at which the job was done; 0: not done, or unknown */
+  gint64 done_at_ms; /* time of day at which the job was done; 0: the job is not done, or the time
+                        is unknown */
   gboolean is_in_job_table;
-  gboolean is_lookup_pending; /* a read of its terminal record is pending */
-  MmTime lookup_not_before;   /* earliest time of the next read of its terminal record */
+  gboolean is_lookup_pending; /* a read of the job's terminal record is pending */
+  MmTime lookup_not_before;   /* earliest time of the next read of the job's terminal record */
   GPtrArray *dependencies;    /* MmVertex: the jobs that this job depends on */
   GPtrArray *dependents;      /* MmVertex: the unfinished jobs that depend on this job */
   guint n_unmet;              /* number of dependencies that are not known to be done */
-  guint64 last_traversal;     /* number of the last traversal that visited it, see n_traversals */
+  guint64
+      last_traversal; /* number of the last traversal that visited this vertex, see n_traversals */
 };
 
 typedef struct {
   GHashTable *vertices; /* job id -> MmVertex, owned */
   GPtrArray *unknown;   /* MmVertex in state MM_VERTEX_UNKNOWN */
-  guint64 n_traversals; /* number of traversals so far, which is the number of the latest one */
+  guint64 n_traversals; /* number of traversals so far; also the number of the latest traversal */
 } MmDependencyGraph;
 
 MmDependencyGraph *mm_dependency_graph_new(void);
 void mm_dependency_graph_free(MmDependencyGraph *graph);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmDependencyGraph, mm_dependency_graph_free)
 
-/* Returns the vertex of the job, owned by the graph, or NULL if it has none: the job has no
- * dependencies and no unfinished job depends on it. */
+/* Returns the vertex of the job, owned by the graph. Returns NULL if the job has no vertex: the job
+ * has no dependencies and no unfinished job depends on it. */
 MmVertex *mm_dependency_graph_find(const MmDependencyGraph *graph, const char *job_id);
 
-/* Effects of one or more changes of the graph, appended by the functions below. The vertices are
- * owned by the graph; mm_dependency_graph_remove_job may free them. */
+/* The jobs that one or more changes of the graph have cancelled or made ready. The functions below
+ * append to both lists. The vertices are owned by the graph; mm_dependency_graph_remove_job may
+ * free them. */
 typedef struct {
   GPtrArray *cancelled; /* MmVertex that became cancelled */
   GPtrArray *ready;     /* MmVertex whose last outstanding dependency became done */
@@ -57,7 +61,8 @@
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(MmDependencyChange, mm_dependency_change_clear)
 
 /* Records that the job record was seen, with these dependencies. Repeated calls for the same job
- * have no effect. Returns the vertex of the job, owned by the graph, or NULL if it needs none. */
+ * have no effect. Returns the vertex of the job, owned by the graph, or NULL if the job needs no
+ * vertex, see mm_dependency_graph_find. */
 MmVertex *mm_dependency_graph_add_job(MmDependencyGraph *graph, const char *job_id,
                                       const MmName *dependencies, guint n_dependencies,
                                       MmDependencyChange *change);
@@ -65,11 +70,12 @@
 void mm_dependency_graph_cancel_job(MmDependencyGraph *graph, const char *job_id,
                                     MmDependencyChange *change);
 /* Records the outcome of the job, as its terminal record states it. `done_at_ms` is the time of day
- * at which it was done; 0: unknown. */
+ * at which the job was done; 0: unknown. */
 void mm_dependency_graph_end_job(MmDependencyGraph *graph, const char *job_id,
                                  gboolean is_cancelled, gint64 done_at_ms,
                                  MmDependencyChange *change);
-/* Records that the job record was deleted. The vertex remains while an unfinished job needs it. */
+/* Records that the job record was deleted. The vertex is kept while an unfinished job depends on
+ * this job. */
 void mm_dependency_graph_remove_job(MmDependencyGraph *graph, const char *job_id);
 
 /* Returns whether all dependencies of the job are known to be done. */
--- a/src/job-api/job-cancellation.c
+++ b/src/job-api/job-cancellation.c
@@ -18,14 +18,16 @@
 #define CANCEL_BROADCAST_INTERVAL_MS 400
 
 /* Returns whether every node that may still respond to a worker knows the cancellation. From then
- * on no response starts a task of the job or lets one continue: a machine that gets a response
- * stops the job's tasks, and a machine that gets none ends them when its worker lease expires.
+ * on no response to a worker starts a task of the job or lets a task of the job continue. A machine
+ * that gets a response stops the job's tasks. A machine that gets no response ends the job's tasks
+ * when its worker lease expires.
  *
  * A node that may respond to workers holds a node lease, which is visible in any replica that is as
  * new as the cancellation. A node that acquires a lease later reads the job record first. A peer
- * that cannot be reached need not acknowledge the cancellation once the key-value store has served
- * this node for longer than a node may respond to workers without reading changes: by then the peer
- * has either read the cancellation or stopped responding to workers. */
+ * that cannot be reached need not acknowledge the cancellation forever. A node that reads no
+ * changes from the key-value store may respond to workers only for a limited time. Once the store
+ * has served this node for longer than that, the peer has either read the cancellation or stopped
+ * responding to workers. */
 static gboolean
 cancel_is_propagated(const MmUserRequest *request) {
   const MmNode *node = request->node;
@@ -36,8 +38,8 @@
   /* The job record was deleted: the job and all its tasks have ended. */
   if (job == NULL)
     return mm_job_table_has_ended(node->job_table, request->job_id.s);
-  /* No task of the job was ever started, and every node derives the cancellation from that of the
-   * dependency. */
+  /* No task of the job was ever started, and every node derives the job's cancellation from the
+   * cancellation of the dependency. */
   if (mm_job_has_cancelled_dependency(job))
     return TRUE;
   if (job->cancel_record_version.v == 0 || node->replica->revision < job->cancel_record_version.v)
@@ -72,8 +74,8 @@
   mm_peer_broadcast_cancellation(request->node->peer_links, request->job_id.s);
 }
 
-/* Responds to the request and removes it from the queue if the cancellation is known to all nodes
- * concerned. Returns whether it did. */
+/* If every node that may still respond to a worker knows the cancellation, responds to the request
+ * and removes the request from the queue. Returns whether it responded. */
 static gboolean
 respond_if_propagated(MmJobApi *job_api, GList *link) {
   MmUserRequest *request = link->data;
@@ -138,7 +140,7 @@
     return;
   }
   /* Updates the job table at once, because the replica's watch may deliver this write late, or be
-   * interrupted before it does. */
+   * interrupted before it delivers the write. */
   revision = mm_json_count(body, WIRE_REVISION, 0);
   if (revision > request->node->replica->revision && request->node->replica->is_loaded)
     mm_job_table_put(request->node->job_table, request->job_id.s, request->record,
--- a/src/job-api/job-status.c
+++ b/src/job-api/job-status.c
@@ -79,7 +79,8 @@
     mm_job_cancellation_write(request, (MmKeyVersion){ mm_json_count(body, WIRE_VERSION, 0) });
   else if (!mm_job_record_is_cancelled(request->record)
            && mm_job_record_has_dependencies(request->record))
-    /* Even if its record does not say so, the job is cancelled if a dependency is cancelled. */
+    /* The job is cancelled if one of its dependencies is cancelled, even if the job's own record
+     * does not say so. */
     mm_job_status_respond_from_replica(request);
   else
     respond_unfinished(request, mm_job_record_is_cancelled(request->record));
@@ -107,8 +108,9 @@
   g_queue_push_tail(job_api->awaiting_dependencies, request);
 }
 
-/* If `is_current`, the replica contains everything that was written before the request arrived, and
- * thus everything that any node had reported about the job by then. */
+/* `is_current`: the replica contains everything that was written before the request arrived. The
+ * replica then contains everything that any node had reported about the job by that time, because
+ * nodes report only what is written. */
 static void
 on_replica_current(gpointer data, gboolean is_current) {
   MmUserRequest *request = data;
@@ -136,7 +138,7 @@
 }
 
 /* Removes the request from the queue and responds to it if the states of all dependencies are
- * known. Returns whether it did. */
+ * known. Returns whether it responded. */
 static gboolean
 respond_if_dependencies_known(MmJobApi *job_api, GList *link) {
   MmUserRequest *request = link->data;
--- a/src/job-api/job-status.h
+++ b/src/job-api/job-status.h
@@ -1,8 +1,8 @@
 /* Status of a job, as reported to its user.
  *
- * A status that may still change is checked against the key-value store, so that no response is
- * older than one that any node has sent before. A terminal state never changes and may come from
- * memory. */
+ * A status that may still change is checked against the key-value store, so that no response shows
+ * an older state than an earlier response of any node. A terminal state may come from memory,
+ * because it never changes. */
 #pragma once
 
 #include "job-api/job-api.h"
@@ -15,7 +15,8 @@
 /* Reads the job record from the key-value store, then responds with the status of the job or, for a
  * cancellation, writes the cancellation. */
 void mm_job_status_read_record(MmUserRequest *request);
-/* Responds with the status that the replica shows, once the replica is as new as the request. */
+/* Waits until the replica contains everything that was written before the request arrived, then
+ * responds with the status that the replica shows. */
 void mm_job_status_respond_from_replica(MmUserRequest *request);
 /* Responds to the requests that wait for the states of dependencies: with the status if the states
  * are known, with 503 if the timeout has expired. */
--- a/src/job-api/submission.c
+++ b/src/job-api/submission.c
@@ -10,8 +10,9 @@
 #include "kv/kv-client.h"
 #include "upgrade/versions.h"
 
-/* Space in a new job record that is reserved for the completed tasks and a cancellation, which are
- * added later: this many bytes, but at most the maximum size of a value divided by the divisor. */
+/* Space in a new job record that is reserved for the completed tasks and a cancellation, because
+ * both are added later. The space is RECORD_RESERVE_BYTES, but at most the maximum size of a value
+ * divided by RECORD_RESERVE_DIVISOR. */
 #define RECORD_RESERVE_BYTES 512
 #define RECORD_RESERVE_DIVISOR 4
 /* Maximum time that a submission may take to look up its dependencies. */
@@ -24,7 +25,8 @@
 
 static void write_job_record(MmUserRequest *request);
 
-/* Returns whether the job is cancelled from the start, because one of its dependencies is. */
+/* Returns whether the job is cancelled from the start, because one of its dependencies is
+ * cancelled. */
 static gboolean
 has_cancelled_dependency(const MmUserRequest *request) {
   const MmJobTable *job_table = request->node->job_table;
@@ -119,8 +121,9 @@
   MmUserRequest *request = data;
 
   if (status == 404) {
-    /* The replica is as new as the request and has no job record of the dependency. Every job
-     * record that is deleted leaves a terminal record, so the dependency has never existed. */
+    /* The replica contains everything that was written before the request arrived, but no job
+     * record of the dependency. Every job record that is deleted leaves a terminal record, so the
+     * dependency has never existed. */
     reject_dependencies(request, "a job that it depends on was never accepted");
     return;
   }
@@ -136,7 +139,8 @@
 }
 
 /* Reads the terminal records of the dependencies that this node does not know, one after another,
- * then writes the job record. The replica must be as new as the request. */
+ * then writes the job record. The replica must contain everything that was written before the
+ * request arrived. */
 static void
 look_up_dependencies(MmUserRequest *request) {
   if (!skip_known_dependencies(request))
@@ -237,8 +241,8 @@
     mm_user_request_respond_unavailable(request);
     return;
   }
-  /* The response to a repeated submission is the status of the job, whatever the states of its
-   * dependencies: the write conflicts with the existing record. */
+  /* A repeated submission needs no check of its dependencies. The write conflicts with the existing
+   * job record, and the response is then the status of the job. */
   if (request->spec.n_dependencies == 0 || is_known_job(node, request->job_id.s))
     write_job_record(request);
   else
--- a/src/job-api/user-request.c
+++ b/src/job-api/user-request.c
@@ -9,8 +9,8 @@
  * rate limit (429). */
 #define RATE_LIMIT_RETRY_DELAY_MS 250
 #define RATE_LIMIT_MAX_RETRIES 3
-/* Retry-After of a 503 response, in seconds: the first while the key-value store refuses requests,
- * the second otherwise. */
+/* Retry-After of a 503 response, in seconds: REFUSED_RETRY_AFTER_S while the key-value store
+ * refuses requests, UNAVAILABLE_RETRY_AFTER_S otherwise. */
 #define REFUSED_RETRY_AFTER_S 2
 #define UNAVAILABLE_RETRY_AFTER_S 1
 
--- a/src/job-api/user-request.h
+++ b/src/job-api/user-request.h
@@ -20,12 +20,12 @@
   MmTime cancel_broadcast_at; /* when the cancellation was last broadcast to the other nodes */
   guint next_dependency;      /* submissions: index of the first dependency not looked up yet */
   void (*retry)(MmUserRequest *request); /* step to repeat after a rate-limited write */
-  MmTime retry_at;                       /* when to repeat it */
+  MmTime retry_at;                       /* when to repeat the step */
 };
 
 MmUserRequest *mm_user_request_new(MmNode *node, MmHttpExchange *exchange, const char *job_id);
-/* Sends the response and frees the request. Takes ownership of `body`. `retry_after_s` 0: no
- * Retry-After header. */
+/* Sends the response and frees the request. Takes ownership of `body`. If `retry_after_s` is 0, the
+ * response has no Retry-After header. */
 void mm_user_request_respond(MmUserRequest *request, int status, json_t *body, guint retry_after_s);
 /* Responds 503 with a Retry-After header, because the key-value store is unavailable, and frees the
  * request. */
@@ -35,5 +35,5 @@
 void mm_user_request_retry_after_rate_limit(MmUserRequest *request,
                                             void (*retry)(MmUserRequest *request));
 /* Returns whether the key-value store currently refuses or does not answer this node's requests, so
- * that sending another one would only delay the response. */
+ * that sending another request to the store would only delay the response to the user. */
 gboolean mm_user_request_kv_is_unavailable(const MmNode *node);
--- a/src/jobs/completed-tasks.c
+++ b/src/jobs/completed-tasks.c
@@ -79,7 +79,8 @@
   return ranges;
 }
 
-/* Removes all but the longest ranges whose texts, each with its separator, fit into `max_bytes`. */
+/* Keeps the longest ranges that fit into `max_bytes` and removes the others. The size of a range is
+ * the length of its text including a separator. */
 static void
 keep_longest_ranges(GArray *ranges, gsize max_bytes) {
   char buffer[RANGE_TEXT_MAX];
--- a/src/jobs/completed-tasks.h
+++ b/src/jobs/completed-tasks.h
@@ -1,7 +1,7 @@
 /* Set of the completed tasks of a job, with a text form that lists ranges, such as "0-18,20".
  *
- * Tasks are numbered from 0. The set never contains a number that is not below n_tasks. Tasks can
- * be added but not removed. */
+ * Tasks are numbered from 0. Every number in the set is below n_tasks. Tasks can be added but not
+ * removed. */
 #pragma once
 
 #include <glib.h>
@@ -20,10 +20,11 @@
 gboolean mm_completed_tasks_contains(const MmCompletedTasks *set, guint task_number);
 /* Adds the task. Returns FALSE if it was in the set already or the job has no such task. */
 gboolean mm_completed_tasks_add(MmCompletedTasks *set, guint task_number);
-/* Returns the text of the longest ranges that fit into `max_bytes`, in ascending order; free with
- * g_free. Tasks may be missing from it: a caller that relies on the stored tasks must parse the
- * text to learn which it contains. */
+/* Returns the ranges of the set as text, in ascending order; free with g_free. If not all ranges
+ * fit into `max_bytes`, the text contains only the longest ranges. A caller that must know which
+ * tasks the text contains therefore has to parse the text. */
 char *mm_completed_tasks_to_text(const MmCompletedTasks *set, gsize max_bytes);
 /* Adds the tasks of the text; NULL and "" add none. Returns FALSE if the text is malformed or
- * contains a task that the job does not have; some of the tasks may have been added then. */
+ * contains a task that the job does not have; some of the tasks may have been added in that case.
+ */
 gboolean mm_completed_tasks_add_text(MmCompletedTasks *set, const char *text);
--- a/src/jobs/job-record.h
+++ b/src/jobs/job-record.h
@@ -3,8 +3,8 @@
  * The job record (MM_KEY_JOB) exists while the job is unfinished. It contains the spec, the time of
  * submission, and only the state that must survive a failover: the completed tasks and a
  * cancellation. When the job ends, one transaction replaces it by the terminal record
- * (MM_KEY_TERMINAL_RECORD). No other file depends on the keys within the records. Unknown keys are
- * ignored, because other versions may add some. */
+ * (MM_KEY_TERMINAL_RECORD). Only job-record.c depends on the keys within the records. Unknown keys
+ * are ignored, because other versions of the controller may write additional keys. */
 #pragma once
 
 #include "jobs/job-spec.h"
@@ -17,7 +17,7 @@
 gboolean mm_job_record_parse_spec(const json_t *record, MmJobSpec *spec, const char **reason);
 /* Returns the time of day of the submission, in milliseconds. */
 gint64 mm_job_record_submitted_at_ms(const json_t *record);
-/* Returns the completed tasks as text, owned by the record, or NULL if it contains none. */
+/* Returns the completed tasks as text, owned by the record, or NULL if the record contains none. */
 const char *mm_job_record_completed_text(const json_t *record);
 gboolean mm_job_record_is_cancelled(const json_t *record);
 gboolean mm_job_record_has_dependencies(const json_t *record);
@@ -32,7 +32,8 @@
   gint64 completed_at_ms; /* time of day, or MM_TIME_OF_DAY_UNKNOWN */
 } MmTerminalState;
 
-/* Value of completed_at_ms if the record was written by a version that did not store the time. */
+/* Value of completed_at_ms if the terminal record was written by a version of the controller that
+ * did not store the time. */
 #define MM_TIME_OF_DAY_UNKNOWN 0
 
 json_t *mm_terminal_record_to_json(const MmTerminalState *terminal);
--- a/src/jobs/job-spec.h
+++ b/src/jobs/job-spec.h
@@ -15,7 +15,7 @@
   MM_JOB_KIND_SERVICE /* tasks that run until the job is cancelled */
 } MmJobKind;
 
-/* In ascending order; values are compared. */
+/* Priorities in ascending order, because the code compares their values. */
 typedef enum {
   MM_PRIORITY_LOW,
   MM_PRIORITY_NORMAL,
@@ -50,9 +50,9 @@
   guint n_dependencies;
 } MmJobSpec;
 
-/* Parses and validates a spec, except that the existence of its dependencies is not checked.
- * Unknown fields are ignored. Returns FALSE if the body is malformed; `*reason` is then static text
- * for the user, and there is nothing to clear. */
+/* Parses and validates a spec. Does not check whether the dependencies exist. Unknown fields are
+ * ignored. Returns FALSE if the body is malformed; `*reason` is then static text for the user, and
+ * there is nothing to clear. */
 gboolean mm_job_spec_parse(MmJobSpec *spec, const json_t *json, const char **reason);
 void mm_job_spec_clear(MmJobSpec *spec);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(MmJobSpec, mm_job_spec_clear)
@@ -62,7 +62,8 @@
 /* Returns the dependencies in their stored form, such as "000398,000405", or NULL if there are
  * none; free with g_free. */
 char *mm_job_spec_dependencies_to_text(const MmJobSpec *spec);
-/* Replaces the dependencies by those of a text in stored form; NULL leaves them unchanged. Returns
+/* Replaces the dependencies by those that `text` lists in the form of
+ * mm_job_spec_dependencies_to_text. If `text` is NULL, the dependencies remain unchanged. Returns
  * FALSE if the text is malformed. */
 gboolean mm_job_spec_parse_dependencies(MmJobSpec *spec, const char *text);
 
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -1,10 +1,10 @@
 /* The jobs known to this node, as shown by its replica of the key-value store.
  *
  * The table owns the unfinished jobs, one MmJob per job record, and remembers the terminal states
- * of recently ended jobs. The replica calls put and remove; terminal records are added by the
- * modules that read or write them. Modules of higher layers observe the table. A MmJob is valid
- * until its record is removed; code that refers to a job across asynchronous callbacks must look it
- * up again by its id. */
+ * of recently ended jobs. The replica calls mm_job_table_put and mm_job_table_remove; terminal
+ * records are added by the modules that read or write them. Modules of higher layers observe the
+ * table. A MmJob is valid until its record is removed; code that refers to a job across
+ * asynchronous callbacks must look up the job again by its id. */
 #pragma once
 
 #include "config/settings.h"
@@ -39,7 +39,8 @@
   guint64 generation;            /* incremented when a job is added or removed */
   GHashTable *terminal_states;   /* id -> MmTerminalState; bounded, the oldest are evicted first */
   GQueue *terminal_states_order; /* ids, oldest first */
-  GHashTable *removed_ids;       /* ids of jobs whose records were removed; bounded likewise */
+  GHashTable *removed_ids;       /* ids of jobs whose records were removed; bounded, the oldest are
+                                    evicted first */
   GQueue *removed_ids_order;     /* ids, oldest first */
 };
 
@@ -49,11 +50,11 @@
 /* Copies the observer. */
 void mm_job_table_add_observer(MmJobTable *job_table, const MmJobObserver *observer);
 
-/* Returns the unfinished job, owned by the table, or NULL if it is not in the table. */
+/* Returns the unfinished job, owned by the table, or NULL if the job is not in the table. */
 MmJob *mm_job_table_find(const MmJobTable *job_table, const char *id);
 /* Applies a version of a job record; adds the job if it is not in the table. Ignores a version that
- * is older than the one known. Logs and ignores a malformed record of a job that is not in the
- * table. */
+ * is older than the version applied last. Logs and ignores a malformed record of a job that is not
+ * in the table. */
 void mm_job_table_put(MmJobTable *job_table, const char *id, const json_t *record,
                       MmKeyVersion version);
 /* Records that the job record was deleted. Removes and frees the job if it is in the table. */
@@ -69,7 +70,7 @@
  * is not a terminal record. */
 void mm_job_table_add_terminal_record(MmJobTable *job_table, const char *id, const json_t *record);
 /* Copies the terminal state of the job to `terminal`. Returns FALSE and leaves `terminal` unchanged
- * if the terminal record was not added, or so long ago that it has been evicted. */
+ * if no terminal record of the job was added, or if its terminal state has been evicted since. */
 gboolean mm_job_table_get_terminal_state(const MmJobTable *job_table, const char *id,
                                          MmTerminalState *terminal);
 /* Returns the body of the status response for an ended job as a new reference, or NULL if its
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -12,7 +12,7 @@
 typedef struct MmMachine MmMachine;
 typedef struct MmVertex MmVertex;
 
-/* State of a task. Only the leader of the shard of its team tracks it. */
+/* State of a task. Only the leader of the team's shard tracks task states. */
 typedef enum {
   MM_TASK_PENDING,          /* on no machine, and no start command is in flight */
   MM_TASK_PLACE_RESERVED,   /* gangs: a machine is reserved; the start has not been sent yet */
@@ -26,8 +26,8 @@
 
 /* A task, as known to the shard leader. Only src/scheduler writes it. */
 typedef struct {
-  /* task-state.c (start_heartbeat_id: admission.c and gang.c): the state of the task, and the
-   * machine where it is or may be */
+  /* task-state.c, except that admission.c and gang.c write start_heartbeat_id: the state of the
+   * task, and the machine where the task is or may be */
   guint8 state; /* MmTaskState */
   MmMachine *machine;
   MmAttempt attempt;
@@ -41,10 +41,10 @@
 
   /* preemption.c */
   MmTime preempting_until; /* until when resources are being freed for the task by preemption */
-  MmName preempting_on;    /* the machine on which they are being freed */
+  MmName preempting_on;    /* the machine on which the resources are being freed */
 
   /* stop-commands.c and heartbeats.c */
-  gboolean is_stopping; /* a stop was sent, or follows from the machine's termination notice */
+  gboolean is_stopping; /* a stop was sent, or the machine's termination notice implies the stop */
   MmTime stop_sent_at;  /* when the latest stop was sent */
 } MmTask;
 
@@ -54,7 +54,8 @@
 typedef struct {
   MmTime estimated_at;
   MmName soonest_machine; /* the machine on which the task could start soonest */
-  double soonest_delay_s; /* delay until it could start there; below 0: no machine can run it */
+  double
+      soonest_delay_s; /* delay until the task could start there; below 0: no machine can run it */
   double next_soonest_delay_s;  /* the lowest delay on any other machine; below 0: none */
   guint fewest_colocated_tasks; /* services: the fewest co-located tasks on a suitable machine */
 } MmPlacementEstimate;
@@ -78,19 +79,19 @@
   /* stop-commands.c, except where another file is named: the cancellation */
   gboolean is_cancelled;
   gint64 kv_available_us_at_cancel;   /* MmKvClient.available_us when is_cancelled was set */
-  MmKeyVersion cancel_record_version; /* job-table.c: version of the first record that contains it;
-                                         0: none seen */
+  MmKeyVersion cancel_record_version; /* job-table.c: version of the first job record that contains
+                                         the cancellation; 0: none seen */
   guint64 cancel_acked_by_peers;      /* job-cancellation.c: bit mask of the peers, by index */
 
   /* led-shards.c and task-state.c: state that only the shard leader has */
   MmLedShard *led_shard; /* NULL: this node does not lead the shard */
-  MmTask *tasks;         /* array of spec.n_tasks elements; NULL likewise */
+  MmTask *tasks;         /* array of spec.n_tasks elements; NULL if led_shard is NULL */
   guint n_pending;
   guint n_maybe_on_machines;        /* number of tasks that are or may be on a machine */
   guint first_pending;              /* no pending task has a lower number */
   gboolean submitted_after_acquire; /* submitted since this node acquired the shard */
-  gint64 waiting_since_ms; /* time of day of the submission, or when the last dependency was done if
-                              that was later (initialized by job-table.c) */
+  gint64 waiting_since_ms; /* time of day of the submission or, if later, time of day at which the
+                              last dependency was done (initialized by job-table.c) */
 
   /* heartbeats.c: reports of the workers */
   MmCompletedTasks completed; /* initialized by led-shards.c from recorded_completed */
@@ -110,19 +111,20 @@
   gboolean has_succeeded; /* at least one task of the job was done */
 
   /* quota.c */
-  gboolean is_within_quota;      /* together with the team's older jobs it fits the team's quota */
+  gboolean is_within_quota; /* the job and the team's older jobs together fit the team's quota */
   gboolean has_quota_precedence; /* is_within_quota, and no objective covers jobs within quota */
 
   /* urgency.c */
   MmPriority inherited_priority; /* the highest priority among the job and its dependents */
-  MmPriority effective_priority; /* the priority used for scheduling: the inherited one, but at most
-                                    normal while the inherited deadline is far off, and never below
-                                    the job's own (initialized by job-table.c) */
+  MmPriority effective_priority; /* the priority used for scheduling: inherited_priority, but at
+                                    most normal while the inherited deadline is far off; never below
+                                    the job's own priority (initialized by job-table.c) */
   gint64 due_at_ms; /* time of day by which the job must get machines to meet its next objective */
-  gint64 inherited_due_at_ms; /* likewise, for the earliest deadline of its dependents */
-  gboolean is_starving; /* has waited longer than starve_s with no task started or done; set by
-                           scheduler.c or, if another node leads the shard, by backlog.c from that
-                           node's broadcast */
+  gint64 inherited_due_at_ms; /* time of day by which the job must get machines to meet the earliest
+                                 deadline of its dependents */
+  gboolean is_starving;       /* the job has waited longer than starve_s, and none of its tasks was
+                                 started or done; set by scheduler.c or, if another node leads the shard,
+                                 by backlog.c from that node's broadcast */
 
   /* placement-estimate.c */
   MmPlacementEstimate placement_estimate;
--- a/src/peers/peer-broadcast.c
+++ b/src/peers/peer-broadcast.c
@@ -212,17 +212,19 @@
 }
 
 /* Returns whether the machine's newest message is a direct reply, sent after its newest heartbeat.
- * If a peer took that message for a heartbeat, it would conclude that starts in the response to the
- * heartbeat, which may still be in transit, were not executed, and their tasks would run twice (met
- * on random day 29 of tests/test-world). */
+ * A peer must not take that reply for a heartbeat. Otherwise the peer would conclude that the
+ * starts in the response to the heartbeat were not executed, although that response may still be in
+ * transit. The tasks of these starts would then run twice (met on random day 29 of
+ * tests/test-world). */
 static gboolean
 latest_message_is_direct_reply(const MmMachine *machine) {
   return mm_heartbeat_id_is_newer(machine->latest_message_id, machine->latest_heartbeat_id);
 }
 
-/* Runs before this node's first pong on a new connection and repeats every response given within
- * two leases, since frames may have been lost with the previous connection. Without this a pong
- * would not justify the peer's `responses_known_until`.
+/* Runs before this node's first pong on a new connection. Repeats every response given within two
+ * leases, because frames may have been lost with the previous connection. Without the repetition,
+ * the pong would make the peer advance `responses_known_until` although the peer lacks some
+ * responses.
  *
  * Responses are sent regardless of which node is believed to serve the machine. That belief can be
  * wrong after a partition, when two nodes disagree about who answers a machine; if neither sent its
--- a/src/peers/peer-broadcast.h
+++ b/src/peers/peer-broadcast.h
@@ -7,15 +7,15 @@
 
 #include "peers/peer-links.h"
 
-/* Announces a heartbeat that this node has received and is about to answer. A heartbeat that shows
- * a change, or that is not answered with status 200 (`is_answered` FALSE), is sent at once and in
- * full; any other is added to the next batch of RepeatHeartbeats. */
+/* Announces a heartbeat that this node has received and is about to answer. `is_answered`: the
+ * answer has status 200. A heartbeat that shows a change, or for which `is_answered` is FALSE, is
+ * sent at once and in full. Any other heartbeat is added to the next batch of RepeatHeartbeats. */
 void mm_peer_broadcast_heartbeat(MmPeerLinks *links, MmMachine *machine, gboolean is_answered);
-/* Announces the machine's state as shown by a direct reply. Peers take from it the term that the
- * machine has acknowledged; it does not count as a heartbeat. */
+/* Announces the machine's state as shown by a direct reply. Peers take the term that the machine
+ * has acknowledged from the reply. Peers do not count the reply as a heartbeat. */
 void mm_peer_broadcast_direct_reply(MmPeerLinks *links, MmMachine *machine);
-/* Announces that this node answered the machine's unverified heartbeat; sent with the next batch of
- * RepeatHeartbeats. */
+/* Announces that this node answered the machine's unverified heartbeat. The announcement is sent
+ * with the next batch of RepeatHeartbeats. */
 void mm_peer_broadcast_unverified(MmPeerLinks *links, const MmName *machine);
 /* Sends the pending batch of heartbeats without changes and of unverified machines. */
 void mm_peer_broadcast_repeat_heartbeats(MmPeerLinks *links);
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -15,8 +15,8 @@
  * is considered half-open and is reopened. */
 #define SILENCE_LIMIT_PING_INTERVALS 10
 #define SILENCE_LIMIT_MIN_MS 5000
-/* Limit of the time between two ticks that counts as silence of a peer. A longer gap means that
- * this node was suspended itself. */
+/* Maximum time between two ticks that counts as silence of a peer. A longer gap means that this
+ * node itself was suspended. */
 #define TICK_GAP_MAX_MS (4 * MM_NODE_TICK_MS)
 /* Events older than this are reported to peers as if they had never occurred. */
 #define REPORTED_AGE_MAX_MS 3600000
@@ -127,8 +127,8 @@
     const MmLiveNode *live_node = g_hash_table_lookup(replica->live_nodes, peer->label.s);
     if (live_node == NULL)
       continue;
-    /* A pong from another incarnation of the peer does not cover the current one, which must be
-     * assumed to answer workers even if it sends nothing. */
+    /* A pong from another incarnation of the peer does not cover the current incarnation. The
+     * current incarnation must be assumed to answer workers even if it sends nothing. */
     if (live_node->lease_id != peer->lease_id)
       return (MmTime){ 0 };
     known_until = mm_time_min(known_until, peer->responses_known_until);
@@ -177,9 +177,10 @@
   return best;
 }
 
-/* Records when the key-value store last served the peer, assuming that the message took no time:
- * the latest possible instant, so that an outage is not proved wrongly. Each message replaces the
- * earlier value, which may have been too late because its message was delayed. */
+/* Records when the key-value store last served the peer, assuming that the message took no time.
+ * This gives the latest possible instant, because an earlier instant could wrongly prove an outage.
+ * Each message replaces the recorded instant, because the recorded instant is too late if the
+ * earlier message was delayed. */
 static void
 record_kv_served(MmPeerLinks *links, guint peer, guint32 served_age_plus_one_ms) {
   if (served_age_plus_one_ms > 0)
@@ -187,10 +188,11 @@
         = mm_time_add_ms(mm_node_now(links->node), 1 - (gint64)served_age_plus_one_ms);
 }
 
-/* Records when the key-value store last refused the peer, assuming that the peer sent the pong as
- * early as this node sent the ping: the earliest possible instant, so that an outage is not proved
- * wrongly. The pong may have been delayed, or have remained unread while this node was suspended.
- * A ping from the peer gives no such bound, so it carries no refusal. */
+/* Records when the key-value store last refused the peer, assuming that the peer sent the pong at
+ * the time at which this node sent the ping. This gives the earliest possible instant, because a
+ * later instant could wrongly prove an outage. The pong may have been delayed, or have remained
+ * unread while this node was suspended. A ping from the peer carries no refusal, because it gives
+ * no such bound. */
 static void
 record_kv_refused(MmPeerLinks *links, guint peer, MmTime ping_sent_at,
                   guint32 refused_age_plus_one_ms) {
@@ -207,8 +209,8 @@
   Mm__Frame frame = MM__FRAME__INIT;
   Mm__Pong pong = MM__PONG__INIT;
 
-  /* By the pong the peer concludes that it knows all responses given before its ping, so those of
-   * the pending batch must be sent first. */
+  /* The pending batch must be sent before the pong, because the peer concludes from the pong that
+   * it knows all responses given before its ping. */
   mm_peer_broadcast_repeat_heartbeats(links);
   pong.ping_sent_at_us = ping->sent_at_us;
   pong.refused_age_plus_one_ms = age_plus_one_ms(links, links->node->kv->last_refused_at);
@@ -247,7 +249,7 @@
 /* Reopens connections on which no pong has arrived for too long. A peer whose machine loses power
  * leaves a half-open connection, over which TCP retransmits at growing intervals for minutes.
  * Without a reconnect, a peer that has restarted would receive nothing in that time, and the shards
- * that it acquired would wait for acknowledgements that only its peers received. */
+ * that the restarted peer acquired would wait for acknowledgements that only its peers received. */
 static void
 reconnect_silent_peers(MmPeerLinks *links, MmTime now) {
   gint64 elapsed_us = MIN(now.us - links->last_tick_at.us, TICK_GAP_MAX_MS * 1000);
--- a/src/peers/peer-links.h
+++ b/src/peers/peer-links.h
@@ -1,12 +1,12 @@
 /* Links between this node and its peers, and the state derived from them: whether a peer still
- * answers workers, the instant before which all its responses are known to this node, and when the
- * key-value store last served or refused it.
+ * answers workers, the instant before which this node knows all responses of the peer to workers,
+ * and when the key-value store last served or refused the peer.
  *
  * Links are one-way: this node sends on its own connection to a peer and receives on the peer's
- * connection to it. On a new connection it sends only a hello and a ping. Once any frame arrives
- * from the peer, it sends the initial state and sets `is_up`; pongs follow only after that.
- * Therefore a node that receives a pong has received every response that the pong's sender gave to
- * workers before the ping was sent. */
+ * connection to this node. On a new connection this node sends only a hello and a ping. Once any
+ * frame arrives from the peer, this node sends the initial state and sets `is_up`. This node sends
+ * pongs only after the initial state. Therefore a node that receives a pong has already received
+ * every response that the pong's sender gave to workers before the ping was sent. */
 #pragma once
 
 #include "machines/machine-table.h"
@@ -15,19 +15,21 @@
 
 typedef struct {
   MmName label;
-  gboolean is_connected;        /* this node's connection to the peer is open */
-  gboolean is_up;               /* connected, and the peer has been sent the initial state */
-  gint64 silent_us;             /* time since the connection opened or the last pong on it */
-  guint64 lease_id;             /* the peer's lease according to its last pong; 0: none */
-  MmTime responses_known_until; /* all responses that the peer gave before this are known here */
-  MmTime last_refused_at;       /* lower bound of when the key-value store last refused the peer */
-  MmTime last_served_at;        /* upper bound of when the key-value store last served the peer */
+  gboolean is_connected; /* this node's connection to the peer is open */
+  gboolean is_up;        /* connected, and the peer has been sent the initial state */
+  gint64 silent_us;      /* time since the connection opened or the last pong on it */
+  guint64 lease_id;      /* the peer's lease according to its last pong; 0: none */
+  MmTime
+      responses_known_until; /* this node knows all responses that the peer gave before this time */
+  MmTime last_refused_at;    /* lower bound of when the key-value store last refused the peer */
+  MmTime last_served_at;     /* upper bound of when the key-value store last served the peer */
   MmTime last_pong_at;
   gboolean serves_workers; /* according to the last pong */
   guint n_machines;        /* machines that report to the peer, according to the last pong */
 } MmPeer;
 
-/* An answered heartbeat that showed no change since the last one sent to the peers. */
+/* An answered heartbeat that showed no change since the machine's last heartbeat that was sent to
+ * the peers. */
 typedef struct {
   MmName machine;
   MmHeartbeatId heartbeat_id;
@@ -63,16 +65,16 @@
 void mm_peer_links_disconnected(MmPeerLinks *links, guint peer);
 /* Handles a ping: sends the pending batch of heartbeats, then a pong. */
 void mm_peer_links_ping_received(MmPeerLinks *links, guint peer, const Mm__Ping *ping);
-/* Handles a pong: updates the peer's state from it. */
+/* Handles a pong: updates the peer's state from the pong. */
 void mm_peer_links_pong_received(MmPeerLinks *links, guint peer_index, const Mm__Pong *pong);
 
 /* Returns the index of the peer with this label, or MM_PEER_NONE. */
 gint mm_peer_links_find(const MmPeerLinks *links, const char *label);
-/* Returns the instant before which this node knows all responses that any node gave to workers; 0
- * if there is none, because a live peer has not answered a ping yet. */
+/* Returns the instant before which this node knows all responses that any node gave to workers; 0:
+ * this instant is not known, because a live peer has not answered a ping yet. */
 MmTime mm_peer_links_responses_known_until(const MmPeerLinks *links);
-/* Returns the latest known refusal of any peer by the key-value store (a lower bound of its time);
- * 0: none is known. */
+/* Returns when the key-value store last refused a request of any peer (a lower bound); 0: no
+ * refusal is known. */
 MmTime mm_peer_links_last_refused_at(const MmPeerLinks *links);
 /* Returns when the key-value store last served any peer (an upper bound); 0: not known. */
 MmTime mm_peer_links_last_served_at(const MmPeerLinks *links);
@@ -80,6 +82,6 @@
 gboolean mm_peer_links_peer_serves_workers(const MmPeerLinks *links, guint peer);
 /* Returns the peer with the fewest machines of those that may answer workers, or MM_PEER_NONE. */
 gint mm_peer_links_least_loaded(const MmPeerLinks *links);
-/* Sends the frame, which remains the caller's, if the link to the peer is up; otherwise does
- * nothing. */
+/* Sends the frame if the link to the peer is up; otherwise does nothing. The caller keeps ownership
+ * of the frame. */
 void mm_peer_links_send(MmPeerLinks *links, guint peer, Mm__Frame *frame);
--- a/src/sharing/balance.h
+++ b/src/sharing/balance.h
@@ -14,6 +14,6 @@
 MmSharePlan *mm_share_plan_new(const MmSharing *sharing);
 void mm_share_plan_free(MmSharePlan *plan);
 /* Returns the label of the node that should acquire the next group without an owner, and counts the
- * group as owned by that node. Owned by the plan; NULL: no node is live. */
+ * group as owned by that node. The plan owns the label. Returns NULL if no node is live. */
 const char *mm_share_plan_next_acquirer(MmSharePlan *plan);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmSharePlan, mm_share_plan_free)
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -121,8 +121,8 @@
 }
 
 /* Returns whether a message that does not show the granted start proves that the start was not
- * executed and never will be. A direct reply from the same incarnation does not: the worker may
- * have sent it before the response with the start arrived. */
+ * executed and never will be. A direct reply from the same incarnation is no such proof, because
+ * the worker may have sent it before the response with the start arrived. */
 static gboolean
 proves_not_started(const MmGrant *grant, MmHeartbeatId heartbeat_id, gboolean is_direct_reply) {
   return heartbeat_id.incarnation > grant->heartbeat_id.incarnation
--- a/src/sharing/grants.h
+++ b/src/sharing/grants.h
@@ -31,10 +31,11 @@
  * Refuses if the machine has sent a newer message than the heartbeat of the grant. Idempotent:
  * succeeds for a grant that is already outstanding. */
 gboolean mm_grants_try_grant(MmGrants *grants, MmMachine *machine, const MmGrant *grant);
-/* Removes grants that a newly recorded heartbeat resolves. Starts that it shows are accounted for;
- * starts that it does not show, though the worker sent it after it was done with the response that
- * carried them, were not executed. `is_direct_reply`: the message is the reply to a direct command,
- * which proves nothing about starts in transit to the same incarnation. */
+/* Removes the grants that a newly recorded message of the machine resolves. The resources of a
+ * start that the message shows are accounted for by the message. A start that the message does not
+ * show was not executed if the worker sent the message after it had processed the response with the
+ * start. `is_direct_reply`: the message is the reply to a direct command, which proves nothing
+ * about starts in transit to the same incarnation. */
 void mm_grants_heartbeat_received(MmGrants *grants, const MmMachine *machine,
                                   MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
 /* Removes the machine's grants: no task runs on it any more and no start can reach it. */
@@ -44,6 +45,7 @@
 void mm_grants_drop_group(MmGrants *grants, guint group, guint n_groups);
 /* Returns the number of the group's machines with outstanding grants. */
 guint mm_grants_count_outstanding(const MmGrants *grants, guint group, guint n_groups);
-/* Returns the resources of the machine that can still be granted; zero if they are unknown, because
- * the machine's type is, or a task on it or an outstanding grant belongs to an unknown job. */
+/* Returns the resources of the machine that can still be granted; zero if these resources are
+ * unknown. They are unknown if the machine's type is unknown, or if a task on the machine or an
+ * outstanding grant belongs to an unknown job. */
 MmResources mm_grants_free_resources(const MmGrants *grants, const MmMachine *machine);
--- a/src/sharing/group-map.h
+++ b/src/sharing/group-map.h
@@ -2,9 +2,9 @@
  *
  * Each node has one key, its ownership record, that lists the groups it owns, each with the term of
  * the transaction by which the node acquired the group. The key is attached to the node's lease, so
- * a node whose lease expires loses all its groups at once. A group is in at most one record: every
- * transaction that assigns a group increments the global term and requires the term's version to be
- * unchanged, so no two of them start from the same map. */
+ * a node whose lease expires loses all its groups at once. A group is in at most one record,
+ * because no two transactions that assign groups start from the same map: each such transaction
+ * increments the global term and requires the term's version to be unchanged. */
 #pragma once
 
 #include <jansson.h>
@@ -60,7 +60,8 @@
 MmKeyVersion mm_group_map_key_version(const MmGroupMap *map, const char *label);
 /* Returns the group's owner. A group number outside the map has none. */
 MmGroupOwner mm_group_map_owner(const MmGroupMap *map, guint group);
-/* Returns a number of groups that some record gives and that differs from this map's; 0: none. */
+/* Returns the number of groups of an ownership record that differs in it from this map; 0: there is
+ * no such record. */
 guint mm_group_map_conflicting_group_count(const MmGroupMap *map);
 
 /* Builder of an ownership record's JSON. */
--- a/src/sharing/shares.h
+++ b/src/sharing/shares.h
@@ -23,9 +23,10 @@
 } MmShareMove;
 
 /* Computes the next move of one group, from the node furthest above its target to the node furthest
- * below it. Returns FALSE if no move is needed, because no node is above its target, none is below
- * it, or neither of the two deviates by more than `slack`. `slack` is ignored if the target of the
- * node furthest above is 0, so that the node releases all its groups. */
+ * below it. Returns FALSE if no move is needed: no node is above its target, no node is below its
+ * target, or neither of the two nodes deviates from its target by more than `slack`. `slack` is
+ * ignored if the target of the node furthest above is 0, so that the node releases all its groups.
+ */
 gboolean mm_shares_next_move(const MmShare *shares, const guint *targets, guint n_nodes,
                              guint slack, MmShareMove *move);
 
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -78,9 +78,10 @@
   mm_grants_drop_group(sharing->grants, group, sharing->n_groups);
 }
 
-/* Adds the machine of a newly owned group to `unacknowledged`, unless it has acknowledged the
- * group's term: it may still execute starts granted by earlier owners. A machine that is registered
- * later needs no such entry, as it only receives responses of that term or a later one. */
+/* Adds the machine of a newly owned group to `unacknowledged`, unless the machine has acknowledged
+ * the group's term. Without that acknowledgement, the machine may still execute starts granted by
+ * earlier owners. A machine that is registered later needs no entry, because it only receives
+ * responses of that term or a later term. */
 static void
 track_unacknowledged(MmSharing *sharing, const MmMachine *machine) {
   MmOwnedGroup *owned = sharing->owned[machine->group];
@@ -146,8 +147,9 @@
   sharing->unowned_since.us = 0;
 }
 
-/* Compares the stored number of groups with the settings. Does so only once after this node has
- * started: later, the nodes that already share machines exclude a node with a different number. */
+/* Compares the stored number of groups with the settings, only once after this node has started. No
+ * later comparison is needed, because the nodes that already share machines exclude a node with a
+ * different number of groups. */
 static void
 check_stored_group_count(MmSharing *sharing) {
   if (!sharing->is_group_count_checked)
@@ -200,9 +202,10 @@
 /* Heartbeats and registration. */
 
 /* Returns whether the machine's newest message proves that it no longer executes starts granted by
- * earlier owners. As for a team's shard, it does so if it carries the group's term or a later one,
- * or comes from a newer incarnation than the one registered when the group was acquired: tasks of
- * the old incarnation no longer run. */
+ * earlier owners. A message that carries the group's term or a later term is such a proof. A
+ * message from a newer incarnation than the one registered when the group was acquired is also a
+ * proof, because tasks of the old incarnation no longer run. The same rule holds for a team's
+ * shard. */
 static gboolean
 acknowledges_group_term(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
   return machine->acknowledged_term.v >= owned->term.v
@@ -275,9 +278,9 @@
     return FALSE;
   group = machine->group;
   owned = sharing->owned[group];
-  /* No grants on a machine that this node has quarantined, nor on an incarnation that is not
-   * registered: after a change of owner, the next owner would not know that it must wait for the
-   * acknowledgement of that incarnation. */
+  /* No resources are granted on a machine that this node has quarantined or on an incarnation that
+   * is not registered. After a change of owner, the next owner would not know that it must wait for
+   * the acknowledgement of an unregistered incarnation. */
   return owned != NULL && !owned->is_moving && mm_sharing_owns(sharing, group)
          && mm_machine_is_usable(sharing->node->machine_table, machine)
          && mm_node_lease_may_answer_workers(sharing->node->node_lease)
@@ -355,8 +358,8 @@
   if (owner.record == NULL)
     return MM_PEER_NONE;
   peer = mm_peer_links_find(node->peer_links, owner.record->node.s);
-  /* A worker that returns within a lease of its redirect could not reach the owner, so this node
-   * serves it. */
+  /* A worker that returns within one worker lease after its redirect could not reach the owner, so
+   * this node serves it. */
   if (peer < 0 || !mm_peer_links_peer_serves_workers(node->peer_links, (guint)peer)
       || (machine->last_redirected_at.us != 0
           && mm_time_ms_since(now, machine->last_redirected_at)
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -20,8 +20,9 @@
   guint number;
   MmTerm term;
   MmTime acquired_at;
-  /* Machines that may still execute starts granted by earlier owners, since they have not
-   * acknowledged `term`: id -> registered incarnation. Nothing is granted on them. */
+  /* Machines that may still execute starts granted by earlier owners, because the machines have not
+   * acknowledged `term`: id -> registered incarnation. No resources of these machines are granted.
+   */
   GHashTable *unacknowledged;
   gboolean is_moving;  /* a move to `target` is in progress: no resources are granted */
   MmName target;       /* valid while `is_moving` */
@@ -70,15 +71,15 @@
   GArray **peer_moves; /* by peer: MmGroupMove */
   gboolean is_active;  /* every node of the settings announces the same number of groups */
   /* A stored number of groups that differed from the settings when this node started; 0: there was
-   * none. Otherwise this node must not own groups, and the program exits with an error. */
+   * none. If there was one, this node must not own groups, and its process exits with an error. */
   guint conflicting_group_count;
   gboolean is_group_count_checked; /* `conflicting_group_count` has been determined */
-  MmTime unowned_since;            /* since when at least one group has no owner; 0: none */
+  MmTime unowned_since; /* since when at least one group has no owner; 0: every group has one */
 
   /* Written by transactions.c. */
   MmGroupWrite write_in_flight;
   gboolean is_move_unconfirmed; /* a move got no response; its outcome must be determined */
-  guint64 min_revision;         /* no transaction starts until the replica has reached it */
+  guint64 min_revision; /* no transaction starts until the replica has reached this revision */
   MmTime next_write_at;
 
   /* Written by balance.c. */
@@ -100,8 +101,8 @@
 void mm_sharing_key_changed(MmSharing *sharing, const char *label, const json_t *value,
                             MmKeyVersion version);
 
-/* Called when the machine table has recorded a heartbeat or direct reply. Removes grants that it
- * resolves, and notes an acknowledgement of the group's term. */
+/* Called when the machine table has recorded a heartbeat or direct reply. Removes the grants that
+ * the message resolves, and records an acknowledgement of the group's term. */
 void mm_sharing_heartbeat_received(MmSharing *sharing, MmMachine *machine,
                                    MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
 /* Called when the machine certainly runs no task any more. Removes its grants and no longer waits
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -1,7 +1,7 @@
 /* Transactions that change the owners of machine groups. Each transaction that assigns a group to a
  * node increments the global term, requires the term and all keys that it changes to be at their
- * known versions, and attaches each key to the lease of its node. If any of these has changed, the
- * transaction fails, however late the store applies it. */
+ * known versions, and attaches each key to the lease of its node. If the term, one of these keys or
+ * one of these leases has changed, the transaction fails, however late the store applies it. */
 #include "sharing/transactions.h"
 
 #include "base/wire.h"
@@ -13,7 +13,7 @@
 /* Once groups have had no owner for longer than this, any node may acquire them, not only the one
  * to which they are assigned. */
 #define UNOWNED_WAIT_MS 1500
-/* In a new cluster, how long a node waits for the other nodes to become live before it acquires
+/* Time that a node of a new cluster waits for the other nodes to become live before it acquires
  * groups. */
 #define STARTUP_WAIT_MS 1000
 #define WRITE_INTERVAL_MS 100
@@ -121,10 +121,10 @@
 }
 
 /* Returns the builder of a record with the groups of `record` except `without`, and with `added`
- * under `term`. Any of the three may be NULL. If groups are added and the JSON value exceeds the
- * store's size limit, which happens when there are many different terms, all groups are listed
- * under `term`; their owner then has to wait for all machines to acknowledge the new term. Free
- * with mm_ownership_record_builder_free. */
+ * under `term`. Any of the three may be NULL. The JSON value may exceed the store's size limit if
+ * there are many different terms. If groups are added and the value exceeds the limit, all groups
+ * are listed under `term`. Their owner then has to wait for all machines to acknowledge the new
+ * term. Free with mm_ownership_record_builder_free. */
 static MmOwnershipRecordBuilder *
 build_record(const MmSharing *sharing, const MmOwnershipRecord *record, guint64 lease_id,
              const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
@@ -315,7 +315,7 @@
 
 /* Determines the outcome of a move that got no response and may still be applied. Rewrites this
  * node's key: if that succeeds, the move can no longer be applied, since it requires the key's
- * previous version; if it conflicts, the move has been applied. */
+ * previous version; if the write conflicts, the move has been applied. */
 static void
 confirm_move(MmSharing *sharing) {
   MmNode *node = sharing->node;
@@ -331,8 +331,8 @@
 /* Release while sharing is inactive. */
 
 /* Deletes this node's ownership record. While sharing is inactive, starts are sent without grants,
- * so once it is active again, groups must be acquired under new terms that the machines have not
- * acknowledged yet. Returns FALSE if there is no record. */
+ * so once sharing is active again, groups must be acquired under new terms that the machines have
+ * not acknowledged yet. Returns FALSE if there is no record. */
 static gboolean
 release_groups(MmSharing *sharing) {
   const char *label = sharing->node->settings->label.s;
