--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -7,8 +7,7 @@
  * node's request rate to the key-value store (kv_requests_per_s) they may use. */
 #define MAX_CONCURRENT_LOOKUPS 4
 #define LOOKUP_REQUEST_SHARE 0.1
-/* Delay between the response to a read of a terminal record and the next read of the same record.
- */
+/* Delay between the response to a read of a terminal record and the next read of that record. */
 #define LOOKUP_RETRY_DELAY_MS 500
 
 MmDependencies *
@@ -61,7 +60,7 @@
 }
 
 /* Updates the graph with what this node already knows about the dependencies of a new job: their
- * terminal states, and those jobs that are in the job table. */
+ * terminal states, and those of the dependencies that are in the job table. */
 static void
 add_known_dependencies(MmDependencies *dependencies, const MmJob *job, MmDependencyChange *change) {
   MmJobTable *job_table = dependencies->node->job_table;
@@ -143,8 +142,8 @@
   dependencies->n_pending_lookups--;
   if (vertex != NULL) {
     vertex->is_lookup_pending = FALSE;
-    /* A 404 is temporary: either the job record exists but has not reached the replica yet, or the
-     * job ended after this read. */
+    /* The read is repeated after this delay, because a 404 is temporary: either the job record
+     * exists but has not reached the replica yet, or the job ended after this read. */
     vertex->lookup_not_before = mm_time_add_ms(mm_node_now(node), LOOKUP_RETRY_DELAY_MS);
   }
   if (status == 200)
--- a/src/dependencies/dependency-graph.h
+++ b/src/dependencies/dependency-graph.h
@@ -3,9 +3,9 @@
  *
  * The graph is a pure data structure that performs no I/O. It owns its vertices. A vertex
  * represents an unfinished job that has dependencies, or a job that an unfinished job depends on. A
- * vertex is freed once its job record was deleted and no unfinished job depends on its job. The
- * graph has no cycles, because a job can depend only on jobs that were accepted before it, and ids
- * are never reused. No function is recursive, so the length of a chain of dependencies does not
+ * vertex is freed once the record of its job was deleted and no unfinished job depends on that job.
+ * The graph has no cycles, because a job can depend only on jobs that were accepted before it, and
+ * ids are never reused. No function is recursive, so the length of a chain of dependencies does not
  * affect the stack depth. */
 #pragma once
 
@@ -30,8 +30,7 @@
   GPtrArray *dependencies;    /* MmVertex: the jobs that this job depends on */
   GPtrArray *dependents;      /* MmVertex: the unfinished jobs that depend on this job */
   guint n_unmet;              /* number of dependencies that are not known to be done */
-  guint64
-      last_traversal; /* number of the last traversal that visited this vertex, see n_traversals */
+  guint64 last_traversal;     /* value of n_traversals at the last visit to this vertex */
 };
 
 typedef struct {
@@ -85,6 +84,6 @@
 /* Returns the time of day, in milliseconds, at which the last of the job's dependencies was done.
  * Returns 0 if the job has no dependencies or the time is unknown. */
 gint64 mm_vertex_dependencies_done_at_ms(const MmVertex *vertex);
-/* Returns whether the state of a direct or transitive dependency is unknown. If so, the job may be
- * cancelled although its vertex does not say so. */
+/* Returns whether the state of a direct or transitive dependency is unknown. In that case, the job
+ * may be cancelled although its vertex is not in state MM_VERTEX_CANCELLED. */
 gboolean mm_dependency_graph_has_unknown_dependency(MmDependencyGraph *graph, MmVertex *vertex);
--- a/src/job-api/job-api.h
+++ b/src/job-api/job-api.h
@@ -10,9 +10,8 @@
 
 struct MmJobApi {
   MmNode *node;
-  /* Queues of MmUserRequest, oldest first. */
-  GQueue
-      *awaiting_cancel_acks; /* until all nodes that may respond to workers know the cancellation */
+  /* Queues of waiting MmUserRequest, oldest first. */
+  GQueue *awaiting_cancel_acks;  /* until all nodes that may answer workers know the cancellation */
   GQueue *awaiting_dependencies; /* until the states of the job's dependencies are known */
   GQueue *rate_limited; /* until a write that the key-value store rejected (429) is retried */
 };
--- a/src/job-api/job-cancellation.c
+++ b/src/job-api/job-cancellation.c
@@ -24,10 +24,10 @@
  *
  * A node that may respond to workers holds a node lease, which is visible in any replica that is as
  * new as the cancellation. A node that acquires a lease later reads the job record first. A peer
- * that cannot be reached need not acknowledge the cancellation forever. A node that reads no
- * changes from the key-value store may respond to workers only for a limited time. Once the store
- * has served this node for longer than that, the peer has either read the cancellation or stopped
- * responding to workers. */
+ * that cannot be reached need not acknowledge the cancellation: a node that reads no changes from
+ * the key-value store may respond to workers only for mm_node_lease_max_staleness_us. Once the
+ * store has served this node for twice that time, the peer has either read the cancellation or
+ * stopped responding to workers. */
 static gboolean
 cancel_is_propagated(const MmUserRequest *request) {
   const MmNode *node = request->node;
--- a/src/job-api/job-status.c
+++ b/src/job-api/job-status.c
@@ -109,8 +109,8 @@
 }
 
 /* `is_current`: the replica contains everything that was written before the request arrived. The
- * replica then contains everything that any node had reported about the job by that time, because
- * nodes report only what is written. */
+ * replica then contains everything that any node had reported about the job by that time, because a
+ * node reports only durable state. */
 static void
 on_replica_current(gpointer data, gboolean is_current) {
   MmUserRequest *request = data;
--- a/src/job-api/submission.c
+++ b/src/job-api/submission.c
@@ -17,10 +17,10 @@
 #define RECORD_RESERVE_DIVISOR 4
 /* Maximum time that a submission may take to look up its dependencies. */
 #define DEPENDENCY_LOOKUP_TIMEOUT_MS 3500
-/* Retry-After while the machine types are not known yet. */
+/* Retry-After, in seconds, of the 503 response while the machine types are not known yet. */
 #define TYPES_UNKNOWN_RETRY_S 1
-/* Retry-After while a node does not support dependencies: a node that is being upgraded is
- * expected to be back by then. */
+/* Retry-After, in seconds, of the 503 response while a node does not support dependencies. A node
+ * that is being upgraded is expected to be back after this time. */
 #define UPGRADE_RETRY_S 2
 
 static void write_job_record(MmUserRequest *request);
--- a/src/jobs/completed-tasks.c
+++ b/src/jobs/completed-tasks.c
@@ -113,7 +113,7 @@
   return g_string_free(text, FALSE);
 }
 
-/* Parses a range such as "7" or "7-9" and advances `*text` past it. Returns FALSE if it is
+/* Parses a range such as "7" or "7-9" and advances `*text` past it. Returns FALSE if the range is
  * malformed. */
 static gboolean
 parse_range(const char **text, guint64 *first, guint64 *last) {
--- a/src/jobs/completed-tasks.h
+++ b/src/jobs/completed-tasks.h
@@ -25,6 +25,6 @@
  * tasks the text contains therefore has to parse the text. */
 char *mm_completed_tasks_to_text(const MmCompletedTasks *set, gsize max_bytes);
 /* Adds the tasks of the text; NULL and "" add none. Returns FALSE if the text is malformed or
- * contains a task that the job does not have; some of the tasks may have been added in that case.
- */
+ * contains a task that the job does not have; in that case, some of the tasks may have been
+ * added. */
 gboolean mm_completed_tasks_add_text(MmCompletedTasks *set, const char *text);
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -54,14 +54,14 @@
 typedef struct {
   MmTime estimated_at;
   MmName soonest_machine; /* the machine on which the task could start soonest */
-  double
-      soonest_delay_s; /* delay until the task could start there; below 0: no machine can run it */
+  /* Delay until the task could start on soonest_machine; below 0: no machine can run the task. */
+  double soonest_delay_s;
   double next_soonest_delay_s;  /* the lowest delay on any other machine; below 0: none */
   guint fewest_colocated_tasks; /* services: the fewest co-located tasks on a suitable machine */
 } MmPlacementEstimate;
 
-/* If this many machines have reported an error of the job and none a success, the job itself is
- * probably faulty. */
+/* If this many machines have reported an error of the job, and no machine has reported a success,
+ * the job itself is probably faulty. */
 #define MM_JOB_MAX_FAILED_MACHINES 2
 
 typedef struct {
@@ -112,7 +112,8 @@
 
   /* quota.c */
   gboolean is_within_quota; /* the job and the team's older jobs together fit the team's quota */
-  gboolean has_quota_precedence; /* is_within_quota, and no objective covers jobs within quota */
+  gboolean has_quota_precedence; /* is_within_quota, and no objective in the settings covers jobs
+                                    within quota */
 
   /* urgency.c */
   MmPriority inherited_priority; /* the highest priority among the job and its dependents */
@@ -120,11 +121,11 @@
                                     most normal while the inherited deadline is far off; never below
                                     the job's own priority (initialized by job-table.c) */
   gint64 due_at_ms; /* time of day by which the job must get machines to meet its next objective */
-  gint64 inherited_due_at_ms; /* time of day by which the job must get machines to meet the earliest
-                                 deadline of its dependents */
-  gboolean is_starving;       /* the job has waited longer than starve_s, and none of its tasks was
-                                 started or done; set by scheduler.c or, if another node leads the shard,
-                                 by backlog.c from that node's broadcast */
+  gint64 inherited_due_at_ms; /* time of day by which the job must get machines so that its
+                                 dependents can meet the earliest of their deadlines */
+  gboolean is_starving; /* the job has waited longer than starve_s without a task started or done;
+                           set by scheduler.c or, if another node leads the shard, by backlog.c from
+                           that node's broadcast */
 
   /* placement-estimate.c */
   MmPlacementEstimate placement_estimate;
--- a/src/peers/peer-broadcast.c
+++ b/src/peers/peer-broadcast.c
@@ -3,7 +3,7 @@
 #include "kv/replica.h"
 
 /* Maximum number of heartbeats without changes, and of unverified machines, in one frame. A batch
- * that reaches it is sent without waiting for its interval. */
+ * that reaches this size is sent without waiting for its interval. */
 #define REPEAT_HEARTBEATS_PER_FRAME_MAX 1024
 
 static void
@@ -227,8 +227,8 @@
  * responses.
  *
  * Responses are sent regardless of which node is believed to serve the machine. That belief can be
- * wrong after a partition, when two nodes disagree about who answers a machine; if neither sent its
- * responses, the other nodes would treat a live machine as lost. */
+ * wrong after a partition, when two nodes disagree about who answers a machine; if neither node
+ * sent its responses, the other nodes would treat a live machine as lost. */
 void
 mm_peer_links_send_recent_responses(MmPeerLinks *links, guint peer) {
   MmNode *node = links->node;
--- a/src/peers/peer-broadcast.h
+++ b/src/peers/peer-broadcast.h
@@ -11,8 +11,8 @@
  * answer has status 200. A heartbeat that shows a change, or for which `is_answered` is FALSE, is
  * sent at once and in full. Any other heartbeat is added to the next batch of RepeatHeartbeats. */
 void mm_peer_broadcast_heartbeat(MmPeerLinks *links, MmMachine *machine, gboolean is_answered);
-/* Announces the machine's state as shown by a direct reply. Peers take the term that the machine
- * has acknowledged from the reply. Peers do not count the reply as a heartbeat. */
+/* Announces the machine's state as shown by a direct reply. From the reply, peers take the term
+ * that the machine has acknowledged. Peers do not count the reply as a heartbeat. */
 void mm_peer_broadcast_direct_reply(MmPeerLinks *links, MmMachine *machine);
 /* Announces that this node answered the machine's unverified heartbeat. The announcement is sent
  * with the next batch of RepeatHeartbeats. */
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -178,9 +178,9 @@
 }
 
 /* Records when the key-value store last served the peer, assuming that the message took no time.
- * This gives the latest possible instant, because an earlier instant could wrongly prove an outage.
- * Each message replaces the recorded instant, because the recorded instant is too late if the
- * earlier message was delayed. */
+ * This assumption gives the latest possible instant. An earlier instant could wrongly prove an
+ * outage. Each message replaces the recorded instant, because the recorded instant is too late if
+ * the earlier message was delayed. */
 static void
 record_kv_served(MmPeerLinks *links, guint peer, guint32 served_age_plus_one_ms) {
   if (served_age_plus_one_ms > 0)
@@ -189,7 +189,7 @@
 }
 
 /* Records when the key-value store last refused the peer, assuming that the peer sent the pong at
- * the time at which this node sent the ping. This gives the earliest possible instant, because a
+ * the time at which this node sent the ping. This assumption gives the earliest possible instant. A
  * later instant could wrongly prove an outage. The pong may have been delayed, or have remained
  * unread while this node was suspended. A ping from the peer carries no refusal, because it gives
  * no such bound. */
--- a/src/peers/peer-links.h
+++ b/src/peers/peer-links.h
@@ -17,12 +17,12 @@
   MmName label;
   gboolean is_connected; /* this node's connection to the peer is open */
   gboolean is_up;        /* connected, and the peer has been sent the initial state */
-  gint64 silent_us;      /* time since the connection opened or the last pong on it */
+  gint64 silent_us;      /* time since the connection opened or last delivered a pong */
   guint64 lease_id;      /* the peer's lease according to its last pong; 0: none */
-  MmTime
-      responses_known_until; /* this node knows all responses that the peer gave before this time */
-  MmTime last_refused_at;    /* lower bound of when the key-value store last refused the peer */
-  MmTime last_served_at;     /* upper bound of when the key-value store last served the peer */
+  /* This node knows all responses that the peer gave to workers before this time. */
+  MmTime responses_known_until;
+  MmTime last_refused_at; /* lower bound of when the key-value store last refused the peer */
+  MmTime last_served_at;  /* upper bound of when the key-value store last served the peer */
   MmTime last_pong_at;
   gboolean serves_workers; /* according to the last pong */
   guint n_machines;        /* machines that report to the peer, according to the last pong */
@@ -80,7 +80,8 @@
 MmTime mm_peer_links_last_served_at(const MmPeerLinks *links);
 /* Returns whether the link is up and a recent pong says that the peer may answer workers. */
 gboolean mm_peer_links_peer_serves_workers(const MmPeerLinks *links, guint peer);
-/* Returns the peer with the fewest machines of those that may answer workers, or MM_PEER_NONE. */
+/* Of the peers that may answer workers, returns the peer with the fewest machines; MM_PEER_NONE: no
+ * peer may answer workers. */
 gint mm_peer_links_least_loaded(const MmPeerLinks *links);
 /* Sends the frame if the link to the peer is up; otherwise does nothing. The caller keeps ownership
  * of the frame. */
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -1,5 +1,5 @@
 /* Balances the machine groups among the nodes. Only the leader of the balancing shard orders moves.
- * Its orders carry the shard's term, so owners reject those of a former leader. */
+ * The orders carry the shard's term, so that owners can reject the orders of a former leader. */
 #include "sharing/balance.h"
 
 #include "leases/node-lease.h"
--- a/src/sharing/grants.h
+++ b/src/sharing/grants.h
@@ -31,14 +31,15 @@
  * Refuses if the machine has sent a newer message than the heartbeat of the grant. Idempotent:
  * succeeds for a grant that is already outstanding. */
 gboolean mm_grants_try_grant(MmGrants *grants, MmMachine *machine, const MmGrant *grant);
-/* Removes the grants that a newly recorded message of the machine resolves. The resources of a
- * start that the message shows are accounted for by the message. A start that the message does not
- * show was not executed if the worker sent the message after it had processed the response with the
- * start. `is_direct_reply`: the message is the reply to a direct command, which proves nothing
- * about starts in transit to the same incarnation. */
+/* Removes the grants that a newly recorded message of the machine resolves. A start that the
+ * message shows is accounted for by that message. A start that the message does not show was not
+ * executed if the worker sent the message after it had processed the response with the start.
+ * `is_direct_reply`: the message is the reply to a direct command, which proves nothing about
+ * starts in transit to the same incarnation. */
 void mm_grants_heartbeat_received(MmGrants *grants, const MmMachine *machine,
                                   MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
-/* Removes the machine's grants: no task runs on it any more and no start can reach it. */
+/* Removes the machine's grants. Called when no task runs on the machine any more and no start can
+ * reach the machine. */
 void mm_grants_machine_gone(MmGrants *grants, const char *machine);
 /* Removes the grants on all machines of the group; another node may grant their resources from now
  * on. */
--- a/src/sharing/group-map.c
+++ b/src/sharing/group-map.c
@@ -105,7 +105,8 @@
   const OwnerUpdate *update = data;
   MmGroupOwner *owner = &update->map->owners[group];
 
-  /* A group is in two records only if someone edited a key by hand; the later term wins. */
+  /* A group is in two records only if someone edited a key by hand; the record with the later term
+   * is used then. */
   if (update->term.v > owner->term.v)
     *owner = (MmGroupOwner){ update->record, update->term };
   return true;
--- a/src/sharing/group-map.h
+++ b/src/sharing/group-map.h
@@ -43,8 +43,8 @@
 /* Creates an empty map. `n_groups`: at least 1. */
 MmGroupMap *mm_group_map_new(guint n_groups);
 void mm_group_map_free(MmGroupMap *map);
-/* Stores the new value of a node's key. Returns FALSE if it is malformed; the groups of that node
- * are then unknown, so no other node may acquire groups that seem to have no owner. */
+/* Stores the new value of a node's key. Returns FALSE if the value is malformed. The groups of that
+ * node are then unknown, so no other node may acquire groups that seem to have no owner. */
 gboolean mm_group_map_put(MmGroupMap *map, const char *label, const json_t *value,
                           MmKeyVersion version);
 /* Removes a node's key that was deleted from the key-value store. */
@@ -60,15 +60,15 @@
 MmKeyVersion mm_group_map_key_version(const MmGroupMap *map, const char *label);
 /* Returns the group's owner. A group number outside the map has none. */
 MmGroupOwner mm_group_map_owner(const MmGroupMap *map, guint group);
-/* Returns the number of groups of an ownership record that differs in it from this map; 0: there is
- * no such record. */
+/* Searches the ownership records for a number of groups that differs from `n_groups` of the map.
+ * Returns that number; 0: all records agree with the map. */
 guint mm_group_map_conflicting_group_count(const MmGroupMap *map);
 
 /* Builder of an ownership record's JSON. */
 typedef struct MmOwnershipRecordBuilder MmOwnershipRecordBuilder;
 MmOwnershipRecordBuilder *mm_ownership_record_builder_new(guint n_groups, guint64 lease_id);
 void mm_ownership_record_builder_free(MmOwnershipRecordBuilder *builder);
-/* Adds a group below `n_groups`. If it is listed already, the later term is kept. */
+/* Adds a group below `n_groups`. If the group is listed already, the later term is kept. */
 void mm_ownership_record_builder_add(MmOwnershipRecordBuilder *builder, guint group, MmTerm term);
 /* Adds all groups of the record except those in `without`, which may be NULL. The record must have
  * the same number of groups as the builder. */
--- a/src/sharing/group-set.h
+++ b/src/sharing/group-set.h
@@ -12,8 +12,8 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmGroupSet, roaring_bitmap_free)
 
 /* Returns the group, below `n_groups`, of the machine with this name; 0 if `n_groups` is 0. The
- * hash function must never change, because nodes of different versions must compute the same group.
- */
+ * hash function must never change, because nodes of different versions must compute the same group
+ * for a machine. */
 guint mm_group_of_machine(const char *machine, guint n_groups);
 
 /* Returns the set's text form. Free with g_free. */
--- a/src/sharing/shares.h
+++ b/src/sharing/shares.h
@@ -25,8 +25,7 @@
 /* Computes the next move of one group, from the node furthest above its target to the node furthest
  * below it. Returns FALSE if no move is needed: no node is above its target, no node is below its
  * target, or neither of the two nodes deviates from its target by more than `slack`. `slack` is
- * ignored if the target of the node furthest above is 0, so that the node releases all its groups.
- */
+ * ignored if the target of the node furthest above is 0, so that this node releases all groups. */
 gboolean mm_shares_next_move(const MmShare *shares, const guint *targets, guint n_nodes,
                              guint slack, MmShareMove *move);
 
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -106,7 +106,7 @@
 }
 
 /* Removes groups that this node no longer owns, or owns under another term, and adds newly owned
- * ones. */
+ * groups. */
 static void
 update_owned_groups(MmSharing *sharing) {
   const GPtrArray *machines = sharing->node->machine_table->sorted_machines;
@@ -201,11 +201,11 @@
 
 /* Heartbeats and registration. */
 
-/* Returns whether the machine's newest message proves that it no longer executes starts granted by
- * earlier owners. A message that carries the group's term or a later term is such a proof. A
- * message from a newer incarnation than the one registered when the group was acquired is also a
- * proof, because tasks of the old incarnation no longer run. The same rule holds for a team's
- * shard. */
+/* Returns whether the machine's newest message proves that the machine no longer executes starts
+ * granted by earlier owners. A message that carries the group's term or a later term is such a
+ * proof. A message from a newer incarnation than the one registered when the group was acquired is
+ * also a proof, because tasks of the old incarnation no longer run. The same rule holds for a
+ * team's shard. */
 static gboolean
 acknowledges_group_term(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
   return machine->acknowledged_term.v >= owned->term.v
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -20,9 +20,8 @@
   guint number;
   MmTerm term;
   MmTime acquired_at;
-  /* Machines that may still execute starts granted by earlier owners, because the machines have not
-   * acknowledged `term`: id -> registered incarnation. No resources of these machines are granted.
-   */
+  /* Machines that have not acknowledged `term` and may therefore still execute starts granted by
+   * earlier owners: id -> registered incarnation. No resources of these machines are granted. */
   GHashTable *unacknowledged;
   gboolean is_moving;  /* a move to `target` is in progress: no resources are granted */
   MmName target;       /* valid while `is_moving` */
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -10,8 +10,8 @@
 #include "kv/kv-client.h"
 #include "sharing/balance.h"
 
-/* Once groups have had no owner for longer than this, any node may acquire them, not only the one
- * to which they are assigned. */
+/* Once groups have had no owner for longer than this, any node may acquire these groups, not only
+ * the node to which they are assigned. */
 #define UNOWNED_WAIT_MS 1500
 /* Time that a node of a new cluster waits for the other nodes to become live before it acquires
  * groups. */
@@ -70,8 +70,8 @@
     sharing->is_move_unconfirmed = FALSE;
   } else if (status == 409) {
     /* Conflict: the term or a key has changed, as the replica will show. If the outcome of a move
-     * was unknown, that move has either been applied, or cannot be applied any more, since another
-     * transaction has changed this node's key. */
+     * was unknown, that move has either been applied, or cannot be applied any more, because
+     * another transaction has changed this node's key. */
     sharing->is_move_unconfirmed = FALSE;
     delay_next_write(sharing, CONFLICT_BACKOFF_MS);
   } else if (status == 400) {
@@ -121,10 +121,10 @@
 }
 
 /* Returns the builder of a record with the groups of `record` except `without`, and with `added`
- * under `term`. Any of the three may be NULL. The JSON value may exceed the store's size limit if
- * there are many different terms. If groups are added and the value exceeds the limit, all groups
- * are listed under `term`. Their owner then has to wait for all machines to acknowledge the new
- * term. Free with mm_ownership_record_builder_free. */
+ * under `term`. `record`, `without` and `added` may be NULL. The JSON value may exceed the store's
+ * size limit if there are many different terms. If groups are added and the value exceeds the
+ * limit, all groups are listed under `term`. Their owner then has to wait for all machines to
+ * acknowledge the new term. Free with mm_ownership_record_builder_free. */
 static MmOwnershipRecordBuilder *
 build_record(const MmSharing *sharing, const MmOwnershipRecord *record, guint64 lease_id,
              const MmGroupSet *without, const MmGroupSet *added, MmTerm term) {
@@ -202,7 +202,8 @@
   MmTerm term;
 
   /* A malformed record may list any group, so no group can be assumed to have no owner. Only the
-   * node whose record it is may acquire groups, which replaces the record. */
+   * node to which the malformed record belongs may acquire groups, because its acquisition replaces
+   * that record. */
   if (awaits_other_nodes(sharing)
       || (g_hash_table_size(sharing->map->malformed) > 0
           && !g_hash_table_contains(sharing->map->malformed, node->settings->label.s)))
@@ -260,8 +261,8 @@
   }
 }
 
-/* Returns the first group that is ready to move, together with all others ready to move to the same
- * target, and sets `target` unless the set is empty. Free with roaring_bitmap_free. */
+/* Returns the first group that is ready to move, together with all other groups that are ready to
+ * move to the same target. Sets `target` unless the set is empty. Free with roaring_bitmap_free. */
 static MmGroupSet *
 groups_to_move(const MmSharing *sharing, MmName *target) {
   MmGroupSet *set = roaring_bitmap_create();
@@ -314,8 +315,10 @@
 }
 
 /* Determines the outcome of a move that got no response and may still be applied. Rewrites this
- * node's key: if that succeeds, the move can no longer be applied, since it requires the key's
- * previous version; if the write conflicts, the move has been applied. */
+ * node's key. If the write succeeds, the move can no longer be applied, because the move requires
+ * the key's previous version. If the write conflicts, another transaction has changed the key
+ * before: either the move itself, or a transaction after which the move cannot be applied any
+ * more. */
 static void
 confirm_move(MmSharing *sharing) {
   MmNode *node = sharing->node;
