--- a/src/jobs/completed-tasks.c
+++ b/src/jobs/completed-tasks.c
@@ -79,7 +79,8 @@
   return ranges;
 }
 
-/* Removes all but the longest ranges whose texts, each with its separator, fit into `max_bytes`. */
+/* Keeps the longest ranges that fit into `max_bytes` and removes the others. The size of a range is
+ * the length of its text including a separator. */
 static void
 keep_longest_ranges(GArray *ranges, gsize max_bytes) {
   char buffer[RANGE_TEXT_MAX];
@@ -112,7 +113,7 @@
   return g_string_free(text, FALSE);
 }
 
-/* Parses a range such as "7" or "7-9" and advances `*text` past it. Returns FALSE if it is
+/* Parses a range such as "7" or "7-9" and advances `*text` past it. Returns FALSE if the range is
  * malformed. */
 static gboolean
 parse_range(const char **text, guint64 *first, guint64 *last) {
