--- a/src/base/json.h
+++ b/src/base/json.h
@@ -1,5 +1,4 @@
-/* Helper functions for jansson. They treat a member that is null or of an unexpected type as
- * absent. */
+/* Helper functions for jansson. A member that is null or of an unexpected type counts as absent. */
 #pragma once
 
 #include <jansson.h>
@@ -8,8 +7,8 @@
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(json_t, json_decref)
 
-/* Returns the member as a borrowed reference, or NULL if it is absent or null or if `object` is not
- * a JSON object. */
+/* Returns the member, borrowed from `object`. Returns NULL if the member is absent or null, or if
+ * `object` is not a JSON object. */
 json_t *mm_json_get(const json_t *object, const char *key);
 /* Returns the member's string, borrowed from `object`, or NULL if the member is not a string. */
 const char *mm_json_string(const json_t *object, const char *key);
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,5 +1,5 @@
-/* Types for ids, versions, times and resources. Each is a separate struct, so that the compiler
- * rejects a value of one type where another is expected. */
+/* Types for ids, versions, times and resources. Each type is a separate struct, because the
+ * compiler then rejects a value of one type where another type is expected. */
 #pragma once
 
 #include <glib.h>
@@ -15,8 +15,8 @@
   guint64 v;
 } MmTerm;
 
-/* A revision of the key-value store: the store's current one, or that of the last change of a key.
- * 0 stands for "none". */
+/* A revision of the key-value store: the store's current revision, or the revision of the last
+ * change of a key. 0 stands for "none". */
 typedef struct {
   guint64 v;
 } MmKeyVersion;
@@ -89,7 +89,7 @@
   return a.incarnation != b.incarnation ? a.incarnation > b.incarnation : a.sequence > b.sequence;
 }
 
-/* The resources of a machine, or those required by a task. */
+/* The resources of a machine, or the resources that a task requires. */
 typedef struct {
   double cores;
   double accelerators;
--- a/src/base/wire.h
+++ b/src/base/wire.h
@@ -1,6 +1,6 @@
 /* Names used in the HTTP protocols: JSON fields, some of their values, and paths. The protocols use
  * their own vocabulary; the code uses the standard terms of cluster scheduling. Only this file maps
- * one to the other. */
+ * the standard terms to the words of the protocols. */
 #pragma once
 
 /* User API: submission, status and cancellation of jobs. */
--- a/src/config/config-error.h
+++ b/src/config/config-error.h
@@ -1,5 +1,5 @@
 /* Errors in the configuration files. The message is a single line that gives the file, the field or
- * line number, and the problem. It is printed to the user unchanged. */
+ * line number, and the problem. The message is printed to the user unchanged. */
 #pragma once
 
 #include <glib.h>
--- a/src/config/operators.c
+++ b/src/config/operators.c
@@ -137,7 +137,8 @@
   parse->open_weight = NULL;
 }
 
-/* Parses a finite number. Returns FALSE if `text` is not one or it lies outside `min` to `max`. */
+/* Parses a finite number. Returns FALSE if `text` is not a finite number, or if the number is less
+ * than `min` or greater than `max`. */
 static gboolean
 read_number(const char *text, double min, double max, double *number) {
   char *end = NULL;
--- a/src/config/operators.h
+++ b/src/config/operators.h
@@ -1,5 +1,6 @@
-/* The operators' settings: an optional XML file whose root element <martenmount> has one child
- * element per setting, and one <group-weight> per node with a weight of its own.
+/* The operators' settings: an optional XML file. Its root element <martenmount> has one child
+ * element for each setting and one <group-weight> for each node to which the operators give a
+ * weight.
  *
  * The file is read once at start-up; the settings are constant afterwards. All numbers, including
  * counts and on/off switches, are stored as doubles. mm_operator_settings maps the XML elements to
@@ -12,9 +13,9 @@
 /* The maximum number of nodes: MM_PEERS_MAX peers and this node. */
 #define MM_NODE_WEIGHTS_MAX 32
 
-/* The maximum number of machine groups. A set of groups is stored as a list of ranges, which is
- * longest when the set contains every second group. With this maximum the longest list fits into
- * 2 KiB, a value size that every key-value store is expected to accept. */
+/* The maximum number of machine groups. A set of groups is stored as a list of ranges. The list is
+ * longest when the set contains every second group. With 512 groups the longest list fits into 2
+ * KiB, and every key-value store is expected to accept values of that size. */
 #define MM_GROUPS_MAX 512
 
 /* A node's share of the machine groups relative to the other nodes. Nodes that are not listed have
@@ -32,9 +33,10 @@
   double lease_renew_interval_s;
   /* Time between two pings to the same peer. */
   double peer_ping_interval_s;
-  /* A task that has waited longer has precedence on any fitting machine. */
+  /* A task that has waited longer than this has precedence on any machine that it fits. */
   double wait_bound_s;
-  /* How long a response to a worker waits for start responses of shard leaders. */
+  /* How long this node delays its response to a worker to wait for start responses of shard
+   * leaders. */
   double start_request_timeout_ms;
   /* Maximum number of start commands in one response to a worker. */
   double max_starts_per_response;
@@ -42,21 +44,22 @@
   double candidates_per_request;
   /* A machine that has had no tasks for this long is released. */
   double idle_release_s;
-  /* A machine that the cloud lists and that has been silent for this long is released. 0: it is
-   * released when a heartbeat is overdue and status requests get no response. */
+  /* A machine in the cloud's list is released when it has been silent for this long. With 0, a
+   * machine is released when its heartbeat is overdue and status requests to it get no response. */
   double silent_release_s;
-  /* A machine that is still booting after this many times the nominal boot time counts as failed
-   * and is released. */
+  /* Multiplies the nominal boot time. A machine that is still booting after the resulting time
+   * counts as failed and is released. */
   double boot_timeout_factor;
   /* How long urgent tasks wait for free resources before they may preempt other tasks. */
   double preempt_after_s;
-  /* A job that has waited longer with no task started has precedence over all others. */
+  /* A job of which no task has started for longer than this has precedence over all other jobs. */
   double starved_after_s;
   /* 1: machines are requested when tasks are pending; 0: machines are never requested. */
   double may_scale_out;
   /* Number of machine groups that are divided among the nodes. 0: there are no groups. */
   double group_count;
-  /* A group that has moved is not moved again for this long, except by an operator. */
+  /* After a move, a group stays with its node for at least this long, unless an operator moves it.
+   */
   double group_min_stay_s;
   /* Maximum number of group moves in progress at the same time. */
   double max_group_moves;
@@ -80,10 +83,11 @@
 
 /* Returns the default values, without group weights. */
 MmOperators mm_operators_defaults(void);
-/* Overwrites the settings that the XML document contains and keeps the others. `path` is only used
- * in error messages. `length` is in bytes, or -1 if `xml` is NUL-terminated. Returns FALSE with an
- * error in the MM_CONFIG_ERROR domain whose message gives the file, the line (except for
- * contradictions between settings) and the setting. */
+/* Overwrites the settings that the XML document contains and keeps the other settings. `path` is
+ * only used in error messages. `length` is in bytes, or -1 if `xml` is NUL-terminated. If the
+ * document is invalid, returns FALSE with an error in the MM_CONFIG_ERROR domain. The error message
+ * gives the file, the line and the setting; for a contradiction between settings it gives no line.
+ */
 gboolean mm_operators_parse(MmOperators *operators, const char *path, const char *xml,
                             gssize length, GError **error);
 /* Returns FALSE, with an error in the MM_CONFIG_ERROR domain, if the number of groups is not whole,
@@ -91,8 +95,8 @@
 gboolean mm_operators_check_against_settings(const MmOperators *operators,
                                              const MmSettings *settings, const char *path,
                                              GError **error);
-/* Returns the node's weight, or 1 if none is configured. */
+/* Returns the weight of the node, or 1 if no weight is configured for the node. */
 double mm_operators_group_weight(const MmOperators *operators, const char *node);
-/* Reads the file and calls mm_operators_parse on its contents. Returns FALSE with an error
- * likewise, and also if the file cannot be read. */
+/* Reads the file and calls mm_operators_parse on its contents. Returns FALSE with an error in the
+ * MM_CONFIG_ERROR domain if the file cannot be read or is invalid. */
 gboolean mm_operators_read(MmOperators *operators, const char *path, GError **error);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -169,8 +169,8 @@
 }
 
 /* Reads a limit of the key-value store. If a future limit is announced under `next`, returns the
- * smaller of the two: the new limit takes effect without notice, so the smaller one is respected
- * from start-up. */
+ * smaller of the current and the future limit. The smaller limit applies from start-up, because the
+ * future limit takes effect without notice. */
 static double
 read_kv_limit(Validation *validation, const json_t *section, const char *key, double min,
               double max) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -18,7 +18,7 @@
   MmName name;
   /* Guaranteed resources. memory_gb is 0: the settings have no quota for memory. */
   MmResources quota;
-  /* Maximum resources; 0: no limit for that resource. */
+  /* Maximum resources. 0 means that the resource is not limited. */
   MmResources limit;
 } MmTeamSettings;
 
@@ -27,8 +27,8 @@
   MM_OBJECTIVE_WAIT,     /* the last task starts within `within_s` */
   MM_OBJECTIVE_FINISHED, /* the job finishes within `within_s` */
   MM_OBJECTIVE_DEADLINE, /* the job finishes within its own deadline times `deadline_factor` */
-  MM_OBJECTIVE_QUOTA,    /* like MM_OBJECTIVE_WAIT, for the jobs within their team's quota */
-  MM_OBJECTIVE_OTHER     /* unknown kind, ignored */
+  MM_OBJECTIVE_QUOTA, /* like MM_OBJECTIVE_WAIT, but only for jobs within the quota of their team */
+  MM_OBJECTIVE_OTHER  /* unknown kind, ignored */
 } MmObjectiveKind;
 
 /* A service-level objective for a class of jobs. */
@@ -65,12 +65,12 @@
 } MmSettings;
 
 /* Reads and validates the file. Returns new settings, or NULL with an error in the MM_CONFIG_ERROR
- * domain whose message gives the file, the field or line, and the problem. */
+ * domain. The error message gives the file, the field or line, and the problem. */
 MmSettings *mm_settings_read(const char *path, GError **error);
-/* Like mm_settings_read, for a file that has already been read into `root`. `path` is only used in
+/* Like mm_settings_read, but takes the contents of the file from `root`. `path` is only used in
  * error messages. */
 MmSettings *mm_settings_from_json(const char *path, const json_t *root, GError **error);
-/* Returns whether the label is that of this node or of a peer. */
+/* Returns whether this node or one of its peers has the label. */
 gboolean mm_settings_has_node(const MmSettings *settings, const char *label);
 void mm_settings_free(MmSettings *settings);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmSettings, mm_settings_free)
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -1,4 +1,4 @@
-/* Reads TOML files into JSON values. The implementation is in C++, because Debian packages no TOML
+/* Reads TOML files into JSON values. The implementation is in C++ because Debian packages no TOML
  * library for C. */
 #pragma once
 
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -23,11 +23,13 @@
 #include "upgrade/versions.h"
 #include "node/wiring.h"
 
-/* How long is_healthy() counts these requests as recent: the last one of this node that the
- * key-value store served, and the last one of any peer that it refused. */
+/* How long is_healthy() counts a request to the key-value store as recent. It considers the last
+ * request of this node that the store served, and the last request of any peer that the store
+ * refused. */
 #define KV_RECENT_RESPONSE_MS 2000
-/* Load shedding under overload: status polls are rejected at the smaller tick delay, submissions
- * only at the larger one. Heartbeats, cancellations and health checks are never rejected. */
+/* Load shedding under overload: status polls are rejected from a tick delay of SHED_POLLS_DELAY_MS,
+ * submissions from SHED_SUBMISSIONS_DELAY_MS. Heartbeats, cancellations and health checks are never
+ * rejected. */
 #define SHED_POLLS_DELAY_MS 600
 #define SHED_SUBMISSIONS_DELAY_MS 1500
 #define LOAD_SHED_RETRY_S 3
@@ -73,7 +75,8 @@
     mm_kv_client_fail_unsent(node->kv);
   mm_heartbeat_server_free(node->heartbeat_server);
   mm_job_api_free(node->job_api);
-  mm_replica_free(node->replica); /* calls the callbacks that wait for a current replica */
+  mm_replica_free(
+      node->replica); /* calls the callbacks of callers that wait for an up-to-date replica */
   mm_peer_links_free(node->peer_links);
   mm_sharing_free(node->sharing);
   mm_autoscaler_free(node->autoscaler);
@@ -99,7 +102,8 @@
   mm_node_tick(node);
 }
 
-/* Updates tick_delay_ms, the worst recent delay: each tick that is on time halves it. */
+/* Updates tick_delay_ms, the worst recent delay of a tick. Each tick that is on time halves the
+ * stored delay. */
 static void
 measure_tick_delay(MmNode *node) {
   MmTime now = mm_node_now(node);
@@ -142,11 +146,11 @@
   mm_autoscaler_tick(node->autoscaler);
 }
 
-/* Returns whether health checks succeed, so that users are sent to healthy nodes only. A node is
- * unhealthy until its replica, the machine types and a supported format are loaded, while the
- * key-value store does not respond to it, and while the store refuses this node alone. If the store
- * refuses peers as well, or no peer serves workers, the node stays healthy: sending its users
- * elsewhere would help nobody. */
+/* Returns whether health checks succeed. Users are sent to healthy nodes only. A node is unhealthy
+ * until it has loaded its replica, the machine types and a supported format. A loaded node is
+ * unhealthy while the key-value store does not respond to it or refuses only this node. If the
+ * store refuses peers as well, or if no peer serves workers, the node is healthy, because its users
+ * would get no better service from another node. */
 static gboolean
 is_healthy(const MmNode *node) {
   MmTime now = mm_node_now(node);
@@ -190,8 +194,8 @@
 }
 
 /* Returns whether the node must not serve requests because it does not support the active format.
- * Until the format is known the node has read no data that it could misinterpret, so it is not
- * fenced. */
+ * While the format is unknown the node is not fenced, because it has not read any data yet that it
+ * could misinterpret. */
 static gboolean
 is_fenced(const MmNode *node) {
   return node->format->is_known && !mm_format_is_supported(node->format);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -36,7 +36,8 @@
   GRand *rand;
   MmTime started_at;
   MmTime last_tick_at;
-  gint64 tick_delay_ms; /* the worst recent delay of a tick; halved by each tick that is on time */
+  gint64 tick_delay_ms; /* the worst recent delay of a tick; each tick that is on time halves this
+                           value */
 
   MmKvClient *kv;
   MmReplica *replica;
@@ -62,8 +63,8 @@
  * initializes the node's random number generator. */
 MmNode *mm_node_new(const MmSettings *settings, const MmOperators *operators,
                     const MmPlatform *platform, guint32 seed);
-/* Frees the node. Must only be called when no response to any of the node's requests can arrive any
- * more. */
+/* Frees the node. Must be called only when no response callback of the node's requests can be
+ * invoked any more. */
 void mm_node_free(MmNode *node);
 
 /* Starts loading the replica and runs the first tick. */
--- a/src/node/peer-receiver.c
+++ b/src/node/peer-receiver.c
@@ -11,9 +11,9 @@
 #include "sharing/moves.h"
 #include "sharing/sharing.h"
 
-/* Sends the initial state to a peer that has proved to be alive, before this node answers any of
- * its pings. Until then only a few bytes are sent on each new connection, so a peer whose process
- * is stopped costs little. */
+/* Sends the initial state to a peer whose first frame has proved that the peer is alive. This node
+ * sends the initial state before it answers any ping of the peer. Before that first frame this node
+ * sends only a few bytes on a new connection, because the peer's process may be stopped. */
 static void
 send_initial_state(MmPeerLinks *links, guint peer) {
   const MmJobTable *job_table = links->node->job_table;
@@ -23,15 +23,17 @@
   mm_peer_links_send_recent_responses(links, peer);
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
-    /* The peer derives by itself which jobs are cancelled because a dependency was cancelled. */
+    /* A job is also cancelled when one of its dependencies is cancelled. Such jobs are not sent,
+     * because the peer finds them by itself. */
     if (job->is_cancelled && !mm_job_has_cancelled_dependency(job))
       mm_peer_links_send_cancellation(links, peer, job->spec.id.s);
   }
   mm_placement_send_backlog(links->node->placement, (gint)peer);
 }
 
-/* Returns the tasks of the message as an array of MmReportedTask; free it with g_array_unref. A
- * state or cause beyond the last known enum value is replaced by that last value. */
+/* Returns the tasks of the message as an array of MmReportedTask. Free the array with
+ * g_array_unref. A state or cause above the last known enum value is replaced by the last known
+ * value. */
 static GArray *
 parse_reported_tasks(const Mm__Heartbeat *message) {
   GArray *tasks = g_array_sized_new(FALSE, TRUE, sizeof(MmReportedTask), (guint)message->n_tasks);
@@ -111,8 +113,8 @@
                           .number = item->number,
                           .attempt = { item->attempt },
                           .grace_s = item->grace_s };
-    /* Start commands are valid only in the response for which they were made, so peers do not
-     * forward them. */
+    /* Peers do not forward start commands, because a start command is valid only in the response
+     * for which it was created. */
     if (command.op == MM_OP_STOP || command.op == MM_OP_FORGET)
       mm_machine_queue_command(machine, message->incarnation, &command);
   }
--- a/src/node/wiring.c
+++ b/src/node/wiring.c
@@ -64,9 +64,9 @@
   mm_format_key_changed(context, NULL);
 }
 
-/* Lists the format key as known even if it has never been read, so that a reload that does not find
- * the key reports it as removed. An absent key stands for the first format, which is also the
- * lowest. */
+/* Lists the format key as known even if this node has never read the key. The reason is that a
+ * reload reports a known key as removed if the store does not have the key. An absent key stands
+ * for the first format, which is also the lowest format. */
 static void
 list_format_key(gpointer context, const char *prefix, GPtrArray *keys) {
   g_ptr_array_add(keys, g_strdup(prefix));
@@ -141,8 +141,8 @@
   mm_heartbeat_server_replica_changed(context);
 }
 
-/* The scheduler must be the first listener: it determines which shards this node leads, and since
- * when. */
+/* The scheduler must be the first listener, because it determines which shards this node leads and
+ * since when it leads them. */
 static void
 listen_to_replica(MmNode *node) {
   mm_replica_add_change_listener(node->replica, scheduler_replica_changed, node->scheduler);
@@ -188,7 +188,8 @@
   mm_dependencies_job_ended(context, job_id, terminal->is_cancelled, terminal->completed_at_ms);
 }
 
-/* The dependencies must be the last observer: for a new job they call the scheduler. */
+/* The dependencies module must be the last observer, because it calls the scheduler for each new
+ * job. */
 static void
 observe_job_table(MmNode *node) {
   const MmJobObserver observers[] = {
--- a/src/node/wiring.h
+++ b/src/node/wiring.h
@@ -1,6 +1,7 @@
 /* Connects the modules of a node. A module must not include headers of a higher layer (see
- * .ci/layers.txt), so it notifies modules of higher layers through observers and listeners and
- * queries them through callbacks. Only the wiring includes the headers of both sides. */
+ * .ci/layers.txt). A module therefore notifies modules of higher layers through observers and
+ * listeners, and queries them through callbacks. Only the wiring includes the headers of both
+ * layers. */
 #pragma once
 
 #include "node/node.h"
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -1,8 +1,9 @@
 /* The interface through which a node accesses clocks, outgoing requests, links to peers and timers.
- * The program implements it with sockets, the tests with a simulation.
+ * The program `martenmount` implements the interface with sockets; the tests implement it with a
+ * simulation.
  *
- * Callbacks of requests and timers are called from the single main loop, never from within the call
- * that requested them. */
+ * Callbacks of requests and timers are invoked by the single main loop, never during the call of
+ * `request` or `call_after` to which they were passed. */
 #pragma once
 
 #include <jansson.h>
@@ -14,7 +15,8 @@
 typedef enum { MM_TARGET_KV_STORE, MM_TARGET_CLOUD, MM_TARGET_WORKER } MmTarget;
 
 /* Receives a response. `status` is the HTTP status, or 0 if there was no valid response before the
- * time-out. `body` is borrowed for the call; it is NULL if it is absent or not JSON. */
+ * time-out. `body` is borrowed for the call. It is NULL if the response has no body or the body is
+ * not JSON. */
 typedef void (*MmResponseCallback)(gpointer data, int status, json_t *body);
 
 typedef struct {
@@ -26,11 +28,11 @@
   void (*request)(gpointer context, MmTarget target, const char *address, const char *method,
                   const char *path, const json_t *body, guint timeout_ms,
                   MmResponseCallback on_response, gpointer data);
-  /* Sends a frame to the peer; it is dropped if there is no connection. `frame` is borrowed for the
-   * call. */
+  /* Sends a frame to the peer, or drops the frame if there is no connection to the peer. `frame` is
+   * borrowed for the call. */
   void (*send)(gpointer context, guint peer, const Mm__Frame *frame);
-  /* Closes the connection to the peer, which calls mm_peer_links_disconnected, and opens a new one.
-   */
+  /* Closes the connection to the peer and opens a new connection. Closing calls
+   * mm_peer_links_disconnected. */
   void (*reconnect)(gpointer context, guint peer);
   /* Calls `callback` once after `ms` milliseconds. The timer cannot be cancelled. */
   void (*call_after)(gpointer context, guint ms, void (*callback)(gpointer data), gpointer data);
@@ -56,7 +58,8 @@
   platform->call_after(platform->context, ms, callback, data);
 }
 
-/* An incoming request. It must be responded to exactly once and must not be used afterwards. */
+/* An incoming request. Its handler must respond exactly once and must not use the exchange after
+ * the response. */
 typedef struct MmHttpExchange MmHttpExchange;
 struct MmHttpExchange {
   /* Sends the response and takes ownership of `body`. If `retry_after_s` is 0, no Retry-After
--- a/src/transport/groups-command.c
+++ b/src/transport/groups-command.c
@@ -42,8 +42,8 @@
   return message;
 }
 
-/* Returns the body of the response as a new reference. If there is none, returns NULL and sets
- * `reason`, which the caller must free. */
+/* Returns the body of the response as a new reference. If the response has no usable body, returns
+ * NULL and sets `reason`, which the caller must free. */
 static json_t *
 send_request(const Arguments *arguments, guint *status, char **reason) {
   g_autoptr(SoupSession) soup_session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
--- a/src/transport/http-client.c
+++ b/src/transport/http-client.c
@@ -1,6 +1,6 @@
 /* Sends requests to the key-value store, the cloud and workers with libsoup. Each target has a
- * session of its own, so that the connections and time-outs of one target do not delay requests to
- * another. */
+ * session of its own, because connections and time-outs of one target must not delay requests to
+ * another target. */
 #include "transport/transport.h"
 
 #include <libsoup/soup.h>
@@ -9,17 +9,18 @@
  * an unreachable machine occupies a connection until it times out. */
 #define CONNECTION_LIMIT_MIN 200
 #define CONNECTIONS_PER_HOST 24
-/* How long an idle connection stays open, by MmTarget. Workers rarely receive two requests in quick
- * succession, so connections to them are closed soon. */
+/* How long an idle connection stays open, by MmTarget. Connections to workers are closed soon,
+ * because a worker rarely receives two requests in quick succession. */
 static const guint idle_timeout_s[] = { 60, 60, 1 };
-/* After this many requests, and once none is in progress, the session for workers is replaced by a
- * new one. libsoup keeps a timer for each host to which a session has sent a request within the
- * last five minutes, and the main loop checks every timer in each iteration. With 4,000 machines
- * this took four tenths of a node's CPU time. */
+/* After this many requests the session for workers is replaced by a new session, as soon as no
+ * request to a worker is in flight. The reason is that libsoup keeps a timer for each host to which
+ * a session has sent a request within the last five minutes. The main loop checks every timer in
+ * each iteration. With 4,000 machines this took four tenths of a node's CPU time. */
 #define WORKER_REQUESTS_PER_SESSION 64
 
-/* Priorities in the main loop, by MmTarget. Responses of the key-value store come first: a node too
- * busy to renew its lease would lose its shards, which would increase the load further. */
+/* Priorities in the main loop, by MmTarget. Responses of the key-value store come first, because an
+ * overloaded node must still renew its lease. Without its lease the node would lose its shards, and
+ * the loss would increase the load further. */
 static const int source_priorities[] = { G_PRIORITY_HIGH, G_PRIORITY_DEFAULT, G_PRIORITY_DEFAULT };
 
 struct MmHttpClient {
@@ -27,7 +28,7 @@
   SoupSession *sessions[3]; /* by MmTarget */
   char *base_urls[3];       /* by MmTarget; NULL for workers */
   guint n_worker_requests;  /* requests sent with the current session for workers */
-  guint n_worker_in_flight; /* those of them that are in progress */
+  guint n_worker_in_flight; /* those of the requests that are in flight */
 };
 
 typedef struct {
--- a/src/transport/http-server.c
+++ b/src/transport/http-server.c
@@ -11,8 +11,8 @@
  * pieces. */
 #define CONNECTION_MEMORY_BYTES 4096
 #define IDLE_TIMEOUT_S 45
-/* Sockets that the server leaves to connections to the key-value store, the cloud, peers and
- * workers. */
+/* Number of sockets that the server does not use. They are reserved for connections to the
+ * key-value store, the cloud, peers and workers. */
 #define RESERVED_SOCKETS 100
 #define LISTEN_BACKLOG 256
 
@@ -29,8 +29,8 @@
   GByteArray *body;
   gboolean is_body_too_large;
   gboolean awaits_node_response; /* the node has received the request and not responded yet */
-  /* mm_node_handle_request is running: a response must not resume the connection, which has not
-   * been suspended yet. */
+  /* mm_node_handle_request is running. A response must not resume the connection during that call,
+   * because the connection has not been suspended yet. */
   gboolean is_in_handler;
   gboolean is_client_disconnected; /* the client closed the connection before the node responded */
   int status;                      /* HTTP status; 0: no response yet */
@@ -57,9 +57,9 @@
     exchange_free(exchange);
   else if (!exchange->is_in_handler) {
     MHD_resume_connection(exchange->connection);
-    /* Run the daemon in the next iteration of the main loop. The epoll descriptor does not signal a
-     * resumed connection, so the response would otherwise be delayed until the next request
-     * arrives. */
+    /* Run the daemon in the next iteration of the main loop. Otherwise the response would be
+     * delayed until the next request arrives, because the epoll descriptor does not signal a
+     * resumed connection. */
     g_source_set_ready_time(exchange->server->source, 0);
   }
 }
@@ -111,7 +111,7 @@
     g_byte_array_append(exchange->body, (const guint8 *)piece, (guint)length);
 }
 
-/* Passes the request to the node, which responds during the call or later, see respond. */
+/* Passes the request to the node. The node calls respond() during this call or later. */
 static void
 dispatch_to_node(ServerExchange *exchange, const char *method, const char *path) {
   g_autoptr(json_t) body = NULL;
@@ -127,8 +127,8 @@
 }
 
 /* Called by libmicrohttpd once for the headers, once for each piece of the body and once when the
- * body is complete. If the node does not respond at once, the connection is suspended, and this is
- * called again when the response has resumed it. */
+ * body is complete. If the node does not respond at once, the connection is suspended.
+ * libmicrohttpd calls this function again after the response has resumed the connection. */
 static enum MHD_Result
 handle_request(gpointer data, struct MHD_Connection *connection, const char *path,
                const char *method, const char *version, const char *piece, size_t *length,
@@ -175,8 +175,8 @@
   gpointer epoll_tag; /* of the daemon's epoll descriptor */
 } DaemonSource;
 
-/* Takes the time-out from libmicrohttpd. Data that it has read but not processed yet is not
- * signalled by any descriptor, only by a time-out of 0. */
+/* Takes the time-out from libmicrohttpd. A time-out of 0 means that libmicrohttpd has read data
+ * that it has not processed yet. No descriptor signals such data. */
 static gboolean
 source_prepare(GSource *source, gint *timeout_ms) {
   MHD_UNSIGNED_LONG_LONG timeout;
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -103,7 +103,7 @@
   return EXIT_SUCCESS;
 }
 
-/* The parsed command line. Clear it with command_line_clear. */
+/* The parsed command line. Free its members with command_line_clear. */
 typedef struct {
   char *settings_path;
   char *operators_path;
@@ -146,8 +146,8 @@
   return FALSE;
 }
 
-/* Reads both settings files and checks them against each other. If they are invalid, prints the
- * reason and returns NULL. */
+/* Reads both settings files and checks that they are consistent. If a file is invalid or the files
+ * contradict each other, prints the reason and returns NULL. */
 static MmSettings *
 read_settings(const CommandLine *command_line, MmOperators *operators) {
   g_autoptr(GError) error = NULL;
--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -1,7 +1,7 @@
-/* Links between nodes. Each node sends on the connections that it opened and receives on those that
- * its peers opened. A frame on the wire consists of the length of the message, as four bytes in
- * big-endian order, and the message. All frames sent within one iteration of the main loop are
- * written together. */
+/* Links between nodes. Each node sends on the connections that it opened, and receives on the
+ * connections that its peers opened. A frame on the wire consists of the length of the message, as
+ * four bytes in big-endian order, and the message. All frames sent within one iteration of the main
+ * loop are written together. */
 #include "transport/transport.h"
 
 #include <netinet/in.h>
@@ -15,8 +15,8 @@
 /* Size of the length field in front of each message. */
 #define LENGTH_BYTES 4
 /* The limit of a send queue: a sixteenth of the node's memory, but at least QUEUE_LIMIT_MIN_BYTES.
- * It depends on the memory because the initial state sent on a new link grows with the number of
- * machines. */
+ * The limit depends on the node's memory because the initial state, which is sent on each new link,
+ * grows with the number of machines. */
 #define QUEUE_LIMIT_MIN_BYTES (2 * 1024 * 1024)
 #define QUEUE_LIMIT_BYTES_PER_MB (1024 * 1024 / 16.0)
 #define READ_BYTES (32 * 1024)
@@ -33,7 +33,8 @@
   GSource *flush_source;
   /* Exists only while the socket's send buffer is full. */
   GSource *writable_source;
-  /* The peer never sends on this connection, so it becomes readable only when it is closed. */
+  /* Signals that the connection was closed. The connection becomes readable only then, because the
+   * peer never sends on it. */
   GSource *readable_source;
 } OutboundLink;
 
@@ -42,7 +43,7 @@
   GSocketConnection *connection;
   GByteArray *buffer;
   GSource *readable_source;
-  gint peer; /* MM_PEER_NONE until its hello frame is received */
+  gint peer; /* MM_PEER_NONE until the hello frame of the peer is received */
 } InboundLink;
 
 struct MmPeerSockets {
@@ -51,7 +52,7 @@
   GSocketService *service;
   GSocketClient *client;
   OutboundLink *outbound;
-  /* By peer: the connection on which its latest hello frame was received, or NULL. */
+  /* For each peer, the connection on which the peer's latest hello frame was received, or NULL. */
   InboundLink **inbound;
   guint n_peers;
 };
@@ -263,7 +264,8 @@
 }
 
 /* Assigns the connection to the peer that sent the hello frame, and closes the peer's previous
- * connection: if that is half-open, nothing else would ever close it. */
+ * connection. The previous connection may be half-open, and nothing else would close a half-open
+ * connection. */
 static void
 register_hello(InboundLink *inbound, const char *label) {
   MmPeerSockets *sockets = inbound->sockets;
--- a/tests/world/cloud.c
+++ b/tests/world/cloud.c
@@ -149,7 +149,8 @@
   for (guint i = 0; i < world->machines->len; i++) {
     const WorldMachine *machine = world_machine_at(world, i);
     double age_s = (double)(world->now_us - machine->launched_at_us) / G_USEC_PER_SEC;
-    /* Machines appear in the list 2 s after their launch, because the list of a cloud lags. */
+    /* Machines appear in the list 2 s after their launch, because the list of a real cloud lags
+     * too. */
     if (machine->is_terminated || age_s < 2)
       continue;
     json_array_append_new(list, json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", WIRE_JOB_ID,
--- a/tests/world/fault-injection.c
+++ b/tests/world/fault-injection.c
@@ -100,7 +100,7 @@
 
 /* Unusual user requests */
 
-/* An unusual request and the response that it must get. */
+/* The response that an unusual request must get. */
 typedef struct {
   World *world;
   int status;
@@ -190,8 +190,8 @@
 world_finish_run(World *world) {
   world->late_write_rate = 0;
   world->delays_acquisitions = FALSE;
-  /* Faults that are still active may continue for a while; after 45 s the checks assume that all
-   * have ended. */
+  /* Faults that are still active may continue for a while. The checks assume that all faults have
+   * ended after 45 s. */
   world->faults_ended_at_us = world->now_us + 45 * SECOND;
   for (guint i = 0; i < world->jobs->len; i++) {
     WorldJob *job = world_job_at(world, i);
--- a/tests/world/faulty-nodes.c
+++ b/tests/world/faulty-nodes.c
@@ -28,9 +28,9 @@
   }
 }
 
-/* Makes the node keep responding to machines that ignore its responses, and wait for the
- * acknowledgement of each machine that sends heartbeats, even if the heartbeats prove that it is
- * not needed. */
+/* Makes the node keep responding to machines that ignore its responses. Also makes the node wait
+ * for an acknowledgement of each machine that sends heartbeats, even if the heartbeats prove that
+ * the acknowledgement is not needed. */
 static void
 keep_unacknowledging_machines(const MmNode *node) {
   GHashTableIter iter;
@@ -95,8 +95,8 @@
   reset_replica_staleness(node, now);
 }
 
-/* Makes the node, as a group owner, count every machine as acknowledged or forget which resources
- * it has granted, depending on which defects are enabled. */
+/* Makes the node faulty as a group owner. Depending on the enabled defects, the node counts every
+ * machine as acknowledged, or forgets which resources it has granted. */
 static void
 make_sharing_faulty(const World *world, MmSharing *sharing) {
   for (guint group = 0; group < sharing->n_groups && world->ignore_group_acknowledgements; group++)
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -5,8 +5,9 @@
 #include "kv/kv-client.h"
 #include "upgrade/format.h"
 
-/* Time within which a node learns of a change. A node reopens a watch after 3.7 s if the response
- * to it is lost or arrives while the node is suspended. */
+/* Time within which a node learns of a change. The time is longer than 3.7 s, because a node
+ * reopens a watch after 3.7 s if the response to the watch is lost or arrives while the node is
+ * suspended. */
 #define CHANGE_PROPAGATION_US (4 * G_USEC_PER_SEC)
 
 void
@@ -32,8 +33,8 @@
   guint64 highest
       = world_node->highest_format != 0 ? world_node->highest_format : MM_FORMAT_HIGHEST;
 
-  /* A node that cannot read from the store cannot know the format. Until it can, the conditions of
-   * its transactions prevent wrong writes. */
+  /* A node that cannot read from the store cannot know the format. Until the node can read again,
+   * the conditions of its transactions prevent wrong writes. */
   if ((world->format >= MM_FORMAT_LOWEST && world->format <= highest)
       || world->now_us < world->format_set_at_us + CHANGE_PROPAGATION_US
       || world->format_set_at_us == 0
--- a/tests/world/internal.h
+++ b/tests/world/internal.h
@@ -5,7 +5,8 @@
 
 /* event-queue.c */
 
-/* Runs the first event if it is due by `until_us`. Returns FALSE if no event is due by then. */
+/* Runs the earliest scheduled event if the event is due by `until_us`. Returns FALSE if no event is
+ * due by then. */
 gboolean world_run_next_event(World *world, gint64 until_us);
 
 /* network.c */
@@ -18,10 +19,10 @@
 
 /* Opens links in both directions between the node and each other running node. */
 void world_links_open(const WorldNode *world_node);
-/* Closes the links of the node; both ends are notified. */
+/* Closes the links of the node and notifies the nodes at both ends. */
 void world_links_close(World *world, guint index);
-/* Handles the end of the node's process: to the other nodes, their links to it appear closed, or
- * half-open if World.node_ends_leave_half_open_links is set. */
+/* Handles the end of the node's process. The links of the other nodes to this node are closed. If
+ * World.node_ends_leave_half_open_links is set, the links become half-open instead. */
 void world_links_node_ended(World *world, guint index);
 /* Implement MmPlatform.send and MmPlatform.reconnect of a node; `data` is its WorldNode. */
 void world_link_send(gpointer data, guint peer, const Mm__Frame *frame);
@@ -33,8 +34,9 @@
 MmPlatform world_node_platform(WorldNode *world_node);
 /* Returns the time of the node's steady clock; `data` is its WorldNode. */
 MmTime world_node_now(gpointer data);
-/* Returns TRUE if the node's process `generation` is suspended, and schedules the call for the time
- * when it resumes. Deferred calls run in the order in which they were deferred. */
+/* If the node's process with the number `generation` is suspended, schedules the call for the time
+ * when the process resumes and returns TRUE. Otherwise returns FALSE. Deferred calls run in the
+ * order in which they were deferred. */
 gboolean world_defer_while_suspended(const WorldNode *world_node, guint generation,
                                      WorldCallback callback, gpointer data);
 
@@ -51,12 +53,13 @@
 /* kv-watches.c */
 
 void world_kv_watches_init(World *world);
-/* Answers all pending watches with status 0 and frees the data of all watches and changes. */
+/* Calls the callbacks of all pending watches with status 0, and frees the watches and the recorded
+ * changes. */
 void world_kv_watches_free(World *world);
 /* Records that a key changed in the current revision. Takes ownership of the event. */
 void world_kv_record_change(World *world, const char *path, json_t *event);
-/* Answers each watch that has changes or has timed out, except while the store refuses requests of
- * the watch's node. */
+/* Answers each watch that has changes or has timed out. A watch is not answered while the store
+ * refuses requests of the node that opened the watch. */
 void world_kv_answer_watches(World *world);
 /* Returns the value of a parameter in the query part of the path, or NULL if it is absent. Free
  * with g_free(). */
@@ -75,14 +78,15 @@
 
 /* tasks.c */
 
-/* Returns the attempt of the task that is on the machine, or has ended there and has not been
- * forgotten yet; NULL if there is none. */
+/* Returns the attempt of the task on the machine, or NULL. An attempt that has ended is returned
+ * until the machine has executed the command to forget it. */
 WorldTask *world_machine_find_task(WorldMachine *machine, const WorldJob *job, guint number,
                                    guint64 attempt);
 /* Executes a start command: begins to fetch the image, unless the machine refuses the task. Does
  * nothing if the machine already has this attempt. */
 void world_task_start(WorldMachine *machine, WorldJob *job, guint number, guint64 attempt);
-/* Ends the task, and its gang peers if it was running as part of a gang. */
+/* Ends the task. If the task was running as part of a gang, ends the other tasks of the gang too.
+ */
 void world_task_end(WorldMachine *machine, WorldTask *task, guint8 cause);
 /* Performs the task's next state change if it is due. */
 void world_task_advance(WorldMachine *machine, WorldTask *task);
@@ -91,12 +95,12 @@
 
 /* request.c */
 
-/* A pending request, sent by a node or to a node. It is reference-counted, and each scheduled event
- * holds a reference. Specific request types embed it as their first member, so the functions below
- * take a pointer to the whole struct. */
+/* A pending request, sent by a node or to a node. A request is reference-counted, and each
+ * scheduled event holds a reference. Specific request types have a WorldRequest as their first
+ * member, and the functions below take a pointer to the specific type. */
 typedef struct {
   World *world;
-  guint node;       /* index of the node that sends or receives it */
+  guint node;       /* index of the node that sends or receives the request */
   guint generation; /* of that node's process */
   char *method;
   char *path;
@@ -105,19 +109,20 @@
   json_t *response_body;
   MmResponseCallback callback; /* NULL: no caller waits for the response */
   gpointer data;
-  gboolean is_finished; /* it was answered or has timed out */
+  gboolean is_finished; /* the request was answered or has timed out */
 } WorldRequest;
 
 /* Allocates `size` bytes for a struct that begins with a WorldRequest. Takes ownership of the body.
  * The caller owns a reference; release it with world_request_release(). */
 gpointer world_request_new(gsize size, World *world, guint node, const char *method,
                            const char *path, json_t *body);
-/* Schedules a callback that receives the request and a reference to it, which it must release. */
+/* Schedules a callback that receives the request as its argument. The callback owns a reference to
+ * the request and must release the reference. */
 void world_request_schedule(gpointer request, gint64 at_us, WorldCallback callback);
 /* Drops a reference. */
 void world_request_release(gpointer request);
-/* Delivers the response to the caller; status 0 means that there is none. Only the first call has
- * this effect. Drops a reference. */
+/* Calls the callback of the request with the response. Status 0 means that there is no response.
+ * Only the first call for a request invokes the callback; every call drops a reference. */
 void world_request_finish(gpointer request, int status, json_t *response_body);
 
 /* requests-of-nodes.c */
--- a/tests/world/invariants.c
+++ b/tests/world/invariants.c
@@ -68,7 +68,7 @@
   world_record_ready_jobs(world);
   world_check_waiting(world);
   /* After the faults have ended, at least one request about each accepted job must be answered in
-   * every 75 s, unless its cancellation was confirmed. */
+   * every 75 s. Jobs whose cancellation was confirmed are exempt. */
   for (guint i = 0; i < world->jobs->len && world->faults_ended_at_us != 0; i++) {
     const WorldJob *job = world_job_at(world, i);
     gint64 since = MAX(job->last_answer_at_us, world->faults_ended_at_us);
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -5,7 +5,7 @@
 
 #include "base/wire.h"
 
-/* Page size of key listings; small, so that nodes have to read several pages. */
+/* Page size of key listings. The size is small because nodes must have to read several pages. */
 #define KEYS_PER_PAGE 7
 
 static void
@@ -116,8 +116,8 @@
   world_schedule(world, world->outage_until_us, on_outage_ended, world);
 }
 
-/* Returns whether the rate limit (a token bucket that holds the writes of one second) allows this
- * many changes, and takes them from the bucket if so. */
+/* Returns whether the rate limit allows this many changes. The limit is a token bucket that holds
+ * the writes of one second. If the changes are allowed, their tokens are taken from the bucket. */
 static gboolean
 is_within_write_rate(World *world, gsize n_changes) {
   double max_rps = world->write_rps;
@@ -150,7 +150,8 @@
   return FALSE;
 }
 
-/* Returns the keys whose versions differ from those in the conditions. The caller owns the list. */
+/* Returns the keys whose versions differ from the versions in the conditions. The caller owns the
+ * list. */
 static json_t *
 failed_conditions(const World *world, const json_t *conditions) {
   json_t *failed = json_array();
@@ -229,7 +230,8 @@
   return 200;
 }
 
-/* A page of a key listing: at most `max_items` keys with the prefix that come after `after`. */
+/* A page of a key listing: at most `max_items` keys that begin with `prefix` and come after the key
+ * `after`. */
 typedef struct {
   const char *prefix;
   const char *after; /* NULL: from the first key */
--- a/tests/world/kv-watches.c
+++ b/tests/world/kv-watches.c
@@ -5,7 +5,7 @@
 
 #include "base/wire.h"
 
-/* A pending watch: waits for changes of keys with the prefix. */
+/* A pending watch, which waits for changes of keys that begin with `prefix`. */
 typedef struct {
   guint node; /* index of the node that opened it */
   char *prefix;
--- a/tests/world/links.c
+++ b/tests/world/links.c
@@ -1,5 +1,5 @@
-/* Links between the nodes. They deliver frames in order; frames are lost if either end is not
- * running or is partitioned, or if the link is half-open or refused. */
+/* Links between the nodes. A link delivers frames in order. Frames are lost if the node at either
+ * end is not running or is partitioned, or if the link is half-open or refused. */
 #include "world/internal.h"
 
 #include "peers.pb-c.h"
@@ -146,7 +146,8 @@
   for (guint i = 0; i < WORLD_NODES; i++) {
     if (i == index || world->nodes[i].node == NULL)
       continue;
-    /* Only an established link can become half-open. A link that is being opened is retried. */
+    /* Only an established link can become half-open. The opening of any other link fails and is
+     * retried. */
     if (world->node_ends_leave_half_open_links
         && world->nodes[i].node->peer_links->peers[peer_index(i, index)].is_connected)
       world->nodes[i].is_link_half_open[index] = TRUE;
--- a/tests/world/node-platform.c
+++ b/tests/world/node-platform.c
@@ -26,7 +26,8 @@
   return 1700000000000 + world_node->world->now_us / 1000 + (gint64)world_node->index * 37 - 40;
 }
 
-/* A timer of a node's process; it is dropped when that process has ended. */
+/* A timer of a node's process. The timer is dropped if it becomes due after the process has ended.
+ */
 typedef struct {
   WorldNode *world_node;
   guint generation; /* of the process */
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -3,7 +3,8 @@
 
 #include "upgrade/format.h"
 
-/* The tick timer of a node's process; it is freed at the first tick after the process has ended. */
+/* The tick timer of a node's process. The timer is freed at the first tick after the process has
+ * ended. */
 typedef struct {
   WorldNode *world_node;
   guint generation; /* of the process */
@@ -61,8 +62,8 @@
 
   if (world_node->node == NULL)
     return;
-  /* The MmNode stays allocated until world_free(), because responses to its requests still arrive.
-   * It can have no further effect. */
+  /* The MmNode stays allocated until world_free(), because response callbacks of its requests can
+   * still be invoked. The MmNode can have no further effect. */
   g_ptr_array_add(world->ended_nodes, world_node->node);
   world_node->node = NULL;
   world_node->generation++;
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -7,7 +7,7 @@
 typedef struct {
   WorldRequest base;
   MmTarget target;
-  char address[64];         /* of the worker, if the target is one */
+  char address[64];         /* address of the worker if `target` is MM_TARGET_WORKER */
   gboolean is_applied_late; /* a transaction that is applied late and not answered */
   gboolean was_delayed;     /* a direct command delivered after a partition or suspension ended */
 } NodeRequest;
@@ -58,8 +58,8 @@
   world_request_release(request);
 }
 
-/* The functions below that execute a request at its target return FALSE if no response is to be
- * sent now. */
+/* The execute_ functions below execute a request at its target. They return FALSE if no response is
+ * to be sent now. */
 
 static gboolean
 execute_at_kv_store(NodeRequest *request) {
@@ -91,7 +91,8 @@
     return FALSE;
   delayed_until_us = MAX(machine->partitioned_until_us, machine->suspended_until_us);
   if (world->now_us < delayed_until_us) {
-    /* The command is executed when it arrives, even if its sender no longer waits for it. */
+    /* The command is executed when it arrives, even if the node that sent it no longer waits for
+     * the response. */
     request->was_delayed = TRUE;
     world_request_schedule(request, delayed_until_us + world_network_delay(world),
                            node_request_arrive);
@@ -125,9 +126,10 @@
   }
 }
 
-/* Returns TRUE if the request cannot reach its target now because its node is partitioned. Such a
- * request is lost; if the partition delays messages and the target is the key-value store, it
- * arrives when the partition ends and is executed then, even if the node no longer waits for it. */
+/* Returns TRUE if the request cannot reach its target now because the node that sent it is
+ * partitioned. Such a request is normally lost. If the partition delays messages and the target is
+ * the key-value store, the request arrives when the partition ends. The store then executes the
+ * request, even if the node no longer waits for the response. */
 static gboolean
 is_blocked_by_partition(NodeRequest *request) {
   World *world = request->base.world;
@@ -194,9 +196,9 @@
   return request;
 }
 
-/* Schedules the arrival of the request. A few requests are lost (1 in 1000) or delayed by half the
- * time-out and 0.5 s (2 in 1000), so that their sender may time out before the response arrives;
- * a request whose delay reaches the time-out is lost too. */
+/* Schedules the arrival of the request. 1 in 1000 requests is lost. 2 in 1000 requests are delayed
+ * by half the time-out and 0.5 s, because the node may then time out before the response arrives. A
+ * request whose delay reaches the time-out is lost too. */
 static void
 node_request_send(NodeRequest *request, const json_t *body, gint64 timeout_us) {
   World *world = request->base.world;
@@ -214,7 +216,7 @@
   }
 }
 
-/* Sends a late copy of the request, whose response is dropped. */
+/* Sends a late copy of the request. The response to the copy is dropped. */
 static void
 node_request_duplicate(const NodeRequest *request) {
   const WorldRequest *base = &request->base;
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -5,10 +5,12 @@
 
 typedef struct {
   WorldRequest base;
-  MmHttpExchange exchange;    /* for the node's response; holds a reference until then */
-  WorldMachine *sender;       /* NULL: a user */
-  WorldMachine *duplicate_of; /* sender of the original if this is a late copy, else NULL */
-  gboolean is_pending;        /* the node has received the request and not answered it yet */
+  MmHttpExchange
+      exchange;         /* used by the node to respond; holds a reference until the node responds */
+  WorldMachine *sender; /* NULL: a user */
+  WorldMachine
+      *duplicate_of; /* sender of the original request if this request is a late copy, else NULL */
+  gboolean is_pending; /* the node has received the request and not answered it yet */
 } InboundRequest;
 
 static void
@@ -24,11 +26,11 @@
   World *world = request->base.world;
   gint64 at_us = world->now_us + world_network_delay(world);
 
-  /* While the machine is partitioned, the response is delayed. The worker drops it if it arrives
-   * more than 4 s after the heartbeat was sent. */
+  /* While the machine is partitioned, the response is delayed. The worker drops a response that
+   * arrives more than 4 s after the heartbeat was sent. */
   if (request->sender != NULL && world->now_us < request->sender->partitioned_until_us)
     at_us = request->sender->partitioned_until_us + world_network_delay(world);
-  /* The node has decided that it may respond, but is suspended before the response is sent. */
+  /* Simulates a node that decides to respond, but is suspended before it sends the response. */
   if (world->delayed_response_rate > 0 && world_uniform(world, 0, 1) < world->delayed_response_rate)
     at_us += (gint64)(world_uniform(world, 0.1, 3.9) * G_USEC_PER_SEC);
   return at_us;
@@ -95,7 +97,7 @@
   world_request_finish(data, 0, NULL);
 }
 
-/* Sends a late copy of the request, whose response is dropped. */
+/* Sends a late copy of the request. The response to the copy is dropped. */
 static void
 inbound_request_duplicate(World *world, guint index, const InboundRequest *request, gint64 at_us) {
   InboundRequest *duplicate
--- a/tests/world/service-checks.c
+++ b/tests/world/service-checks.c
@@ -34,8 +34,8 @@
   return FALSE;
 }
 
-/* Returns the cores used by the tasks of the job's team, tasks that still fetch their image
- * included. Stores in `n_placed` how many tasks of the job are on machines. */
+/* Returns the cores used by the tasks of the job's team, including tasks that still fetch their
+ * image. Stores in `n_placed` how many tasks of the job are on machines. */
 static double
 team_cores(const World *world, const WorldJob *target_job, guint *n_placed) {
   double cores = 0;
@@ -92,14 +92,14 @@
 
 /* Share of jobs that are served */
 
-/* Counts the jobs of a category and those of them that have started. */
+/* Number of jobs in a category, and how many of these jobs have started. */
 typedef struct {
   guint n_jobs;
   guint n_served;
 } ServedCount;
 
-/* Adds the job to the count or, if `job` is NULL, reports a violation when less than half of the
- * counted jobs were served; `description` names the category. */
+/* Adds the job to the count. If `job` is NULL, reports a violation instead if less than half of the
+ * counted jobs have started. `description` names the category. */
 static void
 count_served(World *world, ServedCount *served_count, const char *description,
              const WorldJob *job) {
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -30,11 +30,12 @@
 
 /* Returns whether the machine could still execute a start that the node grants now.
  *
- * Two nodes may believe that they own a group without harm: If the key-value store refuses two
- * nodes, they take this as proof of an outage, during which leases do not expire. If they are also
- * partitioned from the third node, they continue to grant. The third node, which may own the group
- * by then, grants only after the machine has acknowledged the later term, and from then on the
- * worker drops the responses that carry grants of the earlier term. */
+ * It does no harm if two nodes believe that they own a group. This happens as follows: If the
+ * key-value store refuses two nodes, these two nodes assume an outage. Leases do not expire during
+ * an outage, and therefore the two nodes continue to grant if they are also partitioned from the
+ * third node. By then the third node may own the group. The third node grants only after the
+ * machine has acknowledged the later term. From that acknowledgement on, the worker drops responses
+ * that carry grants of the earlier term. */
 static gboolean
 is_grant_executable(const MmGroupMap *map, guint node, const WorldMachine *machine) {
   MmGroupOwner owner = mm_group_map_owner(map, mm_group_of_machine(machine->id, map->n_groups));
--- a/tests/world/tasks.c
+++ b/tests/world/tasks.c
@@ -68,8 +68,8 @@
                    cause == MM_CAUSE_DONE ? MM_CAUSE_DONE : MM_CAUSE_GANG_PEER_ENDED);
 }
 
-/* Ends the running tasks of the same attempt of the gang, because the tasks of a gang complete
- * together and all end when one is lost. */
+/* Ends the running tasks of the same attempt of the gang. The reason is that the tasks of a gang
+ * complete together, and all of them end when one task is lost. */
 static void
 end_gang_peers(World *world, const WorldTask *task, guint8 cause) {
   if (task->job->spec.kind != MM_JOB_KIND_GANG)
@@ -89,7 +89,8 @@
 world_machine_clear_tasks(WorldMachine *machine) {
   g_autoptr(GPtrArray) tasks = machine->tasks;
 
-  /* end_gang_peers() also searches this machine, so its list is emptied first. */
+  /* The machine's task list is emptied first, because end_gang_peers() also searches this machine.
+   */
   machine->tasks = g_ptr_array_new();
   for (guint i = 0; i < tasks->len; i++) {
     WorldTask *task = g_ptr_array_index(tasks, i);
@@ -101,7 +102,8 @@
   }
 }
 
-/* Returns the cause for which the machine refuses to start the task, or 0 if it accepts it. */
+/* Returns the cause for which the machine refuses to start the task, or 0 if the machine accepts
+ * the task. */
 static guint8
 refusal_cause(const WorldMachine *machine, const WorldJob *job, guint number) {
   double cores = world_type_cores(machine->type);
@@ -131,8 +133,9 @@
 
   if (job == NULL || world_machine_find_task(machine, job, number, attempt) != NULL)
     return;
-  /* A worker drops responses that arrive more than 4 s after its heartbeat, so a start sent before
-   * the cancellation was confirmed cannot be executed later than that. */
+  /* A start command that was sent before the cancellation was confirmed cannot be executed more
+   * than 4 s after the confirmation. The reason is that a worker drops responses that arrive more
+   * than 4 s after its heartbeat. */
   if (job->user_view == USER_SEES_CANCELLED
       && world->now_us - job->cancelled_at_us > WORLD_HEARTBEAT_TIMEOUT_US + 100000)
     world_report_violation(world, "ran_cancelled: task %s/%u started after its cancellation",
@@ -187,8 +190,8 @@
   notify_observer(machine, task, WORLD_TASK_STARTS);
 }
 
-/* Starts the task after its image has been fetched. A task that is already done keeps its result,
- * so a new attempt of it ends immediately. */
+/* Starts the task after its image has been fetched. If the task is already done, the new attempt
+ * ends immediately, because a task that is done keeps its result. */
 static void
 finish_fetching(WorldMachine *machine, WorldTask *task) {
   World *world = machine->world;
--- a/tests/world/types.h
+++ b/tests/world/types.h
@@ -25,8 +25,8 @@
 
   /* Supported formats and protocol version */
   guint64 highest_format; /* highest supported format of the stored state; 0: the program's own */
-  /* The node sends messages and stores records like the release before job dependencies and
-   * announced limits were introduced. */
+  /* The node sends messages and stores records as the old release does. The old release has neither
+   * job dependencies nor announced limits. */
   gboolean is_old_version;
 
   /* Injected faults */
@@ -37,16 +37,18 @@
   gint64 watches_lost_until_us;
   /* The node is partitioned from the key-value store, the cloud and the other nodes. */
   gint64 partitioned_until_us;
-  /* Requests to the key-value store sent during the partition arrive after it; FALSE: they are
-   * lost. */
+  /* TRUE: requests sent to the key-value store during the partition arrive after the partition.
+   * FALSE: such requests are lost. */
   gboolean partition_delays_messages;
-  /* The process is suspended: its clocks continue, and messages queue up in its sockets. */
+  /* The process is suspended until this time. Its clocks continue, and messages to the process are
+   * queued in its sockets. */
   gint64 suspended_until_us;
-  /* By index of the other node: frames sent to it are lost although the link appears open. */
+  /* By index of the other node: frames to the other node are lost although the link appears open.
+   */
   gboolean is_link_half_open[WORLD_NODES];
 } WorldNode;
 
-/* The most advanced state of a job that a response has reported to its user. */
+/* The most advanced state of a job that responses have reported to the job's user. */
 typedef enum {
   USER_SEES_NOTHING,
   USER_SEES_ACCEPTED,
@@ -78,10 +80,10 @@
   gboolean *is_task_done; /* by task number */
   guint n_done;
   guint n_starts;           /* start commands that reached a machine, over all tasks of the job */
-  gint64 ready_at_us;       /* when the last of its dependencies was done */
-  gint64 first_start_at_us; /* when the first of its tasks started on a machine */
-  gint64 last_start_at_us;  /* when a start command for it last reached a machine */
-  gint64 waiting_since_us;  /* since when it has waited needlessly, see world_check_waiting() */
+  gint64 ready_at_us;       /* when the last dependency of the job was done */
+  gint64 first_start_at_us; /* when the first task of the job started on a machine */
+  gint64 last_start_at_us;  /* when a start command for the job last reached a machine */
+  gint64 waiting_since_us; /* since when the job has waited needlessly, see world_check_waiting() */
 };
 
 /* An attempt of a task on a machine. */
@@ -90,7 +92,7 @@
   guint number; /* of the task in its job */
   guint64 attempt;
   guint8 state; /* MmReportedState */
-  guint8 cause; /* MmEndCause of its end */
+  guint8 cause; /* MmEndCause: why the task ended */
   gint64 next_change_at_us;
   double remaining_s;
 } WorldTask;
@@ -125,7 +127,7 @@
 
   /* Injected faults */
   gint64 suspended_until_us;     /* the worker is suspended */
-  gint64 partitioned_until_us;   /* messages to and from it are delivered afterwards */
+  gint64 partitioned_until_us;   /* messages to and from the worker are delivered after this time */
   gint64 inbound_lost_until_us;  /* heartbeats arrive; responses and direct commands are lost */
   gint64 outbound_lost_until_us; /* heartbeats are lost; direct commands arrive */
   guint n_direct_while_outbound_lost; /* direct commands received while heartbeats were lost */
@@ -150,14 +152,14 @@
 /* Events of a task on a machine. */
 typedef enum {
   WORLD_TASK_STARTS, /* the task occupies the machine from now on */
-  WORLD_TASK_ENDS,   /* by itself, by command, or with its machine (`cause` is unset then) */
+  WORLD_TASK_ENDS,   /* by itself, by command, or with its machine; `cause` is unset if the machine
+                        ended */
   WORLD_TASK_REFUSED /* the task did not start; `cause` says why */
 } WorldTaskEvent;
 
 typedef void (*WorldTaskObserver)(gpointer data, const WorldMachine *machine, const WorldTask *task,
                                   WorldTaskEvent event);
-/* Sends a request to a node in place of world_send_request(), with the same contract. Takes
- * ownership of the body. */
+/* Replaces world_send_request() and has the same contract. Takes ownership of the body. */
 typedef void (*WorldRequestHandler)(World *world, guint index, const char *method, const char *path,
                                     json_t *body, gint64 timeout_us, MmResponseCallback answered,
                                     gpointer data);
@@ -172,10 +174,12 @@
 
   /* Nodes */
   WorldNode nodes[WORLD_NODES];
-  /* MmNode of ended processes, kept because responses to their requests still arrive. */
+  /* The MmNode of each ended process, kept because response callbacks of its requests can still be
+   * invoked. */
   GPtrArray *ended_nodes;
   GPtrArray *retired_settings; /* MmSettings used by ended processes */
-  /* Sends requests to nodes that run outside this process; NULL: the nodes run in this process. */
+  /* Sends requests to nodes that run outside this process. NULL means that the nodes run in this
+   * process. */
   WorldRequestHandler request_handler;
   gpointer request_handler_data;
 
@@ -188,7 +192,7 @@
    * not). */
   guint capacity;
   double team_cores;   /* limit of each team, in cores */
-  guint group_count;   /* machine groups in the operators' file; 0: machines are not shared out */
+  guint group_count;   /* number of machine groups in the operators' file; 0: no groups */
   double group_hold_s; /* group-hold-s in the operators' file */
 
   /* Key-value store */
@@ -203,8 +207,8 @@
   guint64 n_writes;
   guint64 n_conflicts; /* transactions whose conditions failed */
 
-  /* Limits of the key-value store. Nodes know them, so a larger transaction fails an assertion,
-   * unless `has_unannounced_limits` is set. */
+  /* Limits of the key-value store. A transaction that exceeds a limit fails an assertion, because
+   * the nodes know the limits, unless `has_unannounced_limits` is set. */
   guint value_bytes;
   guint txn_ops;
   double write_rps; /* writes per second, above which the store responds with 429; 0: unlimited */
@@ -231,7 +235,7 @@
   /* Cloud */
   GPtrArray *machines;       /* WorldMachine */
   guint last_machine_number; /* number in the name of the most recent machine */
-  /* request id -> json_t response, which is returned again for a repeated request. */
+  /* Id of a launch request -> json_t response. A repeated request gets the same response again. */
   GHashTable *launch_responses;
   gint64 cloud_down_until_us;
 
@@ -270,12 +274,13 @@
   guint n_reconnects; /* links that nodes reopened */
 
   /* Machine groups */
-  /* "machine/incarnation/sequence" of a heartbeat -> double: cores of the tasks that responses to
-   * it started. */
+  /* "machine/incarnation/sequence" of a heartbeat -> double: total cores of the tasks that the
+   * responses to the heartbeat started. */
   GHashTable *cores_granted;
-  guint n_moves_started;   /* group moves requested by an administrator that a node accepted */
-  guint n_double_owners;   /* checks in which two nodes believed that they own a machine's group */
-  gint64 unowned_since_us; /* since when some node has seen a group without an owner */
+  guint n_moves_started; /* group moves requested by an administrator that a node accepted */
+  guint n_double_owners; /* checks in which two nodes believed that they own a machine's group */
+  gint64
+      unowned_since_us; /* since when at least one group has had no owner according to some node */
   gint64 longest_unowned_us; /* longest such duration after the faults ended */
 
   /* Defects of the nodes; tests enable them to show that the invariant checks detect them */
--- a/tests/world/upgrade.c
+++ b/tests/world/upgrade.c
@@ -23,7 +23,7 @@
       continue;
     if (g_str_has_prefix(key, MM_KEY_TERMINAL_RECORD))
       json_object_del(value, "t");
-    /* The old release does not know the dependency field and would drop it when it rewrites the
+    /* The old release does not know the dependency field. It would drop the field if it rewrote the
      * record. */
     if (g_str_has_prefix(key, MM_KEY_JOB) && mm_json_get(value, "w") != NULL)
       world_report_violation(
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -1,5 +1,5 @@
-/* Simulated users. They submit a job until they get a response, poll its state, and check each
- * response against the earlier ones. */
+/* Simulated users. A user submits a job repeatedly until a response arrives, then polls the state
+ * of the job. Each response is checked against the earlier responses. */
 #include "world/world.h"
 
 #include "base/wire.h"
@@ -28,9 +28,9 @@
   return (gint)node == world->avoided_node ? (node + 1) % WORLD_NODES : node;
 }
 
-/* A request and what its user knew about the job when it was sent. Two pending requests may be
- * answered in either order, so a response must be consistent only with what was known when its
- * request was sent. */
+/* A request, and what the user knew about the job when the request was sent. A response must be
+ * consistent only with that knowledge, because two pending requests may be answered in either
+ * order. */
 typedef struct {
   WorldJob *job;
   WorldUserView user_view_when_sent;
--- a/tests/world/worker.c
+++ b/tests/world/worker.c
@@ -206,8 +206,9 @@
     machine->lease_renewed_at_us = world->now_us;
     machine->has_changed = TRUE;
   }
-  /* The check above comes first because the lease expires even while the worker is suspended: the
-   * tasks of a worker that resumes may run on only within its lease. */
+  /* The lease is checked before the suspension, because the lease expires even while the worker is
+   * suspended. When the worker resumes, its tasks may continue only if its lease has not expired.
+   */
   if (world->now_us < machine->suspended_until_us)
     return;
   for (guint i = 0; i < machine->tasks->len; i++)
--- a/tests/world/world.c
+++ b/tests/world/world.c
@@ -118,7 +118,8 @@
   end_nodes(world);
   for (guint i = 0; i < world->machines->len; i++)
     world_kill_machine(world, g_ptr_array_index(world->machines, i));
-  /* The requests of ended nodes finish with status 0 within the longest time-out. */
+  /* Runs until the requests of the ended nodes have finished with status 0. All of them finish
+   * within the longest time-out. */
   run_all_events(world, 120);
   for (guint i = 0; i < world->ended_nodes->len; i++)
     mm_node_free(g_ptr_array_index(world->ended_nodes, i));
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -1,9 +1,11 @@
 /* Discrete-event simulation of a cluster: the key-value store, the cloud, workers, users and the
- * network between them and the nodes under test, all driven by one event queue.
+ * network that connects these to each other and to the nodes under test. One event queue drives the
+ * whole simulation.
  *
- * All random numbers come from one seed, so a world with the same seed and the same calls always
- * runs the same way. The invariants are checked periodically and at certain events; a violation is
- * stored as text in World.violations and fails the test when it calls world_assert_invariants(). */
+ * A world with the same seed and the same calls always runs the same way, because all random
+ * numbers come from the seed. The invariants are checked periodically and at certain events. A
+ * violation is stored as text in World.violations. The test fails when it calls
+ * world_assert_invariants() after a violation. */
 #pragma once
 
 #include "world/types.h"
@@ -16,8 +18,8 @@
 World *world_new(guint32 seed);
 /* Starts the nodes one after the other, and the periodic invariant checks. */
 void world_start(World *world);
-/* Ends all nodes and machines, runs until the pending requests have finished, and frees
- * everything. */
+/* Ends all nodes and machines, runs the simulation until the pending requests have finished, and
+ * frees the world. */
 void world_free(World *world);
 /* Appends the description of a violated invariant to World.violations. */
 void world_report_violation(World *world, const char *format, ...) G_GNUC_PRINTF(2, 3);
@@ -78,11 +80,11 @@
  * `response`. */
 int world_kv_handle(World *world, const char *method, const char *path, const json_t *body,
                     json_t **response);
-/* Makes the store respond with 503 to all nodes for `seconds`. No lease expires during the outage,
- * and each lease has its full time to live when it ends. */
+/* Makes the store respond with 503 to all nodes for `seconds`. No lease expires during the outage.
+ * When the outage ends, each lease has its full time to live. */
 void world_kv_outage(World *world, double seconds);
-/* Adds a watch (kv-watches.c). Calls back once: with the changes after the revision in `path`, or
- * with no changes when the watch times out. */
+/* Adds a watch (kv-watches.c). Calls `callback` once, with the changes after the revision that
+ * `path` contains. If the watch times out, the callback gets no changes. */
 void world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
                         gpointer data);
 
@@ -121,20 +123,20 @@
 
 /* Checks of the service that users get (service-checks.c) */
 
-/* Reports a violation if, after the faults have ended, a job has waited for 90 s while a suitable
- * machine has free resources and its team is below its limit. Gangs and jobs that must run in one
- * zone or spread over several are not checked, because whether they can start depends on all the
- * machines that they need at once. */
+/* Checks jobs that wait after the faults have ended. Reports a violation if a job has waited for 90
+ * s although a suitable machine has free resources and the job's team is below its limit. Gangs and
+ * jobs that must run in one zone or in several zones are not checked, because they can start only
+ * if all the machines that they need are free at once. */
 void world_check_waiting(World *world);
-/* Reports a violation unless at least half of the jobs that were not cancelled have started, of
- * each team, of each kind and of the largest jobs, and each of the largest started within four
- * minutes. */
+/* Checks the jobs of each team, the jobs of each kind and the largest jobs. Reports a violation if
+ * less than half of the jobs in such a category, cancelled jobs aside, have started. Also reports a
+ * violation if one of the largest jobs did not start within four minutes. */
 void world_check_served(World *world);
 
 /* Jobs with dependencies (pipelines.c) */
 
-/* Submits a job that depends on others, each of which was accepted before. Takes ownership of
- * `overrides`. */
+/* Submits a job that depends on the jobs in `dependencies`. Each dependency must have been accepted
+ * before. Takes ownership of `overrides`. */
 WorldJob *world_submit_dependent(World *world, json_t *overrides, double run_s,
                                  WorldJob *const *dependencies, guint n_dependencies);
 /* Returns whether all dependencies of the job are actually done. */
@@ -142,15 +144,16 @@
 /* Returns whether a user has requested the cancellation of the job or of one of its direct or
  * indirect dependencies. */
 gboolean world_job_may_be_cancelled(const WorldJob *job);
-/* Returns when the cancellation of one of the job's direct or indirect dependencies was first
- * confirmed, but not earlier than the job's submission; 0 if none was. */
+/* Returns the earliest time at which a cancellation of a direct or indirect dependency of the job
+ * was confirmed. Returns the time of the job's submission if that is later, and 0 if no
+ * cancellation was confirmed. */
 gint64 world_job_ancestor_cancelled_us(const WorldJob *job);
 /* Sets `ready_at_us` of jobs that have become ready. */
 void world_record_ready_jobs(World *world);
 
 /* Upgrades (upgrade.c) */
 
-/* Changes the request to what a node of the old release would have sent. */
+/* Changes the request to the request that a node of the old release would have sent. */
 void world_downgrade_request(const World *world, guint node, json_t *request);
 /* Kills the node and restarts it with the new release `down_s` seconds later. */
 void world_upgrade_node(World *world, guint index, double down_s);
@@ -162,12 +165,12 @@
 
 /* Machine groups (sharing.c) */
 
-/* Reports a violation if two nodes grant resources of the same machine or, after the faults have
- * ended, a group has had no owner for too long. */
+/* Reports a violation if two nodes grant resources of the same machine. After the faults have
+ * ended, also reports a violation if a group has had no owner for too long. */
 void world_check_sharing(World *world);
-/* Checks the commands in a node's response to a heartbeat: all starts in responses to the same
- * heartbeat, copies of it included, must fit the resources that were free on the machine when it
- * sent the heartbeat. */
+/* Checks the start commands in a node's response to a heartbeat. All tasks that are started by
+ * responses to the same heartbeat must fit the resources that were free on the machine when the
+ * heartbeat was sent. Responses to copies of the heartbeat count too. */
 void world_check_heartbeat_response(World *world, guint node, const json_t *heartbeat,
                                     const json_t *response);
 /* Sends an administrator's request to move a group; the node that receives it, the group and the
@@ -185,8 +188,8 @@
 /* Writes the active format to the key-value store; NULL deletes the key. Takes ownership of the
  * value. */
 void world_set_format(World *world, json_t *value);
-/* Checks a write by a node. Reports a violation if the node does not support the active format and
- * has had enough time to learn about it. */
+/* Checks a write by a node. Reports a violation if the node does not support the active format
+ * although it has had enough time to learn the active format. */
 void world_check_write(const World *world, guint node);
 
 /* Cloud (cloud.c) */
@@ -232,16 +235,16 @@
 
 /* Invariants (invariants.c) */
 
-/* Checks a task that starts on a machine: no other attempt of it runs, its dependencies are done,
- * and the machine meets the placement constraints of its job. */
+/* Checks a task that starts on a machine: no other attempt of the task runs, the dependencies of
+ * its job are done, and the machine meets the placement constraints of its job. */
 void world_check_start(World *world, const WorldMachine *machine, const WorldTask *task);
 /* Checks what must hold at any time: team limits, cancellations, owners of groups, and responses to
  * users. */
 void world_check_invariants(World *world);
 /* Fails the test if an invariant was violated, and prints each violation. */
 void world_assert_invariants(const World *world);
-/* Fails the test if there is a job that no response has reported to its user as done or cancelled,
- * and prints each such job. */
+/* Fails the test if there is an unfinished job, and prints each such job. A job is finished when a
+ * response has reported it to its user as done or cancelled. */
 void world_assert_all_jobs_finished(const World *world);
 /* Returns the number of running tasks of the job on machines other than `except`, which may be
  * NULL. */
