--- a/src/base/log.h
+++ b/src/base/log.h
@@ -11,8 +11,8 @@
 /* The most verbose level that is written. */
 extern MmLogLevel mm_log_level;
 
-/* Sets mm_log_level from LOG_LEVEL. The default is `info`. If the value of LOG_LEVEL is not the
- * name of a level, sets `info` and returns FALSE. */
+/* Sets mm_log_level from LOG_LEVEL. If LOG_LEVEL is unset, the level is `info`. If the value of
+ * LOG_LEVEL is not the name of a level, sets `info` and returns FALSE. */
 gboolean mm_log_read_level(void);
 /* Writes the line regardless of mm_log_level. Callers use mm_error, mm_info or mm_debug instead. */
 void mm_log_write(MmLogLevel level, const char *format, ...) G_GNUC_PRINTF(2, 3);
--- a/src/config/operators.h
+++ b/src/config/operators.h
@@ -14,8 +14,8 @@
 #define MM_NODE_WEIGHTS_MAX 32
 
 /* The maximum number of machine groups. A set of groups is stored as a list of ranges. The list is
- * longest when the set contains every second group. With 512 groups the longest list fits into 2
- * KiB, and every key-value store is expected to accept values of that size. */
+ * longest when the set contains every second group. With 512 groups the longest list fits into a
+ * value of 2 KiB, which every key-value store is expected to accept. */
 #define MM_GROUPS_MAX 512
 
 /* A node's share of the machine groups relative to the other nodes. Nodes that are not listed have
@@ -35,8 +35,8 @@
   double peer_ping_interval_s;
   /* A task that has waited longer than this has precedence on any machine that it fits. */
   double wait_bound_s;
-  /* How long this node delays its response to a worker to wait for start responses of shard
-   * leaders. */
+  /* Maximum time for which this node delays its response to a worker while it waits for start
+   * responses of shard leaders. */
   double start_request_timeout_ms;
   /* Maximum number of start commands in one response to a worker. */
   double max_starts_per_response;
@@ -58,8 +58,8 @@
   double may_scale_out;
   /* Number of machine groups that are divided among the nodes. 0: there are no groups. */
   double group_count;
-  /* After a move, a group stays with its node for at least this long, unless an operator moves it.
-   */
+  /* A group is not moved again until its owner has owned it for this long, unless an operator moves
+   * the group. */
   double group_min_stay_s;
   /* Maximum number of group moves in progress at the same time. */
   double max_group_moves;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -27,8 +27,8 @@
   MM_OBJECTIVE_WAIT,     /* the last task starts within `within_s` */
   MM_OBJECTIVE_FINISHED, /* the job finishes within `within_s` */
   MM_OBJECTIVE_DEADLINE, /* the job finishes within its own deadline times `deadline_factor` */
-  MM_OBJECTIVE_QUOTA, /* like MM_OBJECTIVE_WAIT, but only for jobs within the quota of their team */
-  MM_OBJECTIVE_OTHER  /* unknown kind, ignored */
+  MM_OBJECTIVE_QUOTA,    /* like MM_OBJECTIVE_WAIT, only for jobs within their team's quota */
+  MM_OBJECTIVE_OTHER     /* unknown kind, ignored */
 } MmObjectiveKind;
 
 /* A service-level objective for a class of jobs. */
--- a/src/node/peer-receiver.c
+++ b/src/node/peer-receiver.c
@@ -13,7 +13,8 @@
 
 /* Sends the initial state to a peer whose first frame has proved that the peer is alive. This node
  * sends the initial state before it answers any ping of the peer. Before that first frame this node
- * sends only a few bytes on a new connection, because the peer's process may be stopped. */
+ * sends only a few bytes on a new connection, because a connection to a peer whose process is
+ * stopped must cost little. */
 static void
 send_initial_state(MmPeerLinks *links, guint peer) {
   const MmJobTable *job_table = links->node->job_table;
--- a/src/transport/http-client.c
+++ b/src/transport/http-client.c
@@ -15,7 +15,7 @@
 /* After this many requests the session for workers is replaced by a new session, as soon as no
  * request to a worker is in flight. The reason is that libsoup keeps a timer for each host to which
  * a session has sent a request within the last five minutes. The main loop checks every timer in
- * each iteration. With 4,000 machines this took four tenths of a node's CPU time. */
+ * each iteration. With 4,000 machines these checks took four tenths of a node's CPU time. */
 #define WORKER_REQUESTS_PER_SESSION 64
 
 /* Priorities in the main loop, by MmTarget. Responses of the key-value store come first, because an
@@ -28,7 +28,7 @@
   SoupSession *sessions[3]; /* by MmTarget */
   char *base_urls[3];       /* by MmTarget; NULL for workers */
   guint n_worker_requests;  /* requests sent with the current session for workers */
-  guint n_worker_in_flight; /* those of the requests that are in flight */
+  guint n_worker_in_flight; /* requests to workers that are in flight */
 };
 
 typedef struct {
--- a/src/transport/http-server.c
+++ b/src/transport/http-server.c
@@ -1,18 +1,18 @@
 /* The HTTP server for users, operators, workers and health checks, based on libmicrohttpd;
- * docs/design.md explains why it does not use libsoup. GLib's main loop polls the epoll descriptor
- * of the libmicrohttpd daemon; no thread is started. */
+ * docs/design.md explains why the server does not use libsoup. GLib's main loop polls the epoll
+ * descriptor of the libmicrohttpd daemon; no thread is started. */
 #include "transport/transport.h"
 
 #include <microhttpd.h>
 #include <netinet/in.h>
 
 #define BODY_MAX_BYTES (64 * 1024)
-/* Memory of a connection for headers and its read buffer. Longer bodies are received in several
- * pieces. */
+/* Memory of a connection for headers and the read buffer. A body that does not fit into the read
+ * buffer is received in several pieces. */
 #define CONNECTION_MEMORY_BYTES 4096
 #define IDLE_TIMEOUT_S 45
-/* Number of sockets that the server does not use. They are reserved for connections to the
- * key-value store, the cloud, peers and workers. */
+/* Number of sockets that the server leaves unused, because connections to the key-value store, the
+ * cloud, peers and workers need sockets too. */
 #define RESERVED_SOCKETS 100
 #define LISTEN_BACKLOG 256
 
--- a/tests/world/internal.h
+++ b/tests/world/internal.h
@@ -22,7 +22,7 @@
 /* Closes the links of the node and notifies the nodes at both ends. */
 void world_links_close(World *world, guint index);
 /* Handles the end of the node's process. The links of the other nodes to this node are closed. If
- * World.node_ends_leave_half_open_links is set, the links become half-open instead. */
+ * World.node_ends_leave_half_open_links is set, established links become half-open instead. */
 void world_links_node_ended(World *world, guint index);
 /* Implement MmPlatform.send and MmPlatform.reconnect of a node; `data` is its WorldNode. */
 void world_link_send(gpointer data, guint peer, const Mm__Frame *frame);
@@ -34,9 +34,9 @@
 MmPlatform world_node_platform(WorldNode *world_node);
 /* Returns the time of the node's steady clock; `data` is its WorldNode. */
 MmTime world_node_now(gpointer data);
-/* If the node's process with the number `generation` is suspended, schedules the call for the time
- * when the process resumes and returns TRUE. Otherwise returns FALSE. Deferred calls run in the
- * order in which they were deferred. */
+/* If the node's process with the number `generation` is suspended, schedules `callback` for the
+ * time when the process resumes and returns TRUE. Otherwise returns FALSE. Deferred callbacks run
+ * in the order in which they were deferred. */
 gboolean world_defer_while_suspended(const WorldNode *world_node, guint generation,
                                      WorldCallback callback, gpointer data);
 
--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -58,8 +58,8 @@
   world_request_release(request);
 }
 
-/* The execute_ functions below execute a request at its target. They return FALSE if no response is
- * to be sent now. */
+/* The execute_at_ functions below execute a request at its target. They return FALSE if no response
+ * is to be sent now. */
 
 static gboolean
 execute_at_kv_store(NodeRequest *request) {
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -5,12 +5,10 @@
 
 typedef struct {
   WorldRequest base;
-  MmHttpExchange
-      exchange;         /* used by the node to respond; holds a reference until the node responds */
-  WorldMachine *sender; /* NULL: a user */
-  WorldMachine
-      *duplicate_of; /* sender of the original request if this request is a late copy, else NULL */
-  gboolean is_pending; /* the node has received the request and not answered it yet */
+  MmHttpExchange exchange;    /* passed to the node; holds a reference until the node responds */
+  WorldMachine *sender;       /* NULL: a user */
+  WorldMachine *duplicate_of; /* sender of the original request; NULL: this is not a late copy */
+  gboolean is_pending;        /* the node has received the request and not answered it yet */
 } InboundRequest;
 
 static void
--- a/tests/world/types.h
+++ b/tests/world/types.h
@@ -24,7 +24,8 @@
   double clock_rate; /* rate of the node's steady clock relative to simulated time */
 
   /* Supported formats and protocol version */
-  guint64 highest_format; /* highest supported format of the stored state; 0: the program's own */
+  guint64 highest_format; /* highest supported format of the stored state; 0: highest format of the
+                             program */
   /* The node sends messages and stores records as the old release does. The old release has neither
    * job dependencies nor announced limits. */
   gboolean is_old_version;
@@ -277,10 +278,9 @@
   /* "machine/incarnation/sequence" of a heartbeat -> double: total cores of the tasks that the
    * responses to the heartbeat started. */
   GHashTable *cores_granted;
-  guint n_moves_started; /* group moves requested by an administrator that a node accepted */
-  guint n_double_owners; /* checks in which two nodes believed that they own a machine's group */
-  gint64
-      unowned_since_us; /* since when at least one group has had no owner according to some node */
+  guint n_moves_started;   /* group moves requested by an administrator that a node accepted */
+  guint n_double_owners;   /* checks in which two nodes believed that they own a machine's group */
+  gint64 unowned_since_us; /* since when some group has had no owner according to a node */
   gint64 longest_unowned_us; /* longest such duration after the faults ended */
 
   /* Defects of the nodes; tests enable them to show that the invariant checks detect them */
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -108,8 +108,9 @@
 guint world_node_leading_most_shards(World *world);
 /* Sends unusual user requests: the submission of a job that fits no machine, submissions that each
  * lack one field, the repeated submission of each accepted job, the cancellation of each finished
- * job, and requests about a job that does not exist. Unexpected responses violate an invariant,
- * expected ones are counted; status 503 and a missing response are neither. */
+ * job, and requests about a job that does not exist. An unexpected response violates an invariant.
+ * An expected response is counted. Status 503 or a missing response is neither a violation nor
+ * counted. */
 void world_send_unusual_requests(World *world);
 /* Returns the number of tasks that are still on machines although the cancellation of their job was
  * confirmed to its user. */
@@ -123,14 +124,16 @@
 
 /* Checks of the service that users get (service-checks.c) */
 
-/* Checks jobs that wait after the faults have ended. Reports a violation if a job has waited for 90
- * s although a suitable machine has free resources and the job's team is below its limit. Gangs and
- * jobs that must run in one zone or in several zones are not checked, because they can start only
- * if all the machines that they need are free at once. */
+/* Checks jobs that wait after the faults have ended. Reports a violation if a job has been waiting
+ * for 90 s although a suitable machine has free resources and the job's team is below its limit.
+ * Gangs and jobs that must run in one zone or in several zones are not checked, because they can
+ * start only if all the machines that they need are free at once. */
 void world_check_waiting(World *world);
-/* Checks the jobs of each team, the jobs of each kind and the largest jobs. Reports a violation if
- * less than half of the jobs in such a category, cancelled jobs aside, have started. Also reports a
- * violation if one of the largest jobs did not start within four minutes. */
+/* Checks the jobs of each team, the jobs of each kind and the largest jobs. Counts only jobs that
+ * were accepted, were not cancelled and have no unfinished dependencies. Reports a violation if
+ * less than half of the counted jobs of a team, of a kind or of the largest size have started. Also
+ * reports a violation if one of the largest jobs started more than four minutes after it became
+ * ready. */
 void world_check_served(World *world);
 
 /* Jobs with dependencies (pipelines.c) */
