--- a/src/config/operators.h
+++ b/src/config/operators.h
@@ -90,8 +90,9 @@
  */
 gboolean mm_operators_parse(MmOperators *operators, const char *path, const char *xml,
                             gssize length, GError **error);
-/* Returns FALSE, with an error in the MM_CONFIG_ERROR domain, if the number of groups is not whole,
- * a weight names a node that the settings file does not list, or the weights of all nodes are 0. */
+/* Checks the operators' settings against the platform's settings. The number of groups must be
+ * whole. Each weight must name a node that the settings file lists. At least one node must have a
+ * weight above 0. Returns FALSE with an error in the MM_CONFIG_ERROR domain if a check fails. */
 gboolean mm_operators_check_against_settings(const MmOperators *operators,
                                              const MmSettings *settings, const char *path,
                                              GError **error);
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -5,9 +5,8 @@
 #include "kv/kv-client.h"
 #include "upgrade/format.h"
 
-/* Time within which a node learns of a change. The time is longer than 3.7 s, because a node
- * reopens a watch after 3.7 s if the response to the watch is lost or arrives while the node is
- * suspended. */
+/* Time within which a node learns of a change. If the response to a watch is lost or arrives while
+ * the node is suspended, the node reopens the watch after 3.7 s, and the time must be longer. */
 #define CHANGE_PROPAGATION_US (4 * G_USEC_PER_SEC)
 
 void
