--- a/tests/golden/record.c
+++ b/tests/golden/record.c
@@ -1,9 +1,10 @@
-/* Records the data that a version stores and sends, for compatibility tests of later versions; see
- * README.md in this folder.
+/* Records the data that one version stores and sends. Compatibility tests of later versions read
+ * this record; see README.md in this folder.
  *
- * Built against the sources of the version to be recorded, whose simulated world it uses. Prints
- * one JSON object: `keys`, the keys and values of the state service at the end of a short run, and
- * `frames`, up to FRAMES_PER_KIND frames of each kind that nodes sent, in hexadecimal. */
+ * This program is built against the sources of the version to be recorded and uses the simulated
+ * world of that version. It prints one JSON object with two members. `keys` holds the keys and
+ * values of the state service at the end of a short run. `frames` holds up to FRAMES_PER_KIND
+ * frames of each kind that nodes sent, in hexadecimal. */
 #include <stdio.h>
 
 #include "base/wire.h"
--- a/tests/loopback/checker.c
+++ b/tests/loopback/checker.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #define CORES_TOLERANCE 1e-6
-/* A machine discards responses that take longer than 4 s and fetches the image for up to 1.5 s: a
- * start that was in flight at the cancellation happens within this time. */
+/* A start that is in flight when its job is cancelled happens within this time. A machine discards
+ * responses that take longer than 4 s, and it fetches the image for up to 1.5 s. */
 #define START_DELAY_MAX_S 6.0
 
 static const char *const kinds[] = { "accepted", "done", "cancelled", "start", "end", "refused" };
@@ -115,8 +115,8 @@
     report_violation(check, event, "%s ends on %s, where it was not running", task, event->machine);
     return;
   }
-  /* A machine keeps results: a finished task that is started again there ends at the same time as
-   * it starts, which is not a second run. */
+  /* A machine keeps the results of finished tasks. When a finished task is started on that machine
+   * again, the task ends at the same time as it starts. This is not a second run. */
   if (event->completed && running->since_us < event->time_us
       && !g_hash_table_add(job->completed, number))
     report_violation(check, event, "%s ran again after it had completed", task);
--- a/tests/loopback/checker.h
+++ b/tests/loopback/checker.h
@@ -1,6 +1,6 @@
-/* Checks the recorded history of a run: the responses that users received against the tasks that
- * actually ran on the machines. Independent of the scheduler and of the simulated machines and
- * users: shares no code with them. */
+/* Checks the recorded history of a run: compares the responses that users received with the tasks
+ * that actually ran on the machines. The checker is independent: it shares no code with the
+ * scheduler, the simulated machines or the simulated users. */
 #pragma once
 
 #include <glib.h>
@@ -21,7 +21,7 @@
   guint tasks; /* HISTORY_ACCEPTED: number of tasks; 0: a service, which runs until cancelled */
   guint task;
   char machine[32];
-  double cores;    /* that the task uses */
+  double cores;    /* cores that the task uses */
   double capacity; /* cores of the machine */
   gboolean completed;
 } HistoryEvent;
--- a/tests/loopback/processes.c
+++ b/tests/loopback/processes.c
@@ -10,8 +10,8 @@
 
 static const char *const zones[] = { "a", "b", "c" };
 
-/* Below the system's range of ephemeral ports: otherwise an outgoing connection, of this test or of
- * another program on the machine, could take a node's port while the node is down. */
+/* The nodes' ports lie below the system's range of ephemeral ports. Otherwise, while a node is
+ * down, an outgoing connection of this test or of another program could take the node's port. */
 #define PORT_MIN 20000
 #define PORT_MAX 32000
 /* Concurrent test runs start their search for ports at different offsets. */
@@ -142,7 +142,7 @@
   NodeRef *node_ref = data;
 
   node_ref->processes->n_unreaped--;
-  /* For a process that processes_kill() killed, the pid has been cleared already. */
+  /* processes_kill() has already cleared the pid of a process that it killed. */
   if (node_ref->processes->pids[node_ref->index] == pid) {
     fprintf(stderr, "n-%u exited unexpectedly: status=%d\n", node_ref->index, status);
     node_ref->processes->n_unexpected_exits++;
@@ -189,8 +189,8 @@
   *timer = g_timeout_add_full(G_PRIORITY_DEFAULT, ms, callback, node_ref, g_free);
 }
 
-/* Waits until a killed process has exited. It keeps its ports until then, and a process started on
- * them earlier would find them in use. Leaves the process for the child watch to reap. */
+/* Waits until a killed process has exited, because the process keeps its ports until then: a node
+ * started earlier would find the ports in use. Does not reap the process; the child watch does. */
 static void
 wait_for_exit(GPid pid) {
   siginfo_t info;
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -1,7 +1,7 @@
-/* End-to-end test with three nodes as processes on loopback and forty simulated machines. A
- * random machine group is moved every MOVE_EVERY_MS while nodes are killed, paused and resumed.
- * Afterwards the recorded history of the machines' tasks and of the responses to users is
- * checked. README.md, "Test", has the commands. */
+/* End-to-end test with three nodes as processes on loopback and forty simulated machines. A random
+ * machine group is moved every MOVE_EVERY_MS while nodes are killed, paused and resumed. Afterwards
+ * the test checks the recorded history, which consists of the machines' tasks and of the responses
+ * to users. The section "Test" of README.md has the commands. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <sys/wait.h>
@@ -148,8 +148,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Kills all nodes, which run the binary given by --other-binary, and restarts them with the tested
- * program and the state that they stored. */
+/* Kills all nodes, which run the binary given by --other-binary until then. Restarts them with the
+ * program under test on the state that the other binary stored. */
 static gboolean
 take_over(gpointer data) {
   Run *run = data;
@@ -179,7 +179,7 @@
   }
 }
 
-/* The program's commands, run after the faults */
+/* Commands of the program under test, run after the faults */
 
 typedef struct {
   Run *run;
@@ -204,8 +204,8 @@
     g_main_loop_quit(run->loop);
 }
 
-/* Runs the program with `arguments`, separated by single spaces, and checks its exit status when it
- * has exited. The main loop quits when no command is left. */
+/* Runs the program under test with `arguments`, separated by single spaces, and checks its exit
+ * status when it has exited. The main loop quits when no command is running any more. */
 static void
 expect_status(Run *run, int expected, const char *arguments) {
   CommandRun *command = g_new(CommandRun, 1);
@@ -222,7 +222,7 @@
 }
 
 /* Checks the exit status of the commands that list and move groups. Then starts the first node with
- * a number of groups that differs from the stored one, on which it must exit with EXIT_USAGE. */
+ * a number of groups that differs from the stored number; the node must exit with EXIT_USAGE. */
 static void
 check_commands(Run *run) {
   Processes *processes = run->processes;
--- a/tests/loopback/stand-ins.c
+++ b/tests/loopback/stand-ins.c
@@ -16,14 +16,14 @@
   const char *const *http_addresses;
   gint64 offset_us; /* simulated time minus monotonic clock */
   guint timer;
-  guint n_requests_in_flight; /* requests to nodes that have no response yet */
+  guint n_requests_in_flight; /* unanswered requests to nodes */
 };
 
 void
 stand_ins_catch_up(StandIns *stand_ins) {
   gint64 late_us = mm_clock_now().us + stand_ins->offset_us - stand_ins->world->now_us;
 
-  /* Overdue events, expired leases above all, are processed in their order before any new request
+  /* Overdue events, above all expired leases, are processed in their order before any new request
    * is handled. */
   if (late_us > 0)
     world_run(stand_ins->world, (double)late_us / G_USEC_PER_SEC);
--- a/tests/loopback/stand-ins.h
+++ b/tests/loopback/stand-ins.h
@@ -7,14 +7,15 @@
 
 typedef struct StandIns StandIns;
 
-/* Starts the server. `http_addresses`: the addresses at which users reach the nodes, WORLD_NODES
- * entries of "HOST:PORT". The world and `http_addresses` are not copied: the world must exist until
- * stand_ins_stop(), `http_addresses` until no request is sent any more. Returns NULL and sets
- * `error` when the server cannot listen. Free with stand_ins_free(). */
+/* Starts the server. `http_addresses` has WORLD_NODES entries of "HOST:PORT", the addresses at
+ * which users reach the nodes. `world` and `http_addresses` are borrowed: the world must exist
+ * until stand_ins_stop() is called, and `http_addresses` until the last request to a node has been
+ * sent. Returns NULL and sets `error` when the server cannot listen. Free with stand_ins_free(). */
 StandIns *stand_ins_new(World *world, const char *const *http_addresses, GError **error);
 /* Aborts all requests to nodes and stops the simulated time. The world may be freed afterwards. */
 void stand_ins_stop(StandIns *stand_ins);
-/* Stops and frees the server. Call it after world_free(), which responds to pending watches. */
+/* Stops and frees the server. Call this function after world_free(), because world_free() responds
+ * to pending watches. */
 void stand_ins_free(StandIns *stand_ins);
 /* Returns the address, "HOST:PORT", of both the key-value store and the cloud. Owned by
  * `stand_ins`. */
--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -1,7 +1,7 @@
-/* Measures the cost of sharing machines among the nodes in the simulated world: messages between
- * nodes, their bytes, writes and processor time, with and without machine groups, and for how long
- * the machines of a moving group have no node that grants starts. Prints rows of a table; with
- * --figure also draws them with PLplot. */
+/* Measures in the simulated world what it costs to share machines among the nodes: messages between
+ * nodes, their bytes, writes and processor time, with and without machine groups. Also measures for
+ * how long the machines of a moving group have no node that grants starts. Prints rows of a table;
+ * with --figure also draws the rows with PLplot. */
 #include <plplot.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -27,7 +27,7 @@
 #define N_SIZES G_N_ELEMENTS(sizes)
 
 typedef struct {
-  double frames; /* this and the next two: per machine and second */
+  double frames; /* this field and the next two: per machine and second */
   double bytes;
   double heartbeats;
   double writes; /* per second */
@@ -36,7 +36,7 @@
 } Cost;
 
 typedef struct {
-  double writes; /* this and the next: per move, in excess of those without moves */
+  double writes; /* this field and the next: per move, minus the count without moves */
   double frames;
   GArray *gaps; /* double, s: each moved machine's time without a granting node, ascending */
 } MoveCost;
@@ -119,8 +119,8 @@
   return FALSE;
 }
 
-/* Returns the machines (WorldMachine, borrowed) of the group whose resources a node may grant. Free
- * with g_ptr_array_unref(). */
+/* Returns those machines of the group whose resources some node may grant (WorldMachine, borrowed).
+ * Free with g_ptr_array_unref(). */
 static GPtrArray *
 granted_machines(const World *world, guint group) {
   GPtrArray *machines = g_ptr_array_new();
@@ -134,8 +134,8 @@
   return machines;
 }
 
-/* Moves the group and appends to `gaps`, in seconds, for how long each of its machines has no node
- * that grants its resources. */
+/* Moves the group. For each machine of the group, appends to `gaps` the time in seconds during
+ * which no node grants the machine's resources. */
 static void
 measure_move(World *world, guint group, GArray *gaps) {
   g_autoptr(GPtrArray) machines = granted_machines(world, group);
@@ -166,8 +166,9 @@
   return x < y ? -1 : x > y;
 }
 
-/* Returns the ratio of processor time with groups to that without. Runs the two alternately ROUNDS
- * times and takes the median of the ratios; the counts are the same in each round. */
+/* Returns the ratio of the processor time with groups to the processor time without groups.
+ * Measures both alternately, ROUNDS times, and takes the median of the ratios. The counts are the
+ * same in each round. */
 static double
 measure_ratio(guint size, Cost *without, Cost *with) {
   double ratios[ROUNDS];
--- a/tests/test-concurrent-faults-cancellation.c
+++ b/tests/test-concurrent-faults-cancellation.c
@@ -1,5 +1,5 @@
-/* Scenarios in which jobs are cancelled during outages of the key-value store, network partitions,
- * or while machines do not receive commands. */
+/* Scenarios in which jobs are cancelled during outages of the key-value store, during network
+ * partitions, or while machines do not receive commands. */
 #include "test-concurrent-faults.h"
 
 #include "base/wire.h"
@@ -28,9 +28,9 @@
   return MIN(world->n_unusual_requests_correct, n_cancelled + n_done);
 }
 
-/* The key-value store refuses requests from the leader only, while the other nodes confirm
- * cancellations. It then refuses requests from all nodes for longer than `cancel_s`, while nodes
- * still respond to workers. */
+/* First, the key-value store refuses requests from the leader only, while the other nodes confirm
+ * cancellations. Then the store refuses requests from all nodes for longer than `cancel_s`, while
+ * the nodes still respond to workers. */
 guint
 outage_follows_cancellation(World *world) {
   guint leader, n_overlaps;
@@ -53,8 +53,8 @@
 }
 
 /* Like outage_follows_cancellation(), but the outage begins when the leader's lease has just
- * expired and no node has acquired its shards yet, so that they have no leader during the outage.
- */
+ * expired and no node has acquired the leader's shards yet. The shards therefore have no leader
+ * during the outage. */
 guint
 outage_follows_cancellation_without_leader(World *world) {
   g_autofree char *key = NULL;
@@ -128,7 +128,7 @@
   return n_overlaps;
 }
 
-/* Many jobs are cancelled within a fifth of a second, and workers that run their tasks are
+/* Many jobs are cancelled within a fifth of a second, and workers that run tasks of these jobs are
  * suspended. */
 guint
 workers_are_suspended_as_jobs_are_cancelled(World *world) {
@@ -143,8 +143,9 @@
   return n_overlaps;
 }
 
-/* A node's replica receives no changes while its lease is still renewed. Links between nodes are
- * refused, and jobs with tasks on the node's workers are cancelled through the other nodes. */
+/* The replica of one node receives no changes, although the node still renews its lease. Links
+ * between nodes are refused. Jobs with tasks on this node's workers are cancelled through the other
+ * nodes. */
 guint
 stale_node_misses_cancellation(World *world) {
   guint node;
--- a/tests/test-concurrent-faults-failover.c
+++ b/tests/test-concurrent-faults-failover.c
@@ -24,8 +24,8 @@
   return highest_known_term(world) >= before + 6;
 }
 
-/* Transactions get no response and are applied late, after newer transactions of the same node,
- * including those that it sends after a restart. */
+/* Transactions get no response and are applied late, after newer transactions of the same node. The
+ * newer transactions include those that the node sends after a restart. */
 guint
 transactions_are_applied_late(World *world) {
   world->late_write_rate = 0.3;
@@ -43,9 +43,9 @@
   return world->n_late_applied > 0 && world->n_late_rejected > 0;
 }
 
-/* A node announces its lease twice, and the first announcement is applied last. If the transaction
- * had no condition on the node's key, the key would then be bound to the older lease and be deleted
- * when that expires, and the node could never act again. */
+/* A node announces its lease twice, and the first announcement is applied last. Without a condition
+ * on the node's key, this late transaction would bind the key to the older lease. The key would
+ * then be deleted when the older lease expires, and the node could never act again. */
 guint
 lease_announcements_are_applied_late(World *world) {
   guint n_rejected_before;
@@ -89,7 +89,7 @@
   return n_overlaps;
 }
 
-/* Machines fail that run tasks of jobs restricted to one zone. */
+/* Machines that run tasks of jobs restricted to one zone fail. */
 guint
 zone_bound_jobs_lose_machines(World *world) {
   guint n_killed = 0;
--- a/tests/test-concurrent-faults-network.c
+++ b/tests/test-concurrent-faults-network.c
@@ -30,9 +30,9 @@
   return count_machines_with_lost_lease(world, "a");
 }
 
-/* Like zone_is_partitioned_with_its_node(), but a node outside the zone restarts. It knows the
- * machines in the zone only from the registry, and proves that their incarnations have ended at the
- * time when the zone is reconnected. */
+/* Like zone_is_partitioned_with_its_node(), but a node outside the zone restarts. After the
+ * restart, this node knows the machines in the zone only from the registry. When the zone is
+ * reconnected, the node proves that the incarnations of these machines have ended. */
 guint
 node_restarts_while_zone_is_partitioned(World *world) {
   submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
@@ -48,7 +48,7 @@
   return count_machines_with_lost_lease(world, "a");
 }
 
-/* Duplicates of heartbeats arrive after newer heartbeats, including duplicates from earlier
+/* Duplicates of heartbeats arrive after newer heartbeats. Some of the duplicates are from earlier
  * incarnations and attempts. */
 guint
 stale_heartbeats_arrive(World *world) {
@@ -83,7 +83,7 @@
   return n_arrived;
 }
 
-/* The duplicate of a heartbeat reaches a new leader that has already sent commands. */
+/* The duplicate of a heartbeat reaches a new leader after the leader has already sent commands. */
 guint
 delayed_heartbeat_reaches_new_leader(World *world) {
   guint old_leader = world_node_leading_most_shards(world), n_overlaps = 0;
@@ -108,9 +108,9 @@
 }
 
 /* The node with the active autoscaler is partitioned from all workers. Meanwhile the heartbeats of
- * some workers are lost, and these answer requests of the other nodes. The autoscaler must not
- * conclude that machines are silent because its own node reaches no worker: it would return healthy
- * machines to the cloud. */
+ * some workers are lost, but these workers answer requests of the other nodes. The autoscaler must
+ * not conclude from the partition of its own node that machines are silent; otherwise it would
+ * return healthy machines to the cloud. */
 guint
 autoscaler_is_partitioned_from_workers(World *world) {
   guint autoscaler_node = 0, n_overlaps, n_up_before = 0, n_up_after = 0;
--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -1,5 +1,5 @@
-/* Runs scenarios in which two faults overlap. Each scenario injects the faults and shows that they
- * did overlap; after it the invariants must hold and all jobs must finish. */
+/* Runs scenarios in which two faults overlap. Each scenario injects the faults and shows that the
+ * faults did overlap. After each scenario, the invariants must hold and all jobs must finish. */
 #include "test-concurrent-faults.h"
 
 typedef struct {
@@ -88,8 +88,8 @@
   g_assert_cmpuint(n_overlaps, >, 0);
 }
 
-/* Returns whether tasks of cancelled jobs keep running when nodes have this fault, with at least
- * one of four seeds. */
+/* Returns whether, with at least one of four seeds, tasks of cancelled jobs keep running when the
+ * nodes have this fault. */
 static gboolean
 cancelled_tasks_keep_running(guint (*run_scenario)(World *world), gboolean only_leader_knows,
                              gboolean never_stale) {
@@ -108,16 +108,16 @@
   return is_broken;
 }
 
-/* Nodes that know only of the cancellations in shards that they lead let tasks of cancelled jobs
- * run on. */
+/* The injected fault: a node knows only of the cancellations in the shards that it leads. Tasks of
+ * other cancelled jobs then run on. */
 static void
 test_cancellation_known_to_leader_only_is_found(void) {
   g_assert_true(
       cancelled_tasks_keep_running(outage_follows_cancellation_without_leader, TRUE, FALSE));
 }
 
-/* A node that continues to respond to its workers although its replica is stale lets tasks of
- * cancelled jobs run on. */
+/* The injected fault: a node continues to respond to its workers although its replica is stale.
+ * Tasks of cancelled jobs then run on. */
 static void
 test_replica_never_stale_is_found(void) {
   g_assert_true(cancelled_tasks_keep_running(stale_node_misses_cancellation, FALSE, TRUE));
--- a/tests/test-concurrent-faults.h
+++ b/tests/test-concurrent-faults.h
@@ -1,26 +1,27 @@
 /* Fixtures and scenarios of the tests with concurrent faults. Each scenario injects its faults into
- * a simulated world of nine small machines and returns how often they overlapped; 0 means that the
- * scenario has tested nothing. test-concurrent-faults.c checks what must hold after every scenario.
- */
+ * a simulated world of nine small machines and returns how often the faults overlapped. A result of
+ * 0 means that the scenario has tested nothing. test-concurrent-faults.c checks what must hold
+ * after every scenario. */
 #pragma once
 
 #include "world/world.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
 
-/* Submits `n` jobs of the kind, for each of four teams in turn. Each has `tasks` tasks, which run
- * for about `run_s` seconds. */
+/* Submits `n` jobs of the kind in total; four teams submit them in turn. Each job has `tasks`
+ * tasks, which run for about `run_s` seconds. */
 void submit_jobs(World *world, guint n, const char *kind, guint tasks, double run_s);
 /* Requests the cancellation of each job for which it has not been requested before. */
 void cancel_all_jobs(World *world);
 /* Returns the number of jobs whose user last saw them in this state. */
 guint count_jobs_seen_as(const World *world, WorldUserView view);
-/* Returns the number of machines in the zone that have lost a lease. NULL: in all zones. */
+/* Returns the number of machines in the zone that have lost a lease. If `zone` is NULL, machines of
+ * all zones count. */
 guint count_machines_with_lost_lease(const World *world, const char *zone);
 /* Returns the highest term that any running node knows. */
 guint64 highest_known_term(const World *world);
 
-/* Injects a fault into the machine that lasts until `until_us`. */
+/* Injects into the machine a fault that lasts until `until_us`. */
 typedef void (*MachineFault)(WorldMachine *machine, gint64 until_us);
 /* Injects a fault of the given duration into at most `max_machines` machines that have tasks.
  * Returns the number of machines that it was injected into. */
@@ -33,7 +34,7 @@
 void lose_inbound(WorldMachine *machine, gint64 until_us);
 /* Drops the machine's heartbeats; direct commands still arrive. */
 void lose_outbound(WorldMachine *machine, gint64 until_us);
-/* Makes the key-value store answer 503 to this node only, for that long. */
+/* Makes the key-value store answer 503 to this node only, for `seconds`. */
 void refuse_kv_requests(World *world, guint node, double seconds);
 
 /* Scenarios in test-concurrent-faults-network.c. */
--- a/tests/test-dependency-graph.c
+++ b/tests/test-dependency-graph.c
@@ -51,8 +51,8 @@
   mm_dependency_graph_end_job(f->graph, id.s, cancelled, done_ms, &f->change);
 }
 
-/* The last job of a diamond is ready when both jobs that it depends on are done, and its time of
- * readiness is the end of the later one. */
+/* The last job of a diamond is ready when both jobs that it depends on are done. Its time of
+ * readiness is the time at which the later of these two jobs ended. */
 static void
 test_diamond_is_ready_when_both_arms_are_done(void) {
   Fixture f = fixture_new();
@@ -99,7 +99,8 @@
   fixture_free(&f);
 }
 
-/* A deleted job record does not show how the job ended, so the job does not count as done. */
+/* A deleted job record does not show how the job ended; therefore the job does not count as
+ * done. */
 static void
 test_deleted_record_does_not_count_as_done(void) {
   Fixture f = fixture_new();
@@ -209,8 +210,9 @@
     for (guint i = 0; i < n; i++) {
       guint dependency = (guint)g_rand_int_range(rand, 0, (gint32)*next_job);
       gboolean is_removed = m->removed[dependency];
-      /* A job is not named as a dependency once its record has been removed: the graph may have
-       * forgotten how it ended. Until then the job table reports its end to the graph again. */
+      /* A new job never names a dependency whose record has been removed, because the graph may
+       * have forgotten how that dependency ended. Until the removal, the job table reports the end
+       * of the dependency to the graph again. */
       if (!is_removed)
         m->dependencies[*next_job][m->n_dependencies[*next_job]++] = dependency;
     }
--- a/tests/test-faulty-nodes.c
+++ b/tests/test-faulty-nodes.c
@@ -40,14 +40,15 @@
   g_assert_false(restarts_break_an_invariant(FALSE, 0));
 }
 
-/* Shard leaders start tasks although a machine that may already have these tasks has not
- * acknowledged the term. */
+/* The injected fault: shard leaders start tasks although a machine that may already have these
+ * tasks has not acknowledged the term. */
 static void
 test_ignored_acknowledgements_are_found(void) {
   g_assert_true(restarts_break_an_invariant(TRUE, 0));
 }
 
-/* Nodes count machines as lost long before the leases of these machines have expired. */
+/* The injected fault: nodes count machines as lost long before the leases of these machines have
+ * expired. */
 static void
 test_too_short_lease_is_found(void) {
   g_assert_true(restarts_break_an_invariant(FALSE, 1.5));
@@ -96,8 +97,8 @@
 }
 
 /* A machine that runs replicas of a service receives no responses or direct commands while all
- * nodes restart. Returns whether, a minute and a half later, all replicas run on other machines and
- * a job submitted during the restart is done. */
+ * nodes restart. Returns whether two things hold a minute and a half later: all replicas run on
+ * other machines, and a job submitted during the restart is done. */
 static gboolean
 service_recovers_without_machine(guint32 seed, gboolean respond_to_unacknowledging) {
   World *world = world_new(seed);
@@ -114,12 +115,13 @@
   world_run(world, 12);
   unanswered = first_machine_with_tasks(world);
   unanswered->inbound_lost_until_us = world->now_us + 3600 * (gint64)G_USEC_PER_SEC;
-  /* Otherwise the machine would be returned to the cloud, which would prove it lost sooner. */
+  /* If the cloud were up, the machine would be returned to the cloud. The return would prove the
+   * machine lost sooner. */
   world->cloud_down_until_us = unanswered->inbound_lost_until_us;
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.2);
-  /* Submitted before the shards are acquired, so the job waits until all machines have acknowledged
-   * the term. */
+  /* This job is submitted before the shards are acquired. Therefore it waits until all machines
+   * have acknowledged the term. */
   later = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 3), 2);
   world_run(world, 90);
   g_assert_cmpuint(world->violations->len, ==, 0);
@@ -130,7 +132,7 @@
   return has_recovered;
 }
 
-/* The fault does not show with every seed: if the last shard is acquired before the machine's
+/* The fault does not show with every seed. If the last shard is acquired before the machine's
  * incarnation has ended, the faulty nodes do not wait for the machine. */
 static void
 test_answers_to_unacknowledging_machines_are_found(void) {
@@ -144,11 +146,11 @@
   g_assert_cmpuint(n_found, >, 0);
 }
 
-/* Partitions a node from everything but its workers, for long enough that the other nodes count its
- * machines as lost. If the other nodes still reach the node's workers by direct commands, the
- * workers drop the node's responses because of their lower fencing token. If the node's whole zone
- * is partitioned, only the expiry of the node's lease stops it. Returns whether an invariant was
- * broken. */
+/* Partitions a node for long enough that the other nodes count its machines as lost. With even
+ * seeds, the node is partitioned from everything but its workers. The other nodes still reach these
+ * workers by direct commands, and the workers drop the partitioned node's responses because these
+ * carry a lower fencing token. With odd seeds, the node's whole zone is partitioned, and only the
+ * expiry of the node's lease stops the node. Returns whether an invariant was broken. */
 static gboolean
 partitioned_node_breaks_an_invariant(gboolean lease_never_expires) {
   gboolean is_broken = FALSE;
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -39,8 +39,8 @@
   return n;
 }
 
-/* Returns the number of machines that the node knows both from heartbeats and from the registry and
- * whose lease has not expired. */
+/* Returns the number of machines whose lease has not expired and that the node knows both from
+ * heartbeats and from the registry. */
 static guint
 count_machines_known(const World *world, guint node) {
   const GPtrArray *order = world->nodes[node].node->machine_table->sorted_machines;
--- a/tests/test-format.c
+++ b/tests/test-format.c
@@ -76,8 +76,9 @@
   world_finish_run(world);
 }
 
-/* Two nodes support the next format and the third does not. The two acquire the shards of the
- * third, which has neither a lease nor its node key, however often it restarts. */
+/* Two nodes support the next format and the third node does not. The first two acquire the shards
+ * of the third node. The third node has neither a lease nor its node key, however often it
+ * restarts. */
 static void
 test_old_node_is_fenced(void) {
   World *world = format_world(42, 2);
@@ -101,8 +102,8 @@
   world_finish_run(world);
 }
 
-/* Random workload and faults while the active format changes back and forth and one node supports
- * only the first format. */
+/* Random workload and faults. Meanwhile the active format changes back and forth, and one node
+ * supports only the first format. */
 static void
 test_random_run(gconstpointer data) {
   World *world = format_world(GPOINTER_TO_UINT(data), 2);
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -1,6 +1,6 @@
-/* Compatibility with the production version, whose recorded data is in tests/golden: the current
- * code reads the records and frames of that version and writes the same records for the same jobs.
- */
+/* Compatibility with the production version, whose recorded data is in tests/golden. The current
+ * code must read the records and frames of that version, and must write the same records for the
+ * same jobs. */
 #include "base/wire.h"
 #include "machines/registry.h"
 #include "jobs/job-table.h"
@@ -35,8 +35,8 @@
   return *rest != NULL;
 }
 
-/* Returns a world whose key-value store holds `keys`, with nodes of the current code that have
- * started on it. Free with world_free(). */
+/* Returns a world whose key-value store holds `keys`. Nodes of the current code have been started
+ * on these keys. Free with world_free(). */
 static World *
 world_with_keys(json_t *keys) {
   World *world = world_new(1);
@@ -176,8 +176,8 @@
   return bytes;
 }
 
-/* Frames of the production version unpack without unknown fields and pack to identical bytes again,
- * so no field is lost. */
+/* Frames of the production version unpack without unknown fields and pack to identical bytes again.
+ * This shows that no field is lost. */
 static void
 test_production_frames_round_trip(void) {
   g_autoptr(json_t) golden = load_recorded_state();
@@ -199,7 +199,7 @@
     kinds |= 1u << frame->body_case;
     mm__frame__free_unpacked(frame, NULL);
   }
-  /* All kinds except `gone` (machine_gone): no machine was lost in the recorded run. */
+  /* All kinds except `gone` (machine_gone), because no machine was lost in the recorded run. */
   g_assert_cmpuint(kinds, ==, 0x1ffe & ~(1u << MM__FRAME__BODY_MACHINE_GONE));
 }
 
@@ -300,7 +300,7 @@
 }
 
 /* Each field of the production version's messages still exists with its number, label and type, and
- * no reserved number is used again, so the production version can read current frames. */
+ * no reserved number is used again. Therefore the production version can read current frames. */
 static void
 test_production_message_fields_are_kept(void) {
   g_autofree char *production_text = golden_text("production.proto");
--- a/tests/test-history-checker.c
+++ b/tests/test-history-checker.c
@@ -1,4 +1,5 @@
-/* The history checker reports each kind of violation, and none in a correct history. */
+/* Tests that the history checker reports each kind of violation, and no violation in a correct
+ * history. */
 #include "checker.h"
 
 #include <string.h>
@@ -41,8 +42,9 @@
   return events;
 }
 
-/* Checks that the history in `text` has exactly one violation and that its description contains
- * `expected`; NULL: that it has none. */
+/* Checks that the history in `text` has exactly one violation and that the description of the
+ * violation contains `expected`. If `expected` is NULL, checks that the history has no
+ * violation. */
 static void
 check_history(const char *text, const char *expected) {
   g_autoptr(GArray) events = parse_history(text);
@@ -64,8 +66,8 @@
       "1 accepted a 2\n2 start a 0 m1 2\n2 start a 1 m1 2\n3 end a 0 m1 yes\n4 end a 1 m1 yes\n"
       "5 done a\n",
       NULL);
-  /* A task is stopped or lost and runs again on another machine; a finished task is started again
-   * and its kept result is reported a second time. */
+  /* A task is stopped or lost and runs again on another machine. A finished task is started again,
+   * and the machine reports the kept result a second time. */
   check_history(
       "1 accepted a 1\n2 start a 0 m1 2\n3 end a 0 m1 no\n4 start a 0 m2 2\n5 end a 0 m2 yes\n"
       "6 start a 0 m2 2\n6 end a 0 m2 yes\n7 done a\n",
--- a/tests/test-job-spec.c
+++ b/tests/test-job-spec.c
@@ -40,8 +40,8 @@
   mm_job_spec_clear(&reparsed);
 }
 
-/* Asserts that a specification with this value of the field is refused, with an error that names
- * the field. Takes ownership of `value`; NULL: the field is missing. */
+/* Asserts that a specification in which the field has this value is refused, with an error that
+ * names the field. If `value` is NULL, the field is missing. Takes ownership of `value`. */
 static void
 assert_field_is_refused(const char *field, json_t *value) {
   g_autoptr(json_t) body = parse_complete_spec();
@@ -56,8 +56,8 @@
   g_assert_nonnull(strstr(reason, field));
 }
 
-/* Every field that must not be null has to be present and of the right type, and the error names
- * the field. */
+/* Every field that must not be null has to be present and of the right type. Otherwise the error
+ * names the field. */
 static void
 test_malformed_fields_are_refused(void) {
   const struct {
--- a/tests/test-large-capacity.c
+++ b/tests/test-large-capacity.c
@@ -38,8 +38,9 @@
   return world_submit(world, job, 20);
 }
 
-/* Small jobs arrive continuously and need more resources than there are. The largest array, a gang
- * and a service spread over zones, of each of two teams, must still start within four minutes. */
+/* Small jobs arrive continuously and need more resources than there are. Nevertheless, the largest
+ * array, a gang and a service spread over zones must start within four minutes for each of two
+ * teams. */
 void
 test_large_jobs_do_not_starve(void) {
   World *world = world_new(2);
@@ -69,7 +70,7 @@
   world_free(world);
 }
 
-/* Numbers of big machines, which have accelerators, by the kinds of jobs that run on them. */
+/* Big machines have accelerators. Counts them by the kinds of jobs that run on them. */
 typedef struct {
   guint with_services; /* with or without arrays */
   guint with_services_and_arrays;
@@ -97,9 +98,9 @@
   return uses;
 }
 
-/* Machines with accelerators that run services, because the services fit on no other machine, are
- * filled up with arrays. Of the other machines with accelerators, four stay idle, reserved for jobs
- * that need accelerators, and the rest may run arrays. */
+/* Some machines with accelerators run services, because the services fit on no other machine. These
+ * machines are filled up with arrays. Of the other machines with accelerators, four stay idle
+ * because they are reserved for jobs that need accelerators; the rest may run arrays. */
 void
 test_accelerated_machines_with_services_are_filled(void) {
   World *world = world_new(12);
@@ -138,9 +139,9 @@
   world_free(world);
 }
 
-/* Half as many machines again as the largest planned fleet. Many machines fail at once, all nodes
- * stop within a second, twice, duplicates of requests arrive late, and a zone is partitioned for
- * a while. The invariants must hold, and tasks must continue to start. */
+/* The fleet has half as many machines again as the largest planned fleet. Many machines fail at
+ * once; twice, all nodes stop within a second; duplicates of requests arrive late; and a zone is
+ * partitioned for a while. The invariants must hold, and tasks must continue to start. */
 void
 test_oversized_fleet_survives_faults(void) {
   World *world = world_new(13);
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -57,7 +57,7 @@
 
 /* The numbers of frames between nodes and of keys written per heartbeat do not grow with the number
  * of machines. The number of machines scanned to place tasks grows with the number of jobs, but a
- * limit per second keeps it at a few per heartbeat. */
+ * limit per second keeps the number of scanned machines at a few per heartbeat. */
 static void
 test_work_per_heartbeat_does_not_grow(void) {
   WorkPerHeartbeat few = measure_work(60), many = measure_work(240);
@@ -122,10 +122,11 @@
   return n_led == 4;
 }
 
-/* A node stops and the others acquire its shards. Most machines acknowledge the new term by their
- * heartbeats. A machine that would acknowledge it too late gets a direct command from the node that
- * serves it; a node's share of a processor limits how many of these it sends at once. Workers of
- * the stopped node find another node after 5 s in this test. */
+/* A node stops and the other nodes acquire its shards. Most machines acknowledge the new term by
+ * their heartbeats. A machine whose heartbeat would acknowledge the term too late gets a direct
+ * command from the node that serves the machine. How many of these commands a node sends at once is
+ * limited by the node's share of a processor. In this test, workers of the stopped node find
+ * another node after 5 s. */
 static void
 test_few_acknowledgements_are_requested(void) {
   World *world = new_large_world(3, 210);
@@ -187,8 +188,8 @@
   world_free(world);
 }
 
-/* A node that is reconnected after a partition does not repeat a transaction whose conditions
- * failed until it has read the change that made them fail. */
+/* A node is reconnected after a partition. It does not repeat a transaction whose conditions failed
+ * until it has read the change that made the conditions fail. */
 static void
 test_failed_transactions_are_not_repeated(void) {
   World *world = new_large_world(5, 12);
@@ -204,8 +205,8 @@
   world_free(world);
 }
 
-/* A cancellation is confirmed only when the shard leader knows of it or can no longer start tasks.
- */
+/* A cancellation is confirmed only when the shard leader knows of the cancellation or can no longer
+ * start tasks. */
 static void
 test_cancellation_waits_for_partitioned_leader(void) {
   World *world = new_large_world(6, 12);
--- a/tests/test-large.h
+++ b/tests/test-large.h
@@ -7,7 +7,7 @@
 extern const char *const zones[3];
 
 /* Submits services that occupy half of `machines` machines, then arrays that need more than the
- * remaining resources, and runs for that many seconds. Checks the invariants every second. */
+ * remaining resources. Runs the world for `seconds` and checks the invariants every second. */
 void run_under_load(World *world, guint machines, guint seconds);
 
 /* Tests in test-large-capacity.c. */
--- a/tests/test-machine-health.c
+++ b/tests/test-machine-health.c
@@ -14,8 +14,8 @@
   MmName jobs[JOBS];
 } HealthFixture;
 
-/* Returns a world with pending jobs and with workers that are suspended as soon as the nodes know
- * them, so that the only heartbeats are those that the test records. */
+/* Returns a world with pending jobs. Its workers are suspended as soon as the nodes know them;
+ * therefore the only heartbeats are those that the test records. */
 static HealthFixture
 health_fixture(void) {
   HealthFixture f = { world_new(9) };
@@ -71,7 +71,7 @@
   return mm_time_before(mm_node_now(f->node), f->machines[machine]->quarantined_until);
 }
 
-/* Jobs that fail on every machine do not get any machine quarantined. */
+/* A job that fails on every machine does not cause any machine to be quarantined. */
 static void
 test_faulty_jobs_quarantine_no_machine(void) {
   HealthFixture f = health_fixture();
@@ -84,8 +84,8 @@
   world_free(f.world);
 }
 
-/* A machine is quarantined when jobs fail on it that succeed on another machine or ran on no other.
- */
+/* A machine is quarantined when jobs fail on it that succeed on another machine or that ran on no
+ * other machine. */
 static void
 test_failing_machine_is_quarantined(void) {
   HealthFixture f = health_fixture();
@@ -100,9 +100,9 @@
   world_free(f.world);
 }
 
-/* A machine is not quarantined when the node that serves it stops and the machine's lease expires
- * just as it finds another node, however often that happens. A machine that loses its leases
- * although it is always answered is quarantined. */
+/* The node that serves a machine stops, and the machine's lease expires just as the machine finds
+ * another node. The machine is not quarantined, however often that happens. By contrast, a machine
+ * that loses its leases although its heartbeats are always answered is quarantined. */
 static void
 test_losing_leases_though_answered_is_quarantined(void) {
   HealthFixture f = health_fixture();
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -1,5 +1,5 @@
-/* Links between nodes: what a node concludes from its peers' frames must be proved by them, even if
- * links fail and come back, and however late the frames are read. */
+/* Links between nodes. What a node concludes from its peers' frames must be proved by these frames,
+ * even if links fail and come back, and however late the node reads the frames. */
 #include "machines/registry.h"
 #include "peers/peer-links.h"
 #include "node/peer-receiver.h"
@@ -16,8 +16,8 @@
   return world;
 }
 
-/* Returns the index of the node whose machine table says that the node itself serves the machine.
- */
+/* Returns the index of the node that serves the machine according to the node's own machine
+ * table. */
 static guint
 find_serving_node(World *world, const char *id) {
   for (guint i = 0; i < WORLD_NODES; i++) {
@@ -54,10 +54,11 @@
   mm_heartbeat_clear(&heartbeat);
 }
 
-/* While links are refused, one node restarts and then receives only a direct reply from a machine,
- * which does not make it the machine's serving node. The node that does answer the machine believes
- * that another node serves it. It must nevertheless announce its responses once the links are up
- * again; otherwise the other nodes would count running machines as lost. */
+/* While links are refused, one node restarts and then receives only a direct reply from a machine.
+ * The reply does not make the restarted node the serving node of the machine. The node that does
+ * answer the machine believes that another node serves the machine. The answering node must
+ * nevertheless announce its responses once the links are up again; otherwise the other nodes would
+ * count running machines as lost. */
 static void
 test_answered_machines_are_announced_on_a_new_link(void) {
   World *world = new_world_with_two_machines(3);
@@ -68,7 +69,7 @@
   MmHeartbeat heartbeat;
   MmTime last_response_at_load;
 
-  /* The cloud is down so that the machine is not returned. */
+  /* The cloud is down; therefore no node can return the machine to it. */
   world->cloud_down_until_us = G_MAXINT64;
   world_refuse_links(world, 12);
   world_kill_node(world, restarted, 0.2);
@@ -101,9 +102,10 @@
   world_free(world);
 }
 
-/* A refusal reported by a pong dates from the ping, and one that the node met itself dates from its
- * own request, because pongs may be delayed and responses of both kinds stay unread while a node is
- * suspended. The proof of an outage depends on the age of refusals. */
+/* The proof of an outage depends on the age of refusals. A refusal that a pong reports dates from
+ * the ping. A refusal that the node received itself dates from the node's own request. The time of
+ * receipt would be too late, because pongs may be delayed and responses of both kinds stay unread
+ * while a node is suspended. */
 static void
 test_refusals_are_as_old_as_their_requests(void) {
   World *world = new_world_with_two_machines(4);
@@ -131,10 +133,10 @@
   world_free(world);
 }
 
-/* An incarnation that is seen for the first time counts as answered at that time and therefore
- * lives for one lease, however long ago the machine was last answered. This holds whether a direct
- * reply or only the registry shows the incarnation. Otherwise machines of a zone that reconnects
- * would be counted as lost shortly afterwards, and their tasks would run twice. */
+/* An incarnation that is seen for the first time counts as answered at that time, and therefore
+ * lives for one lease. This holds however long ago the machine was last answered, and whether a
+ * direct reply or only the registry shows the incarnation. Otherwise machines of a zone that
+ * reconnects would be counted as lost shortly afterwards, and their tasks would run twice. */
 static void
 test_new_incarnation_lives_for_a_lease(void) {
   World *world = new_world_with_two_machines(7);
@@ -168,9 +170,9 @@
   world_free(world);
 }
 
-/* A direct reply can be newer than the machine's latest heartbeat, whose response may still be in
- * flight with a start. When a link comes up, the peer must not take the direct reply for a
- * heartbeat; otherwise it would conclude that the start was not executed. */
+/* A direct reply can be newer than the machine's latest heartbeat. The response to that heartbeat
+ * may still be in flight with a start. When a link comes up, the peer must not take the direct
+ * reply for a heartbeat; otherwise the peer would conclude that the start was not executed. */
 static void
 test_direct_reply_stays_one_on_a_new_link(void) {
   World *world = new_world_with_two_machines(8);
@@ -200,9 +202,10 @@
   world_free(world);
 }
 
-/* A node's machine loses power, so its peers see no link closed, and the node returns much later.
- * The peers must reconnect; otherwise links that look open deliver nothing for minutes, and the
- * shards that the node acquires wait for machines that no peer announces to it. */
+/* The computer of a node loses power, and the node returns much later. Its peers see no link
+ * closed. The peers must reconnect, because links that only look open deliver nothing for minutes.
+ * Meanwhile the shards that the returned node acquires would wait for machines that no peer
+ * announces to it. */
 static void
 test_half_open_links_are_opened_anew(void) {
   World *world = new_world_with_two_machines(5);
@@ -222,8 +225,8 @@
   world_free(world);
 }
 
-/* On links opened while a peer is suspended, the peer is sent only a hello and pings. When it
- * resumes, it is sent all the state that it needs before any pong. */
+/* On links opened while a peer is suspended, the other nodes send the peer only a hello and pings.
+ * When the peer resumes, they send it all the state that it needs before any pong. */
 static void
 test_suspended_peer_is_updated_when_it_resumes(void) {
   World *world = new_world_with_two_machines(6);
--- a/tests/test-pipelines-days.c
+++ b/tests/test-pipelines-days.c
@@ -6,8 +6,8 @@
 
 #define DAYS 6
 
-/* Returns an accepted job other than a service, for a new job to depend on; NULL if twenty draws
- * find none. */
+/* Returns an accepted job other than a service, as a dependency for a new job. Returns NULL if
+ * twenty random draws find no such job. */
 static WorldJob *
 random_dependency(World *world) {
   for (guint tries = 0; tries < 20; tries++) {
--- a/tests/test-pipelines-faults.c
+++ b/tests/test-pipelines-faults.c
@@ -4,9 +4,9 @@
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 
-/* The shard leader of a dependency is killed between its write of the done state and the messages
- * to its peers. The dependents, which another node leads, must start on the strength of the
- * key-value store's contents alone. */
+/* The shard leader of a dependency is killed after its write of the done state and before its
+ * messages to its peers. Another node leads the dependents. That node must start the dependents on
+ * the strength of the key-value store's contents alone. */
 void
 test_leader_ends_after_done_is_written(void) {
   for (guint32 seed = 1; seed <= 3; seed++) {
@@ -74,8 +74,8 @@
   }
 }
 
-/* A new job depends on a job that was cancelled long ago, or on one that was done long ago; it is
- * accepted in both cases. */
+/* A new job depends on a job that was cancelled long ago, or on a job that was done long ago. The
+ * new job is accepted in both cases. */
 void
 test_finished_dependencies_are_looked_up(void) {
   World *world = new_pipeline_world(7);
@@ -93,8 +93,8 @@
   world_run(world, 6);
   after_done = submit_dependent_array(world, 1, 1, 2, done);
   after_cancelled = submit_dependent_array(world, 2, 1, 2, cancelled);
-  /* The job must never be reported as queued, because the cancellation was confirmed to the user
-   * long before (failure found on random day 124). */
+  /* The new job must never be reported as queued, because the cancellation of its dependency was
+   * confirmed to the user long before (failure found on random day 124). */
   run_until_accepted(world, after_cancelled);
   g_assert_cmpint(after_cancelled->user_view, ==, USER_SEES_CANCELLED);
   run_until_user_sees(world, after_done, USER_SEES_DONE, 30);
@@ -103,7 +103,7 @@
 }
 
 /* A node's replica is stale while one dependency is done and another is cancelled. The node must
- * neither start the dependents too early nor hold them back, must accept new dependents, and must
+ * neither start the dependents too early nor hold them back. It must accept new dependents. It must
  * not report a job as queued that another node has reported as cancelled. */
 void
 test_stale_replica_decides_nothing(void) {
@@ -120,7 +120,7 @@
     run_until_accepted(world, dependents[1]);
     world->nodes[1].watches_lost_until_us = world->now_us + 30 * SECOND;
     world_cancel(cancelled);
-    /* The time to this state depends on which nodes the user polls. */
+    /* How long the user waits for this state depends on which nodes the user polls. */
     run_until_user_sees(world, done, USER_SEES_DONE, 25);
     world->nodes[1].watches_lost_until_us = world->now_us + 2 * SECOND;
     g_assert_nonnull(mm_job_table_find(world->nodes[1].node->job_table, done->id));
@@ -135,8 +135,8 @@
   }
 }
 
-/* A cancellation arrives as the last task ends: whichever is written first decides the outcome for
- * the job and its dependent. */
+/* A cancellation arrives as the last task ends. Whichever of the two is written first decides the
+ * outcome for the job and its dependent. */
 void
 test_cancellation_races_the_last_task(void) {
   guint n_done = 0, n_cancelled = 0;
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -24,8 +24,8 @@
   check_and_free_world(world);
 }
 
-/* Dependencies are validated at submission: they must be ids of accepted jobs that are neither
- * services nor the submitted job itself. */
+/* Dependencies are validated at submission. Each must be the id of an accepted job that is neither
+ * a service nor the submitted job itself. */
 static void
 test_named_dependencies_are_checked(void) {
   World *world = new_pipeline_world(2);
@@ -114,9 +114,10 @@
   }
 }
 
-/* A job inherits the deadline and the priority of its direct and indirect dependents. The inherited
- * priority counts as normal at most while the deadline is distant, and in full when it is near. The
- * job loses both when these dependents are cancelled. */
+/* A job inherits the deadline and the priority of its direct and indirect dependents. While the
+ * deadline is distant, the inherited priority counts as normal at most; when the deadline is near,
+ * the priority counts in full. The job loses the inherited deadline and priority when these
+ * dependents are cancelled. */
 static void
 test_dependency_inherits_urgency(void) {
   World *world = new_pipeline_world(4);
--- a/tests/test-pipelines.h
+++ b/tests/test-pipelines.h
@@ -8,8 +8,8 @@
 /* Returns a started world with nine small machines on which no task fails; all nodes are up. Free
  * with world_free() or check_and_free_world(). */
 World *new_pipeline_world(guint32 seed);
-/* Returns overrides for world_submit() that describe an array of the team `team-N`. Owned by the
- * caller. */
+/* Returns overrides for world_submit() that describe an array with `tasks` tasks. N in the name of
+ * its team, `team-N`, is `team`. The caller owns the overrides. */
 json_t *team_job_body(guint team, guint tasks);
 WorldJob *submit_array(World *world, guint team, guint tasks, double run_s);
 /* Submits an array that depends on one job. */
@@ -17,8 +17,8 @@
                                  WorldJob *dependency);
 /* Runs the world until the job is accepted; fails the test if that takes more than 30 s. */
 void run_until_accepted(World *world, const WorldJob *job);
-/* Runs the world until the user's latest answer is `view`; fails the test if that takes more than
- * `timeout_s`. */
+/* Runs the world until the latest answer to the job's user is `view`. Fails the test if that takes
+ * more than `timeout_s`. */
 void run_until_user_sees(World *world, const WorldJob *job, WorldUserView view, double timeout_s);
 /* Checks the invariants and frees the world. */
 void check_and_free_world(World *world);
--- a/tests/test-scheduler-heartbeats.c
+++ b/tests/test-scheduler-heartbeats.c
@@ -6,8 +6,8 @@
 #include "scheduler/led-shards.h"
 #include "scheduler/start-rules.h"
 
-/* Returns a heartbeat of a machine that runs one task of the fixture's job; with attempt 0 it
- * reports no task. */
+/* Returns a heartbeat of a machine that runs one task of the fixture's job. If `attempt` is 0, the
+ * heartbeat reports no task. */
 static MmHeartbeat
 heartbeat_with_task(const SchedulerFixture *f, guint machine, guint64 incarnation, guint64 sequence,
                     guint64 attempt) {
@@ -36,10 +36,10 @@
   return machine;
 }
 
-/* Of two reported attempts at a task, the newer one wins in whichever order the heartbeats arrive,
- * since it was approved only after the older one had ended. Otherwise a late heartbeat would keep
- * the task on a machine where it no longer runs, and when that machine is lost, the task would
- * start a third time. */
+/* Of two reported attempts at a task, the newer attempt wins in whichever order the heartbeats
+ * arrive, because the newer attempt was approved only after the older one had ended. Otherwise a
+ * late heartbeat would keep the task on a machine where the task no longer runs. When that machine
+ * is lost, the task would start a third time. */
 void
 test_newer_attempt_wins(void) {
   for (guint newer_first = 0; newer_first < 2; newer_first++) {
@@ -58,7 +58,7 @@
   }
 }
 
-/* A job waits for the unacknowledged machines on which it was ever allowed, and for no others. */
+/* A job waits only for those unacknowledged machines on which the job was ever allowed. */
 void
 test_job_waits_where_it_may_have_started(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -89,9 +89,9 @@
   world_free(f.world);
 }
 
-/* A machine that sends no heartbeats is returned to the cloud even if it reports no tasks, because
- * starts may have reached it: newly acquired shards wait for the machine until it is proved lost.
- */
+/* A machine that sends no heartbeats is returned to the cloud even if it reports no tasks. The
+ * reason is that starts may have reached the machine; newly acquired shards therefore wait for it
+ * until it is proved lost. */
 void
 test_silent_idle_machine_is_returned(void) {
   World *world = world_new(6);
@@ -117,8 +117,8 @@
   return is_stale_heartbeat;
 }
 
-/* Late copies of heartbeats are recognised as stale and do not extend the assumed lease of their
- * machine. */
+/* Late copies of a machine's heartbeats are recognised as stale and do not extend the assumed lease
+ * of the machine. */
 void
 test_late_copies_prove_nothing(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -147,7 +147,8 @@
   world_free(f.world);
 }
 
-/* An unregistered machine is verified by a term that this process of the node has seen. */
+/* A heartbeat of an unregistered machine is verified if its fencing token is a term that this
+ * process of the node has seen. */
 void
 test_unregistered_machine_is_verified_by_term(void) {
   SchedulerFixture f = scheduler_fixture(2);
--- a/tests/test-scheduler-preemption.c
+++ b/tests/test-scheduler-preemption.c
@@ -67,17 +67,17 @@
   g_assert_cmpfloat(grace_s_of_preempted_work("urgent", 1, 8), ==, 4);
 }
 
-/* Work above the lowest priority preempts work of the lowest priority even if it is neither urgent
- * nor within its team's quota. */
+/* Work above the lowest priority preempts work of the lowest priority, even if the preempting work
+ * is neither urgent nor within its team's quota. */
 void
 test_normal_work_preempts_low_work(void) {
   g_assert_cmpfloat(grace_s_of_preempted_work("normal", 60, 12), ==, 4);
 }
 
-/* Gangs of several teams, one after another, whose tasks each take most of a machine, so that some
- * of their places are on machines that the gang's leader serves itself. A task must not be compared
- * with the resources that are left beside its own reservation; otherwise such gangs would never
- * start. */
+/* Gangs of several teams arrive one after another. Each of their tasks takes most of a machine;
+ * therefore some places of a gang are on machines that the gang's leader serves itself. A task must
+ * not be compared with the resources that are left beside the task's own reservation; otherwise
+ * such gangs would never start. */
 void
 test_gang_starts_on_machines_of_its_leader(void) {
   World *world = world_new(11);
--- a/tests/test-scheduler.c
+++ b/tests/test-scheduler.c
@@ -46,8 +46,8 @@
   world_free(f.world);
 }
 
-/* A pull may get a candidate that another machine retained; that machine's next request is then
- * refused. */
+/* A pull may get a candidate that another machine retained. The next request of that other machine
+ * is then refused. */
 static void
 test_pull_takes_retained_candidates(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -58,8 +58,8 @@
   world_free(f.world);
 }
 
-/* The limit is 24 cores and a task takes 2: starts that no heartbeat has confirmed yet count too.
- */
+/* The limit is 24 cores and a task takes 2 cores. Starts that no heartbeat has confirmed yet count
+ * towards the limit too. */
 static void
 test_limit_counts_unconfirmed_starts(void) {
   SchedulerFixture f = scheduler_fixture(20);
@@ -73,8 +73,8 @@
   world_free(f.world);
 }
 
-/* Of a limit of 13 accelerators, eight are used and eight more are reserved for a starving job: a
- * job that needs accelerators waits, a job that needs none does not. */
+/* Of a limit of 13 accelerators, eight are used and eight more are reserved for a starving job.
+ * Therefore a job that needs accelerators waits, and a job that needs none does not wait. */
 static void
 test_reserved_part_of_limit_binds_limited_resources_only(void) {
   SchedulerFixture f = scheduler_fixture(2);
@@ -99,8 +99,9 @@
   world_free(f.world);
 }
 
-/* A start request for an overtaken heartbeat is refused, because the response to that heartbeat may
- * never reach the worker. */
+/* A start request belongs to a heartbeat. When a newer heartbeat has overtaken that heartbeat, the
+ * request is refused, because the response to the overtaken heartbeat may never reach the
+ * worker. */
 static void
 test_start_request_of_overtaken_heartbeat_is_refused(void) {
   SchedulerFixture f = scheduler_fixture(2);
--- a/tests/test-scheduler.h
+++ b/tests/test-scheduler.h
@@ -4,9 +4,9 @@
 #include "scheduler/scheduler.h"
 #include "world/world.h"
 
-/* A world with one job of team-0 and two big machines. Their workers are suspended as soon as the
- * nodes know them, so that only the test requests starts for them. Free with world_free(f.world).
- */
+/* A world with one job of team-0 and two big machines. The workers of the machines are suspended as
+ * soon as the nodes know them; therefore only the test requests starts for them. Free with
+ * world_free(f.world). */
 typedef struct {
   World *world;
   MmScheduler *scheduler; /* of the node that leads the job's shard */
--- a/tests/test-sharing-world-moves.c
+++ b/tests/test-sharing-world-moves.c
@@ -5,10 +5,10 @@
 #include "leases/shard-ownership.h"
 #include "sharing/sharing.h"
 
-/* Delays between the order to move and the fault. Each step of a move takes a few milliseconds, and
- * the pause between two requests of a watch about 50 ms. */
+/* Delays between the order to move a group and the fault. Each step of a move takes a few
+ * milliseconds. The pause between two requests of a watch takes about 50 ms. */
 static const guint fault_delays_ms[] = { 0, 5, 14, 70, 2, 9, 30, 200 };
-#define N_DEFAULT_FAULT_DELAYS 4 /* `-m slow` runs all */
+#define N_DEFAULT_FAULT_DELAYS 4 /* how many are used; `-m slow`: all */
 
 typedef struct {
   World *world;
@@ -75,8 +75,8 @@
   }
 }
 
-/* Suspends the source for longer than its lease. When it resumes, the messages that arrived in the
- * meantime are still queued. */
+/* Suspends the source node for longer than its lease. When the source node resumes, the messages
+ * that arrived in the meantime are still queued. */
 static void
 suspend_source(Move *move) {
   world_suspend_node(move->world, move->source, 6);
@@ -117,8 +117,8 @@
   move->world->nodes[move->source].watches_lost_until_us = move->world->now_us + 5 * SECOND;
 }
 
-/* Has a copy of the machine's next heartbeat delivered to the source, by then the former owner, 1.5
- * leases from now. */
+/* Has a copy of the machine's next heartbeat delivered to the source node 1.5 leases from now. By
+ * then the source node is only the former owner. */
 static void
 duplicate_next_heartbeat(Move *move) {
   move->machine->duplicate_at_us
@@ -126,8 +126,8 @@
   move->machine->duplicate_node = move->source;
 }
 
-/* Kills the leader of most shards, so that its groups and its shards change owners at the same
- * time. */
+/* Kills the leader of most shards. The groups and the shards of this node then change owners at the
+ * same time. */
 static void
 kill_leader_of_most_shards(Move *move) {
   world_kill_node(move->world, world_node_leading_most_shards(move->world), 3);
@@ -144,7 +144,8 @@
   world_move_group(move->world, move->target, move->group, move->source);
 }
 
-/* Has the transactions of moves applied seconds after their sender has stopped waiting for them. */
+/* Has each transaction of a move applied seconds after the sender of the transaction has stopped
+ * waiting for it. */
 static void
 delay_transactions(Move *move) {
   move->world->delays_acquisitions = TRUE;
@@ -203,7 +204,7 @@
   if (move_case->before_order != NULL)
     move_case->before_order(&move);
   world_move_group(world, move.source, move.group, move.target);
-  /* By then the source has received the order and has started the move. */
+  /* At the end of this run, the source node has received the order and has started the move. */
   world_run(world, 0.007);
   world_run(world, fault_delays_ms[delay_index] / 1000.0);
   if (move_case->during_move != NULL)
--- a/tests/test-sharing-world-settings.c
+++ b/tests/test-sharing-world-settings.c
@@ -34,8 +34,9 @@
   world->nodes[node].operators.group_count = groups;
 }
 
-/* Sharing becomes active once every node of the settings has it enabled, and inactive when one node
- * no longer has. Then no key is left behind, and the nodes schedule as without sharing. */
+/* Sharing becomes active once every node of the settings has sharing enabled, and inactive when one
+ * node has sharing disabled. When sharing has become inactive, no key is left behind, and the nodes
+ * schedule as without sharing. */
 void
 test_sharing_turns_on_and_off(void) {
   World *world = new_sharing_world(31);
@@ -62,8 +63,8 @@
   world_finish_run(world);
 }
 
-/* A node whose settings have a different number of groups detects this before it announces
- * anything, and owns no group. */
+/* A node whose settings have a different number of groups detects the difference before the node
+ * announces anything. Such a node owns no group. */
 void
 test_other_group_count_is_inactive(void) {
   World *world = new_sharing_world(32);
@@ -81,7 +82,7 @@
 }
 
 /* Smaller limits take effect while groups move all the time. The simulated key-value store fails
- * the test on values above the limits. */
+ * the test when a value exceeds the limits. */
 void
 test_limits_fall_while_groups_move(void) {
   World *world = new_sharing_world(33);
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -59,8 +59,9 @@
 /* Faulty owners. */
 
 /* Has a copy of each machine's next heartbeat delivered to a random node `delay_us` after the
- * original is sent. If the nodes have not informed each other of the heartbeat by then, both the
- * original's receiver and this node consider themselves responsible for answering it. */
+ * original is sent. By then the nodes may not have informed each other of the heartbeat. In that
+ * case, both the node that received the original and the node that received the copy consider
+ * themselves responsible for the answer. */
 static void
 duplicate_heartbeats(World *world, gint64 delay_us) {
   for (guint i = 0; i < world->machines->len; i++) {
@@ -72,9 +73,10 @@
 
 typedef enum { NO_OWNER_FAULT, FORGETS_GRANTS, IGNORES_ACKNOWLEDGEMENTS } OwnerFault;
 
-/* Returns whether a day with this fault of the owners violates an invariant. Copies of heartbeats
- * arrive before the nodes have informed each other of the originals; with `restarts`, they arrive
- * while the nodes cannot do so, and owners restart in between and forget what they had granted. */
+/* Returns whether a day with this fault of the group owners violates an invariant. Copies of
+ * heartbeats arrive before the nodes have informed each other of the originals. With `restarts`,
+ * the copies arrive while links between nodes are refused. In between, owners restart and forget
+ * what they had granted. */
 static gboolean
 violates_an_invariant(guint seed, gboolean restarts, OwnerFault fault) {
   World *world = new_sharing_world(seed);
--- a/tests/test-sharing.c
+++ b/tests/test-sharing.c
@@ -1,4 +1,5 @@
-/* Machine groups without nodes: sets and their text form, the map of owners, shares and moves. */
+/* Tests of machine groups that need no nodes: sets of groups and their text form, the map of
+ * owners, shares and moves. */
 #include "base/json.h"
 #include "config/operators.h"
 #include "sharing/group-map.h"
@@ -130,7 +131,7 @@
     g_assert_false(mm_group_map_put(map, "n-0", value, (MmKeyVersion){ 21 }));
     g_assert_null(owner_label(map, 0));
     g_assert_cmpuint(g_hash_table_size(map->malformed), ==, 1);
-    /* The node replaces its malformed key and needs the key's version to do so. */
+    /* The node replaces its malformed key, and needs the version of that key to do so. */
     g_assert_cmpuint(mm_group_map_key_version(map, "n-0").v, ==, 21);
   }
   g_assert_true(mm_group_map_put(map, "n-0", valid, (MmKeyVersion){ 22 }));
@@ -139,7 +140,8 @@
 }
 
 /* A node's key must fit into the smallest value limit even if the node acquired its groups one by
- * one, each under a term of its own: all groups are then listed under one term. */
+ * one, each under a term of its own. To save space, the key then lists all groups under one
+ * term. */
 static void
 test_value_fits_smallest_limit(void) {
   g_autoptr(MmOwnershipRecordBuilder) builder = mm_ownership_record_builder_new(MM_GROUPS_MAX, 1);
@@ -188,8 +190,8 @@
   g_assert_cmpuint(sum, ==, groups);
 }
 
-/* Checks that, without slack, the targets are reached by the fewest possible moves and that no more
- * are made. */
+/* Checks that, without slack, the targets are reached by the fewest possible moves and that no
+ * further moves are made. */
 static void
 check_moves(MmShare *shares, const guint *targets, guint n) {
   guint needed_moves = 0, made_moves = 0;
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,6 +1,6 @@
-/* Rolling upgrades: nodes of the old and the new release run side by side and on each other's data,
- * are restarted a few at a time amid random faults, and the limits of the key-value store fall at
- * a random time. */
+/* Rolling upgrades. Nodes of the old and the new release run side by side and on each other's data.
+ * The nodes are restarted a few at a time amid random faults, and the limits of the key-value store
+ * fall at a random time. */
 #include "base/wire.h"
 #include "jobs/job-table.h"
 #include "peers.pb-c.h"
@@ -12,7 +12,7 @@
 #define SECOND ((gint64)G_USEC_PER_SEC)
 
 /* Returns a started world in which all nodes run the old release. With many machines, the registry
- * packs exceed the limits to come. */
+ * packs exceed the smaller limits that the test sets later. */
 static World *
 new_old_version_world(guint32 seed, guint machines) {
   World *world = world_new(seed);
@@ -37,8 +37,8 @@
   return n;
 }
 
-/* A job with a dependency gets 503 until every node has announced the new version, and is accepted
- * from then on even if a node is killed. */
+/* A job with a dependency gets 503 until every node has announced the new version. From then on the
+ * job is accepted, even if a node is killed. */
 static void
 test_dependencies_wait_for_all_nodes(void) {
   World *world = new_old_version_world(1, 6);
@@ -100,8 +100,8 @@
   return most;
 }
 
-/* Registry packs written under larger limits are split before they are changed, and lost machines
- * are removed from them. */
+/* Registry packs that were written under larger limits are split before they are changed. Lost
+ * machines are removed from these packs. */
 static void
 test_large_packs_are_split(void) {
   World *world = new_world_with_services(2, 120);
@@ -146,8 +146,8 @@
     world_submit(world, body, world_uniform(world, 1, 8));
 }
 
-/* Limits fall without an announcement. Nodes whose transactions are refused write less at a time,
- * and do not keep sending the same refused transaction. */
+/* Limits fall without an announcement. Nodes whose transactions are refused write less at a time.
+ * They do not keep sending the same refused transaction. */
 static void
 test_unannounced_limits_are_learned(void) {
   World *world = world_new(3);
--- a/tests/test-world-days.c
+++ b/tests/test-world-days.c
@@ -8,9 +8,9 @@
 #define SECOND ((gint64)G_USEC_PER_SEC)
 #define DAYS 16
 #define DAYS_WITH_ALL_FAULTS_IN_CI 8
-/* Days from this one on draw from all faults. Earlier days draw only from the first N_BASIC_FAULTS,
- * so that a seed still reproduces the same run: one of these days covers a failure that was found
- * on it. */
+/* Days from this day on draw from all faults. Earlier days draw only from the first N_BASIC_FAULTS
+ * faults; with these, a seed still reproduces the same run. This matters because one of the earlier
+ * days covers a failure that was found on that day. */
 #define FIRST_DAY_WITH_ALL_FAULTS 1001
 #define N_BASIC_FAULTS 17
 
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -5,7 +5,7 @@
 #include "test-world.h"
 #include "world/world.h"
 
-/* Nodes that all restart during an outage of the cloud use the stored instance types: they are
+/* All nodes restart during an outage of the cloud and use the stored instance types: the nodes are
  * healthy and start tasks before the cloud is back. */
 static void
 test_restart_needs_no_cloud(void) {
@@ -28,9 +28,9 @@
   world_free(world);
 }
 
-/* Two nodes that are refused by the key-value store at the same time, while the third node is
- * served, do not prove an outage, since the third node shows that the store is up. The two nodes
- * stop answering workers and their leases expire; no task runs twice. */
+/* The key-value store refuses two nodes at the same time and serves the third node. The refusals do
+ * not prove an outage, because the third node shows that the store is up. The two refused nodes
+ * stop answering workers and their leases expire. No task runs twice. */
 static void
 test_two_refused_nodes_are_no_outage(void) {
   World *world = world_new(5);
@@ -55,9 +55,9 @@
 }
 
 /* All nodes restart shortly after one another, and each acquires its shards under a term of its
- * own. Responses to heartbeats are delayed briefly until the last of these terms is known: a worker
- * shows one higher term at once but the next one only half a lease later, and the shards would have
- * to wait for it. */
+ * own. Responses to heartbeats are delayed briefly until the last of these terms is known. Without
+ * the delay, a worker would show the first higher term at once but the next term only half a lease
+ * later. The shards of the later term would have to wait for the worker. */
 static void
 test_last_term_is_shown_first(void) {
   World *world = world_new(11);
--- a/tests/world-digest.c
+++ b/tests/world-digest.c
@@ -1,5 +1,5 @@
-/* Prints a digest of a simulated day per seed, one line each. Equal digests before and after a
- * change of the sources show that the change does not alter behaviour.
+/* Prints one line for each seed: a digest of the simulated day with that seed. If the digests
+ * before and after a change of the sources are equal, the change does not alter behaviour.
  *
  *   world-digest [FIRST_SEED [SEEDS]]     default: seed 1, 20 seeds
  *
