--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -119,8 +119,8 @@
   return FALSE;
 }
 
-/* Returns those machines of the group whose resources some node may grant (WorldMachine, borrowed).
- * Free with g_ptr_array_unref(). */
+/* Returns the machines (WorldMachine, borrowed) that belong to the group, are up, and have a node
+ * that may grant their resources. Free with g_ptr_array_unref(). */
 static GPtrArray *
 granted_machines(const World *world, guint group) {
   GPtrArray *machines = g_ptr_array_new();
--- a/tests/test-large-capacity.c
+++ b/tests/test-large-capacity.c
@@ -70,7 +70,7 @@
   world_free(world);
 }
 
-/* Big machines have accelerators. Counts them by the kinds of jobs that run on them. */
+/* Numbers of big machines by the kinds of jobs that run on them. Big machines have accelerators. */
 typedef struct {
   guint with_services; /* with or without arrays */
   guint with_services_and_arrays;
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -204,8 +204,8 @@
 
 /* The computer of a node loses power, and the node returns much later. Its peers see no link
  * closed. The peers must reconnect, because links that only look open deliver nothing for minutes.
- * Meanwhile the shards that the returned node acquires would wait for machines that no peer
- * announces to it. */
+ * Without a reconnection, the shards that the returned node acquires would wait for machines that
+ * no peer announces to it. */
 static void
 test_half_open_links_are_opened_anew(void) {
   World *world = new_world_with_two_machines(5);
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -75,8 +75,8 @@
 
 /* Returns whether a day with this fault of the group owners violates an invariant. Copies of
  * heartbeats arrive before the nodes have informed each other of the originals. With `restarts`,
- * the copies arrive while links between nodes are refused. In between, owners restart and forget
- * what they had granted. */
+ * the copies arrive while links between nodes are refused. Between an original and its copy,
+ * owners restart and forget what they had granted. */
 static gboolean
 violates_an_invariant(guint seed, gboolean restarts, OwnerFault fault) {
   World *world = new_sharing_world(seed);
