--- a/src/autoscaler/instance-types.c
+++ b/src/autoscaler/instance-types.c
@@ -9,7 +9,8 @@
 /* Refresh interval of the types until this node knows of a stored record of them. */
 #define UNSTORED_TYPES_REFRESH_MS 3000
 #define TYPES_TIMEOUT_MS 3000
-/* Bytes that the record may need in addition to the text of the types without prices. */
+/* Maximum number of bytes by which the stored record may exceed the text of the types, which omits
+ * the prices. */
 #define RECORD_OVERHEAD_BYTES 512
 
 MmInstanceTypes *
@@ -143,9 +144,9 @@
     return;
   }
   load_types(instance_types, list);
-  /* Until the types are stored, the next fetch is due sooner. The write below may be skipped,
-   * for example because the node has no lease yet, and only another response from the cloud
-   * repeats it. */
+  /* Until the types are stored, the next fetch is due sooner. The write below may be skipped, for
+   * example because the node has no lease yet. A skipped write is retried only after another
+   * response from the cloud. */
   instance_types->next_fetch_at = mm_time_add_ms(
       now, instance_types->stored_text != NULL ? TYPES_REFRESH_MS : UNSTORED_TYPES_REFRESH_MS);
   write_types_record(instance_types, list);
--- a/src/autoscaler/scale-in.c
+++ b/src/autoscaler/scale-in.c
@@ -179,10 +179,10 @@
   return is_idle_and_unneeded(node, machine) ? RELEASE_IDLE : RELEASE_NONE;
 }
 
-/* Adds the registered machines that are silent and not in the cloud's list. The cloud has already
- * taken these machines back, and its response to the release request proves this at once. Without
- * this proof, newly acquired shards could not start any tasks until the worker leases of these
- * machines expire. */
+/* Adds to the request the registered machines that are silent and not in the cloud's list. The
+ * cloud has already taken these machines back. The response of the cloud to the release request
+ * proves this at once. Without this proof, newly acquired shards could not start any tasks until
+ * the worker leases of these machines expire. */
 static void
 add_silent_unlisted_machines(MmAutoscaler *autoscaler, ReleaseRequest *request) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
@@ -218,9 +218,10 @@
   g_ptr_array_add(request->machine_ids, g_strdup(cloud_machine->id.s));
 }
 
-/* Adds the listed machines that are to be released, and drops the records of machines that the
- * cloud no longer lists. The record of an unlisted machine is kept while the machine table holds
- * the machine with an unexpired lease and no release of the machine has been requested. */
+/* Adds to the request the machines in the cloud's list that are to be released. Also frees the
+ * MmCloudMachine of each machine that the cloud no longer lists. The MmCloudMachine is kept,
+ * however, if the machine table contains the machine, the worker lease of the machine has not
+ * expired, and no release of the machine has been requested. */
 static void
 add_listed_machines(MmAutoscaler *autoscaler, ReleaseRequest *request) {
   MmNode *node = autoscaler->node;
--- a/src/autoscaler/silence.c
+++ b/src/autoscaler/silence.c
@@ -225,7 +225,8 @@
 
   /* When most machines of a zone are silent, a network partition is a more likely cause than the
    * end of these machines. After a partition, the machines are reachable again. Launching as many
-   * new machines takes longer than most partitions last. */
+   * new machines takes longer than most partitions last. The machines of an unreachable zone are
+   * therefore not replaced at once. */
   return counts->n_silent >= UNREACHABLE_ZONE_MIN_SILENT
          && 2 * counts->n_silent > counts->n_machines;
 }
--- a/src/scheduler/admission.h
+++ b/src/scheduler/admission.h
@@ -13,8 +13,8 @@
 typedef struct {
   MmMachine *machine;         /* borrowed */
   MmHeartbeatId heartbeat_id; /* of the heartbeat whose response would carry the start */
-  /* Input: what the requesting node considers free. mm_scheduler_approve_start reduces it to what
-   * this node also considers free. */
+  /* Input: the resources that the requesting node considers free. mm_scheduler_approve_start
+   * reduces them to the resources that this node also considers free. */
   MmResources free_resources;
   /* The request was made by this node, which has already subtracted the resources reserved for
    * gangs. */
--- a/src/scheduler/gang.c
+++ b/src/scheduler/gang.c
@@ -14,8 +14,8 @@
 #define RESERVATION_HEARTBEAT_INTERVALS 3
 /* How long a machine gets no starts after it has failed to request a reserved place in time. */
 #define UNUSED_RESERVATION_PAUSE_MS 10000
-/* In milliseconds per second of the heartbeat interval: no place is reserved on a machine whose
- * latest heartbeat is older than this. */
+/* Maximum age of the latest heartbeat of a machine on which places are reserved, in milliseconds
+ * per second of the heartbeat interval. */
 #define RECENT_MS_PER_INTERVAL_S 2500
 /* Limits on yielding to a gang. Other work yields to a gang only until the gang has waited for
  * YIELD_TO_GANG_MAX_MS. If the gang is not starving, other work yields only while at most
--- a/src/scheduler/heartbeats.c
+++ b/src/scheduler/heartbeats.c
@@ -21,7 +21,8 @@
 #define JOB_PAUSE_DOUBLINGS_MAX 5
 /* Pause of a task that its machine reported as not found. */
 #define MISSING_TASK_RETRY_MS 2000
-/* A stop is repeated in a heartbeat response only when it was last sent longer ago than this. */
+/* A heartbeat response repeats a stop command only when the command was last sent longer ago than
+ * this. */
 #define STOP_REPEAT_MS 500
 
 /* Adds the run time of a completed task to the sums of its job class. Older tasks count less,
@@ -80,8 +81,8 @@
   job->paused_until = mm_time_add_ms(now, MIN(JOB_PAUSE_MIN_MS << n_doublings, JOB_PAUSE_MAX_MS));
 }
 
-/* Makes a task pending that has ended on the machine without a result. The cause of the end
- * determines how soon and on which machines the task may start again. */
+/* Makes a task pending again after the task has ended on the machine without a result. The cause of
+ * the end determines how soon and on which machines the task may start again. */
 static void
 task_ended(MmScheduler *scheduler, MmJob *job, guint number, MmMachine *machine, MmEndCause cause) {
   MmTask *task = &job->tasks[number];
@@ -187,8 +188,8 @@
              && mm_heartbeat_id_is_newer(heartbeat->heartbeat_id, task->start_heartbeat_id));
 }
 
-/* Makes tasks pending that are placed on the machine but missing from the heartbeat. Leaves out
- * tasks whose starts may still be in flight. */
+/* Makes tasks pending again if the tasks are placed on the machine but missing from the heartbeat.
+ * Leaves out tasks with a reserved place and tasks whose starts may still be in flight. */
 static void
 unplace_missing_tasks(MmScheduler *scheduler, MmMachine *machine, const MmHeartbeat *heartbeat) {
   for (guint i = machine->placed_tasks->len; i > 0; i--) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -94,7 +94,7 @@
  * can be invoked any more. */
 void mm_scheduler_free(MmScheduler *scheduler);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmScheduler, mm_scheduler_free)
-/* Writes changes that are due to the job records. In each slow tick, every 100 ms, also updates
- * urgency and quotas, requests acknowledgements, resends stops, plans gangs and preempts. Does
- * nothing while the node's lease is not valid. */
+/* Writes the job records whose changes are due to be written. In each slow tick, every 100 ms, also
+ * updates urgency and quotas, requests acknowledgements, resends stops, plans gangs and preempts.
+ * Does nothing while the node's lease is not valid. */
 void mm_scheduler_tick(MmScheduler *scheduler);
