--- a/src/autoscaler/scale-out.c
+++ b/src/autoscaler/scale-out.c
@@ -158,7 +158,8 @@
   return x->cost_per_slot < y->cost_per_slot ? -1 : x->cost_per_slot > y->cost_per_slot;
 }
 
-/* Adds the on-demand option and, if the job allows spot machines, the spot option. */
+/* Adds to `options` the on-demand option for the type in the zone. If the job allows spot machines,
+ * also adds the spot option. */
 static void
 add_options_in_zone(GArray *options, const MmJob *job, const MmInstanceType *type,
                     const MmName *zone, guint n_slots) {
@@ -191,9 +192,9 @@
   return options;
 }
 
-/* Keeps only the options in one zone, for jobs whose tasks must all run in the same zone. This is
- * the zone of the cheapest option whose capacity pool is not in backoff. Removes all options if all
- * pools are in backoff. */
+/* Keeps only the options in one zone, for jobs whose tasks must all run in the same zone. The zone
+ * kept is the zone of the cheapest option whose capacity pool is not in backoff. Removes all
+ * options if all pools are in backoff. */
 static void
 keep_cheapest_available_zone(MmAutoscaler *autoscaler, GArray *options) {
   MmTime now = mm_node_now(autoscaler->node);
--- a/src/autoscaler/silence.c
+++ b/src/autoscaler/silence.c
@@ -61,8 +61,8 @@
 }
 
 /* Returns the time after a machine's last message at which its heartbeat is overdue. If the
- * operators have set silent_release_s, this is half of it, because the other half is for
- * probing. */
+ * operators have set silent_release_s, returns half of silent_release_s, because the other half is
+ * for probing. */
 static gint64
 heartbeat_overdue_ms(const MmAutoscaler *autoscaler) {
   const MmNode *node = autoscaler->node;
@@ -96,9 +96,10 @@
                         autoscaler->node->machine_table->last_worker_contact_at);
 }
 
-/* Probes the machine that any node has seen most recently. Its response lets
- * has_worker_contact_since_probe() return TRUE, which could take a long time if few machines report
- * to this node. */
+/* Probes the machine that any node has seen most recently. The response of this machine lets
+ * has_worker_contact_since_probe() return TRUE. Without this response,
+ * has_worker_contact_since_probe() could return FALSE for a long time if few machines report to
+ * this node. */
 static void
 probe_most_recently_seen_machine(MmAutoscaler *autoscaler) {
   const GPtrArray *machines = autoscaler->node->machine_table->sorted_machines;
@@ -225,8 +226,9 @@
 
   /* When most machines of a zone are silent, a network partition is a more likely cause than the
    * end of these machines. After a partition, the machines are reachable again. Launching as many
-   * new machines takes longer than most partitions last. The machines of an unreachable zone are
-   * therefore not replaced at once. */
+   * new machines takes longer than most partitions last. For this reason, scale-in waits longer
+   * before it releases the machines of an unreachable zone, and scale-out launches no machines
+   * there. */
   return counts->n_silent >= UNREACHABLE_ZONE_MIN_SILENT
          && 2 * counts->n_silent > counts->n_machines;
 }
--- a/src/autoscaler/silence.h
+++ b/src/autoscaler/silence.h
@@ -9,9 +9,9 @@
 
 #include "autoscaler/autoscaler.h"
 
-/* Counts all machines, and as silent the machines whose heartbeats are overdue. Both are counted in
- * total and per zone. Resets the number of probes that may be sent. Must be called once per round,
- * before scale-in and scale-out. */
+/* Counts all machines and the silent machines, each in total and per zone. A machine is counted as
+ * silent as soon as its heartbeat is overdue. Resets the number of probes that may be sent. Must be
+ * called once per round, before scale-in and scale-out. */
 void mm_autoscaler_count_silent_machines(MmAutoscaler *autoscaler);
 /* Returns whether the machine is silent and may be released for this reason. Probes the machine if
  * its heartbeat is overdue. */
--- a/src/placement/candidates.c
+++ b/src/placement/candidates.c
@@ -109,9 +109,10 @@
   return n_tasks;
 }
 
-/* Adds the job's pending tasks that were not requested yet to the ranking, if `is_cached`.
- * `is_cached` means that the machine may run the job's tasks and has their image. In either case,
- * adds all pending tasks of the job to the count `n_tasks_before`. */
+/* If `is_cached` is TRUE, adds to the ranking those pending tasks of the job that were not
+ * requested yet. `is_cached` means that the machine may run the job's tasks and has their image.
+ * Whatever the value of `is_cached`, adds the number of the job's pending tasks to
+ * `n_tasks_before`. */
 static void
 rank_pending_tasks(Ranking *ranking, guint view, const MmPendingTasks *pending,
                    gboolean is_cached) {
--- a/src/scheduler/acknowledgements.c
+++ b/src/scheduler/acknowledgements.c
@@ -14,16 +14,17 @@
 #define ACK_REQUESTS_PER_CORE 40
 #define ACK_REQUESTS_MIN 2
 #define ACK_REQUESTS_MAX 64
-/* A machine may report a higher term before its next regular heartbeat. In this case, it reports
- * the term half a second after receiving it. A machine that has not reported a received term within
- * this time is expected to wait for its next regular heartbeat. */
+/* A machine may report a higher term before its next regular heartbeat. In this case, the machine
+ * reports the term half a second after receiving the term. A machine that has not reported a
+ * received term within TERM_REPORTED_WITHIN_MS is expected to wait for its next regular heartbeat.
+ */
 #define TERM_REPORTED_WITHIN_MS 1200
-/* In heartbeat intervals: if the latest heartbeat of a machine is more recent than this, waiting
- * for the next heartbeat would take too long. */
+/* If the latest heartbeat of a machine is younger than this number of heartbeat intervals, waiting
+ * for the next heartbeat of the machine would take too long. */
 #define RECENT_HEARTBEAT_INTERVALS 0.6
-/* In milliseconds per second of the heartbeat interval: a machine that has been silent for
- * longer than this has missed a heartbeat. A shorter silence may be due to a heartbeat that was
- * sent late. */
+/* A machine that has been silent for longer than this has missed a heartbeat. The value is in
+ * milliseconds per second of the heartbeat interval. A shorter silence may be due to a heartbeat
+ * that was sent late. */
 #define SILENT_MS_PER_INTERVAL_S 1500
 
 /* Returns the highest term of all teams' shards, whichever nodes lead them. */
--- a/src/scheduler/acknowledgements.h
+++ b/src/scheduler/acknowledgements.h
@@ -4,6 +4,7 @@
 
 #include "scheduler/scheduler.h"
 
-/* Sends an empty direct command to each machine that would acknowledge the term late or not at all
- * by its heartbeats alone. The number of machines per call is limited. */
+/* Sends an empty direct command to each machine that would acknowledge the newest term late, or not
+ * at all, if only the heartbeats of the machine acknowledged the term. The number of machines per
+ * call is limited. */
 void mm_scheduler_request_acknowledgements(MmScheduler *scheduler);
--- a/src/scheduler/admission.c
+++ b/src/scheduler/admission.c
@@ -199,8 +199,10 @@
 }
 
 /* Returns whether the request may be granted at all. This node's lease must be valid. The machine
- * must be usable, must have sent no newer message, and must not have recently refused a start for
- * lack of resources. */
+ * must be usable. The machine must have sent no message that is newer than the heartbeat of the
+ * request. The time MmMachine.no_starts_until must have passed. This time is set when the machine
+ * refuses a start for lack of resources, and when the machine does not request a reserved place in
+ * time. */
 static gboolean
 is_admissible(const MmScheduler *scheduler, const MmStartRequest *request) {
   const MmNode *node = scheduler->node;
@@ -230,8 +232,8 @@
 }
 
 /* Adds candidates of the request to the machine's retained candidates, which are tried first at
- * the machine's next requests. Adds only the candidates from index `first` on that are still
- * pending. */
+ * the machine's next requests. Starts at index `first` of the candidates, and leaves out tasks that
+ * are no longer pending. */
 static void
 retain_candidates(const MmScheduler *scheduler, const MmStartRequest *request, guint first) {
   for (guint i = first; i < request->n_tasks; i++) {
--- a/src/scheduler/pending-tasks.c
+++ b/src/scheduler/pending-tasks.c
@@ -55,8 +55,9 @@
     g_ptr_array_add(list, g_steal_pointer(&pending));
 }
 
-/* Adds the machines with places reserved for the gang. Looks at the gang's tasks rather than at all
- * machines, because gangs have few reserved places while thousands of machines have tasks. */
+/* Adds to `machines` the ids of the machines with places reserved for the gang. Looks at the gang's
+ * tasks rather than at all machines, because gangs have few reserved places while thousands of
+ * machines have tasks. */
 static void
 add_reserved_machines(const MmJob *job, GArray *machines) {
   for (guint i = 0; i < job->spec.n_tasks; i++)
--- a/src/scheduler/placement-estimate.c
+++ b/src/scheduler/placement-estimate.c
@@ -6,9 +6,9 @@
  * counted. The value is larger than any number of tasks, and the first count therefore replaces
  * it. */
 #define COLOCATED_TASKS_UNKNOWN G_MAXUINT
-/* An estimate of a lower age is used without a new scan. */
+/* An estimate that is younger than this is used without a new scan. */
 #define ESTIMATE_FRESH_MS 400
-/* An estimate of a lower age is used when the limit of scans has been reached. */
+/* An estimate that is younger than this is used when the limit of scans has been reached. */
 #define ESTIMATE_AGE_MAX_MS 2000
 /* A task does not wait for another machine to avoid an image fetch that takes less time than
  * this. */
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -14,7 +14,7 @@
  * PREEMPTIONS_PER_ROUND for the tries that scan the machines. */
 #define TASKS_PER_ROUND 16
 #define PREEMPTIONS_PER_ROUND 6
-/* The part of PREEMPTIONS_PER_ROUND that jobs may use which are neither urgent nor within a
+/* The part of PREEMPTIONS_PER_ROUND that is available to jobs that are neither urgent nor within a
  * quota. */
 #define ORDINARY_PREEMPTIONS_PER_ROUND 2
 /* Added to the start delay for each task that must be stopped. */
@@ -75,7 +75,8 @@
 }
 
 /* Chooses the tasks to preempt on the machine so that a task of the job fits. Chooses none if a
- * task of the job fits already. Returns FALSE when it does not fit even with preemption. */
+ * task of the job fits already. Returns FALSE when a task of the job does not fit even with
+ * preemption. */
 static gboolean
 choose_victims(const MmScheduler *scheduler, const MmJob *job, const MmMachine *machine,
                MmResources free_resources, StartPlan *plan) {
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -7,7 +7,7 @@
 
 #define QUOTA_UPDATE_INTERVAL_MS 1000
 /* A part of the team's limit is reserved for at most this many tasks of the most urgent job. For a
- * gang, the part covers all tasks instead. */
+ * gang, the part covers all tasks of the gang instead. */
 #define RESERVED_LIMIT_TASKS 4
 
 /* Returns whether a job with this specification is within its team's quota. `team_sum` is the sum
@@ -130,9 +130,9 @@
   if (shard->has_unacknowledged_of_unknown_type)
     return FALSE;
   used = mm_resources_add(shard->used, shard->unacknowledged_resources);
-  /* Adds the part of the limit that is reserved for a more urgent job. Otherwise, small jobs would
-   * take the rest of the limit one by one. A large job would then never start, and jobs of higher
-   * priority would wait for jobs of lower priority. */
+  /* The part of the limit that is reserved for a more urgent job counts as used. Otherwise, small
+   * jobs would take the rest of the limit one by one. A large job would then never start, and jobs
+   * of higher priority would wait for jobs of lower priority. */
   if (shard->limit_reserved_for != NULL && shard->limit_reserved_for != job
       && mm_scheduler_compare_urgency(&shard->limit_reserved_for, &job) < 0)
     used = mm_resources_add(used, shard->reserved_of_limit);
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -10,8 +10,9 @@
 /* Updates which jobs are within their team's quota and which resources each team uses. Does nothing
  * if the previous update was less than a second ago. */
 void mm_scheduler_update_quotas(MmScheduler *scheduler);
-/* Recomputes, for each led shard, how much of the team's limit is used and how much is reserved for
- * the most urgent job. */
+/* Recomputes, for each shard that this node leads, how much of the limit of the shard's team is
+ * used by the team's tasks. Also recomputes which part of this limit is reserved for a job of the
+ * team (MmLedShard.limit_reserved_for). */
 void mm_scheduler_recount_resources(MmScheduler *scheduler);
 /* Returns whether `n_tasks` more tasks of the job stay within the limit of its team. `shard` is the
  * team's shard. */
--- a/src/scheduler/stop-commands.c
+++ b/src/scheduler/stop-commands.c
@@ -27,8 +27,9 @@
 }
 
 /* Stops the job's tasks that are reported by machines whose heartbeats this node answers. Leaves
- * out the tasks that this node itself has placed there. This is needed because the leader of the
- * shard may be unreachable, or the shard may have no leader. */
+ * out the tasks that this node itself has placed on these machines. The other tasks are stopped by
+ * this node because the leader of the job's shard may be unreachable, or the shard may have no
+ * leader. */
 static void
 stop_reported_tasks(MmScheduler *scheduler, const MmJob *job) {
   const GPtrArray *machines = scheduler->node->machine_table->sorted_machines;
--- a/src/scheduler/urgency.c
+++ b/src/scheduler/urgency.c
@@ -24,9 +24,9 @@
                                         : scheduler->node->operators->wait_bound_s);
 }
 
-/* Returns by when the last task must have started to meet the objective. The result is in seconds
- * from the time from which the objective counts. A result below 0 means that the objective does not
- * apply or cannot be met. */
+/* Returns the time by which the last task must have started so that the job meets the objective.
+ * The result is in seconds, counted from the time at which the objective begins to count. A result
+ * below 0 means that the objective does not apply or cannot be met. */
 static double
 objective_start_s(const MmJob *job, const MmObjective *objective, double run_s) {
   switch (objective->kind) {
@@ -110,7 +110,7 @@
 }
 
 /* Returns the time of day by which the dependent must be given machines to meet its own deadline or
- * an inherited one. Returns NO_DUE_TIME_MS if it has no deadline. */
+ * an inherited deadline. Returns NO_DUE_TIME_MS if the dependent has neither. */
 static gint64
 deadline_due_ms(const MmJob *job) {
   return job->spec.deadline_s >= 0 ? MIN(job->due_at_ms, job->inherited_due_at_ms)
@@ -118,8 +118,8 @@
 }
 
 /* Sets the priority and the deadline that the job inherits from its dependents, the unfinished jobs
- * that depend on it. If a dependent is updated after this job, its values of the previous slow tick
- * are used. */
+ * that depend on it. If a dependent is updated after this job, the dependent's values of the
+ * previous slow tick are used. */
 static void
 inherit_from_dependents(const MmScheduler *scheduler, MmJob *job, double run_s) {
   const MmJobTable *job_table = scheduler->node->job_table;
