--- a/src/placement/accelerator-reserve.c
+++ b/src/placement/accelerator-reserve.c
@@ -44,10 +44,10 @@
          && (!machine->is_spot || placement->accelerated_may_use_spot);
 }
 
-/* Returns the resources of the machine that are used by jobs other than accelerated ones. These are
- * all resources in use, less those of the accelerated tasks. The sum over the reported tasks would
- * miss starts in flight: a single response to a heartbeat could then fill the machine with
- * services, which run indefinitely. */
+/* Returns the resources of the machine that are used by jobs that are not accelerated. These are
+ * all resources in use, less the resources of the accelerated tasks. The sum over the reported
+ * tasks is not used, because this sum would miss starts in flight. A single response to a heartbeat
+ * could then fill the machine with services, which run indefinitely. */
 static MmResources
 taken_by_other_work(const MmPlacement *placement, const MmMachine *machine,
                     MmResources free_resources) {
--- a/src/scheduler/gang.h
+++ b/src/scheduler/gang.h
@@ -1,7 +1,7 @@
 /* Gang scheduling: either all tasks of a gang are given places at once, or none is. The places are
- * reserved. The start of each task is sent when the machine of its place next requests work. A gang
- * that is not complete in time is stopped and planned again. A gang of one task is treated as an
- * ordinary job. */
+ * reserved. When a machine with a reserved place requests work, the start of the task for which the
+ * place is reserved is sent to the machine. A gang that is not complete in time is stopped and
+ * planned again. A gang of one task is treated as an ordinary job. */
 #pragma once
 
 #include "scheduler/admission.h"
--- a/src/scheduler/heartbeats.h
+++ b/src/scheduler/heartbeats.h
@@ -9,8 +9,8 @@
  * only if this message reports the same tasks as the machine's previous message. */
 void mm_scheduler_heartbeat_received(MmScheduler *scheduler, MmMachine *machine,
                                      const MmHeartbeat *heartbeat, gboolean tasks_changed);
-/* Makes the machine's tasks pending. Called when the machine's lease has expired or the machine is
- * terminated: no task runs on it any more, and no start can reach it. */
+/* Makes the machine's tasks pending again. Called when the machine's lease has expired or the
+ * machine is terminated: no task runs on it any more, and no start can reach it. */
 void mm_scheduler_machine_gone(MmScheduler *scheduler, MmMachine *machine);
 /* Applies the tasks that the machine's newest message reports. If `only_shard` is not NULL, applies
  * only the tasks of the shard with this name, otherwise the tasks of all led shards. */
--- a/src/scheduler/led-shards.c
+++ b/src/scheduler/led-shards.c
@@ -158,7 +158,7 @@
     add_unacknowledged_kind(shard, machine);
     if (machine == NULL || machine->type == NULL)
       shard->has_unacknowledged_of_unknown_type = shard->unacknowledged_changed
-          = TRUE; /* its type may become known */
+          = TRUE; /* the type of the machine may become known */
     else
       shard->unacknowledged_resources
           = mm_resources_add(shard->unacknowledged_resources, machine->type->resources);
