--- a/src/heartbeat-server/heartbeat-response.c
+++ b/src/heartbeat-server/heartbeat-response.c
@@ -39,13 +39,13 @@
                    confirmation);
 }
 
-/* Tasks of cancelled jobs are stopped without involving the leader of their shard. The reason: the
- * key-value store may refuse only that leader, and then no other node can acquire its shards. Every
- * heartbeat response renews the worker's lease, so responses without stop commands would let these
- * tasks run on.
+/* Tasks of cancelled jobs are stopped without involving the leader of the tasks' shard, because the
+ * key-value store may refuse only the requests of that leader. No other node can then acquire the
+ * leader's shards. Responses without stop commands would let these tasks run on, because every
+ * heartbeat response renews the worker's lease.
  *
- * A job that is missing from the job table has normally ended, but the replica may be out of date.
- * The tasks of such a job are therefore removed only after the job's terminal record has been
+ * * A job that is missing from the job table has normally ended, but the replica may be out of
+ * date. The tasks of such a job are therefore removed only after the job's terminal record has been
  * read. */
 void
 mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
--- a/src/heartbeat-server/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -126,8 +126,9 @@
 /* While shards change leaders, the term is raised several times within a second. A worker
  * acknowledges the first of these terms at once, but acknowledges the next term only with its
  * following heartbeat. New leaders would therefore wait two heartbeat intervals for their
- * acknowledgements. To avoid that, heartbeats are deferred until the last of the terms is known,
- * but for at most DEFER_MAX_MS, because a shard may stay without a leader. */
+ * acknowledgements. To avoid this wait, heartbeats are deferred until the last of the new terms is
+ * known. Heartbeats are deferred for at most DEFER_MAX_MS, because a shard may stay without a
+ * leader. */
 gboolean
 mm_heartbeat_server_awaits_leadership_transition(const MmHeartbeatServer *server) {
   return leadership_was_in_transition(server)
--- a/src/heartbeat-server/heartbeat-server.h
+++ b/src/heartbeat-server/heartbeat-server.h
@@ -28,7 +28,7 @@
   GHashTable *jobs_being_confirmed; /* ids of jobs whose terminal record is being read */
 };
 
-/* Creates the server. `node` must outlive it. */
+/* Creates the server. `node` must outlive the server. */
 MmHeartbeatServer *mm_heartbeat_server_new(MmNode *node);
 /* Frees the server after answering all deferred and pending heartbeats with status 503. */
 void mm_heartbeat_server_free(MmHeartbeatServer *server);
--- a/src/heartbeat-server/pending-response.c
+++ b/src/heartbeat-server/pending-response.c
@@ -7,8 +7,8 @@
 #include "peers/peer-links.h"
 #include "scheduler/admission.h"
 
-/* Maximum number of refused or unsendable start requests for one response. When it is reached, the
- * response requests no further starts. */
+/* Maximum number of refused or unsendable start requests for one response. After this many failed
+ * requests, no further starts are requested for the response. */
 #define FAILED_REQUESTS_MAX 4
 /* Indexes of placement views. A negative index means that no view was chosen. The view of the peer
  * with index k has the index VIEW_OF_FIRST_PEER + k. */
@@ -207,8 +207,8 @@
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
-  /* The reply is ignored because it came too late. The response was sent without the start, and the
-   * machine's next heartbeat will show that the task was not started. */
+  /* The peer's reply came too late and is ignored. The heartbeat response was sent without the
+   * start, and the machine's next heartbeat will show that the task was not started. */
   if (response == NULL || response->awaits_grants || response->choice.view < VIEW_OF_FIRST_PEER
       || chosen_peer(response) != peer)
     return;
@@ -253,8 +253,8 @@
                           MmMachine *machine, MmHttpExchange *exchange) {
   MmPendingResponse *response = pending_response_new(server, heartbeat, machine, exchange);
 
-  /* If no node can grant resources now, no start could be granted, so start requests are
-   * skipped. */
+  /* Start requests are skipped while no node can grant resources, because no start would be
+   * granted. */
   if (response->grant_source == MM_GRANTS_UNAVAILABLE)
     mm_pending_response_send(response);
   else
--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -5,8 +5,8 @@
 #include "base/wire.h"
 
 #define REQUEST_TIMEOUT_MS 2000
-/* The store counts as unresponsive if it has not responded for longer than this. About two lease
- * renewal intervals. */
+/* Time without a response after which the store counts as unresponsive: about two lease renewal
+ * intervals. */
 #define UNRESPONSIVE_AFTER_MS 1500
 /* The fraction of the store's write rate that one node may use for deferrable writes. The fractions
  * of all nodes may add up to more than one, because all nodes rarely write at the same time. The
@@ -86,9 +86,10 @@
   gpointer data;
 } Request;
 
-/* Lower bounds of the learned limits. They apply even if the store refuses transactions of this
- * size. Two operations are needed to end a job: one writes its terminal record, and one deletes its
- * job record. A lower limit on the size of values would only make the node reject most jobs. */
+/* Lower bounds of the learned limits. The learned limits are not lowered further, even if the store
+ * refuses transactions of this size. Two operations are needed to end a job: one writes its
+ * terminal record, and one deletes its job record. A lower limit on the size of values would only
+ * make the node reject most jobs. */
 #define MIN_LEARNED_OPERATIONS 2
 #define MIN_LEARNED_VALUE_BYTES 1024
 /* Error text of a 400 response to a transaction that names an expired lease. This response says
@@ -107,8 +108,8 @@
 }
 
 /* Lowers a learned limit after the store refused a transaction as too large. The store may refuse
- * such a transaction because its limits were lowered earlier or further than announced. The refused
- * transaction must not be sent again unchanged. The limit on operations becomes half of the
+ * such a transaction because the store's limits were lowered earlier or further than announced. The
+ * refused transaction must not be sent again unchanged. The limit on operations becomes half of the
  * transaction's number of operations. If the transaction had no more than MIN_LEARNED_OPERATIONS,
  * the limit on the size of values becomes half of the transaction's largest value instead. */
 static void
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -39,7 +39,7 @@
   GArray *unsent_transactions; /* elements: UnsentTransaction, withheld by may_write */
 } MmKvClient;
 
-/* Creates a client. `platform` and `settings` must outlive it. */
+/* Creates a client. `platform` and `settings` must outlive the client. */
 MmKvClient *mm_kv_client_new(const MmPlatform *platform, const MmSettings *settings);
 void mm_kv_client_free(MmKvClient *kv);
 /* Sets the guard of writes: transactions are sent only while `may_write` returns TRUE. */
@@ -62,12 +62,12 @@
  * during the callback. */
 void mm_kv_client_get(MmKvClient *kv, const char *prefix, const char *key,
                       MmResponseCallback on_response, gpointer data);
-/* Lists at most `limit` keys with the prefix, in key order, starting after `after_key` (NULL: with
- * the first key). */
+/* Lists at most `limit` keys with the prefix, in key order. The list starts after `after_key`, or
+ * with the first key if `after_key` is NULL. */
 void mm_kv_client_list(MmKvClient *kv, const char *prefix, const char *after_key, guint limit,
                        MmResponseCallback on_response, gpointer data);
-/* Requests the changes after the revision to keys with the prefix. If there are no such changes
- * yet, the store waits up to `wait_ms` for a change before it responds. */
+/* Requests the changes that were made to keys with the prefix after the given revision. If there
+ * are no such changes yet, the store waits up to `wait_ms` for a change before it responds. */
 void mm_kv_client_watch(MmKvClient *kv, const char *prefix, guint64 after_revision, guint wait_ms,
                         MmResponseCallback on_response, gpointer data);
 /* Sends the transaction and takes ownership of the transaction's arrays. `on_response` may be NULL
@@ -78,7 +78,7 @@
  * `on_response`. */
 void mm_kv_client_commit_unless_empty(MmKvClient *kv, MmTransaction *transaction,
                                       MmResponseCallback on_response, gpointer data);
-/* Sends any other request. `body` is borrowed and may be NULL. */
+/* Sends a request of any other kind. `body` is borrowed and may be NULL. */
 void mm_kv_client_request(MmKvClient *kv, const char *method, const char *path, const json_t *body,
                           guint timeout_ms, MmResponseCallback on_response, gpointer data);
 
--- a/src/leases/node-lease.h
+++ b/src/leases/node-lease.h
@@ -1,11 +1,11 @@
 /* This node's lease in the key-value store. This module acquires and renews the lease, tracks when
- * it expires, and decides whether it entitles the node to answer workers.
+ * it expires, and decides whether the lease entitles the node to answer workers.
  *
- * The node announces the lease in its own key, which is bound to the lease. When the lease expires,
- * the store deletes the key, and the other nodes learn of the expiry from the deletion.
+ * * The node announces the lease in its own key, which is bound to the lease. When the lease
+ * expires, the store deletes the key, and the other nodes learn of the expiry from the deletion.
  *
- * The monotonic clock measures the validity of the lease. The validity is counted from the time at
- * which the request to grant or renew the lease was sent, and is reduced by the possible clock
+ * * The monotonic clock measures the validity of the lease. The validity is counted from the time
+ * at which the request to grant or renew the lease was sent, and is reduced by the possible clock
  * drift. This node therefore never considers the lease valid for longer than the store keeps it. */
 #pragma once
 
@@ -39,7 +39,7 @@
   MmTime outage_proved_at;        /* time of the latest proof of an outage; 0: none */
 } MmNodeLease;
 
-/* Creates the lease, which is not acquired yet. All arguments must outlive it. */
+/* Creates the lease, which is not acquired yet. All arguments must outlive the lease. */
 MmNodeLease *mm_node_lease_new(const MmPlatform *platform, const MmSettings *settings,
                                const MmOperators *operators, MmKvClient *kv,
                                const MmReplica *replica);
--- a/src/leases/shard-ownership.h
+++ b/src/leases/shard-ownership.h
@@ -42,7 +42,7 @@
   GHashTable *leaderless_since; /* shard name -> MmTime */
 } MmShardOwnership;
 
-/* Creates the module's state. All arguments must outlive it. */
+/* Creates the module's state. All arguments must outlive the state. */
 MmShardOwnership *mm_shard_ownership_new(const MmPlatform *platform, const MmSettings *settings,
                                          const MmOperators *operators, MmKvClient *kv,
                                          const MmReplica *replica, const MmNodeLease *node_lease);
--- a/src/machines/machine-health.c
+++ b/src/machines/machine-health.c
@@ -57,8 +57,9 @@
 }
 
 /* Counts a failed job against the machine. A faulty job fails on every machine and is not counted.
- * Otherwise two faulty jobs would quarantine every healthy machine that tried both. If the job
- * counted last proves to be faulty later, its count is taken back here. */
+ * Otherwise two faulty jobs would quarantine every healthy machine that tried both. If the most
+ * recently counted job later proves to be faulty, this function takes the count of that job
+ * back. */
 static void
 count_failed_job(MmMachineTable *machine_table, MmMachine *machine, const MmName *job_id) {
   if (machine->consecutive_failed_jobs > 0
--- a/src/machines/machine-table-leases.c
+++ b/src/machines/machine-table-leases.c
@@ -28,8 +28,8 @@
   return newest_ended != NULL && incarnation <= *newest_ended;
 }
 
-/* Without this record, a late copy of a heartbeat would add the machine to the table again after
- * the machine's entry has been removed. */
+/* The ended incarnation is remembered because a late copy of a heartbeat would otherwise add the
+ * machine to the table again after the machine's entry has been removed. */
 void
 mm_machine_table_remember_ended_incarnation(MmMachineTable *machine_table,
                                             const MmMachine *machine) {
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -1,14 +1,15 @@
 /* Table of all machines. It holds each machine in the state shown by its newest heartbeats,
  * regardless of which node received the heartbeats. The table also detects expired machine leases.
  *
- * Owns every MmMachine. A machine is added with its first heartbeat or its registration. It is
- * removed when its registration is removed or when the cloud no longer lists the machine.
+ * * Owns every MmMachine. A machine is added with its first heartbeat or its registration. The
+ * machine is removed when its registration is removed or when the cloud no longer lists the
+ * machine.
  *
- * Invariants: A message that is not newer than the recorded ones changes nothing but the lease. An
- * incarnation never returns once its lease has expired or its machine is terminated, even if a late
- * copy of a heartbeat arrives after the machine's entry has been removed (`ended_incarnations`). A
- * lease counts as expired only once no node can have answered the machine for a full lease
- * period. */
+ * * Invariants: A message that is not newer than the recorded ones changes nothing but the lease.
+ * An incarnation never returns once its lease has expired or its machine is terminated, even if a
+ * late copy of a heartbeat arrives after the machine's entry has been removed
+ * (`ended_incarnations`). A lease counts as expired only once no node can have answered the machine
+ * for a full lease period. */
 #pragma once
 
 #include "machines/machine.h"
@@ -38,14 +39,14 @@
   MmTime last_worker_contact_at;    /* when this node last received a heartbeat or direct reply */
 };
 
-/* Creates the table. `node` must outlive it. */
+/* Creates the table. `node` must outlive the table. */
 MmMachineTable *mm_machine_table_new(MmNode *node);
 void mm_machine_table_free(MmMachineTable *machine_table);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmMachineTable, mm_machine_table_free)
 /* Adds a copy of the observer. */
 void mm_machine_table_add_observer(MmMachineTable *machine_table,
                                    const MmMachineObserver *observer);
-/* Returns the machine, borrowed, or NULL if it is unknown. */
+/* Returns the machine, borrowed, or NULL if the machine is unknown. */
 MmMachine *mm_machine_table_find(const MmMachineTable *machine_table, const char *machine_id);
 
 /* Returns whether the heartbeat is certainly a late copy or belongs to an ended incarnation. No
@@ -73,8 +74,8 @@
 MmMachine *mm_machine_table_record_heartbeat(MmMachineTable *machine_table,
                                              const MmHeartbeat *heartbeat, MmTime received_at,
                                              gint serving_node);
-/* Records that a peer answered a heartbeat that showed no change. The comparison is with the
- * previous heartbeat of the machine that the peer forwarded to this node. */
+/* Records that a peer answered a heartbeat that showed no change. The heartbeat is compared with
+ * the machine's previous heartbeat that the peer forwarded to this node. */
 void mm_machine_table_record_repeat_heartbeat(MmMachineTable *machine_table, const char *machine_id,
                                               MmHeartbeatId heartbeat_id, MmTime received_at,
                                               gint serving_node);
--- a/src/machines/registry-removal.c
+++ b/src/machines/registry-removal.c
@@ -136,9 +136,9 @@
     mm_transaction_delete(transaction, MM_KEY_REGISTRY_PACK, pack_name);
 }
 
-/* Adds the removal of ended entries from the pack to the transaction. If the removal needs
- * conditions on other packs or entries must be copied, the removal is added only to an empty
- * transaction; otherwise nothing is added in this call. */
+/* Adds the removal of ended entries from the pack to the transaction. A removal that needs
+ * conditions on other packs, or that needs entries to be copied, is added only to an empty
+ * transaction. If the transaction is not empty, nothing is added in this call. */
 static void
 remove_ended_entries(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
                      MmTransaction *transaction) {
--- a/src/machines/registry.h
+++ b/src/machines/registry.h
@@ -23,7 +23,7 @@
   MmTime next_write_at;
 };
 
-/* Creates the registry. `node` must outlive it. */
+/* Creates the registry. `node` must outlive the registry. */
 MmRegistry *mm_registry_new(MmNode *node);
 void mm_registry_free(MmRegistry *registry);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(MmRegistry, mm_registry_free)
--- a/src/upgrade/versions.h
+++ b/src/upgrade/versions.h
@@ -36,7 +36,7 @@
   MmTime next_write_at;
 } MmVersions;
 
-/* Creates the module's state. All arguments must outlive it. */
+/* Creates the module's state. All arguments must outlive the state. */
 MmVersions *mm_versions_new(const MmPlatform *platform, const MmSettings *settings,
                             const MmOperators *operators, MmKvClient *kv, const MmReplica *replica);
 void mm_versions_free(MmVersions *versions);
@@ -54,8 +54,8 @@
  * the nodes announced no machine groups or different numbers. */
 guint mm_versions_common_group_count(const MmVersions *versions);
 /* Returns whether this node's own key announces the number of machine groups in this node's
- * settings. While it does not, other nodes may rely on a number of groups that this node does not
- * follow, so this node must not answer workers. */
+ * settings. While the key does not announce that number, this node must not answer workers, because
+ * other nodes may rely on a number of groups that this node does not follow. */
 gboolean mm_versions_own_groups_announced(const MmVersions *versions);
 /* Returns whether every node in the settings has announced that it supports the version. */
 gboolean mm_versions_all_support(const MmVersions *versions, MmVersion version);
