--- a/src/heartbeat-server/heartbeat-server.c
+++ b/src/heartbeat-server/heartbeat-server.c
@@ -150,9 +150,9 @@
 }
 
 /* Answers an unverified heartbeat with the current term, so that the machine can acknowledge the
- * term, and with stop commands, which are always safe. If the machine has acknowledged none of
- * several responses, the heartbeat is refused with status 503 instead, because each status 200
- * renews the machine's lease. */
+ * term, and with cleanup commands, which are always safe. If the machine has acknowledged none of
+ * the last several responses, the heartbeat is refused with status 503 instead, because each status
+ * 200 renews the machine's lease. */
 static void
 respond_unverified(MmHeartbeatServer *server, const MmHeartbeat *heartbeat,
                    MmHttpExchange *exchange) {
@@ -229,7 +229,8 @@
   }
   /* A direct reply with a newer heartbeat id was recorded before this heartbeat. The worker may
    * still be waiting for the response to this heartbeat, and that response renews the lease. The
-   * peers must therefore be notified of the response, whatever heartbeat id they have recorded. */
+   * peers must therefore be notified of the response, whatever heartbeat id the peers have
+   * recorded. */
   machine = mm_machine_table_find(node->machine_table, heartbeat->machine_id.s);
   if (!heartbeat->is_unanswered)
     mm_peer_broadcast_unverified(node->peer_links, &machine->id);
--- a/src/heartbeat-server/pending-response.c
+++ b/src/heartbeat-server/pending-response.c
@@ -207,8 +207,8 @@
   guint64 request_id = reply->id;
   MmPendingResponse *response = g_hash_table_lookup(server->pending_responses, &request_id);
 
-  /* The peer's reply came too late and is ignored. The heartbeat response was sent without the
-   * start, and the machine's next heartbeat will show that the task was not started. */
+  /* The peer's reply came too late and is ignored. The heartbeat response has been or will be sent
+   * without the start, and the machine's next heartbeat will show that the task was not started. */
   if (response == NULL || response->awaits_grants || response->choice.view < VIEW_OF_FIRST_PEER
       || chosen_peer(response) != peer)
     return;
--- a/src/kv/read-barrier.h
+++ b/src/kv/read-barrier.h
@@ -1,10 +1,10 @@
 /* Linearizable reads: delays a read until the replica shows everything that was written before the
  * read was requested.
  *
- * A caller waits until the replica has reached a revision that the key-value store had after the
+ * * A caller waits until the replica has reached a revision that the key-value store had after the
  * caller's request. Callers that arrive within a short interval share one read of the store's
- * revision, so polls of jobs don't need one request to the store each. A caller is refused if its
- * deadline passes or if too many callers are waiting already. */
+ * revision. Polls of jobs therefore do not need one request to the store each. A caller is refused
+ * if its deadline passes or if too many callers are waiting already. */
 #pragma once
 
 #include "base/types.h"
@@ -13,11 +13,11 @@
 typedef struct MmReadBarrier MmReadBarrier;
 
 /* Called exactly once, possibly before mm_replica_when_current returns. `is_current` is TRUE if the
- * replica shows everything that was written before mm_replica_when_current was called. It is FALSE
- * if this could not be established in time. */
+ * replica shows everything that was written before mm_replica_when_current was called. `is_current`
+ * is FALSE if the wait was refused, failed or was not over in time. */
 typedef void (*MmCurrentCallback)(gpointer data, gboolean is_current);
 
-/* Creates a barrier. The replica must outlive it. */
+/* Creates a barrier. The replica must outlive the barrier. */
 MmReadBarrier *mm_read_barrier_new(MmReplica *replica);
 /* Calls back all waiting callers with FALSE, then frees the barrier. */
 void mm_read_barrier_free(MmReadBarrier *barrier);
--- a/src/kv/replica.c
+++ b/src/kv/replica.c
@@ -210,8 +210,8 @@
 }
 
 /* Marks the replica as loaded once the watch has reached the newest version that any page showed.
- * The reason: pages are read one after another, so a later page may show a term that is newer than
- * the shards on an earlier page. */
+ * The watch must reach that version because pages are read one after another. A later page may show
+ * a term that is newer than the shards on an earlier page. */
 static void
 finish_load_if_caught_up(MmReplica *replica) {
   if (replica->is_loaded || replica->revision < replica->newest_loaded_version)
@@ -221,8 +221,8 @@
   replica->staleness_us = replica->staleness_at.us - replica->load_started_at.us;
   /* Other nodes' leases may have expired without this node seeing it, and those nodes may have
    * answered workers until their leases expired. The completion of the load is therefore recorded
-   * like the loss of a lease. Otherwise a node that was cut off while it started would count
-   * machines as lost that another node has answered recently. */
+   * like the loss of a lease. Otherwise a node that was cut off while it started would count a
+   * machine as lost although another node has answered the machine recently. */
   record_node_removal(replica);
   if (replica->term_at_start.v == 0)
     replica->term_at_start = replica->term;
--- a/src/kv/replica.h
+++ b/src/kv/replica.h
@@ -55,9 +55,10 @@
   MmKeyVersion term_version;
   GHashTable *shards;     /* name -> MmShard */
   GHashTable *live_nodes; /* label -> MmLiveNode */
-  /* Time at which this node last saw that another lease replaced a node's lease or that a node's
-   * lease no longer existed, or last completed a load. Completing a load counts because leases may
-   * have expired during the load without this node seeing it. */
+  /* Time at which this node last did one of the following: it saw that a node's lease had been
+   * replaced by another lease, it saw that a node's lease no longer existed, or it completed a
+   * load. Completing a load counts because leases may have expired during the load without this
+   * node seeing it. */
   MmTime last_node_lease_loss_at;
   MmTime load_started_at;
   guint64 first_page_revision;   /* 0 until the first page of a load is read */
@@ -67,7 +68,7 @@
   MmReadBarrier *read_barrier;
 };
 
-/* Creates a replica. All arguments must outlive it. */
+/* Creates a replica. All arguments must outlive the replica. */
 MmReplica *mm_replica_new(const MmPlatform *platform, const MmSettings *settings, MmKvClient *kv);
 /* Calls back the callers that wait for a current replica, then frees the replica. Must not be
  * called while a response callback of the replica's requests may still be invoked. */
--- a/src/leases/shard-ownership.c
+++ b/src/leases/shard-ownership.c
@@ -269,8 +269,8 @@
 
 /* Releases shards if this node has led too many for IMBALANCE_TIMEOUT_MS. Releases none while any
  * machine is silent. The reason: the next leader of a team's shard needs a heartbeat of every
- * machine before it starts tasks of that team. If a machine were silent, no task would start until
- * the machine is known to be lost. */
+ * machine before it starts tasks of that team. If the shard changed leaders while a machine is
+ * silent, no task of that team would start until the machine is known to be lost. */
 static void
 rebalance_shards(MmShardOwnership *ownership, const ShardDistribution *distribution) {
   MmTime now = mm_platform_now(ownership->platform);
--- a/src/machines/machine-health.c
+++ b/src/machines/machine-health.c
@@ -123,11 +123,11 @@
       = mm_time_max(machine->last_possible_response_at, responded_at);
 }
 
-/* A new incarnation began no later than it was first seen. It keeps its lease for a full lease
- * period even if no node answers it, so its lease must not be counted from the last response to the
- * previous incarnation. Otherwise a machine that returns after an outage would be considered lost
- * at once and removed from the registry. Its tasks would run a second time elsewhere, and its
- * heartbeats would be treated as stale from then on. */
+/* A new incarnation began no later than it was first seen. The new incarnation keeps its lease for
+ * a full lease period even if no node answers the machine. The lease must therefore not be counted
+ * from the last response to the previous incarnation. Otherwise a machine that returns after an
+ * outage would be considered lost at once and removed from the registry. Its tasks would run a
+ * second time elsewhere, and its heartbeats would be treated as stale from then on. */
 void
 mm_machine_health_begin_incarnation(MmMachine *machine, MmTime first_seen_at) {
   machine->last_possible_response_at
--- a/src/machines/machine-table-heartbeats.c
+++ b/src/machines/machine-table-heartbeats.c
@@ -140,7 +140,7 @@
 }
 
 /* Records a heartbeat that arrived after a direct reply with a newer heartbeat id. The heartbeat is
- * still recorded because the worker may be waiting for its response. */
+ * still recorded because the worker may be waiting for the response to that heartbeat. */
 static void
 record_overtaken_heartbeat(MmMachine *machine, MmTime received_at, gint serving_node) {
   machine->has_unsent_changes
@@ -160,7 +160,7 @@
 }
 
 /* Returns whether the message is a heartbeat that is newer than all others that have reached any
- * node. If the message is the newest heartbeat and is answered with status 200, its response is
+ * node. If the message is the newest heartbeat and is answered with status 200, the response is
  * recorded. Any other heartbeat is a late copy. No worker receives the response to a late copy, so
  * a late copy must not renew the lease again. */
 static gboolean
@@ -175,7 +175,8 @@
   return TRUE;
 }
 
-/* Replaces the recorded state of the machine by the state in its newest message. */
+/* Replaces the recorded state of the machine by the state in the message, which is the machine's
+ * newest message. */
 static void
 apply_message(MmMachineTable *machine_table, MmMachine *machine, const MmHeartbeat *heartbeat,
               MmTime received_at, gint serving_node) {
@@ -222,8 +223,8 @@
                                  MmTime responded_at) {
   MmMachine *machine = mm_machine_table_find(machine_table, machine_id);
 
-  /* Nothing is recorded for an unknown machine. If the machine is added later, it is assumed to
-   * have been answered at the time of its addition. */
+  /* Nothing is recorded for an unknown machine. If the machine is added later, the machine is
+   * assumed to have been answered at the time of the addition. */
   if (machine != NULL)
     mm_machine_health_record_response(machine_table, machine, responded_at);
 }
--- a/src/machines/machine-table-leases.c
+++ b/src/machines/machine-table-leases.c
@@ -70,10 +70,10 @@
 }
 
 /* Ends the leases that have certainly expired. A lease has certainly expired if no node can have
- * answered the machine with status 200 during a full lease period. That period must end no later
- * than `responses_known_until`, the time until which this node knows all responses of all nodes.
- * The period must start no earlier than the time at which any node last lost its own lease, because
- * that node may have answered the machine until then. */
+ * answered the machine with status 200 during a full lease period. The lease period must end no
+ * later than `responses_known_until`, the time until which this node knows all responses of all
+ * nodes. The lease period must start no earlier than the time at which any node last lost its own
+ * lease, because that node may have answered the machine until then. */
 static void
 expire_leases(MmMachineTable *machine_table) {
   MmNode *node = machine_table->node;
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -50,8 +50,8 @@
 MmMachine *mm_machine_table_find(const MmMachineTable *machine_table, const char *machine_id);
 
 /* Returns whether the heartbeat is certainly a late copy or belongs to an ended incarnation. No
- * worker waits for the response to such a heartbeat. The reason: a worker has only one heartbeat in
- * flight at a time, and that heartbeat is a different one. */
+ * worker waits for the response to such a heartbeat, because a worker has only one heartbeat in
+ * flight at a time, and the heartbeat in flight is a different one. */
 gboolean mm_machine_table_is_stale_heartbeat(const MmMachineTable *machine_table,
                                              const MmHeartbeat *heartbeat);
 /* Returns whether the heartbeat alone does not prove that its machine still exists. That is the
--- a/src/machines/machine.h
+++ b/src/machines/machine.h
@@ -83,7 +83,7 @@
   MmTime unacknowledged_since; /* time of the first response with an unacknowledged term; 0: none */
   guint unacknowledged_responses; /* number of responses with an unacknowledged term */
   /* Latest time at which a node may have answered the machine with status 200, as far as this node
-   * knows. The machine's lease is counted from here. */
+   * knows. The machine's lease is counted from this time. */
   MmTime last_possible_response_at;
   /* Since this time, the machine has been answered at least once every half lease period. */
   MmTime steady_responses_since;
--- a/src/machines/registry-removal.c
+++ b/src/machines/registry-removal.c
@@ -63,9 +63,9 @@
 
 /* Returns the entries that remain in the pack, owned by the caller. Ended incarnations are left
  * out. If the pack was written under a larger size limit, entries that have been copied to another
- * pack are left out too. For each of these, a condition is added to `copy_conditions`: the other
- * pack must not have changed when this pack is written. The condition ensures that at least one of
- * the two copies remains. */
+ * pack are left out too. For each of these copied entries, a condition is added to
+ * `copy_conditions`: the other pack must not have changed when this pack is written. The condition
+ * ensures that at least one of the two copies remains. */
 static GArray *
 entries_to_keep(MmRegistry *registry, const MmRegistryPack *pack, MmTransaction *copy_conditions) {
   GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
--- a/src/upgrade/format.h
+++ b/src/upgrade/format.h
@@ -33,8 +33,8 @@
  * the state with mm_format_free. */
 MmFormat *mm_format_new(void);
 void mm_format_free(MmFormat *format);
-/* Sets the active format from the value of the key in the replica; NULL means that the key is
- * absent. */
+/* Sets the active format from the value of the format's key in the replica. If `value` is NULL, the
+ * key is absent. */
 void mm_format_key_changed(MmFormat *format, const json_t *value);
 /* Marks the active format as known. Must be called once the format's key and all keys before it in
  * key order have been read. */
