--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -58,7 +58,7 @@
   g_autoptr(GArray) unsent = kv->unsent_transactions;
 
   /* A callback may commit another transaction. If that transaction is not sent either, its callback
-   * is added to the new array, not to the one that is being processed. */
+   * is added to the new array, not to the array that is being processed. */
   kv->unsent_transactions = g_array_new(FALSE, FALSE, sizeof(UnsentTransaction));
   for (guint i = 0; i < unsent->len; i++) {
     const UnsentTransaction *transaction = &g_array_index(unsent, UnsentTransaction, i);
--- a/src/leases/node-lease.c
+++ b/src/leases/node-lease.c
@@ -134,7 +134,7 @@
     /* The condition prevents a delayed announcement of an older lease from overwriting the
      * announcement of a newer lease. The node's key would then be bound to the older lease, and the
      * store would delete the key when the older lease expires. The other nodes would no longer
-     * count this node as live although it still answers workers. */
+     * count this node as live although this node still answers workers. */
     mm_transaction_require_version(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
                                    lease->node_key_version);
     mm_transaction_put(&transaction, MM_KEY_LIVE_NODE, lease->settings->label.s,
@@ -200,8 +200,8 @@
   if (proved_at.us == 0 || mm_time_ms_since(now, proved_at) > OUTAGE_PROOF_MAX_AGE_MS
       || !mm_time_before(proved_at, lease->valid_until))
     return;
-  /* If the store has served any node in the meantime, there is no outage. The store then refuses
-   * only some nodes, and the leases of these nodes do expire. */
+  /* If the store has served any node in the meantime, there is no outage. In that case, the store
+   * refuses only some nodes, and the leases of these nodes do expire. */
   if (!mm_time_before(lease->kv->last_served_at, proved_at)
       || !mm_time_before(lease->peers.last_served_at(lease->peers.context),
                          lease->kv->refused_since))
--- a/src/machines/machine-table.c
+++ b/src/machines/machine-table.c
@@ -128,7 +128,7 @@
   machine->placed_tasks = g_ptr_array_new_with_free_func(g_free);
   machine->serving_node = MM_SERVING_NODE_NONE;
   machine->group = mm_group_of_machine(machine_id, machine_table->node->sharing->n_groups);
-  /* The machine's history is unknown, and it may have been answered just now. */
+  /* The machine's history is unknown, and the machine may have been answered just now. */
   machine->last_possible_response_at = mm_node_now(machine_table->node);
   machine->idle_since = machine->last_seen_at = machine->last_possible_response_at;
   machine->steady_responses_since = machine->last_possible_response_at;
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -88,8 +88,8 @@
 void mm_machine_table_record_registration(MmMachineTable *machine_table,
                                           const MmRegistryEntry *entry);
 /* Records that the replica no longer contains a registry entry of the machine. Removes and frees
- * the machine, unless the machine has reported an incarnation that is newer than the registered
- * one. */
+ * the machine. A machine that is not terminated stays in the table if it has reported an
+ * incarnation that is newer than the registered one. */
 void mm_machine_table_record_unregistration(MmMachineTable *machine_table, const char *machine_id);
 /* Notifies the observers and frees the machine. */
 void mm_machine_table_remove(MmMachineTable *machine_table, MmMachine *machine);
--- a/src/upgrade/versions.c
+++ b/src/upgrade/versions.c
@@ -76,7 +76,7 @@
 on_key_written(gpointer data, int status, json_t *body) {
   MmVersions *versions = data;
 
-  /* The response is not evaluated: the replica shows whether the key was written. */
+  /* The response is not evaluated, because the replica shows whether the key was written. */
   versions->is_writing = FALSE;
 }
 
