--- a/src/kv/read-barrier.h
+++ b/src/kv/read-barrier.h
@@ -1,7 +1,7 @@
 /* Linearizable reads: delays a read until the replica shows everything that was written before the
  * read was requested.
  *
- * * A caller waits until the replica has reached a revision that the key-value store had after the
+ * A caller waits until the replica has reached a revision that the key-value store had after the
  * caller's request. Callers that arrive within a short interval share one read of the store's
  * revision. Polls of jobs therefore do not need one request to the store each. A caller is refused
  * if its deadline passes or if too many callers are waiting already. */
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -1,11 +1,11 @@
 /* Table of all machines. It holds each machine in the state shown by its newest heartbeats,
  * regardless of which node received the heartbeats. The table also detects expired machine leases.
  *
- * * Owns every MmMachine. A machine is added with its first heartbeat or its registration. The
+ * Owns every MmMachine. A machine is added with its first heartbeat or its registration. The
  * machine is removed when its registration is removed or when the cloud no longer lists the
  * machine.
  *
- * * Invariants: A message that is not newer than the recorded ones changes nothing but the lease.
+ * Invariants: A message that is not newer than the recorded ones changes nothing but the lease.
  * An incarnation never returns once its lease has expired or its machine is terminated, even if a
  * late copy of a heartbeat arrives after the machine's entry has been removed
  * (`ended_incarnations`). A lease counts as expired only once no node can have answered the machine
