--- a/src/heartbeat-server/heartbeat-response.c
+++ b/src/heartbeat-server/heartbeat-response.c
@@ -44,8 +44,8 @@
  * leader's shards. Responses without stop commands would let these tasks run on, because every
  * heartbeat response renews the worker's lease.
  *
- * A job that is missing from the job table has normally ended, but the replica may be out of
- * date. The tasks of such a job are therefore removed only after the job's terminal record has been
+ * A job that is missing from the job table has normally ended, but the replica may be out of date.
+ * The tasks of such a job are therefore removed only after the job's terminal record has been
  * read. */
 void
 mm_heartbeat_response_add_cleanup_commands(MmHeartbeatServer *server, const GArray *tasks,
--- a/src/heartbeat-server/pending-response.h
+++ b/src/heartbeat-server/pending-response.h
@@ -2,13 +2,13 @@
  * machine, for which one start request after another is made to shard leaders; the grants of the
  * machine's resources, given by the owner of the machine's group; and further commands.
  *
- * * * Starts are sent only in heartbeat responses, never as direct commands. The reason is that a
+ * Starts are sent only in heartbeat responses, never as direct commands. The reason is that a
  * worker never executes a heartbeat response late but may execute a direct command late. An
  * approval is valid only for the response for which it was requested.
  *
- * * * A pending response answers its exchange exactly once and is freed then. While a pending
- * response waits for a peer, it is listed in MmHeartbeatServer.pending_responses. The wait ends at
- * the response's deadline at the latest. */
+ * A pending response answers its exchange exactly once and is freed then. While a pending response
+ * waits for a peer, it is listed in MmHeartbeatServer.pending_responses. The wait ends at the
+ * response's deadline at the latest. */
 #pragma once
 
 #include "heartbeat-server/heartbeat-server.h"
--- a/src/leases/node-lease.h
+++ b/src/leases/node-lease.h
@@ -1,11 +1,11 @@
 /* This node's lease in the key-value store. This module acquires and renews the lease, tracks when
  * it expires, and decides whether the lease entitles the node to answer workers.
  *
- * The node announces the lease in its own key, which is bound to the lease. When the lease
- * expires, the store deletes the key, and the other nodes learn of the expiry from the deletion.
+ * The node announces the lease in its own key, which is bound to the lease. When the lease expires,
+ * the store deletes the key, and the other nodes learn of the expiry from the deletion.
  *
- * The monotonic clock measures the validity of the lease. The validity is counted from the time
- * at which the request to grant or renew the lease was sent, and is reduced by the possible clock
+ * The monotonic clock measures the validity of the lease. The validity is counted from the time at
+ * which the request to grant or renew the lease was sent, and is reduced by the possible clock
  * drift. This node therefore never considers the lease valid for longer than the store keeps it. */
 #pragma once
 
--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -5,11 +5,11 @@
  * machine is removed when its registration is removed or when the cloud no longer lists the
  * machine.
  *
- * Invariants: A message that is not newer than the recorded ones changes nothing but the lease.
- * An incarnation never returns once its lease has expired or its machine is terminated, even if a
- * late copy of a heartbeat arrives after the machine's entry has been removed
- * (`ended_incarnations`). A lease counts as expired only once no node can have answered the machine
- * for a full lease period. */
+ * Invariants: A message that is not newer than the recorded ones changes nothing but the lease. An
+ * incarnation never returns once its lease has expired or its machine is terminated, even if a late
+ * copy of a heartbeat arrives after the machine's entry has been removed (`ended_incarnations`). A
+ * lease counts as expired only once no node can have answered the machine for a full lease
+ * period. */
 #pragma once
 
 #include "machines/machine.h"
--- a/src/machines/registry-removal.c
+++ b/src/machines/registry-removal.c
@@ -139,7 +139,8 @@
 /* Adds the removal of ended entries from the pack to the transaction. If the remaining entries
  * exceed the size limit, the copying of entries to a new pack is added instead (see copy_overflow).
  * Copying, and a removal that needs conditions on other packs, are added only to an empty
- * transaction. If the transaction is not empty, nothing is added in this call. */
+ * transaction. If either is needed and the transaction is not empty, nothing is added in this
+ * call. */
 static void
 remove_ended_entries(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
                      MmTransaction *transaction) {
