--- a/src/machines/registry-removal.c
+++ b/src/machines/registry-removal.c
@@ -63,9 +63,9 @@
 
 /* Returns the entries that remain in the pack, owned by the caller. Ended incarnations are left
  * out. If the pack was written under a larger size limit, entries that have been copied to another
- * pack are left out too. For each of these, a condition is added to `copy_conditions`: the other
- * pack must not have changed when this pack is written. The condition ensures that at least one of
- * the two copies remains. */
+ * pack are left out too. For each of these copied entries, a condition is added to
+ * `copy_conditions`: the other pack must not have changed when this pack is written. The condition
+ * ensures that at least one of the two copies remains. */
 static GArray *
 entries_to_keep(MmRegistry *registry, const MmRegistryPack *pack, MmTransaction *copy_conditions) {
   GArray *remaining = g_array_new(FALSE, TRUE, sizeof(MmRegistryEntry));
@@ -136,9 +136,11 @@
     mm_transaction_delete(transaction, MM_KEY_REGISTRY_PACK, pack_name);
 }
 
-/* Adds the removal of ended entries from the pack to the transaction. If the removal needs
- * conditions on other packs or entries must be copied, the removal is added only to an empty
- * transaction; otherwise nothing is added in this call. */
+/* Adds the removal of ended entries from the pack to the transaction. If the remaining entries
+ * exceed the size limit, the copying of entries to a new pack is added instead (see copy_overflow).
+ * Copying, and a removal that needs conditions on other packs, are added only to an empty
+ * transaction. If either is needed and the transaction is not empty, nothing is added in this
+ * call. */
 static void
 remove_ended_entries(MmRegistry *registry, const char *pack_name, const MmRegistryPack *pack,
                      MmTransaction *transaction) {
