--- a/src/dependencies/dependencies.c
+++ b/src/dependencies/dependencies.c
@@ -59,8 +59,8 @@
     mm_dependency_graph_cancel_job(dependencies->graph, job->spec.id.s, change);
 }
 
-/* Updates the graph with what this node already knows about the dependencies of a new job: their
- * terminal states, and those of the dependencies that are in the job table. */
+/* Updates the graph with what this node already knows about the dependencies of a new job: the
+ * terminal states of dependencies that have ended, and which dependencies are in the job table. */
 static void
 add_known_dependencies(MmDependencies *dependencies, const MmJob *job, MmDependencyChange *change) {
   MmJobTable *job_table = dependencies->node->job_table;
--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -38,7 +38,7 @@
  * allows the read. */
 void mm_dependencies_tick(MmDependencies *dependencies);
 
-/* Adds a job to the graph. The job must be in the job table already. */
+/* Adds a job to the dependency graph. The job must already be in the job table. */
 void mm_dependencies_job_added(MmDependencies *dependencies, MmJob *job);
 /* Records the cancellation of a job. Must be called once the cancellation is stored in the
  * key-value store. */
--- a/src/dependencies/dependency-graph.c
+++ b/src/dependencies/dependency-graph.c
@@ -69,7 +69,8 @@
   return vertex;
 }
 
-/* Frees the vertex if its job record was deleted and no unfinished job depends on it. */
+/* Frees the vertex if the record of the vertex's job was deleted and no unfinished job depends on
+ * that job. */
 static void
 free_if_unused(MmDependencyGraph *graph, MmVertex *vertex) {
   if (vertex->is_in_job_table || vertex->dependents->len > 0 || vertex->dependencies->len > 0)
--- a/src/jobs/completed-tasks.h
+++ b/src/jobs/completed-tasks.h
@@ -18,7 +18,7 @@
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(MmCompletedTasks, mm_completed_tasks_clear)
 
 gboolean mm_completed_tasks_contains(const MmCompletedTasks *set, guint task_number);
-/* Adds the task. Returns FALSE if it was in the set already or the job has no such task. */
+/* Adds the task. Returns FALSE if the task was in the set already or the job has no such task. */
 gboolean mm_completed_tasks_add(MmCompletedTasks *set, guint task_number);
 /* Returns the ranges of the set as text, in ascending order; free with g_free. If not all ranges
  * fit into `max_bytes`, the text contains only the longest ranges. A caller that must know which
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -248,8 +248,9 @@
 
 /* Reopens connections on which no pong has arrived for too long. A peer whose machine loses power
  * leaves a half-open connection, over which TCP retransmits at growing intervals for minutes.
- * Without a reconnect, a peer that has restarted would receive nothing in that time, and the shards
- * that the restarted peer acquired would wait for acknowledgements that only its peers received. */
+ * Without a reconnect, a restarted peer would receive nothing from this node in that time. The
+ * shards that the restarted peer acquired would not become ready, because machines'
+ * acknowledgements that only this node received would not reach that peer. */
 static void
 reconnect_silent_peers(MmPeerLinks *links, MmTime now) {
   gint64 elapsed_us = MIN(now.us - links->last_tick_at.us, TICK_GAP_MAX_MS * 1000);
--- a/src/sharing/admin.c
+++ b/src/sharing/admin.c
@@ -119,7 +119,8 @@
 }
 
 /* Forwards the order to the peer that owns the group and responds that the move has started. The
- * peer does not report the outcome; it is visible only in the list of groups. */
+ * peer does not report the outcome of the move. The outcome is visible only in the list of
+ * groups. */
 static void
 forward_move_order(MmSharing *sharing, const MmOwnershipRecord *record, guint group,
                    const char *target, MmHttpExchange *exchange) {
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -1,5 +1,6 @@
-/* Balances the machine groups among the nodes. Only the leader of the balancing shard orders moves.
- * The orders carry the shard's term, so that owners can reject the orders of a former leader. */
+/* Balances the machine groups among the nodes. Only the leader of the balancing shard tells the
+ * owners of groups which groups to move. Each such order carries the shard's term, so that an owner
+ * can reject an order of a former leader. */
 #include "sharing/balance.h"
 
 #include "leases/node-lease.h"
@@ -64,7 +65,7 @@
   return g_ptr_array_index(plan->live_labels, acquirer);
 }
 
-/* Orders of moves. */
+/* Orders to move groups. */
 
 static gboolean
 leads_sharing_shard(const MmSharing *sharing) {
@@ -111,7 +112,8 @@
   mm_peer_links_send(node->peer_links, (guint)peer, &frame);
 }
 
-/* Orders moves towards the targets, up to the limit of concurrent moves. */
+/* Sends the owners of groups orders to move groups, so that the nodes' shares approach the targets.
+ * Stops at the limit of concurrent moves. */
 static void
 order_moves(MmSharing *sharing, MmSharePlan *plan) {
   guint n = plan->live_labels->len;
--- a/src/sharing/balance.h
+++ b/src/sharing/balance.h
@@ -3,8 +3,8 @@
 
 #include "sharing/sharing.h"
 
-/* Orders moves if this node leads the balancing shard, and broadcasts this node's moves in progress
- * when due. */
+/* If this node leads the balancing shard, tells the owners of machine groups which groups to move
+ * to which nodes. On every node, broadcasts the node's moves in progress when due. */
 void mm_sharing_balance(MmSharing *sharing);
 /* Sends all peers the list of moves in progress on this node. */
 void mm_sharing_broadcast_moves(MmSharing *sharing);
--- a/src/sharing/group-map.h
+++ b/src/sharing/group-map.h
@@ -18,7 +18,7 @@
   MmGroupSet *groups;
 } MmGroupAcquisition;
 
-/* The ownership record of one node, parsed from its key. */
+/* The ownership record of one node, parsed from the value of the node's key. */
 typedef struct {
   MmName node;
   guint64 lease_id;
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -70,7 +70,8 @@
   GArray **peer_moves; /* by peer: MmGroupMove */
   gboolean is_active;  /* every node of the settings announces the same number of groups */
   /* A stored number of groups that differed from the settings when this node started; 0: there was
-   * none. If there was one, this node must not own groups, and its process exits with an error. */
+   * none. If such a number was found, this node must not own groups, and its process exits with an
+   * error. */
   guint conflicting_group_count;
   gboolean is_group_count_checked; /* `conflicting_group_count` has been determined */
   MmTime unowned_since; /* since when at least one group has no owner; 0: every group has one */
@@ -104,8 +105,8 @@
  * the message resolves, and records an acknowledgement of the group's term. */
 void mm_sharing_heartbeat_received(MmSharing *sharing, MmMachine *machine,
                                    MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
-/* Called when the machine certainly runs no task any more. Removes its grants and no longer waits
- * for its acknowledgement. */
+/* Called when the machine certainly runs no task any more. Removes the machine's grants and no
+ * longer waits for the machine's acknowledgement. */
 void mm_sharing_machine_gone(MmSharing *sharing, const MmMachine *machine);
 
 /* Returns whether this node owns the group under a lease that is certainly valid. */
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -316,9 +316,8 @@
 
 /* Determines the outcome of a move that got no response and may still be applied. Rewrites this
  * node's key. If the write succeeds, the move can no longer be applied, because the move requires
- * the key's previous version. If the write conflicts, another transaction has changed the key
- * before: either the move itself, or a transaction after which the move cannot be applied any
- * more. */
+ * the key's previous version. If the write conflicts, another transaction has already changed the
+ * key: either the move itself, or a transaction after which the move cannot be applied any more. */
 static void
 confirm_move(MmSharing *sharing) {
   MmNode *node = sharing->node;
@@ -333,9 +332,9 @@
 
 /* Release while sharing is inactive. */
 
-/* Deletes this node's ownership record. While sharing is inactive, starts are sent without grants,
- * so once sharing is active again, groups must be acquired under new terms that the machines have
- * not acknowledged yet. Returns FALSE if there is no record. */
+/* Deletes this node's ownership record. The reason is that starts are sent without grants while
+ * sharing is inactive. Once sharing is active again, groups must therefore be acquired under new
+ * terms that the machines have not acknowledged yet. Returns FALSE if there is no record. */
 static gboolean
 release_groups(MmSharing *sharing) {
   const char *label = sharing->node->settings->label.s;
