--- a/src/dependencies/dependencies.h
+++ b/src/dependencies/dependencies.h
@@ -2,9 +2,9 @@
  *
  * Owns the dependency graph and keeps it up to date: the job table reports jobs and terminal
  * states, the scheduler reports cancellations. Callbacks tell the scheduler which jobs have become
- * cancelled and which have become ready. The replica does not contain terminal records. A terminal
- * record that is needed and that this node has not learned in another way is read from the
- * key-value store; only a few reads are pending at a time. */
+ * cancelled and which have become ready. The replica does not contain terminal records. If this
+ * node needs a terminal record and has not learned the record in another way, it reads the record
+ * from the key-value store. Only a few such reads are pending at a time. */
 #pragma once
 
 #include "dependencies/dependency-graph.h"
@@ -56,13 +56,14 @@
  * job. Until the state is known, responses to users cannot state whether the job is cancelled. */
 gboolean mm_dependencies_has_unknown_dependency(MmDependencies *dependencies, const MmJob *job);
 
-/* Returns whether all dependencies of the job are done, so that its tasks may start. A dependency
- * is done once its terminal record was seen in the key-value store with the outcome done. */
+/* Returns whether all dependencies of the job are done. Only then may the job's tasks start. A
+ * dependency is done once its terminal record was seen in the key-value store with the outcome
+ * done. */
 static inline gboolean
 mm_job_dependencies_are_done(const MmJob *job) {
   return job->vertex == NULL || mm_vertex_dependencies_are_done(job->vertex);
 }
 
 /* Returns whether a dependency of the job is cancelled. No task of such a job has ever been
- * started, because its dependencies were never all done. */
+ * started, because the job's dependencies were never all done. */
 gboolean mm_job_has_cancelled_dependency(const MmJob *job);
--- a/src/dependencies/dependency-graph.h
+++ b/src/dependencies/dependency-graph.h
@@ -48,8 +48,8 @@
 MmVertex *mm_dependency_graph_find(const MmDependencyGraph *graph, const char *job_id);
 
 /* The jobs that one or more changes of the graph have cancelled or made ready. The functions below
- * append to both lists. The vertices are owned by the graph; mm_dependency_graph_remove_job may
- * free them. */
+ * that take a `change` append to its lists. The vertices are owned by the graph;
+ * mm_dependency_graph_remove_job may free them. */
 typedef struct {
   GPtrArray *cancelled; /* MmVertex that became cancelled */
   GPtrArray *ready;     /* MmVertex whose last outstanding dependency became done */
@@ -82,8 +82,9 @@
 /* Returns whether a dependency of the job is cancelled. */
 gboolean mm_vertex_has_cancelled_dependency(const MmVertex *vertex);
 /* Returns the time of day, in milliseconds, at which the last of the job's dependencies was done.
- * Returns 0 if the job has no dependencies or the time is unknown. */
+ * Dependencies for which this time is unknown are ignored. Returns 0 if the time is known for none
+ * of the dependencies. */
 gint64 mm_vertex_dependencies_done_at_ms(const MmVertex *vertex);
-/* Returns whether the state of a direct or transitive dependency is unknown. In that case, the job
- * may be cancelled although its vertex is not in state MM_VERTEX_CANCELLED. */
+/* Returns whether the state of a direct or transitive dependency of the vertex's job is unknown. In
+ * that case, the job may be cancelled although its vertex is not in state MM_VERTEX_CANCELLED. */
 gboolean mm_dependency_graph_has_unknown_dependency(MmDependencyGraph *graph, MmVertex *vertex);
--- a/src/job-api/job-api.h
+++ b/src/job-api/job-api.h
@@ -36,5 +36,5 @@
 void mm_job_api_cancel(MmNode *node, const char *job_id, MmHttpExchange *exchange);
 
 /* Records that the peer with this index has acknowledged the cancellation of the job, and responds
- * to the requests that waited for this acknowledgement. */
+ * to the requests for which no further acknowledgement is needed. */
 void mm_job_api_cancel_acked(MmJobApi *job_api, guint peer, const char *job_id);
--- a/src/job-api/job-cancellation.c
+++ b/src/job-api/job-cancellation.c
@@ -75,7 +75,7 @@
 }
 
 /* If every node that may still respond to a worker knows the cancellation, responds to the request
- * and removes the request from the queue. Returns whether it responded. */
+ * and removes the request from the queue. Returns whether a response was sent. */
 static gboolean
 respond_if_propagated(MmJobApi *job_api, GList *link) {
   MmUserRequest *request = link->data;
--- a/src/job-api/job-status.c
+++ b/src/job-api/job-status.c
@@ -137,8 +137,9 @@
   mm_replica_when_current(request->node->replica, on_replica_current, request);
 }
 
-/* Removes the request from the queue and responds to it if the states of all dependencies are
- * known. Returns whether it responded. */
+/* If the states of all dependencies are known, removes the request from the queue and continues
+ * with mm_job_status_respond_from_replica. Returns whether the request was removed from the
+ * queue. */
 static gboolean
 respond_if_dependencies_known(MmJobApi *job_api, GList *link) {
   MmUserRequest *request = link->data;
--- a/src/job-api/submission.c
+++ b/src/job-api/submission.c
@@ -57,7 +57,7 @@
                   has_cancelled_dependency(request) ? WIRE_CANCELLED : WIRE_PENDING),
         0);
   } else if (status == 409) {
-    mm_job_status_read_record(request); /* submitted before: responds with its status */
+    mm_job_status_read_record(request); /* the job exists: respond with its status */
   } else if (status == 429) {
     mm_user_request_retry_after_rate_limit(request, write_job_record);
   } else {
@@ -163,7 +163,8 @@
     mm_user_request_respond_unavailable(request);
 }
 
-/* Rejects invalid dependencies, looks up the unknown ones, then writes the job record. */
+/* Rejects invalid dependencies, looks up the dependencies that this node does not know, then writes
+ * the job record. */
 static void
 check_dependencies(MmUserRequest *request) {
   for (guint i = 0; i < request->spec.n_dependencies; i++) {
@@ -191,8 +192,8 @@
     mm_replica_when_current(request->node->replica, on_replica_current, request);
 }
 
-/* Returns the reason, as static text for the user, why the job could never run with the allowed
- * machine types and the limit of its team, or NULL if it could run. */
+/* Returns NULL if the job could run with the allowed machine types and within the limit of its
+ * team. Otherwise returns the reason why the job could never run, as static text for the user. */
 static const char *
 infeasibility_reason(const MmNode *node, const MmJobSpec *spec) {
   const MmTeamSettings *team = mm_settings_team(node->settings, &spec->team);
--- a/src/jobs/job-spec.c
+++ b/src/jobs/job-spec.c
@@ -31,7 +31,7 @@
   return TRUE;
 }
 
-/* Fallback for read_amount that makes the field mandatory. */
+/* Value of read_amount's parameter `fallback` that makes the field mandatory. */
 #define REQUIRED NAN
 /* Exclusive upper bound of amounts. */
 #define AMOUNT_LIMIT 1e12
@@ -120,9 +120,9 @@
 static const char *const kind_names[] = { WIRE_KIND_ARRAY, WIRE_KIND_GANG, WIRE_KIND_SERVICE };
 static const char *const priority_names[] = { "low", "normal", "urgent", "critical" };
 
-/* The following functions read one group of fields each, in the order in which errors are reported
- * to users. They return the reason why a field is malformed (static text), or NULL if all are
- * valid. */
+/* Each of the following functions reads one group of fields. mm_job_spec_parse calls the functions
+ * in this order and reports only the first malformed field to the user. Each function returns the
+ * reason why a field is malformed, as static text, or NULL if all its fields are valid. */
 
 static const char *
 read_identity(const json_t *json, MmJobSpec *spec) {
--- a/src/jobs/job-table.c
+++ b/src/jobs/job-table.c
@@ -8,7 +8,7 @@
 #define MAX_TERMINAL_STATES 4096
 #define MAX_REMOVED_IDS 8192
 
-/* Calls the given callback of every observer that has set it. */
+/* Calls the callback `member` of every observer for which this callback is not NULL. */
 #define NOTIFY(job_table, member, ...)                                                             \
   for (guint n_notified = 0; n_notified < (job_table)->observers->len; n_notified++) {             \
     const MmJobObserver *observer                                                                  \
--- a/src/jobs/job-table.h
+++ b/src/jobs/job-table.h
@@ -3,8 +3,8 @@
  * The table owns the unfinished jobs, one MmJob per job record, and remembers the terminal states
  * of recently ended jobs. The replica calls mm_job_table_put and mm_job_table_remove; terminal
  * records are added by the modules that read or write them. Modules of higher layers observe the
- * table. A MmJob is valid until its record is removed; code that refers to a job across
- * asynchronous callbacks must look up the job again by its id. */
+ * table. A MmJob is valid until its job record is removed. Code that refers to a job across
+ * asynchronous callbacks must therefore look up the job again by its id. */
 #pragma once
 
 #include "config/settings.h"
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -57,7 +57,8 @@
   /* Delay until the task could start on soonest_machine; below 0: no machine can run the task. */
   double soonest_delay_s;
   double next_soonest_delay_s;  /* the lowest delay on any other machine; below 0: none */
-  guint fewest_colocated_tasks; /* services: the fewest co-located tasks on a suitable machine */
+  guint fewest_colocated_tasks; /* services: lowest mm_scheduler_count_colocated_tasks of any
+                                   suitable machine */
 } MmPlacementEstimate;
 
 /* If this many machines have reported an error of the job, and no machine has reported a success,
@@ -95,7 +96,7 @@
 
   /* heartbeats.c: reports of the workers */
   MmCompletedTasks completed; /* initialized by led-shards.c from recorded_completed */
-  guint n_consecutive_errors; /* errors since the last success; many suggest a faulty job */
+  guint n_consecutive_errors; /* errors since the last success; many errors suggest a faulty job */
   MmTime paused_until;
   double observed_run_s_sum; /* total run time of n_observed_runs tasks */
   guint n_observed_runs;
@@ -123,9 +124,9 @@
   gint64 due_at_ms; /* time of day by which the job must get machines to meet its next objective */
   gint64 inherited_due_at_ms; /* time of day by which the job must get machines so that its
                                  dependents can meet the earliest of their deadlines */
-  gboolean is_starving; /* the job has waited longer than starve_s without a task started or done;
-                           set by scheduler.c or, if another node leads the shard, by backlog.c from
-                           that node's broadcast */
+  gboolean is_starving; /* the job has waited longer than starve_s, and no task of the job is done
+                           or may be on a machine; set by scheduler.c or, if another node leads the
+                           shard, by backlog.c from that node's broadcast */
 
   /* placement-estimate.c */
   MmPlacementEstimate placement_estimate;
--- a/src/peers/peer-broadcast.c
+++ b/src/peers/peer-broadcast.c
@@ -221,10 +221,10 @@
   return mm_heartbeat_id_is_newer(machine->latest_message_id, machine->latest_heartbeat_id);
 }
 
-/* Runs before this node's first pong on a new connection. Repeats every response given within two
- * leases, because frames may have been lost with the previous connection. Without the repetition,
- * the pong would make the peer advance `responses_known_until` although the peer lacks some
- * responses.
+/* Runs before this node's first pong on a new connection. Repeats every response that this node
+ * gave within two worker leases, because frames may have been lost with the previous connection.
+ * Without the repetition, the pong would make the peer advance `responses_known_until` although the
+ * peer lacks some responses.
  *
  * Responses are sent regardless of which node is believed to serve the machine. That belief can be
  * wrong after a partition, when two nodes disagree about who answers a machine; if neither node
--- a/src/peers/peer-broadcast.h
+++ b/src/peers/peer-broadcast.h
@@ -26,14 +26,16 @@
 
 /* The functions below send to one peer. */
 
-/* Sends commands for a machine that the peer answers. `commands`: MmCommand, only stops and
- * clean-ups. */
+/* Sends the peer commands for a machine whose heartbeats the peer answers. `commands`: MmCommand,
+ * only stops and clean-ups. */
 void mm_peer_links_send_commands(MmPeerLinks *links, guint peer, const MmMachine *machine,
                                  const GArray *commands);
-/* Sends every response that this node gave to workers within the last two worker leases. */
+/* Sends the peer every response that this node gave to workers within the last two worker
+ * leases. */
 void mm_peer_links_send_recent_responses(MmPeerLinks *links, guint peer);
-/* Announces one cancellation, as mm_peer_broadcast_cancellation does to all peers. */
+/* Announces the job's cancellation to the peer, as mm_peer_broadcast_cancellation does to all
+ * peers. */
 void mm_peer_links_send_cancellation(MmPeerLinks *links, guint peer, const char *job);
-/* Confirms that this node has recorded the cancellation: from now on each of its responses to
- * workers stops the job's tasks. */
+/* Confirms to the peer that this node has recorded the cancellation: from now on each of its
+ * responses to workers stops the job's tasks. */
 void mm_peer_links_send_cancellation_ack(MmPeerLinks *links, guint peer, const char *job);
--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -190,9 +190,9 @@
 
 /* Records when the key-value store last refused the peer, assuming that the peer sent the pong at
  * the time at which this node sent the ping. This assumption gives the earliest possible instant. A
- * later instant could wrongly prove an outage. The pong may have been delayed, or have remained
- * unread while this node was suspended. A ping from the peer carries no refusal, because it gives
- * no such bound. */
+ * later instant could wrongly prove an outage, because the pong may have been delayed, or have
+ * remained unread while this node was suspended. A ping from the peer carries no refusal, because
+ * this node knows no lower bound of the time at which the peer sent that ping. */
 static void
 record_kv_refused(MmPeerLinks *links, guint peer, MmTime ping_sent_at,
                   guint32 refused_age_plus_one_ms) {
@@ -210,7 +210,7 @@
   Mm__Pong pong = MM__PONG__INIT;
 
   /* The pending batch must be sent before the pong, because the peer concludes from the pong that
-   * it knows all responses given before its ping. */
+   * it knows all responses that this node gave before the ping was sent. */
   mm_peer_broadcast_repeat_heartbeats(links);
   pong.ping_sent_at_us = ping->sent_at_us;
   pong.refused_age_plus_one_ms = age_plus_one_ms(links, links->node->kv->last_refused_at);
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -12,15 +12,15 @@
 
 #define BALANCE_INTERVAL_MS 500
 #define MOVES_BROADCAST_INTERVAL_MS 1000
-/* The shares must be imbalanced for longer than this before groups move. A node that restarts is
- * back within this time. */
+/* The shares must be imbalanced for longer than this before groups move, because a node that
+ * restarts is back within this time. */
 #define IMBALANCE_WAIT_MS 10000
 /* A node may deviate from its target by 1 + (an even share / SLACK_DIVISOR) groups before any group
  * moves. */
 #define SLACK_DIVISOR 8
 
 struct MmSharePlan {
-  GPtrArray *live_labels; /* of the live nodes, sorted; the arrays below are parallel to it */
+  GPtrArray *live_labels; /* sorted; the arrays below have one element per label */
   MmShare *shares;
   guint *targets;
 };
--- a/src/sharing/grants.c
+++ b/src/sharing/grants.c
@@ -28,8 +28,9 @@
   return mm_machine_find_reported_task(machine, &grant->job, grant->number, grant->attempt) != NULL;
 }
 
-/* Subtracts the resources of reported tasks that have not ended. Returns FALSE if one of them
- * belongs to an unknown job. */
+/* Subtracts from `remaining` the resources of reported tasks that have not ended. Returns FALSE if
+ * one of these tasks belongs to a job that this node does not know, because the task's resources
+ * are then unknown. */
 static gboolean
 subtract_reported(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->reported_tasks->len; i++) {
@@ -46,7 +47,7 @@
   return TRUE;
 }
 
-/* Subtracts the resources of places reserved for gang tasks. */
+/* Subtracts from `remaining` the resources of places reserved for gang tasks. */
 static void
 subtract_reserved(const MmMachine *machine, MmResources *remaining) {
   for (guint i = 0; i < machine->placed_tasks->len; i++) {
@@ -56,8 +57,9 @@
   }
 }
 
-/* Subtracts the resources of outstanding grants. Returns FALSE if one of them belongs to a job that
- * this node no longer knows, so that its resources are unknown. */
+/* Subtracts from `remaining` the resources of outstanding grants. Returns FALSE if one of these
+ * grants belongs to a job that this node no longer knows, because the grant's resources are then
+ * unknown. */
 static gboolean
 subtract_outstanding(const MmGrants *grants, const MmMachine *machine, MmResources *remaining) {
   const GArray *list = g_hash_table_lookup(grants->outstanding, machine->id.s);
--- a/src/sharing/grants.h
+++ b/src/sharing/grants.h
@@ -41,8 +41,8 @@
 /* Removes the machine's grants. Called when no task runs on the machine any more and no start can
  * reach the machine. */
 void mm_grants_machine_gone(MmGrants *grants, const char *machine);
-/* Removes the grants on all machines of the group; another node may grant their resources from now
- * on. */
+/* Removes the grants on all machines of the group. From now on another node may grant the resources
+ * of these machines. */
 void mm_grants_drop_group(MmGrants *grants, guint group, guint n_groups);
 /* Returns the number of the group's machines with outstanding grants. */
 guint mm_grants_count_outstanding(const MmGrants *grants, guint group, guint n_groups);
--- a/src/sharing/group-map.c
+++ b/src/sharing/group-map.c
@@ -27,7 +27,7 @@
   g_free(record);
 }
 
-/* Parses one entry, [term, "ranges"]. Returns NULL if it is malformed. */
+/* Parses one acquisition, [term, "ranges"]. Returns NULL if the entry is malformed. */
 static MmGroupAcquisition *
 acquisition_from_json(const json_t *entry, guint n_groups) {
   const json_t *term = json_array_get(entry, 0), *ranges = json_array_get(entry, 1);
@@ -44,7 +44,7 @@
   return acquisition;
 }
 
-/* Parses the value of a node's key. Returns NULL if it is malformed. */
+/* Parses the value of a node's key. Returns NULL if the value is malformed. */
 static MmOwnershipRecord *
 ownership_record_from_json(const char *label, const json_t *value, MmKeyVersion version) {
   const json_t *acquisitions = mm_json_get(value, FIELD_ACQUISITIONS);
@@ -105,8 +105,8 @@
   const OwnerUpdate *update = data;
   MmGroupOwner *owner = &update->map->owners[group];
 
-  /* A group is in two records only if someone edited a key by hand; the record with the later term
-   * is used then. */
+  /* A group is in two records only if someone edited a key by hand. In that case, the record with
+   * the later term is used. */
   if (update->term.v > owner->term.v)
     *owner = (MmGroupOwner){ update->record, update->term };
   return true;
--- a/src/sharing/group-map.h
+++ b/src/sharing/group-map.h
@@ -23,7 +23,7 @@
   MmName node;
   guint64 lease_id;
   MmKeyVersion version;
-  guint n_groups;          /* number of groups in the settings of the node that wrote it */
+  guint n_groups;          /* number of groups in the settings of the node that wrote the record */
   GPtrArray *acquisitions; /* MmGroupAcquisition */
 } MmOwnershipRecord;
 
@@ -49,8 +49,8 @@
                           MmKeyVersion version);
 /* Removes a node's key that was deleted from the key-value store. */
 void mm_group_map_remove(MmGroupMap *map, const char *label);
-/* Appends the names of all known keys, malformed ones included, as new strings: `prefix` and the
- * label. The caller frees them with g_free. */
+/* Appends the names of all known keys to `keys`, including the keys with malformed values. Each
+ * name is a new string: `prefix` followed by the label. The caller frees them with g_free. */
 void mm_group_map_list_keys(const MmGroupMap *map, const char *prefix, GPtrArray *keys);
 
 /* Returns the node's ownership record, owned by the map and valid until the key changes; NULL: the
@@ -58,7 +58,7 @@
 const MmOwnershipRecord *mm_group_map_ownership_record(const MmGroupMap *map, const char *label);
 /* Returns the version of the node's key, malformed or not; 0: there is no key. */
 MmKeyVersion mm_group_map_key_version(const MmGroupMap *map, const char *label);
-/* Returns the group's owner. A group number outside the map has none. */
+/* Returns the group's owner. A group number outside the map has no owner. */
 MmGroupOwner mm_group_map_owner(const MmGroupMap *map, guint group);
 /* Searches the ownership records for a number of groups that differs from `n_groups` of the map.
  * Returns that number; 0: all records agree with the map. */
@@ -68,7 +68,8 @@
 typedef struct MmOwnershipRecordBuilder MmOwnershipRecordBuilder;
 MmOwnershipRecordBuilder *mm_ownership_record_builder_new(guint n_groups, guint64 lease_id);
 void mm_ownership_record_builder_free(MmOwnershipRecordBuilder *builder);
-/* Adds a group below `n_groups`. If the group is listed already, the later term is kept. */
+/* Adds a group whose number is below `n_groups`. If the group is listed already, the later term is
+ * kept. */
 void mm_ownership_record_builder_add(MmOwnershipRecordBuilder *builder, guint group, MmTerm term);
 /* Adds all groups of the record except those in `without`, which may be NULL. The record must have
  * the same number of groups as the builder. */
--- a/src/sharing/group-set.h
+++ b/src/sharing/group-set.h
@@ -1,8 +1,8 @@
 /* Sets of machine groups, and the assignment of machines to groups.
  *
- * A stable hash of the machine's name assigns it to one of a fixed number of groups, so a machine's
- * group never changes. Sets are CRoaring bitmaps. Their text form is a list of ranges, such as
- * "0-3,7". */
+ * A stable hash of the machine's name assigns the machine to one of a fixed number of groups. A
+ * machine's group therefore never changes. Sets are CRoaring bitmaps. Their text form is a list of
+ * ranges, such as "0-3,7". */
 #pragma once
 
 #include <glib.h>
--- a/src/sharing/moves.c
+++ b/src/sharing/moves.c
@@ -72,8 +72,8 @@
   return result;
 }
 
-/* Accepts orders only from the leader of the balancing shard under its current term, and from any
- * node on behalf of an operator. */
+/* Accepts an operator's order from any node. Accepts any other order only from the leader of the
+ * balancing shard, and only with the shard's current term. */
 void
 mm_sharing_move_ordered(MmSharing *sharing, guint peer, const Mm__MoveOrder *order) {
   const MmShard *balancer_shard = mm_replica_shard(sharing->node->replica, MM_SHARD_SHARING);
--- a/src/sharing/moves.h
+++ b/src/sharing/moves.h
@@ -3,8 +3,8 @@
 
 #include "sharing/sharing.h"
 
-/* Starts to move the group to the node `target`, if this node owns it. A move requested by an
- * operator (`is_manual`) is exempt from the minimum time between moves and from the limit of
+/* Starts to move the group to the node `target`, if this node owns the group. A move requested by
+ * an operator (`is_manual`) is exempt from the minimum time between moves and from the limit of
  * concurrent moves. */
 MmMoveResult mm_sharing_move(MmSharing *sharing, guint group, const char *target,
                              gboolean is_manual);
--- a/src/sharing/shares.h
+++ b/src/sharing/shares.h
@@ -1,5 +1,5 @@
-/* Computes how many machine groups each node should own, and the minimal moves that achieve it.
- * Pure functions without state. */
+/* Computes how many machine groups each node should own, and a minimal sequence of moves towards
+ * these numbers. Pure functions without state. */
 #pragma once
 
 #include "sharing/group-set.h"
@@ -25,7 +25,8 @@
 /* Computes the next move of one group, from the node furthest above its target to the node furthest
  * below it. Returns FALSE if no move is needed: no node is above its target, no node is below its
  * target, or neither of the two nodes deviates from its target by more than `slack`. `slack` is
- * ignored if the target of the node furthest above is 0, so that this node releases all groups. */
+ * ignored if the target of the node furthest above is 0, so that this node releases all its
+ * groups. */
 gboolean mm_shares_next_move(const MmShare *shares, const guint *targets, guint n_nodes,
                              guint slack, MmShareMove *move);
 
--- a/src/sharing/sharing.c
+++ b/src/sharing/sharing.c
@@ -80,8 +80,8 @@
 
 /* Adds the machine of a newly owned group to `unacknowledged`, unless the machine has acknowledged
  * the group's term. Without that acknowledgement, the machine may still execute starts granted by
- * earlier owners. A machine that is registered later needs no entry, because it only receives
- * responses of that term or a later term. */
+ * earlier owners. A machine that is registered later needs no entry, because that machine receives
+ * only responses of the group's term or a later term. */
 static void
 track_unacknowledged(MmSharing *sharing, const MmMachine *machine) {
   MmOwnedGroup *owned = sharing->owned[machine->group];
@@ -204,8 +204,8 @@
 /* Returns whether the machine's newest message proves that the machine no longer executes starts
  * granted by earlier owners. A message that carries the group's term or a later term is such a
  * proof. A message from a newer incarnation than the one registered when the group was acquired is
- * also a proof, because tasks of the old incarnation no longer run. The same rule holds for a
- * team's shard. */
+ * also a proof, because tasks of the old incarnation no longer run. The same rule applies to the
+ * acknowledgements of the term of a team's shard. */
 static gboolean
 acknowledges_group_term(const MmOwnedGroup *owned, const MmMachine *machine, gsize incarnation) {
   return machine->acknowledged_term.v >= owned->term.v
@@ -358,8 +358,8 @@
   if (owner.record == NULL)
     return MM_PEER_NONE;
   peer = mm_peer_links_find(node->peer_links, owner.record->node.s);
-  /* A worker that returns within one worker lease after its redirect could not reach the owner, so
-   * this node serves it. */
+  /* A worker that returns within one worker lease after its redirect could not reach the owner.
+   * Therefore this node serves the worker. */
   if (peer < 0 || !mm_peer_links_peer_serves_workers(node->peer_links, (guint)peer)
       || (machine->last_redirected_at.us != 0
           && mm_time_ms_since(now, machine->last_redirected_at)
--- a/src/sharing/sharing.h
+++ b/src/sharing/sharing.h
@@ -74,7 +74,7 @@
    * error. */
   guint conflicting_group_count;
   gboolean is_group_count_checked; /* `conflicting_group_count` has been determined */
-  MmTime unowned_since; /* since when at least one group has no owner; 0: every group has one */
+  MmTime unowned_since;            /* since when at least one group has no owner; 0: all have one */
 
   /* Written by transactions.c. */
   MmGroupWrite write_in_flight;
@@ -102,7 +102,8 @@
                             MmKeyVersion version);
 
 /* Called when the machine table has recorded a heartbeat or direct reply. Removes the grants that
- * the message resolves, and records an acknowledgement of the group's term. */
+ * the message resolves. If the message acknowledges the term of the machine's group, no longer
+ * waits for this acknowledgement. */
 void mm_sharing_heartbeat_received(MmSharing *sharing, MmMachine *machine,
                                    MmHeartbeatId heartbeat_id, gboolean is_direct_reply);
 /* Called when the machine certainly runs no task any more. Removes the machine's grants and no
@@ -137,10 +138,10 @@
 /* Returns the term under which the machine's group was acquired, which the machine has to
  * acknowledge; 0: the group has no owner, or sharing is inactive. */
 MmTerm mm_sharing_group_term(const MmSharing *sharing, const MmMachine *machine);
-/* Returns whether this node owns the machine's group and waits for the machine to acknowledge its
- * term. */
+/* Returns whether this node owns the machine's group and waits for the machine to acknowledge the
+ * group's term. */
 gboolean mm_sharing_awaits_acknowledgement(const MmSharing *sharing, const MmMachine *machine);
 
-/* Handles a peer's request that this node, as owner of the machine's group, grant resources to
- * starts. Sends the response at once. */
+/* Handles a peer's request to grant resources to starts on a machine whose group this node owns.
+ * Sends the response at once. */
 void mm_sharing_grant_requested(MmSharing *sharing, guint peer, const Mm__GrantRequest *request);
--- a/src/sharing/transactions.c
+++ b/src/sharing/transactions.c
@@ -81,8 +81,8 @@
     sharing->is_move_unconfirmed = FALSE;
     delay_next_write(sharing, CONFLICT_BACKOFF_MS);
   } else if (status == 0 && kind == MM_GROUP_WRITE_MOVE) {
-    /* No response: the move may still be applied. No resources of its groups are granted until the
-     * outcome is known. */
+    /* No response: the move may still be applied. Until the outcome is known, no resources of the
+     * groups in the move are granted. */
     sharing->is_move_unconfirmed = TRUE;
   }
 }
@@ -161,8 +161,9 @@
          && mm_time_ms_since(mm_node_now(sharing->node), sharing->unowned_since) > UNOWNED_WAIT_MS;
 }
 
-/* Returns whether acquisition must wait: the replica does not contain this node's lease yet, or the
- * cluster is new, no group has ever had an owner, and other nodes may be about to become live. */
+/* Returns whether this node must wait before it acquires groups. The node waits while the replica
+ * does not contain the node's lease. A node of a new cluster, in which no group has ever had an
+ * owner, also waits while other nodes may be about to become live. */
 static gboolean
 awaits_other_nodes(const MmSharing *sharing) {
   const MmNode *node = sharing->node;
@@ -231,8 +232,9 @@
          && mm_grants_count_outstanding(sharing->grants, owned->number, sharing->n_groups) == 0;
 }
 
-/* Returns why the move must be aborted, a static string: the target is not live, or the move has
- * waited for outstanding grants for longer than a worker lease. NULL: the move may continue. */
+/* Returns why the move must be aborted, a static string: the target is not live, or the move
+ * started more than one worker lease ago, which happens if grants remain outstanding. NULL: the
+ * move may continue. */
 static const char *
 abort_reason(const MmSharing *sharing, const MmOwnedGroup *owned) {
   const MmNode *node = sharing->node;
