--- a/src/peers/peer-links.c
+++ b/src/peers/peer-links.c
@@ -190,9 +190,9 @@
 
 /* Records when the key-value store last refused the peer, assuming that the peer sent the pong at
  * the time at which this node sent the ping. This assumption gives the earliest possible instant. A
- * later instant could wrongly prove an outage. The pong may have been delayed, or have remained
- * unread while this node was suspended. A ping from the peer carries no refusal, because it gives
- * no such bound. */
+ * later instant could wrongly prove an outage, because the pong may have been delayed, or have
+ * remained unread while this node was suspended. A ping from the peer carries no refusal, because
+ * this node knows no lower bound of the time at which the peer sent that ping. */
 static void
 record_kv_refused(MmPeerLinks *links, guint peer, MmTime ping_sent_at,
                   guint32 refused_age_plus_one_ms) {
@@ -210,7 +210,7 @@
   Mm__Pong pong = MM__PONG__INIT;
 
   /* The pending batch must be sent before the pong, because the peer concludes from the pong that
-   * it knows all responses given before its ping. */
+   * it knows all responses that this node gave before the ping was sent. */
   mm_peer_broadcast_repeat_heartbeats(links);
   pong.ping_sent_at_us = ping->sent_at_us;
   pong.refused_age_plus_one_ms = age_plus_one_ms(links, links->node->kv->last_refused_at);
@@ -248,8 +248,9 @@
 
 /* Reopens connections on which no pong has arrived for too long. A peer whose machine loses power
  * leaves a half-open connection, over which TCP retransmits at growing intervals for minutes.
- * Without a reconnect, a peer that has restarted would receive nothing in that time, and the shards
- * that the restarted peer acquired would wait for acknowledgements that only its peers received. */
+ * Without a reconnect, a restarted peer would receive nothing from this node in that time. The
+ * shards that the restarted peer acquired would not become ready, because machines'
+ * acknowledgements that only this node received would not reach that peer. */
 static void
 reconnect_silent_peers(MmPeerLinks *links, MmTime now) {
   gint64 elapsed_us = MIN(now.us - links->last_tick_at.us, TICK_GAP_MAX_MS * 1000);
--- a/src/sharing/balance.c
+++ b/src/sharing/balance.c
@@ -1,5 +1,6 @@
-/* Balances the machine groups among the nodes. Only the leader of the balancing shard orders moves.
- * The orders carry the shard's term, so that owners can reject the orders of a former leader. */
+/* Balances the machine groups among the nodes. Only the leader of the balancing shard tells the
+ * owners of groups which groups to move. Each such order carries the shard's term, so that an owner
+ * can reject an order of a former leader. */
 #include "sharing/balance.h"
 
 #include "leases/node-lease.h"
@@ -11,15 +12,15 @@
 
 #define BALANCE_INTERVAL_MS 500
 #define MOVES_BROADCAST_INTERVAL_MS 1000
-/* The shares must be imbalanced for longer than this before groups move. A node that restarts is
- * back within this time. */
+/* The shares must be imbalanced for longer than this before groups move, because a node that
+ * restarts is back within this time. */
 #define IMBALANCE_WAIT_MS 10000
 /* A node may deviate from its target by 1 + (an even share / SLACK_DIVISOR) groups before any group
  * moves. */
 #define SLACK_DIVISOR 8
 
 struct MmSharePlan {
-  GPtrArray *live_labels; /* of the live nodes, sorted; the arrays below are parallel to it */
+  GPtrArray *live_labels; /* sorted; the arrays below have one element per label */
   MmShare *shares;
   guint *targets;
 };
@@ -64,7 +65,7 @@
   return g_ptr_array_index(plan->live_labels, acquirer);
 }
 
-/* Orders of moves. */
+/* Orders to move groups. */
 
 static gboolean
 leads_sharing_shard(const MmSharing *sharing) {
@@ -111,7 +112,8 @@
   mm_peer_links_send(node->peer_links, (guint)peer, &frame);
 }
 
-/* Orders moves towards the targets, up to the limit of concurrent moves. */
+/* Sends the owners of groups orders to move groups, so that the nodes' shares approach the targets.
+ * Stops at the limit of concurrent moves. */
 static void
 order_moves(MmSharing *sharing, MmSharePlan *plan) {
   guint n = plan->live_labels->len;
