--- a/src/base/types.h
+++ b/src/base/types.h
@@ -10,7 +10,8 @@
   gint64 us;
 } MmTime;
 
-/* The global term. Workers receive it as the fencing token and reject commands of an older term. */
+/* The global term. Workers receive the term as the fencing token and reject commands of an older
+ * term. */
 typedef struct {
   guint64 v;
 } MmTerm;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -193,8 +193,8 @@
 }
 
 /* Returns whether the node must not serve requests because it does not support the active format.
- * While the format is unknown the node is not fenced, because it has not read any data yet that it
- * could misinterpret. */
+ * While the format is unknown the node is not fenced, because the node has not yet read any
+ * data that it could misinterpret. */
 static gboolean
 is_fenced(const MmNode *node) {
   return node->format->is_known && !mm_format_is_supported(node->format);
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -1,5 +1,5 @@
-/* The program: reads the command line and the settings, and runs a node in GLib's main loop on a
- * platform implemented with sockets. */
+/* The program `martenmount`: reads the command line and the settings, and runs a node in GLib's
+ * main loop on a platform implemented with sockets. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -119,7 +119,8 @@
 
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(CommandLine, command_line_clear)
 
-/* Parses the command line. If it is invalid, prints the error and the help, and returns FALSE. */
+/* Parses the command line. If the command line is invalid, prints the error and the help, and
+ * returns FALSE. */
 static gboolean
 parse_command_line(int argc, char **argv, CommandLine *command_line) {
   const GOptionEntry entries[] = {
--- a/src/transport/peer-socket.c
+++ b/src/transport/peer-socket.c
@@ -33,8 +33,8 @@
   GSource *flush_source;
   /* Exists only while the socket's send buffer is full. */
   GSource *writable_source;
-  /* Signals that the connection was closed. The connection becomes readable only then, because the
-   * peer never sends on it. */
+  /* Signals that the connection was closed. The peer never sends on this connection. The connection
+   * therefore becomes readable only when it is closed. */
   GSource *readable_source;
 } OutboundLink;
 
--- a/tests/world/formats.c
+++ b/tests/world/formats.c
@@ -5,8 +5,9 @@
 #include "kv/kv-client.h"
 #include "upgrade/format.h"
 
-/* Time within which a node learns of a change. If the response to a watch is lost or arrives while
- * the node is suspended, the node reopens the watch after 3.7 s, and the time must be longer. */
+/* Time within which a node learns of a change of the format. The time must be longer than 3.7 s,
+ * because a node reopens its watch only after 3.7 s if the response to the watch is lost or arrives
+ * while the node is suspended. */
 #define CHANGE_PROPAGATION_US (4 * G_USEC_PER_SEC)
 
 void
--- a/tests/world/internal.h
+++ b/tests/world/internal.h
@@ -24,7 +24,7 @@
 /* Handles the end of the node's process. The links of the other nodes to this node are closed. If
  * World.node_ends_leave_half_open_links is set, established links become half-open instead. */
 void world_links_node_ended(World *world, guint index);
-/* Implement MmPlatform.send and MmPlatform.reconnect of a node; `data` is its WorldNode. */
+/* Implement MmPlatform.send and MmPlatform.reconnect of a node. `data` is the node's WorldNode. */
 void world_link_send(gpointer data, guint peer, const Mm__Frame *frame);
 void world_link_reconnect(gpointer data, guint peer);
 
@@ -32,7 +32,7 @@
 
 /* Returns the platform interface of a simulated node. */
 MmPlatform world_node_platform(WorldNode *world_node);
-/* Returns the time of the node's steady clock; `data` is its WorldNode. */
+/* Returns the time of the node's steady clock. `data` is the node's WorldNode. */
 MmTime world_node_now(gpointer data);
 /* If the node's process with the number `generation` is suspended, schedules `callback` for the
  * time when the process resumes and returns TRUE. Otherwise returns FALSE. Deferred callbacks run
@@ -42,7 +42,7 @@
 
 /* nodes.c */
 
-/* Starts the node's process; `data` is its WorldNode. */
+/* Starts the node's process. `data` is the node's WorldNode. */
 void world_boot_node(gpointer data);
 
 /* node-settings.c */
@@ -61,8 +61,8 @@
 /* Answers each watch that has changes or has timed out. A watch is not answered while the store
  * refuses requests of the node that opened the watch. */
 void world_kv_answer_watches(World *world);
-/* Returns the value of a parameter in the query part of the path, or NULL if it is absent. Free
- * with g_free(). */
+/* Returns the value of a parameter in the query part of the path, or NULL if the parameter is
+ * absent. Free the value with g_free(). */
 char *world_kv_query_parameter(const char *path, const char *name);
 
 /* cloud.c */
@@ -101,7 +101,7 @@
 typedef struct {
   World *world;
   guint node;       /* index of the node that sends or receives the request */
-  guint generation; /* of that node's process */
+  guint generation; /* generation of that node's process */
   char *method;
   char *path;
   json_t *body;
--- a/tests/world/kv-watches.c
+++ b/tests/world/kv-watches.c
@@ -7,7 +7,7 @@
 
 /* A pending watch, which waits for changes of keys that begin with `prefix`. */
 typedef struct {
-  guint node; /* index of the node that opened it */
+  guint node; /* index of the node that opened the watch */
   char *prefix;
   guint64 after_revision;
   gint64 expires_at_us;
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -45,7 +45,8 @@
 MmSettings *world_node_settings(World *world, guint index);
 /* Kills the node's process and starts a new one `down_s` seconds later. */
 void world_kill_node(World *world, guint index, double down_s);
-/* Suspends the node's process. Messages to it are delivered in order when it resumes. */
+/* Suspends the node's process. Messages to the process are delivered in order when the
+ * process resumes. */
 void world_suspend_node(World *world, guint index, double seconds);
 
 /* Network partitions (network.c) */
@@ -58,7 +59,7 @@
 void world_partition_zone(World *world, guint index, double seconds, gboolean delays_messages);
 /* Returns whether a partition separates the node from the machine. */
 gboolean world_is_partitioned(const World *world, guint index, const WorldMachine *machine);
-/* Closes the links between all nodes and refuses new ones for `seconds`. */
+/* Closes the links between all nodes and refuses new links for `seconds`. */
 void world_refuse_links(World *world, double seconds);
 
 /* Requests to nodes (requests-to-nodes.c) */
@@ -148,8 +149,8 @@
  * indirect dependencies. */
 gboolean world_job_may_be_cancelled(const WorldJob *job);
 /* Returns the earliest time at which a cancellation of a direct or indirect dependency of the job
- * was confirmed. Returns the time of the job's submission if that is later, and 0 if no
- * cancellation was confirmed. */
+ * was confirmed. If the job was submitted later than that, returns the time of the submission.
+ * Returns 0 if no cancellation was confirmed. */
 gint64 world_job_ancestor_cancelled_us(const WorldJob *job);
 /* Sets `ready_at_us` of jobs that have become ready. */
 void world_record_ready_jobs(World *world);
@@ -176,8 +177,8 @@
  * heartbeat was sent. Responses to copies of the heartbeat count too. */
 void world_check_heartbeat_response(World *world, guint node, const json_t *heartbeat,
                                     const json_t *response);
-/* Sends an administrator's request to move a group; the node that receives it, the group and the
- * target node are random. */
+/* Sends an administrator's request to move a group. The node that receives the request, the group
+ * and the target node are random. */
 void world_random_move(World *world);
 void world_move_group(World *world, guint via_node, guint group, guint target);
 /* Returns the index of the node that owns the group according to `node`, or WORLD_NODES if the
@@ -216,7 +217,8 @@
 
 /* Starts the worker; `data` is the WorldMachine. */
 void world_machine_boot(gpointer data);
-/* Returns the machine's status as a heartbeat with the next sequence number. The caller owns it. */
+/* Returns the machine's status as a heartbeat with the next sequence number. The caller owns the
+ * heartbeat. */
 json_t *world_machine_heartbeat(WorldMachine *machine);
 /* Executes a direct command and returns the status. The caller owns `response`. */
 int world_machine_handle_direct(WorldMachine *machine, const json_t *body, json_t **response);
@@ -229,10 +231,11 @@
 /* Returns overrides for world_submit() with a random kind, priority, team, image, number of tasks
  * and placement. */
 json_t *world_random_job_body(World *world);
-/* Submits a job, repeatedly until a node confirms it, and polls its state from then on. Takes
- * ownership of `overrides`, fields of the request that replace the defaults. */
+/* Submits a job. Repeats the submission until a node confirms the job, and polls the job's state
+ * from then on. Takes ownership of `overrides`, the fields of the request that replace the
+ * defaults. */
 WorldJob *world_submit(World *world, json_t *overrides, double run_s);
-/* Requests the cancellation of the job, repeatedly until it is confirmed. */
+/* Requests the cancellation of the job. Repeats the request until the cancellation is confirmed. */
 void world_cancel(WorldJob *job);
 WorldJob *world_find_job(World *world, const char *id);
 
