--- a/tests/world/requests-of-nodes.c
+++ b/tests/world/requests-of-nodes.c
@@ -197,7 +197,7 @@
 }
 
 /* Schedules the arrival of the request. 1 in 1000 requests is lost. 2 in 1000 requests are delayed
- * by half the time-out and 0.5 s, because the node may then time out before the response arrives. A
+ * by half the time-out plus 0.5 s, so that the node may time out before the response arrives. A
  * request whose delay reaches the time-out is lost too. */
 static void
 node_request_send(NodeRequest *request, const json_t *body, gint64 timeout_us) {
--- a/tests/world/requests-to-nodes.c
+++ b/tests/world/requests-to-nodes.c
@@ -8,7 +8,7 @@
   MmHttpExchange exchange;    /* passed to the node; holds a reference until the node responds */
   WorldMachine *sender;       /* NULL: a user */
   WorldMachine *duplicate_of; /* sender of the original request; NULL: this is not a late copy */
-  gboolean is_pending;        /* the node has received the request and not answered it yet */
+  gboolean is_pending;        /* the node has received but not yet answered the request */
 } InboundRequest;
 
 static void
--- a/tests/world/sharing.c
+++ b/tests/world/sharing.c
@@ -9,8 +9,9 @@
 #include "kv/kv-client.h"
 
 #define SECOND ((gint64)G_USEC_PER_SEC)
-/* Maximum time without an owner after the faults have ended: a node lease, the time after which any
- * node may acquire an unowned group, and two transactions. */
+/* Maximum time for which a group may have no owner after the faults have ended. The time is the sum
+ * of a node lease, the time after which any node may acquire an unowned group, and the duration of
+ * two transactions. */
 #define UNOWNED_MAX_US (8 * SECOND)
 
 /* Returns the group map stored in the key-value store. Free with mm_group_map_free(). */
--- a/tests/world/tasks.c
+++ b/tests/world/tasks.c
@@ -68,8 +68,8 @@
                    cause == MM_CAUSE_DONE ? MM_CAUSE_DONE : MM_CAUSE_GANG_PEER_ENDED);
 }
 
-/* Ends the running tasks of the same attempt of the gang. The reason is that the tasks of a gang
- * complete together, and all of them end when one task is lost. */
+/* Ends the other running tasks of the gang that belong to the same attempt. The reason is that the
+ * tasks of a gang complete together, and all of them end when one task is lost. */
 static void
 end_gang_peers(World *world, const WorldTask *task, guint8 cause) {
   if (task->job->spec.kind != MM_JOB_KIND_GANG)
--- a/tests/world/types.h
+++ b/tests/world/types.h
@@ -16,7 +16,7 @@
 /* A controller node, running or not. The struct outlives the processes that run as this node. */
 typedef struct {
   World *world;
-  guint index; /* in World.nodes */
+  guint index; /* index in World.nodes */
   MmSettings *settings;
   MmOperators operators;
   MmNode *node;      /* NULL while no process runs */
@@ -24,8 +24,8 @@
   double clock_rate; /* rate of the node's steady clock relative to simulated time */
 
   /* Supported formats and protocol version */
-  guint64 highest_format; /* highest supported format of the stored state; 0: highest format of the
-                             program */
+  guint64 highest_format; /* highest supported format of the stored state; 0: the format
+                             MM_FORMAT_HIGHEST */
   /* The node sends messages and stores records as the old release does. The old release has neither
    * job dependencies nor announced limits. */
   gboolean is_old_version;
@@ -63,7 +63,7 @@
 struct WorldJob {
   World *world;
   char id[32];
-  json_t *body; /* of the submission */
+  json_t *body; /* body of the submission request */
   MmJobSpec spec;
   GPtrArray *dependencies; /* WorldJob, not owned */
   double run_s;            /* run time of each task, varied randomly by up to a fifth */
@@ -80,8 +80,8 @@
   /* Actual state in the simulation */
   gboolean *is_task_done; /* by task number */
   guint n_done;
-  guint n_starts;           /* start commands that reached a machine, over all tasks of the job */
-  gint64 ready_at_us;       /* when the last dependency of the job was done */
+  guint n_starts;     /* start commands that reached a machine, over all tasks of the job */
+  gint64 ready_at_us; /* when the last dependency of the job was done; submission time if none */
   gint64 first_start_at_us; /* when the first task of the job started on a machine */
   gint64 last_start_at_us;  /* when a start command for the job last reached a machine */
   gint64 waiting_since_us; /* since when the job has waited needlessly, see world_check_waiting() */
@@ -90,7 +90,7 @@
 /* An attempt of a task on a machine. */
 typedef struct {
   WorldJob *job;
-  guint number; /* of the task in its job */
+  guint number; /* number of the task in its job */
   guint64 attempt;
   guint8 state; /* MmReportedState */
   guint8 cause; /* MmEndCause: why the task ended */
@@ -119,12 +119,14 @@
   /* Heartbeats */
   guint64 incarnation, sequence, fencing_token;
   gint64 lease_renewed_at_us;
-  guint serving_node; /* index of the node that receives its heartbeats */
+  guint serving_node; /* index of the node that receives the machine's heartbeats */
   gboolean is_heartbeat_in_flight;
-  guint64 heartbeat_number; /* of the latest request; responses to earlier ones are dropped */
+  /* Number of the latest heartbeat. Responses to earlier heartbeats are dropped. */
+  guint64 heartbeat_number;
   gint64 next_heartbeat_at_us;
   gint64 last_heartbeat_at_us;
-  gboolean has_changed; /* since the last heartbeat: the next one may be sent early */
+  gboolean has_changed; /* the status changed since the last heartbeat; the next heartbeat may be
+                           sent early */
 
   /* Injected faults */
   gint64 suspended_until_us;     /* the worker is suspended */
@@ -153,8 +155,8 @@
 /* Events of a task on a machine. */
 typedef enum {
   WORLD_TASK_STARTS, /* the task occupies the machine from now on */
-  WORLD_TASK_ENDS,   /* by itself, by command, or with its machine; `cause` is unset if the machine
-                        ended */
+  WORLD_TASK_ENDS,   /* the task ended by itself, by a command or because its machine ended;
+                        `cause` is unset if the machine ended */
   WORLD_TASK_REFUSED /* the task did not start; `cause` says why */
 } WorldTaskEvent;
 
@@ -203,19 +205,20 @@
   GHashTable *leases;    /* id -> WorldLease */
   guint64 last_lease_id; /* id of the most recent lease */
   GPtrArray *watches;    /* pending watches */
-  guint64 format;        /* active format as stored; 0: its key is missing or malformed */
+  guint64 format;        /* active format as stored; 0: the format key is missing or malformed */
   gint64 format_set_at_us;
   guint64 n_writes;
   guint64 n_conflicts; /* transactions whose conditions failed */
 
-  /* Limits of the key-value store. A transaction that exceeds a limit fails an assertion, because
-   * the nodes know the limits, unless `has_unannounced_limits` is set. */
+  /* Limits of the key-value store. Unless `has_unannounced_limits` is set, a transaction that
+   * exceeds a limit fails an assertion, because the nodes know the limits. */
   guint value_bytes;
   guint txn_ops;
   double write_rps; /* writes per second, above which the store responds with 429; 0: unlimited */
   double write_tokens;
   gint64 write_tokens_at_us;
-  /* The nodes do not know the limits; the store responds with 400 to larger transactions. */
+  /* The nodes do not know the limits. The store responds with 400 to transactions that exceed a
+   * limit. */
   gboolean has_unannounced_limits;
   /* The settings of nodes that start announce the next, lower limits. */
   gboolean announces_next_limits;
@@ -253,7 +256,7 @@
   /* Network faults */
   gint64 links_refused_until_us;            /* nodes refuse connections from each other */
   gboolean node_ends_leave_half_open_links; /* when a node ends, links to it still appear open to
-                                               the others */
+                                               the other nodes */
   guint partitioned_zone;                   /* index of the node whose zone is partitioned */
   gint64 zone_partitioned_until_us;
   double delayed_response_rate; /* share of responses that are sent 0.1 to 3.9 s after the node
@@ -281,9 +284,10 @@
   guint n_moves_started;   /* group moves requested by an administrator that a node accepted */
   guint n_double_owners;   /* checks in which two nodes believed that they own a machine's group */
   gint64 unowned_since_us; /* since when some group has had no owner according to a node */
-  gint64 longest_unowned_us; /* longest such duration after the faults ended */
+  gint64 longest_unowned_us; /* longest time without an owner after the faults ended */
 
-  /* Defects of the nodes; tests enable them to show that the invariant checks detect them */
+  /* Defects of the nodes; tests enable the defects to show that the invariant checks detect
+   * them */
   gboolean ignore_acknowledgements;    /* shard leaders count every machine as acknowledged */
   gboolean accept_duplicates;          /* nodes forget the id of each machine's latest heartbeat */
   gboolean respond_to_unacknowledging; /* nodes keep responding to machines that ignore responses */
