--- a/src/node/node.c
+++ b/src/node/node.c
@@ -23,13 +23,13 @@
 #include "upgrade/versions.h"
 #include "node/wiring.h"
 
-/* How long is_healthy() counts a request to the key-value store as recent. It considers the last
- * request of this node that the store served, and the last request of any peer that the store
- * refused. */
+/* How long is_healthy() counts a request to the key-value store as recent. The function considers
+ * the last request of this node that the store served, and the last request of any peer that the
+ * store refused. */
 #define KV_RECENT_RESPONSE_MS 2000
-/* Load shedding under overload: status polls are rejected from a tick delay of SHED_POLLS_DELAY_MS,
- * submissions from SHED_SUBMISSIONS_DELAY_MS. Heartbeats, cancellations and health checks are never
- * rejected. */
+/* Load shedding under overload: status polls are rejected if the tick delay is at least
+ * SHED_POLLS_DELAY_MS, and submissions if it is at least SHED_SUBMISSIONS_DELAY_MS. Heartbeats,
+ * cancellations and health checks are never rejected. */
 #define SHED_POLLS_DELAY_MS 600
 #define SHED_SUBMISSIONS_DELAY_MS 1500
 #define LOAD_SHED_RETRY_S 3
@@ -147,9 +147,9 @@
 
 /* Returns whether health checks succeed. Users are sent to healthy nodes only. A node is unhealthy
  * until it has loaded its replica, the machine types and a supported format. A loaded node is
- * unhealthy while the key-value store does not respond to it or refuses only this node. If the
- * store refuses peers as well, or if no peer serves workers, the node is healthy, because its users
- * would get no better service from another node. */
+ * unhealthy while the key-value store does not respond to the node or refuses only this node. If
+ * the store refuses peers as well, or if no peer serves workers, the node is healthy, because its
+ * users would get no better service from another node. */
 static gboolean
 is_healthy(const MmNode *node) {
   MmTime now = mm_node_now(node);
@@ -193,8 +193,8 @@
 }
 
 /* Returns whether the node must not serve requests because it does not support the active format.
- * While the format is unknown the node is not fenced, because the node has not yet read any
- * data that it could misinterpret. */
+ * While the format is unknown the node is not fenced, because the node has not yet read any data
+ * that it could misinterpret. */
 static gboolean
 is_fenced(const MmNode *node) {
   return node->format->is_known && !mm_format_is_supported(node->format);
--- a/src/node/peer-receiver.c
+++ b/src/node/peer-receiver.c
@@ -24,8 +24,8 @@
   mm_peer_links_send_recent_responses(links, peer);
   for (guint i = 0; i < job_table->by_submission->len; i++) {
     const MmJob *job = g_ptr_array_index(job_table->by_submission, i);
-    /* A job is also cancelled when one of its dependencies is cancelled. Such jobs are not sent,
-     * because the peer finds them by itself. */
+    /* A job is also cancelled when one of its dependencies is cancelled. Such a cancellation is not
+     * sent, because the peer derives it from the job's dependencies. */
     if (job->is_cancelled && !mm_job_has_cancelled_dependency(job))
       mm_peer_links_send_cancellation(links, peer, job->spec.id.s);
   }
--- a/src/transport/http-server.c
+++ b/src/transport/http-server.c
@@ -28,7 +28,7 @@
   struct MHD_Connection *connection;
   GByteArray *body;
   gboolean is_body_too_large;
-  gboolean awaits_node_response; /* the node has received the request and not responded yet */
+  gboolean awaits_node_response; /* the node has received the request but has not responded */
   /* mm_node_handle_request is running. A response must not resume the connection during that call,
    * because the connection has not been suspended yet. */
   gboolean is_in_handler;
@@ -176,7 +176,8 @@
 } DaemonSource;
 
 /* Takes the time-out from libmicrohttpd. A time-out of 0 means that libmicrohttpd has read data
- * that it has not processed yet. No descriptor signals such data. */
+ * that it has not processed yet. The source must then be dispatched at once, because no descriptor
+ * signals such data. */
 static gboolean
 source_prepare(GSource *source, gint *timeout_ms) {
   MHD_UNSIGNED_LONG_LONG timeout;
--- a/src/transport/main.c
+++ b/src/transport/main.c
@@ -171,7 +171,7 @@
   MmOperators operators = mm_operators_defaults();
 
   /* GIO's modules add only features that the program does not need: name resolution, proxies and
-   * volumes. Skipping them shortens start-up. */
+   * volumes. Start-up is shorter without these modules. */
   g_setenv("GIO_MODULE_DIR", "/nonexistent", TRUE);
   g_setenv("GIO_USE_VFS", "local", TRUE);
   if (argc > 1 && strcmp(argv[1], "groups") == 0)
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -5,7 +5,7 @@
 
 #include "base/wire.h"
 
-/* Page size of key listings. The size is small because nodes must have to read several pages. */
+/* Page size of key listings. The size is small so that nodes have to read several pages. */
 #define KEYS_PER_PAGE 7
 
 static void
@@ -104,7 +104,8 @@
   GHashTableIter iter;
   gpointer value;
 
-  /* Leases do not expire during an outage and have their full time to live after it. */
+  /* Leases do not expire during an outage. When the outage ends, each lease has its full time to
+   * live. */
   g_hash_table_iter_init(&iter, world->leases);
   while (g_hash_table_iter_next(&iter, NULL, &value))
     ((WorldLease *)value)->expires_at_us = world->now_us + ((WorldLease *)value)->ttl_us;
--- a/tests/world/node-platform.c
+++ b/tests/world/node-platform.c
@@ -30,7 +30,7 @@
  */
 typedef struct {
   WorldNode *world_node;
-  guint generation; /* of the process */
+  guint generation; /* generation of the process */
   WorldCallback callback;
   gpointer data;
 } NodeTimer;
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -7,7 +7,7 @@
  * ended. */
 typedef struct {
   WorldNode *world_node;
-  guint generation; /* of the process */
+  guint generation; /* generation of the process */
 } TickTimer;
 
 static void
--- a/tests/world/pipelines.c
+++ b/tests/world/pipelines.c
@@ -1,4 +1,5 @@
-/* Jobs that depend on others: submission, and the state that follows from their dependencies. */
+/* Jobs that depend on other jobs: submission, and the state that follows from their dependencies.
+ */
 #include "world/world.h"
 
 #include "base/wire.h"
--- a/tests/world/service-checks.c
+++ b/tests/world/service-checks.c
@@ -98,8 +98,8 @@
   guint n_served;
 } ServedCount;
 
-/* Adds the job to the count. If `job` is NULL, reports a violation instead if less than half of the
- * counted jobs have started. `description` names the category. */
+/* Adds the job to the count. If `job` is NULL, adds nothing, and reports a violation if less than
+ * half of the counted jobs have started. `description` names the category. */
 static void
 count_served(World *world, ServedCount *served_count, const char *description,
              const WorldJob *job) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -85,7 +85,7 @@
  * When the outage ends, each lease has its full time to live. */
 void world_kv_outage(World *world, double seconds);
 /* Adds a watch (kv-watches.c). Calls `callback` once, with the changes after the revision that
- * `path` contains. If the watch times out, the callback gets no changes. */
+ * the query part of `path` gives. If the watch times out, the callback gets no changes. */
 void world_kv_add_watch(World *world, guint node, const char *path, MmResponseCallback callback,
                         gpointer data);
 
