--- a/tests/golden/record.c
+++ b/tests/golden/record.c
@@ -76,7 +76,8 @@
   world_run(world, 6);
   world_cancel(g_ptr_array_index(world->jobs, 1));
   world_run(world, 3);
-  /* A job with only some tasks done, and a job that was just cancelled. */
+  /* Submits a job that will have only some of its tasks done, and a job that will just have been
+     cancelled. */
   world_submit(world, json_pack("{s:i}", WIRE_TASKS, 6), 2)->stagger_s = 4;
   cancelled = world_submit(world, json_pack("{s:i, s:s}", WIRE_TASKS, 3, WIRE_TEAM, "team-3"), 30);
   world_run(world, 12);
--- a/tests/loopback/checker.c
+++ b/tests/loopback/checker.c
@@ -4,8 +4,9 @@
 #include <string.h>
 
 #define CORES_TOLERANCE 1e-6
-/* A start that is in flight when its job is cancelled happens within this time. A machine discards
- * responses that take longer than 4 s, and it fetches the image for up to 1.5 s. */
+/* When a job is cancelled while a start of one of its tasks is in flight, the task starts at most
+ * this long after the cancellation. A machine discards responses that take longer than 4 s, and it
+ * fetches the image for up to 1.5 s. */
 #define START_DELAY_MAX_S 6.0
 
 static const char *const kinds[] = { "accepted", "done", "cancelled", "start", "end", "refused" };
--- a/tests/loopback/run.c
+++ b/tests/loopback/run.c
@@ -148,8 +148,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Kills all nodes, which run the binary given by --other-binary until then. Restarts them with the
- * program under test on the state that the other binary stored. */
+/* Until this call, all nodes run the binary given by --other-binary. Kills all nodes and restarts
+ * them with the program under test, on the state that the other binary stored. */
 static gboolean
 take_over(gpointer data) {
   Run *run = data;
--- a/tests/loopback/stand-ins.c
+++ b/tests/loopback/stand-ins.c
@@ -23,8 +23,8 @@
 stand_ins_catch_up(StandIns *stand_ins) {
   gint64 late_us = mm_clock_now().us + stand_ins->offset_us - stand_ins->world->now_us;
 
-  /* Overdue events, above all expired leases, are processed in their order before any new request
-   * is handled. */
+  /* Processes overdue events, above all expired leases, in chronological order before any new
+   * request is handled. */
   if (late_us > 0)
     world_run(stand_ins->world, (double)late_us / G_USEC_PER_SEC);
 }
--- a/tests/measure-sharing.c
+++ b/tests/measure-sharing.c
@@ -167,8 +167,8 @@
 }
 
 /* Returns the ratio of the processor time with groups to the processor time without groups.
- * Measures both alternately, ROUNDS times, and takes the median of the ratios. The counts are the
- * same in each round. */
+ * Measures the two times alternately, ROUNDS times, and returns the median of the ratios. The
+ * counts are the same in each round. */
 static double
 measure_ratio(guint size, Cost *without, Cost *with) {
   double ratios[ROUNDS];
--- a/tests/test-concurrent-faults-cancellation.c
+++ b/tests/test-concurrent-faults-cancellation.c
@@ -7,7 +7,8 @@
 #include "kv/replica.h"
 #include "leases/shard-ownership.h"
 
-/* Cancellations, status requests and repeated submissions arrive as a job's last task ends. */
+/* Cancellations, status requests and repeated submissions of a job arrive while the job's last
+   task ends. */
 guint
 jobs_are_cancelled_as_they_end(World *world) {
   guint n_done = 0, n_cancelled = 0;
@@ -41,7 +42,7 @@
   leader = world_node_leading_most_shards(world);
   refuse_kv_requests(world, leader, 14);
   world_run(world, 1.5);
-  /* The first commands to these machines are lost. */
+  /* The first commands to the machines chosen here are lost. */
   inject_into_machines_with_tasks(world, 4, lose_inbound, 4);
   cancel_all_jobs(world);
   world_run(world, 0.4);
@@ -106,8 +107,9 @@
   return n_overlaps;
 }
 
-/* The key-value store responds slowly, then refuses requests from the leader only, and then from
- * all nodes, while users cancel jobs and request their status. */
+/* The key-value store first responds slowly, then refuses requests from the leader only, and
+ * finally refuses requests from all nodes. Meanwhile users cancel jobs and request the status of
+ * these jobs. */
 guint
 store_is_slow_then_refuses(World *world) {
   guint n_overlaps;
@@ -155,7 +157,8 @@
   node = world_node_leading_most_shards(world);
   world->nodes[node].watches_lost_until_us = world->now_us + 60 * SECOND;
   world_refuse_links(world, 60);
-  /* Users avoid this node; otherwise it would learn of the cancellations from their requests. */
+  /* Users avoid this node, because otherwise the node would learn of the cancellations from the
+     users' requests. */
   world->avoided_node = node;
   world_run(world, 0.5);
   cancel_all_jobs(world);
--- a/tests/test-concurrent-faults-failover.c
+++ b/tests/test-concurrent-faults-failover.c
@@ -24,8 +24,8 @@
   return highest_known_term(world) >= before + 6;
 }
 
-/* Transactions get no response and are applied late, after newer transactions of the same node. The
- * newer transactions include those that the node sends after a restart. */
+/* Transactions of a node get no response and are applied late, after newer transactions of the
+ * same node. Some of the newer transactions are sent after a restart of the node. */
 guint
 transactions_are_applied_late(World *world) {
   world->late_write_rate = 0.3;
@@ -157,8 +157,8 @@
   return highest_known_term(world) > before ? n_overlaps : 0;
 }
 
-/* At least ten failovers occur in two minutes, one of them during an outage of the key-value store.
- */
+/* At least ten failovers occur in two minutes. One of the failovers occurs during an outage of the
+   key-value store. */
 guint
 ten_failovers_in_two_minutes(World *world) {
   guint64 before;
--- a/tests/test-concurrent-faults-network.c
+++ b/tests/test-concurrent-faults-network.c
@@ -109,8 +109,8 @@
 
 /* The node with the active autoscaler is partitioned from all workers. Meanwhile the heartbeats of
  * some workers are lost, but these workers answer requests of the other nodes. The autoscaler must
- * not conclude from the partition of its own node that machines are silent; otherwise it would
- * return healthy machines to the cloud. */
+ * not count machines as silent because of the partition of its own node. Otherwise the autoscaler
+ * would return healthy machines to the cloud. */
 guint
 autoscaler_is_partitioned_from_workers(World *world) {
   guint autoscaler_node = 0, n_overlaps, n_up_before = 0, n_up_after = 0;
--- a/tests/test-concurrent-faults.c
+++ b/tests/test-concurrent-faults.c
@@ -88,8 +88,8 @@
   g_assert_cmpuint(n_overlaps, >, 0);
 }
 
-/* Returns whether, with at least one of four seeds, tasks of cancelled jobs keep running when the
- * nodes have this fault. */
+/* Runs nodes with the given fault with four seeds. Returns whether tasks of cancelled jobs keep
+ * running with at least one of the seeds. */
 static gboolean
 cancelled_tasks_keep_running(guint (*run_scenario)(World *world), gboolean only_leader_knows,
                              gboolean never_stale) {
--- a/tests/test-concurrent-faults.h
+++ b/tests/test-concurrent-faults.h
@@ -11,7 +11,7 @@
 /* Submits `n` jobs of the kind in total; four teams submit them in turn. Each job has `tasks`
  * tasks, which run for about `run_s` seconds. */
 void submit_jobs(World *world, guint n, const char *kind, guint tasks, double run_s);
-/* Requests the cancellation of each job for which it has not been requested before. */
+/* Requests the cancellation of each job whose cancellation has not been requested before. */
 void cancel_all_jobs(World *world);
 /* Returns the number of jobs whose user last saw them in this state. */
 guint count_jobs_seen_as(const World *world, WorldUserView view);
--- a/tests/test-faulty-nodes.c
+++ b/tests/test-faulty-nodes.c
@@ -96,9 +96,9 @@
   g_assert_not_reached();
 }
 
-/* A machine that runs replicas of a service receives no responses or direct commands while all
- * nodes restart. Returns whether two things hold a minute and a half later: all replicas run on
- * other machines, and a job submitted during the restart is done. */
+/* Prevents responses and direct commands from reaching a machine that runs replicas of a service,
+ * while all nodes restart. Returns whether two things hold a minute and a half later: all replicas
+ * run on other machines, and a job submitted during the restart is done. */
 static gboolean
 service_recovers_without_machine(guint32 seed, gboolean respond_to_unacknowledging) {
   World *world = world_new(seed);
@@ -115,8 +115,8 @@
   world_run(world, 12);
   unanswered = first_machine_with_tasks(world);
   unanswered->inbound_lost_until_us = world->now_us + 3600 * (gint64)G_USEC_PER_SEC;
-  /* If the cloud were up, the machine would be returned to the cloud. The return would prove the
-   * machine lost sooner. */
+  /* The cloud is down because otherwise the machine would be returned to the cloud. The return
+   * would prove the machine lost sooner. */
   world->cloud_down_until_us = unanswered->inbound_lost_until_us;
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.2);
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -39,7 +39,7 @@
   return n;
 }
 
-/* Returns the number of machines whose lease has not expired and that the node knows both from
+/* Returns the number of machines that have an unexpired lease and that the node knows both from
  * heartbeats and from the registry. */
 static guint
 count_machines_known(const World *world, guint node) {
--- a/tests/test-large-capacity.c
+++ b/tests/test-large-capacity.c
@@ -38,9 +38,9 @@
   return world_submit(world, job, 20);
 }
 
-/* Small jobs arrive continuously and need more resources than there are. Nevertheless, the largest
- * array, a gang and a service spread over zones must start within four minutes for each of two
- * teams. */
+/* Small jobs arrive continuously and need more resources than the fleet has. Nevertheless, for
+ * each of two teams, the largest array, a gang and a service spread over zones must start within
+ * four minutes. */
 void
 test_large_jobs_do_not_starve(void) {
   World *world = world_new(2);
@@ -70,7 +70,8 @@
   world_free(world);
 }
 
-/* Numbers of big machines by the kinds of jobs that run on them. Big machines have accelerators. */
+/* Numbers of big machines, counted by the kinds of jobs that run on the machines. Big machines
+   have accelerators. */
 typedef struct {
   guint with_services; /* with or without arrays */
   guint with_services_and_arrays;
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -157,9 +157,9 @@
   world_free(world);
 }
 
-/* Machines that the cloud reclaimed while all nodes were down are missing from the cloud's list.
- * This proves them lost, so that new leaders need not wait until the leases of these machines
- * expire. */
+/* The cloud reclaims machines while all nodes are down. The absence of these machines from the
+ * cloud's list proves the machines lost. Therefore new leaders need not wait until the leases of
+ * these machines expire. */
 static void
 test_machines_reclaimed_in_an_outage_are_lost(void) {
   World *world = new_large_world(4, 60);
@@ -188,8 +188,9 @@
   world_free(world);
 }
 
-/* A node is reconnected after a partition. It does not repeat a transaction whose conditions failed
- * until it has read the change that made the conditions fail. */
+/* A node is reconnected after a partition. When the conditions of a transaction of the node fail,
+ * the node does not repeat the transaction until the node has read the change that made the
+ * conditions fail. */
 static void
 test_failed_transactions_are_not_repeated(void) {
   World *world = new_large_world(5, 12);
--- a/tests/test-machine-health.c
+++ b/tests/test-machine-health.c
@@ -84,8 +84,8 @@
   world_free(f.world);
 }
 
-/* A machine is quarantined when jobs fail on it that succeed on another machine or that ran on no
- * other machine. */
+/* A machine is quarantined when jobs fail on the machine. A failed job counts only if the job
+ * succeeds on another machine or has run on no other machine. */
 static void
 test_failing_machine_is_quarantined(void) {
   HealthFixture f = health_fixture();
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -69,7 +69,7 @@
   MmHeartbeat heartbeat;
   MmTime last_response_at_load;
 
-  /* The cloud is down; therefore no node can return the machine to it. */
+  /* The cloud is down. Therefore no node can return the machine to the cloud. */
   world->cloud_down_until_us = G_MAXINT64;
   world_refuse_links(world, 12);
   world_kill_node(world, restarted, 0.2);
--- a/tests/test-pipelines-faults.c
+++ b/tests/test-pipelines-faults.c
@@ -55,7 +55,8 @@
   check_and_free_world(world);
 }
 
-/* A dependent is submitted to another node at the time of the cancellation. */
+/* While a job is cancelled through one node, a dependent of the job is submitted to another node.
+ */
 void
 test_dependent_is_submitted_during_cancellation(void) {
   for (guint32 seed = 1; seed <= 6; seed++) {
@@ -87,7 +88,7 @@
   run_until_user_sees(world, done, USER_SEES_DONE, 30);
   run_until_user_sees(world, cancelled, USER_SEES_CANCELLED, 30);
   world_run(world, 10);
-  /* The restarted processes have not seen either job end. */
+  /* The restarted node processes have not seen the end of either dependency. */
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.2 + 0.2 * i);
   world_run(world, 6);
--- a/tests/test-scheduler-heartbeats.c
+++ b/tests/test-scheduler-heartbeats.c
@@ -36,10 +36,10 @@
   return machine;
 }
 
-/* Of two reported attempts at a task, the newer attempt wins in whichever order the heartbeats
- * arrive, because the newer attempt was approved only after the older one had ended. Otherwise a
- * late heartbeat would keep the task on a machine where the task no longer runs. When that machine
- * is lost, the task would start a third time. */
+/* When two attempts at a task are reported, the newer attempt wins in whichever order the
+ * heartbeats arrive. The reason is that the newer attempt was approved only after the older
+ * attempt had ended. Otherwise a late heartbeat would keep the task on a machine where the task no
+ * longer runs. When that machine is lost, the task would start a third time. */
 void
 test_newer_attempt_wins(void) {
   for (guint newer_first = 0; newer_first < 2; newer_first++) {
@@ -89,9 +89,9 @@
   world_free(f.world);
 }
 
-/* A machine that sends no heartbeats is returned to the cloud even if it reports no tasks. The
- * reason is that starts may have reached the machine; newly acquired shards therefore wait for it
- * until it is proved lost. */
+/* A machine that sends no heartbeats is returned to the cloud even if the machine has reported no
+ * tasks. The reason is that starts may have reached the machine. Newly acquired shards therefore
+ * wait for the machine until the machine is proved lost. */
 void
 test_silent_idle_machine_is_returned(void) {
   World *world = world_new(6);
@@ -133,7 +133,8 @@
   g_assert_true(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence - 1, 0)));
   g_assert_false(is_stale(&f, heartbeat_with_task(&f, 0, 1, sequence + 1, 0)));
   g_assert_false(is_stale(&f, heartbeat_with_task(&f, 0, 2, 1, 0)));
-  /* A late copy that a peer forwards nevertheless neither removes a task nor renews the lease. */
+  /* Even when a peer forwards a late copy of a heartbeat, the copy neither removes a task nor
+     renews the lease. */
   g_assert_null(record_heartbeat(&f, heartbeat_with_task(&f, 0, 1, sequence - 1, 0)));
   g_assert_cmpint(machine->last_possible_response_at.us, ==, answered.us);
   g_assert_true(f.job->tasks[0].machine == machine);
--- a/tests/test-scheduler-preemption.c
+++ b/tests/test-scheduler-preemption.c
@@ -74,10 +74,10 @@
   g_assert_cmpfloat(grace_s_of_preempted_work("normal", 60, 12), ==, 4);
 }
 
-/* Gangs of several teams arrive one after another. Each of their tasks takes most of a machine;
- * therefore some places of a gang are on machines that the gang's leader serves itself. A task must
- * not be compared with the resources that are left beside the task's own reservation; otherwise
- * such gangs would never start. */
+/* Gangs of several teams arrive one after another. Each of their tasks takes most of a machine.
+ * Therefore some places of a gang are on machines that the gang's leader serves itself. The
+ * resources that a task needs must not be compared with the resources that remain after the task's
+ * own reservation. Otherwise such gangs would never start. */
 void
 test_gang_starts_on_machines_of_its_leader(void) {
   World *world = world_new(11);
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -69,8 +69,8 @@
   return read_text(text, error);
 }
 
-/* As soon as the settings are read, each limit is the smaller of its current and its announced next
- * value. */
+/* When the settings are read, each limit is set to the smaller of its current value and its
+ * announced next value. */
 static void
 test_smaller_of_announced_limits_holds(void) {
   const struct {
--- a/tests/test-sharing-world-moves.c
+++ b/tests/test-sharing-world-moves.c
@@ -5,10 +5,10 @@
 #include "leases/shard-ownership.h"
 #include "sharing/sharing.h"
 
-/* Delays between the order to move a group and the fault. Each step of a move takes a few
+/* Delays between the request to move a group and the fault. Each step of a move takes a few
  * milliseconds. The pause between two requests of a watch takes about 50 ms. */
 static const guint fault_delays_ms[] = { 0, 5, 14, 70, 2, 9, 30, 200 };
-#define N_DEFAULT_FAULT_DELAYS 4 /* how many are used; `-m slow`: all */
+#define N_DEFAULT_FAULT_DELAYS 4 /* number of delays used; `-m slow`: all are used */
 
 typedef struct {
   World *world;
@@ -20,7 +20,7 @@
 
 typedef struct {
   const char *name;
-  void (*before_order)(Move *move); /* called before the order to move; NULL: not called */
+  void (*before_order)(Move *move); /* called before the request to move; NULL: not called */
   void (*during_move)(Move *move);  /* called after each of the delays; NULL: not called */
 } MoveCase;
 
@@ -204,7 +204,8 @@
   if (move_case->before_order != NULL)
     move_case->before_order(&move);
   world_move_group(world, move.source, move.group, move.target);
-  /* At the end of this run, the source node has received the order and has started the move. */
+  /* At the end of this run, the source node has received the request to move and has started the
+     move. */
   world_run(world, 0.007);
   world_run(world, fault_delays_ms[delay_index] / 1000.0);
   if (move_case->during_move != NULL)
--- a/tests/test-sharing-world-settings.c
+++ b/tests/test-sharing-world-settings.c
@@ -49,7 +49,7 @@
   g_assert_cmpuint(count_active(world), ==, 0);
   g_assert_cmpuint(count_group_keys(world), ==, 0);
   g_assert_cmpuint(world->n_starts, >, 20);
-  /* The node's version key has the same bytes as that of a node without sharing. */
+  /* The node's version key has the same bytes as the version key of a node without sharing. */
   key = g_tree_lookup(world->keys, "mm/r/v/n-2");
   g_assert_cmpuint(json_object_size(key->value), ==, 1);
   restart_with_groups(world, 2, GROUPS);
@@ -64,7 +64,7 @@
 }
 
 /* A node whose settings have a different number of groups detects the difference before the node
- * announces anything. Such a node owns no group. */
+ * makes any announcement. Such a node owns no group. */
 void
 test_other_group_count_is_inactive(void) {
   World *world = new_sharing_world(32);
--- a/tests/test-sharing.c
+++ b/tests/test-sharing.c
@@ -83,8 +83,8 @@
   g_assert_cmpstr(owner_label(map, 255), ==, "n-1");
   g_assert_cmpuint(mm_group_map_owner(map, 99).term.v, ==, 3);
   g_assert_cmpuint(mm_group_map_key_version(map, "n-1").v, ==, 12);
-  /* A group in two keys, which only a manual edit can cause, belongs to the key with the later
-   * term, in whichever order the keys arrive. */
+  /* Only a manual edit can list a group in two keys. Such a group belongs to the key with the
+   * later term, in whichever order the keys arrive. */
   g_assert_true(mm_group_map_put(map, "n-2", with_later_term, (MmKeyVersion){ 13 }));
   g_assert_cmpstr(owner_label(map, 0), ==, "n-2");
   g_assert_true(mm_group_map_put(map, "n-0", a, (MmKeyVersion){ 14 }));
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -146,8 +146,8 @@
     world_submit(world, body, world_uniform(world, 1, 8));
 }
 
-/* Limits fall without an announcement. Nodes whose transactions are refused write less at a time.
- * They do not keep sending the same refused transaction. */
+/* The limits of the key-value store fall without an announcement. Nodes whose transactions are
+ * refused write less at a time. These nodes do not keep sending the same refused transaction. */
 static void
 test_unannounced_limits_are_learned(void) {
   World *world = world_new(3);
--- a/tests/test-world-days.c
+++ b/tests/test-world-days.c
@@ -8,9 +8,9 @@
 #define SECOND ((gint64)G_USEC_PER_SEC)
 #define DAYS 16
 #define DAYS_WITH_ALL_FAULTS_IN_CI 8
-/* Days from this day on draw from all faults. Earlier days draw only from the first N_BASIC_FAULTS
- * faults; with these, a seed still reproduces the same run. This matters because one of the earlier
- * days covers a failure that was found on that day. */
+/* Days with this number or a higher number draw from all faults. Days with lower numbers draw only
+ * from the first N_BASIC_FAULTS faults, so that a seed of these days still reproduces the same
+ * run. This matters because one of these days covers a failure that was found on that day. */
 #define FIRST_DAY_WITH_ALL_FAULTS 1001
 #define N_BASIC_FAULTS 17
 
@@ -140,7 +140,7 @@
   world_send_unusual_requests(target->world);
 }
 
-/* The key-value store refuses one node first, then all nodes. */
+/* The key-value store refuses requests from one node first, then from all nodes. */
 static void
 refuse_one_node_then_all(FaultTarget *target) {
   World *world = target->world;
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -28,9 +28,10 @@
   world_free(world);
 }
 
-/* The key-value store refuses two nodes at the same time and serves the third node. The refusals do
- * not prove an outage, because the third node shows that the store is up. The two refused nodes
- * stop answering workers and their leases expire. No task runs twice. */
+/* The key-value store refuses requests from two nodes at the same time and serves the third node.
+ * The refusals do not prove an outage, because the third node shows that the store is up. The two
+ * refused nodes stop answering workers, and the leases of these two nodes expire. No task runs
+ * twice. */
 static void
 test_two_refused_nodes_are_no_outage(void) {
   World *world = world_new(5);
@@ -88,8 +89,8 @@
   world_free(world);
 }
 
-/* A node that has lost the key-value store and the other nodes answers its users at once, redirects
- * its workers once its lease may have expired, and recovers by itself. */
+/* A node that has lost the key-value store and the other nodes answers its users at once. The node
+ * redirects its workers once the node's lease may have expired, and recovers by itself. */
 static void
 test_partitioned_node_answers_users_503(void) {
   World *world = world_new(7);
@@ -156,8 +157,8 @@
   world_free(world);
 }
 
-/* During an outage of the key-value store for all nodes, which two nodes prove to each other, the
- * node leases stay valid. */
+/* The key-value store is down for all nodes, and two nodes prove the outage to each other. The
+ * node leases stay valid during the outage. */
 static void
 test_leases_hold_in_an_outage(void) {
   World *world = world_new(6);
