--- a/tests/test-completed-tasks.c
+++ b/tests/test-completed-tasks.c
@@ -40,8 +40,8 @@
   mm_completed_tasks_clear(&set);
 }
 
-/* When a text would exceed its maximum size, tasks are omitted from the text, the shortest ranges
- * first. The text never contains a task that is not completed. */
+/* When the text form of the completed tasks would exceed its maximum size, tasks are omitted from
+ * the text, the shortest ranges first. The text never contains a task that is not completed. */
 static void
 test_too_long_text_leaves_tasks_out(void) {
   MmCompletedTasks set, decoded;
--- a/tests/test-concurrent-faults-cancellation.c
+++ b/tests/test-concurrent-faults-cancellation.c
@@ -7,8 +7,9 @@
 #include "kv/replica.h"
 #include "leases/shard-ownership.h"
 
-/* Cancellations, status requests and repeated submissions of a job arrive while the job's last
-   task ends. */
+/* Cancellations of jobs arrive while the last tasks of these jobs end. Invalid submissions, status
+   requests for an unknown job, repeated submissions of accepted jobs and cancellations of done
+   jobs arrive as well. */
 guint
 jobs_are_cancelled_as_they_end(World *world) {
   guint n_done = 0, n_cancelled = 0;
--- a/tests/test-concurrent-faults-network.c
+++ b/tests/test-concurrent-faults-network.c
@@ -32,7 +32,7 @@
 
 /* Like zone_is_partitioned_with_its_node(), but a node outside the zone restarts. After the
  * restart, this node knows the machines in the zone only from the registry. When the zone is
- * reconnected, the node proves that the incarnations of these machines have ended. */
+ * reconnected, the restarted node proves that the incarnations of these machines have ended. */
 guint
 node_restarts_while_zone_is_partitioned(World *world) {
   submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
--- a/tests/test-faulty-nodes.c
+++ b/tests/test-faulty-nodes.c
@@ -120,8 +120,8 @@
   world->cloud_down_until_us = unanswered->inbound_lost_until_us;
   for (guint i = 0; i < WORLD_NODES; i++)
     world_kill_node(world, i, 0.2);
-  /* This job is submitted before the shards are acquired. Therefore it waits until all machines
-   * have acknowledged the term. */
+  /* This job is submitted before the shards are acquired. Therefore the job waits until all
+   * machines have acknowledged the term. */
   later = world_submit(world, json_pack("{s:i}", WIRE_TASKS, 3), 2);
   world_run(world, 90);
   g_assert_cmpuint(world->violations->len, ==, 0);
--- a/tests/test-golden.c
+++ b/tests/test-golden.c
@@ -99,8 +99,8 @@
       g_assert_true(json_equal(json_object_get(written, field), old));
 }
 
-/* Nodes of the current code start on the state of the production version. Each shard's term is the
- * recorded term or a later term. */
+/* Nodes of the current code start on the state of the production version. The term that each node
+ * then has is the recorded term or a later term. */
 static void
 test_nodes_start_on_production_state(void) {
   g_autoptr(json_t) golden = load_recorded_state();
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -80,7 +80,8 @@
 }
 
 /* A zone is partitioned with all its machines and its node. The zone's tasks are started again in
- * other zones; its machines are not returned to the cloud and are used again afterwards. */
+ * other zones. The zone's machines are not returned to the cloud and are used again after the
+ * partition. */
 static void
 test_partitioned_zone_keeps_its_machines(void) {
   World *world = new_large_world(2, 210);
@@ -124,9 +125,9 @@
 
 /* A node stops and the other nodes acquire its shards. Most machines acknowledge the new term by
  * their heartbeats. A machine whose heartbeat would acknowledge the term too late gets a direct
- * command from the node that serves the machine. How many of these commands a node sends at once is
- * limited by the node's share of a processor. In this test, workers of the stopped node find
- * another node after 5 s. */
+ * command from the node that serves the machine. The node's share of a processor limits how many
+ * of these commands the node sends at once. In this test, workers of the stopped node find another
+ * node after 5 s. */
 static void
 test_few_acknowledgements_are_requested(void) {
   World *world = new_large_world(3, 210);
--- a/tests/test-peer-links.c
+++ b/tests/test-peer-links.c
@@ -104,8 +104,8 @@
 
 /* The proof of an outage depends on the age of refusals. A refusal that a pong reports dates from
  * the ping. A refusal that the node received itself dates from the node's own request. The time of
- * receipt would be too late, because pongs may be delayed and responses of both kinds stay unread
- * while a node is suspended. */
+ * receipt would be too late, because pongs may be delayed, and because both pongs and refusals
+ * stay unread while the node is suspended. */
 static void
 test_refusals_are_as_old_as_their_requests(void) {
   World *world = new_world_with_two_machines(4);
@@ -202,10 +202,10 @@
   world_free(world);
 }
 
-/* The computer of a node loses power, and the node returns much later. Its peers see no link
- * closed. The peers must reconnect, because links that only look open deliver nothing for minutes.
- * Without a reconnection, the shards that the returned node acquires would wait for machines that
- * no peer announces to it. */
+/* The computer of a node loses power, and the node returns much later. The node's peers see no
+ * link closed. The peers must reconnect, because links that only look open deliver nothing for
+ * minutes. Without a reconnection, the peers would announce no machines to the returned node, and
+ * the shards that the node acquires would wait for these machines. */
 static void
 test_half_open_links_are_opened_anew(void) {
   World *world = new_world_with_two_machines(5);
--- a/tests/test-pipelines-faults.c
+++ b/tests/test-pipelines-faults.c
@@ -4,9 +4,9 @@
 #include "base/wire.h"
 #include "dependencies/dependencies.h"
 
-/* The shard leader of a dependency is killed after its write of the done state and before its
- * messages to its peers. Another node leads the dependents. That node must start the dependents on
- * the strength of the key-value store's contents alone. */
+/* The shard leader of a dependency is killed after it has written the done state and before it has
+ * sent messages to its peers. Another node leads the shards of the dependents. That node must
+ * start the dependents although it knows the done state only from the key-value store. */
 void
 test_leader_ends_after_done_is_written(void) {
   for (guint32 seed = 1; seed <= 3; seed++) {
@@ -136,8 +136,8 @@
   }
 }
 
-/* A cancellation arrives as the last task ends. Whichever of the two is written first decides the
- * outcome for the job and its dependent. */
+/* A cancellation arrives while the job's last task ends. Of the cancellation and the done state,
+ * the one that is written first decides the outcome for the job and for its dependent. */
 void
 test_cancellation_races_the_last_task(void) {
   guint n_done = 0, n_cancelled = 0;
--- a/tests/test-pipelines.c
+++ b/tests/test-pipelines.c
@@ -46,7 +46,7 @@
     { json_string(good->id), 400 },
     { json_object(), 400 },
     { json_null(), 201 },
-    { json_array(), 200 }, /* from here on, the job is already accepted */
+    { json_array(), 200 }, /* from this case on, the submitted job is already accepted */
     { json_pack("[s, s]", good->id, good->id), 200 },
     { json_pack("[s]", "run-404404"), 200 },
   };
--- a/tests/test-sharing-world-moves.c
+++ b/tests/test-sharing-world-moves.c
@@ -5,8 +5,8 @@
 #include "leases/shard-ownership.h"
 #include "sharing/sharing.h"
 
-/* Delays between the request to move a group and the fault. Each step of a move takes a few
- * milliseconds. The pause between two requests of a watch takes about 50 ms. */
+/* Delays of the fault. A delay begins 7 ms after the request to move a group. Each step of a move
+ * takes a few milliseconds. The pause between two requests of a watch takes about 50 ms. */
 static const guint fault_delays_ms[] = { 0, 5, 14, 70, 2, 9, 30, 200 };
 #define N_DEFAULT_FAULT_DELAYS 4 /* number of delays used; `-m slow`: all are used */
 
--- a/tests/test-sharing-world-settings.c
+++ b/tests/test-sharing-world-settings.c
@@ -34,9 +34,9 @@
   world->nodes[node].operators.group_count = groups;
 }
 
-/* Sharing becomes active once every node of the settings has sharing enabled, and inactive when one
- * node has sharing disabled. When sharing has become inactive, no key is left behind, and the nodes
- * schedule as without sharing. */
+/* Sharing becomes active once all nodes in the settings have sharing enabled, and becomes inactive
+ * when one node has sharing disabled. When sharing has become inactive, no group key is left
+ * behind, and the nodes schedule as without sharing. */
 void
 test_sharing_turns_on_and_off(void) {
   World *world = new_sharing_world(31);
--- a/tests/test-sharing-world.c
+++ b/tests/test-sharing-world.c
@@ -59,8 +59,8 @@
 /* Faulty owners. */
 
 /* Has a copy of each machine's next heartbeat delivered to a random node `delay_us` after the
- * original is sent. By then the nodes may not have informed each other of the heartbeat. In that
- * case, both the node that received the original and the node that received the copy consider
+ * original is sent. By then the nodes may not have informed each other of the original. In that
+ * case, the node that received the original and the node that received the copy both consider
  * themselves responsible for the answer. */
 static void
 duplicate_heartbeats(World *world, gint64 delay_us) {
@@ -73,10 +73,10 @@
 
 typedef enum { NO_OWNER_FAULT, FORGETS_GRANTS, IGNORES_ACKNOWLEDGEMENTS } OwnerFault;
 
-/* Returns whether a day with this fault of the group owners violates an invariant. Copies of
- * heartbeats arrive before the nodes have informed each other of the originals. With `restarts`,
- * the copies arrive while links between nodes are refused. Between an original and its copy,
- * owners restart and forget what they had granted. */
+/* Runs a day with this fault of the group owners. Returns whether the day violates an invariant.
+ * Copies of heartbeats arrive before the nodes have informed each other of the originals. With
+ * `restarts`, the copies arrive while links between nodes are refused. Between an original and its
+ * copy, owners restart and forget the resources that they had granted. */
 static gboolean
 violates_an_invariant(guint seed, gboolean restarts, OwnerFault fault) {
   World *world = new_sharing_world(seed);
--- a/tests/test-sharing-world.h
+++ b/tests/test-sharing-world.h
@@ -6,8 +6,8 @@
 #define SECOND ((gint64)G_USEC_PER_SEC)
 #define GROUPS 16
 
-/* Returns a world with nine machines in 16 groups. It is not started yet, so that the caller can
- * set its parameters. Free with world_free() or world_finish_run(). */
+/* Returns a world with nine machines in 16 groups. The world is not started yet, so that the
+ * caller can set the world's parameters. Free with world_free() or world_finish_run(). */
 World *new_sharing_world(guint32 seed);
 /* Submits an array of six short tasks with one core each, of a random team. */
 void submit_small_job(World *world);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -37,8 +37,8 @@
   return n;
 }
 
-/* A job with a dependency gets 503 until every node has announced the new version. From then on the
- * job is accepted, even if a node is killed. */
+/* The submission of a job with a dependency gets 503 until every node has announced the new
+ * version. From then on such submissions are accepted, even if a node is killed. */
 static void
 test_dependencies_wait_for_all_nodes(void) {
   World *world = new_old_version_world(1, 6);
--- a/tests/test-world-days.c
+++ b/tests/test-world-days.c
@@ -167,7 +167,7 @@
 
 typedef struct {
   void (*inject)(FaultTarget *target);
-  gboolean needs_machine; /* the fault is skipped if `machine` is NULL */
+  gboolean needs_machine; /* if TRUE, the fault is skipped when the target's `machine` is NULL */
 } Fault;
 
 static const Fault faults[] = {
