--- a/tests/test-concurrent-faults-network.c
+++ b/tests/test-concurrent-faults-network.c
@@ -32,7 +32,7 @@
 
 /* Like zone_is_partitioned_with_its_node(), but a node outside the zone restarts. After the
  * restart, this node knows the machines in the zone only from the registry. When the zone is
- * reconnected, the node proves that the incarnations of these machines have ended. */
+ * reconnected, the restarted node proves that the incarnations of these machines have ended. */
 guint
 node_restarts_while_zone_is_partitioned(World *world) {
   submit_jobs(world, 4, WIRE_KIND_SERVICE, 3, 0);
@@ -109,8 +109,8 @@
 
 /* The node with the active autoscaler is partitioned from all workers. Meanwhile the heartbeats of
  * some workers are lost, but these workers answer requests of the other nodes. The autoscaler must
- * not conclude from the partition of its own node that machines are silent; otherwise it would
- * return healthy machines to the cloud. */
+ * not count machines as silent because of the partition of its own node. Otherwise the autoscaler
+ * would return healthy machines to the cloud. */
 guint
 autoscaler_is_partitioned_from_workers(World *world) {
   guint autoscaler_node = 0, n_overlaps, n_up_before = 0, n_up_after = 0;
--- a/tests/test-large.c
+++ b/tests/test-large.c
@@ -80,7 +80,8 @@
 }
 
 /* A zone is partitioned with all its machines and its node. The zone's tasks are started again in
- * other zones; its machines are not returned to the cloud and are used again afterwards. */
+ * other zones. The zone's machines are not returned to the cloud and are used again after the
+ * partition. */
 static void
 test_partitioned_zone_keeps_its_machines(void) {
   World *world = new_large_world(2, 210);
@@ -124,9 +125,9 @@
 
 /* A node stops and the other nodes acquire its shards. Most machines acknowledge the new term by
  * their heartbeats. A machine whose heartbeat would acknowledge the term too late gets a direct
- * command from the node that serves the machine. How many of these commands a node sends at once is
- * limited by the node's share of a processor. In this test, workers of the stopped node find
- * another node after 5 s. */
+ * command from the node that serves the machine. The node's share of a processor limits how many
+ * of these commands the node sends at once. In this test, workers of the stopped node find another
+ * node after 5 s. */
 static void
 test_few_acknowledgements_are_requested(void) {
   World *world = new_large_world(3, 210);
@@ -157,9 +158,9 @@
   world_free(world);
 }
 
-/* Machines that the cloud reclaimed while all nodes were down are missing from the cloud's list.
- * This proves them lost, so that new leaders need not wait until the leases of these machines
- * expire. */
+/* The cloud reclaims machines while all nodes are down. The absence of these machines from the
+ * cloud's list proves the machines lost. Therefore new leaders need not wait until the leases of
+ * these machines expire. */
 static void
 test_machines_reclaimed_in_an_outage_are_lost(void) {
   World *world = new_large_world(4, 60);
@@ -188,8 +189,9 @@
   world_free(world);
 }
 
-/* A node is reconnected after a partition. It does not repeat a transaction whose conditions failed
- * until it has read the change that made the conditions fail. */
+/* A node is reconnected after a partition. When the conditions of a transaction of the node fail,
+ * the node does not repeat the transaction until the node has read the change that made the
+ * conditions fail. */
 static void
 test_failed_transactions_are_not_repeated(void) {
   World *world = new_large_world(5, 12);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -37,8 +37,8 @@
   return n;
 }
 
-/* A job with a dependency gets 503 until every node has announced the new version. From then on the
- * job is accepted, even if a node is killed. */
+/* The submission of a job with a dependency gets 503 until every node has announced the new
+ * version. From then on such submissions are accepted, even if a node is killed. */
 static void
 test_dependencies_wait_for_all_nodes(void) {
   World *world = new_old_version_world(1, 6);
@@ -146,8 +146,8 @@
     world_submit(world, body, world_uniform(world, 1, 8));
 }
 
-/* Limits fall without an announcement. Nodes whose transactions are refused write less at a time.
- * They do not keep sending the same refused transaction. */
+/* The limits of the key-value store fall without an announcement. Nodes whose transactions are
+ * refused write less at a time. These nodes do not keep sending the same refused transaction. */
 static void
 test_unannounced_limits_are_learned(void) {
   World *world = world_new(3);
