--- a/src/machines/machine-table.h
+++ b/src/machines/machine-table.h
@@ -21,8 +21,9 @@
    * previous state in more than its id and time. */
   void (*heartbeat_recorded)(gpointer context, MmMachine *machine, const MmHeartbeat *heartbeat,
                              gboolean has_changes);
-  /* No task that was started on the machine is still running. Observers must drop their pointers to
-   * the machine. */
+  /* The machine's lease has ended, or the machine was unregistered or is being removed from the
+   * table. No task that was started on the machine is still running. Observers must drop their
+   * pointers to the machine. */
   void (*machine_ended)(gpointer context, MmMachine *machine);
   gpointer context;
 } MmMachineObserver;
@@ -88,8 +89,8 @@
 void mm_machine_table_record_registration(MmMachineTable *machine_table,
                                           const MmRegistryEntry *entry);
 /* Records that the replica no longer contains a registry entry of the machine. Removes and frees
- * the machine. A machine that is not terminated stays in the table if it has reported an
- * incarnation that is newer than the registered one. */
+ * the machine, unless it is not terminated and has reported an incarnation newer than the
+ * registered one. */
 void mm_machine_table_record_unregistration(MmMachineTable *machine_table, const char *machine_id);
 /* Notifies the observers and frees the machine. */
 void mm_machine_table_remove(MmMachineTable *machine_table, MmMachine *machine);
--- a/src/peers/peer-links.h
+++ b/src/peers/peer-links.h
@@ -1,6 +1,6 @@
 /* Links between this node and its peers, and the state derived from them: whether a peer still
- * answers workers, the instant before which this node knows all responses of the peer to workers,
- * and when the key-value store last served or refused the peer.
+ * answers workers, the time up to which this node knows every response that the peer gave to
+ * workers, and when the key-value store last served or refused the peer.
  *
  * Links are one-way: this node sends on its own connection to a peer and receives on the peer's
  * connection to this node. On a new connection this node sends only a hello and a ping. Once any
--- a/src/placement/accelerator-reserve.c
+++ b/src/placement/accelerator-reserve.c
@@ -11,8 +11,9 @@
  * lent. */
 #define IDLE_RESERVE_DIVISOR 6
 #define IDLE_RESERVE_MIN 4
-/* With at least UNRESERVE_MIN_MACHINES accelerated machines, up to a third of the machines may be
- * unreserved, and always at least one. */
+/* No further machine is unreserved if there are fewer than UNRESERVE_MIN_MACHINES accelerated
+ * machines. Otherwise the limit on unreserved machines is a third of the accelerated machines
+ * (UNRESERVED_SHARE_DIVISOR), but not less than one. */
 #define UNRESERVE_MIN_MACHINES 2
 #define UNRESERVED_SHARE_DIVISOR 3
 
--- a/src/scheduler/led-shards.c
+++ b/src/scheduler/led-shards.c
@@ -171,8 +171,10 @@
  * not use has none of the job's tasks, because earlier leaders observed the same constraints and
  * the kind of a machine never changes.
  *
- * For example, a service need not wait for a spot machine that the cloud has reclaimed, and a gang
- * need not wait for a machine without accelerators. */
+ * For example, the tasks of a job that does not allow spot machines can start although a spot
+ * machine that the cloud has reclaimed never acknowledges the term. Likewise, a job that allows
+ * only machine types with accelerators does not wait for the acknowledgement of a machine without
+ * accelerators. */
 static gboolean
 may_be_on_unacknowledged(const MmLedShard *shard, const MmJob *job) {
   for (guint i = 0; i < shard->unacknowledged_kinds->len; i++) {
--- a/src/scheduler/led-shards.h
+++ b/src/scheduler/led-shards.h
@@ -10,7 +10,7 @@
 /* Returns the job's shard, borrowed, or NULL when this node does not lead it. */
 MmLedShard *mm_scheduler_shard_of_job(const MmScheduler *scheduler, const MmJob *job);
 
-/* Starts and stops leading shards when the replica has changed. */
+/* Updates which shards this node leads after the replica has changed. */
 void mm_scheduler_replica_changed(MmScheduler *scheduler);
 /* Handles a job that is new or whose record has changed. */
 void mm_scheduler_job_changed(MmScheduler *scheduler, MmJob *job);
--- a/src/scheduler/placement-estimate.c
+++ b/src/scheduler/placement-estimate.c
@@ -95,14 +95,14 @@
   return estimate;
 }
 
-/* A task does not fetch its image on one machine if another machine could run the task sooner, even
- * after a preemption. The task waits for the other machine no longer than the fetch itself would
- * take.
+/* A task waits for another machine instead of fetching its image here if the other machine could
+ * run the task before the fetch here would end, even if work must first be preempted there. The
+ * task waits no longer than the fetch would take.
  *
- * A task of a service that must fetch its image anyway goes to the machine with the fewest
- * co-located tasks. This distributes the image for later tasks of the service, and leaves
- * preemptible work on the same machine that can be preempted for these tasks. It also limits how
- * many tasks the loss of a machine affects. */
+ * A task of a service that would have to fetch its image here also waits for a machine with fewer
+ * co-located tasks. Later tasks of the service then find the image on more machines, and each of
+ * these machines is more likely to run work that can be preempted for the later tasks. It also
+ * limits how many tasks the loss of a machine affects. */
 gboolean
 mm_scheduler_starts_sooner_elsewhere(MmScheduler *scheduler, MmJob *job, const MmTask *task,
                                      const MmMachine *here) {
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -19,8 +19,9 @@
 #define ORDINARY_PREEMPTIONS_PER_ROUND 2
 /* Added to the start delay for each task that must be stopped. */
 #define STOP_DELAY_PER_TASK_S 0.05
-/* How much longer a service would wait for a machine if this machine has one co-located task
- * fewer. */
+/* Added to the start delay of a service's task on a machine for each co-located task there. A
+ * machine with one co-located task fewer is therefore preferred unless it would start the task at
+ * least this much later. */
 #define COLOCATED_TASK_PENALTY_S 0.25
 /* How long a task of a job that is not urgent must have waited before work is preempted for the
  * task. */
--- a/tests/world/kv-store.c
+++ b/tests/world/kv-store.c
@@ -51,7 +51,7 @@
   world_kv_record_change(world, path, json_pack("{s:s, s:O}", WIRE_PUT, path, WIRE_VALUE, value));
 }
 
-/* Collects the paths of the keys attached to a lease. */
+/* Paths of the keys attached to a lease, as collected by collect_leased_key. */
 typedef struct {
   GPtrArray *paths;
   guint64 lease_id;
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -4,7 +4,7 @@
 
 #include "base/wire.h"
 
-/* Maximum age of a response when it arrives at its user. */
+/* Maximum time between the sending of a response and its arrival at the user. */
 #define ANSWER_MAX_AGE_S 2
 
 static void submit_job(gpointer data);
